--- a/linenbridge/cli/commands.py
+++ b/linenbridge/cli/commands.py
@@ -17,7 +17,7 @@
 from rich.table import Table as Grid
 
 from linenbridge.configuration.read import Configuration, ConfigurationError, read, schema_text
-from linenbridge.processor.answers import AnswerForm
+from linenbridge.processor.responses import AnswerForm
 from linenbridge.processor.configuration import processor_settings, routes
 from linenbridge.routes.table import Request
 
@@ -77,7 +77,7 @@
 def _witness(configuration: Configuration) -> int:
     """Settings with a fleet or a distribution alone need no configuration of the platform: a process that
     serves no RPCs."""
-    from linenbridge.fleet.hosting.witness import run as witness
+    from linenbridge.fleet.hosting.quorum_member import run as witness
     from linenbridge.fleet.configuration import fleet
 
     if configuration.part("distribution") is not None:
@@ -142,7 +142,7 @@
 @app.command()
 def sim() -> None:
     """The decision module on the bench's wire, on standard input and output."""
-    from linenbridge.wirehost.adapter import serve as bench
+    from linenbridge.simulator.adapter import serve as bench
 
     raise typer.Exit(bench(sys.stdin.buffer, sys.stdout.buffer) or 0)
 
@@ -308,7 +308,7 @@
 
     Prints decisions, the rules, and the added latency beside an empty processor. Exit 1: a rule broke.
     """
-    from linenbridge.drill.processor import play
+    from linenbridge.faults.processor import play
 
     report = play(seed, quick)
     print(json.dumps(report.as_dict()) if as_json else report.as_text())
@@ -322,7 +322,7 @@
     as_json: AsJson = False,
 ) -> None:
     """The same dialogue against an empty processor on each transport: what each costs for a stream."""
-    from linenbridge.drill.transport import weigh
+    from linenbridge.faults.transport import weigh
 
     rows = weigh(seconds)
     if as_json:
@@ -369,7 +369,7 @@
 @app.command("try")
 def try_out() -> None:
     """Start a gateway before stand-ins on loopback, send some requests and show what comes back."""
-    from linenbridge.drill.first_try import show
+    from linenbridge.faults.demo import show
 
     raise typer.Exit(show())
 
--- a/linenbridge/cli/publish.py
+++ b/linenbridge/cli/publish.py
@@ -22,12 +22,12 @@
 from linenbridge.distribution.errors import (
     ChangeRefused, ForeignKey, NotPublisher, OlderEpoch, PublisherBusy, QuorumUnreached,
 )  # fmt: skip
-from linenbridge.distribution.hosting.author import Author, Outcome
+from linenbridge.distribution.hosting.change_client import Author, Outcome
 from linenbridge.distribution.hosting.methods import methods_of
 from linenbridge.distribution.messages import Publish, Published
 from linenbridge.distribution.view.values import ValueChecks
-from linenbridge.fleet.errors import Refusal
-from linenbridge.net.log import Log
+from linenbridge.errors import Refusal
+from linenbridge.logging.event_log import Log
 from linenbridge.net.reactor import Reactor
 
 IN_FORCE, ACCEPTED, REFUSED, UNKNOWN = range(4)  # exit codes
--- a/linenbridge/distribution/configuration.py
+++ b/linenbridge/distribution/configuration.py
@@ -15,7 +15,7 @@
 from linenbridge.configuration.read import (
     SPACE, Configuration, ConfigurationError, attributes, duration, size,
 )  # fmt: skip
-from linenbridge.fleet.errors import PlaceError
+from linenbridge.errors import PlaceError
 from linenbridge.net.discovery import host_port
 
 Address = tuple[str, int]
--- a/linenbridge/distribution/feed.py
+++ b/linenbridge/distribution/dissemination/feed.py
@@ -21,9 +21,9 @@
 from linenbridge.distribution.messages import (
     Digests, EncodedBatch, EncodedWhole, Follow, Progress, Refused, Summary, batch_checksum, whole_checksum,
 )  # fmt: skip
-from linenbridge.distribution.progress import Departed, Heads, add_up
-from linenbridge.distribution.sessions import Cursor, Session, Transfer
-from linenbridge.distribution.table import TOMBSTONES_MOST, Table
+from linenbridge.distribution.dissemination.progress import Departed, Heads, add_up
+from linenbridge.distribution.dissemination.sessions import Cursor, Session, Transfer
+from linenbridge.distribution.dissemination.compacted_log import TOMBSTONES_MOST, Table
 
 MILLISECOND, SECOND = 1_000, 1_000_000
 PAGES_MOST = 64  # encoded batches that are kept for other followers at the same position
--- a/linenbridge/distribution/follower.py
+++ b/linenbridge/distribution/dissemination/follower.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass
 from random import Random
 
-from linenbridge.distribution.acceptance import Acceptance, Verdict, batch_spoilt, whole_spoilt
+from linenbridge.distribution.dissemination.acceptance import Acceptance, Verdict, batch_spoilt, whole_spoilt
 from linenbridge.distribution.changes import Position, Version
 from linenbridge.distribution.decisions import Decision, Dial, Event, HangUp, Send
 from linenbridge.distribution.messages import Batch, Digests, Follow, Progress, Refused, Summary, Whole
-from linenbridge.distribution.relays import RelayOrder, RelayPlace
+from linenbridge.distribution.dissemination.relay_selection import RelayOrder, RelayPlace
 
 MILLISECOND, SECOND = 1_000, 1_000_000
 SESSION_MOST = 1 << 53
--- a/linenbridge/distribution/sessions.py
+++ b/linenbridge/distribution/dissemination/sessions.py
@@ -11,8 +11,8 @@
 
 from linenbridge.distribution.changes import START, Version
 from linenbridge.distribution.messages import EncodedBatch, EncodedWhole, Follow
-from linenbridge.distribution.pacing import MESSAGE_OVERHEAD, TokenBucket, Window
-from linenbridge.distribution.progress import FollowerProgress
+from linenbridge.distribution.dissemination.flow_control import MESSAGE_OVERHEAD, TokenBucket, Window
+from linenbridge.distribution.dissemination.progress import FollowerProgress
 
 
 @dataclass(slots=True)
--- a/linenbridge/distribution/errors.py
+++ b/linenbridge/distribution/errors.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from linenbridge.fleet.errors import FleetError, Refusal
+from linenbridge.errors import FleetError, Refusal
 
 
 class OlderEpoch(Refusal):
--- a/linenbridge/distribution/hosting/author.py
+++ b/linenbridge/distribution/hosting/change_client.py
@@ -15,10 +15,10 @@
 
 from linenbridge.distribution.configuration import Region
 from linenbridge.distribution.errors import NotPublisher, PublisherBusy
-from linenbridge.distribution.hosting.words import AUTHOR_TAKES
+from linenbridge.distribution.hosting.link_messages import AUTHOR_TAKES
 from linenbridge.distribution.messages import Publish, Published
-from linenbridge.fleet.hosting.links import Links
-from linenbridge.net.log import Log
+from linenbridge.peering.connections import Links
+from linenbridge.logging.event_log import Log
 
 ASK_AGAIN = 0.3  # seconds before the next candidate is asked
 TRY_ANOTHER = frozenset((NotPublisher.code, PublisherBusy.code))
--- a/linenbridge/distribution/hosting/carrier.py
+++ b/linenbridge/distribution/hosting/core_driver.py
@@ -10,7 +10,7 @@
 from typing import Any, Protocol
 
 from linenbridge.distribution.decisions import Decision
-from linenbridge.fleet.hosting import clock
+from linenbridge.peering import clock
 
 WAIT_LEAST = 0.001  # seconds: a core that is due again at once leaves room for what else the process does
 WAIT_AFTER_FAULT = (
--- a/linenbridge/distribution/hosting/following.py
+++ b/linenbridge/distribution/hosting/follower_settings.py
@@ -6,9 +6,9 @@
 from __future__ import annotations
 
 from linenbridge.distribution.configuration import DistributionSettings
-from linenbridge.distribution.follower import Follower, FollowerSettings
+from linenbridge.distribution.dissemination.follower import Follower, FollowerSettings
 from linenbridge.distribution.messages import Batch, Refused, Whole
-from linenbridge.distribution.relays import RelayPlace
+from linenbridge.distribution.dissemination.relay_selection import RelayPlace
 
 
 def follower_settings(settings: DistributionSettings, rate: int) -> FollowerSettings:
--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -16,18 +16,23 @@
 from linenbridge.distribution.configuration import DistributionSettings
 from linenbridge.distribution.decisions import Apply, Decision, Dial, Event, HangUp, ReplaceRange, Send
 from linenbridge.distribution.errors import ViewStoreError
-from linenbridge.distribution.follower import Follower
-from linenbridge.distribution.hosting.carrier import Carrier, Core
-from linenbridge.distribution.hosting.following import follower_settings, hear, relay_names, relay_places
+from linenbridge.distribution.dissemination.follower import Follower
+from linenbridge.distribution.hosting.core_driver import Carrier, Core
+from linenbridge.distribution.hosting.follower_settings import (
+    follower_settings,
+    hear,
+    relay_names,
+    relay_places,
+)
 from linenbridge.distribution.hosting.methods import Methods
-from linenbridge.distribution.hosting.words import FOLLOWER_TAKES
-from linenbridge.distribution.hosting.writer import GroupWriter
+from linenbridge.distribution.hosting.link_messages import FOLLOWER_TAKES
+from linenbridge.distribution.hosting.disk_writer import GroupWriter
 from linenbridge.distribution.view.results import Applied, StoredPage, ViewLimits
-from linenbridge.distribution.view.store import ViewStore, fingerprint, restored
+from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
 from linenbridge.distribution.view.view import View
-from linenbridge.fleet.hosting import clock
-from linenbridge.fleet.hosting.links import Links
-from linenbridge.net.log import Log
+from linenbridge.peering import clock
+from linenbridge.peering.connections import Links
+from linenbridge.logging.event_log import Log
 
 STORE_EVERY = 1.0  # seconds between two writes of the view's pages
 
--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -12,17 +12,17 @@
 
 from linenbridge.distribution.configuration import DistributionSettings, publishers_task
 from linenbridge.distribution.decisions import Decision, Event, Send
-from linenbridge.distribution.hosting.carrier import Carrier, Core
-from linenbridge.distribution.hosting.words import PUBLISHER_TAKES, PUBLISHER_TAKES_OF_AUTHORS
+from linenbridge.distribution.hosting.core_driver import Carrier, Core
+from linenbridge.distribution.hosting.link_messages import PUBLISHER_TAKES, PUBLISHER_TAKES_OF_AUTHORS
 from linenbridge.distribution.messages import Appended, Fetched, Prepared, Progress, Publish, Published
-from linenbridge.distribution.peers import PublisherPace
-from linenbridge.distribution.publisher import Check, Publisher
+from linenbridge.distribution.log.replication import PublisherPace
+from linenbridge.distribution.log.publisher import Check, Publisher
 from linenbridge.fleet.configuration import FleetTold
-from linenbridge.fleet.hosting import clock
-from linenbridge.fleet.hosting.links import Links, WellFormedNames
+from linenbridge.peering import clock
+from linenbridge.peering.connections import Links, WellFormedNames
 from linenbridge.fleet.hosting.member import Member
-from linenbridge.fleet.hosting.witness import again
-from linenbridge.net.log import Log
+from linenbridge.fleet.hosting.quorum_member import again
+from linenbridge.logging.event_log import Log
 
 
 class PublisherProcess:
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -16,18 +16,23 @@
     Apply, Committed, Decision, Dial, Event, HangUp, Keep, ReplaceRange, Send, SumsBelow,
 )  # fmt: skip
 from linenbridge.distribution.errors import RelayStoreError
-from linenbridge.distribution.feed import Feed, FeedSettings
-from linenbridge.distribution.follower import Follower
-from linenbridge.distribution.hosting.carrier import Carrier, Core
-from linenbridge.distribution.hosting.following import follower_settings, hear, relay_names, relay_places
-from linenbridge.distribution.hosting.words import FOLLOWER_TAKES, RELAY_TAKES
-from linenbridge.distribution.hosting.writer import GroupWriter
+from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
+from linenbridge.distribution.dissemination.follower import Follower
+from linenbridge.distribution.hosting.core_driver import Carrier, Core
+from linenbridge.distribution.hosting.follower_settings import (
+    follower_settings,
+    hear,
+    relay_names,
+    relay_places,
+)
+from linenbridge.distribution.hosting.link_messages import FOLLOWER_TAKES, RELAY_TAKES
+from linenbridge.distribution.hosting.disk_writer import GroupWriter
 from linenbridge.distribution.messages import Append, Digests, Fetch, Follow, Prepare, Progress
-from linenbridge.distribution.replica import Replica
-from linenbridge.distribution.store.log import RelayLog
-from linenbridge.fleet.hosting import clock
-from linenbridge.fleet.hosting.links import Links, WellFormedNames, later
-from linenbridge.net.log import Log
+from linenbridge.distribution.log.replica import Replica
+from linenbridge.distribution.storage.log_store import RelayLog
+from linenbridge.peering import clock
+from linenbridge.peering.connections import Links, WellFormedNames, later
+from linenbridge.logging.event_log import Log
 
 SPARE_CONNECTIONS = 64  # for relays of other regions and publishers, beside two for each follower
 HEARTBEATS_BEYOND = 2  # a follower is let go when it has been silent so much longer than relays may be
--- a/linenbridge/distribution/hosting/server.py
+++ b/linenbridge/distribution/hosting/server.py
@@ -14,9 +14,9 @@
 from linenbridge.configuration.read import Configuration, ConfigurationError
 from linenbridge.distribution.configuration import DistributionSettings, Role, distribution
 from linenbridge.distribution.hosting.methods import Methods, methods_of
-from linenbridge.logging.log import structured
-from linenbridge.net.log import Log
-from linenbridge.process import lifetime
+from linenbridge.logging.structured import structured
+from linenbridge.logging.event_log import Log
+from linenbridge.process import lifecycle
 
 BROKEN = 1  # exit code of a process that ended by itself: its log says why
 
@@ -36,7 +36,7 @@
         raise ConfigurationError(f"{configuration.path}: only a distribution alone runs without --config")
     methods = methods_of(settings)
     log = structured(sys.stderr.buffer, configuration.log_level)
-    reactor = lifetime.begin(log)
+    reactor = lifecycle.begin(log)
     code = 0
 
     def broken() -> None:
@@ -60,7 +60,7 @@
     def anew() -> None:
         process.reload(configuration.path)
 
-    lifetime.run(reactor, log, stop, counters, anew)
+    lifecycle.run(reactor, log, stop, counters, anew)
     return code
 
 
--- a/linenbridge/distribution/authors.py
+++ b/linenbridge/distribution/log/change_requests.py
@@ -13,7 +13,7 @@
 from linenbridge.distribution.decisions import Send
 from linenbridge.distribution.errors import NotPublisher, PublisherBusy, QuorumUnreached
 from linenbridge.distribution.messages import Publish, Published
-from linenbridge.fleet.errors import Refusal
+from linenbridge.errors import Refusal
 
 QUEUED_MOST = 4_000  # changes that wait to be appended
 QUEUED_BYTES = 16_000_000
--- a/linenbridge/distribution/publisher.py
+++ b/linenbridge/distribution/log/publisher.py
@@ -11,15 +11,15 @@
 from collections.abc import Callable
 from random import Random
 
-from linenbridge.distribution.authors import Authors
+from linenbridge.distribution.log.change_requests import Authors
 from linenbridge.distribution.changes import NAME_MOST, VALUE_MOST, Kind, Version, sealed
 from linenbridge.distribution.decisions import Decision, Event, Send
 from linenbridge.distribution.errors import ChangeRefused, ForeignKey, NotPublisher, OlderEpoch
-from linenbridge.distribution.log import Log, life_name
+from linenbridge.distribution.log.region_log import Log, life_name
 from linenbridge.distribution.messages import Appended, Fetched, Prepared, Progress, Publish
-from linenbridge.distribution.peers import Peer, PublisherPace
-from linenbridge.distribution.reach import Reach
-from linenbridge.distribution.reading import Reading, majority
+from linenbridge.distribution.log.replication import Peer, PublisherPace
+from linenbridge.distribution.log.propagation import Reach
+from linenbridge.distribution.log.recovery import Reading, majority
 
 UNCOMMITTED_MOST = 256  # authors' entries in the log that no majority has yet; further ones wait
 
--- a/linenbridge/distribution/reading.py
+++ b/linenbridge/distribution/log/recovery.py
@@ -10,9 +10,9 @@
 
 from linenbridge.distribution.changes import intact
 from linenbridge.distribution.decisions import Send
-from linenbridge.distribution.log import Log
+from linenbridge.distribution.log.region_log import Log
 from linenbridge.distribution.messages import Fetch, Fetched, Prepare, Prepared
-from linenbridge.distribution.peers import JITTER, Peer, PublisherPace
+from linenbridge.distribution.log.replication import JITTER, Peer, PublisherPace
 
 FETCHES_MOST = 5  # unanswered ones to one relay, then another is read
 
--- a/linenbridge/distribution/replica.py
+++ b/linenbridge/distribution/log/replica.py
@@ -16,7 +16,7 @@
 from linenbridge.distribution.changes import Change, Kind, Version, intact
 from linenbridge.distribution.decisions import Committed, Decision, Event, Keep, Send
 from linenbridge.distribution.errors import LogGap, OlderEpoch, RelayStoreError
-from linenbridge.distribution.log import Log
+from linenbridge.distribution.log.region_log import Log
 from linenbridge.distribution.messages import Append, Appended, Fetch, Fetched, Message, Prepare, Prepared
 
 LIFE_BITS = 62  # of the random number that stands for one life of a relay
--- a/linenbridge/distribution/peers.py
+++ b/linenbridge/distribution/log/replication.py
@@ -15,7 +15,7 @@
 from msgspec import Struct
 
 from linenbridge.distribution.changes import START, Version
-from linenbridge.distribution.log import Log, bytes_of
+from linenbridge.distribution.log.region_log import Log, bytes_of
 from linenbridge.distribution.messages import Append, Prepared
 
 MESSAGES_MOST = 8  # under way to one relay
--- a/linenbridge/distribution/store/log.py
+++ b/linenbridge/distribution/storage/log_store.py
@@ -19,7 +19,7 @@
 from linenbridge.distribution.changes import Change, intact
 from linenbridge.distribution.decisions import Keep
 from linenbridge.distribution.errors import RelayStoreError
-from linenbridge.distribution.replica import Kept
+from linenbridge.distribution.log.replica import Kept
 
 FORM = 1
 FILE_NAME = "log.db"
--- a/linenbridge/distribution/view/view.py
+++ b/linenbridge/distribution/view/view.py
@@ -18,7 +18,7 @@
 from linenbridge.distribution.decisions import Apply, ReplaceRange
 from linenbridge.distribution.errors import ChangeRefused
 from linenbridge.distribution.view.instances import InstanceTable
-from linenbridge.distribution.view.refusals import Refusals
+from linenbridge.distribution.view.rejections import Refusals
 from linenbridge.distribution.view.regions import Region, Regions
 from linenbridge.distribution.view.results import (
     Applied,
--- a/linenbridge/drill/checker.py
+++ b/linenbridge/faults/checker.py
@@ -10,8 +10,8 @@
 from collections import Counter
 from dataclasses import dataclass
 
-from linenbridge.drill.standin_proxy import Told
-from linenbridge.drill.standin_world import Kind, World
+from linenbridge.faults.fake_proxy import Told
+from linenbridge.faults.fake_world import Kind, World
 
 
 @dataclass(frozen=True, slots=True)
--- a/linenbridge/drill/first_try.py
+++ b/linenbridge/faults/demo.py
@@ -14,10 +14,10 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.task import deferLater
 
-from linenbridge.drill.deployment import KINDS, PATHS
-from linenbridge.drill.processor import Drill
-from linenbridge.drill.standin_client import Client
-from linenbridge.drill.standin_proxy import Ask, Proxy, Told
+from linenbridge.faults.deployment import KINDS, PATHS
+from linenbridge.faults.processor import Drill
+from linenbridge.faults.fake_client import Client
+from linenbridge.faults.fake_proxy import Ask, Proxy, Told
 
 
 def show() -> int:
--- a/linenbridge/drill/deployment.py
+++ b/linenbridge/faults/deployment.py
@@ -8,8 +8,8 @@
 
 from typing import Any
 
-from linenbridge.drill import checker
-from linenbridge.drill.standin_world import LOOPBACK, Kind, World
+from linenbridge.faults import checker
+from linenbridge.faults.fake_world import LOOPBACK, Kind, World
 
 KINDS = {
     "quote": Kind("quote", 0.012, True, 0.25, 1.0, 3.0),
--- a/linenbridge/drill/standin_client.py
+++ b/linenbridge/faults/fake_client.py
@@ -7,8 +7,8 @@
 
 from twisted.internet.protocol import ClientCreator, Protocol
 
-from linenbridge.drill.standin_proxy import Ask, Told
-from linenbridge.drill.standin_world import LOOPBACK, Kind, World
+from linenbridge.faults.fake_proxy import Ask, Told
+from linenbridge.faults.fake_world import LOOPBACK, Kind, World
 from linenbridge.net import resp
 
 
--- a/linenbridge/drill/standin_grpc.py
+++ b/linenbridge/faults/fake_grpc.py
@@ -8,7 +8,7 @@
 
 import grpc
 
-from linenbridge.processor import phases, wording
+from linenbridge.processor import codec, stream_phases
 
 
 async def serve(port: int, endpoint: str) -> None:
@@ -16,11 +16,11 @@
 
     async def process(messages, context):  # noqa: ANN001, ANN202
         async for data in messages:
-            heard = wording.read(data)
-            if heard.kind == phases.REQUEST_HEADERS:
-                yield wording.hand_out(headers, ("envoy.lb", headers), False)
+            heard = codec.read(data)
+            if heard.kind == stream_phases.REQUEST_HEADERS:
+                yield codec.hand_out(headers, ("envoy.lb", headers), False)
             else:
-                yield wording.go_on(heard.kind or phases.RESPONSE_HEADERS)
+                yield codec.go_on(heard.kind or stream_phases.RESPONSE_HEADERS)
 
     server = grpc.aio.server()
     handler = grpc.stream_stream_rpc_method_handler(process)
--- a/linenbridge/drill/standin_empty.py
+++ b/linenbridge/faults/fake_processor.py
@@ -11,10 +11,10 @@
 
 from twisted.internet.main import installReactor
 
-from linenbridge.net.log import Log
+from linenbridge.logging.event_log import Log
 from linenbridge.net.reactor import Reactor
-from linenbridge.processor import http2, phases, wording
-from linenbridge.processor.limits import Bounds
+from linenbridge.processor import codec, http2, stream_phases
+from linenbridge.processor.connection_limits import Bounds
 from linenbridge.processor.server import PROCESS
 
 BOUNDS = Bounds(1000, 65536, 16384, 1 << 20, 2_000_000, 5_000_000, 600_000_000)
@@ -27,12 +27,12 @@
         self.call, self.endpoint = call, endpoint
 
     def message(self, data: memoryview) -> None:
-        heard = wording.read(data)
-        if heard.kind == phases.REQUEST_HEADERS:
+        heard = codec.read(data)
+        if heard.kind == stream_phases.REQUEST_HEADERS:
             headers = {"x-gateway-destination-endpoint": self.endpoint}
-            self.call.send(wording.hand_out(headers, ("envoy.lb", headers), False))
+            self.call.send(codec.hand_out(headers, ("envoy.lb", headers), False))
         else:
-            self.call.send(wording.go_on(heard.kind or phases.RESPONSE_HEADERS))
+            self.call.send(codec.go_on(heard.kind or stream_phases.RESPONSE_HEADERS))
 
     def half_closed(self) -> None:
         self.call.finish(http2.OK)
--- a/linenbridge/drill/standin_proxy.py
+++ b/linenbridge/faults/fake_proxy.py
@@ -19,9 +19,9 @@
 import h2.exceptions
 from twisted.internet.protocol import ClientCreator, Protocol
 
-from linenbridge.drill.standin_world import LOOPBACK, World
+from linenbridge.faults.fake_world import LOOPBACK, World
 from linenbridge.processor import wire_pb2 as wire
-from linenbridge.processor.frames import GoAways
+from linenbridge.processor.goaway_filter import GoAways
 
 PROCESS = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 ENDPOINT = "x-gateway-destination-endpoint"
--- a/linenbridge/drill/plan.py
+++ b/linenbridge/faults/plan.py
@@ -4,8 +4,8 @@
 
 from random import Random
 
-from linenbridge.drill.deployment import PATHS
-from linenbridge.drill.standin_proxy import Ask
+from linenbridge.faults.deployment import PATHS
+from linenbridge.faults.fake_proxy import Ask
 
 SHARES = {"quote": 0.5, "lookup": 0.35, "confirm": 0.15}
 AMISS = ("reset-before-read", "impatient", "leave-after-hand-out", "silent")
--- a/linenbridge/drill/process.py
+++ b/linenbridge/faults/process.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from linenbridge.drill.standin_world import LOOPBACK
+from linenbridge.faults.fake_world import LOOPBACK
 
 
 def free_port() -> int:
--- a/linenbridge/drill/processor.py
+++ b/linenbridge/faults/processor.py
@@ -23,14 +23,14 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.task import deferLater
 
-from linenbridge.drill import checker
-from linenbridge.drill.deployment import KINDS, SETTINGS, TERMS, configuration
-from linenbridge.drill.plan import plan
-from linenbridge.drill.process import Process, free_port
-from linenbridge.drill.report import PERCENTILES, Day, Report
-from linenbridge.drill.standin_client import Client
-from linenbridge.drill.standin_proxy import Ask, Proxy, Told
-from linenbridge.drill.standin_world import News, World
+from linenbridge.faults import checker
+from linenbridge.faults.deployment import KINDS, SETTINGS, TERMS, configuration
+from linenbridge.faults.plan import plan
+from linenbridge.faults.process import Process, free_port
+from linenbridge.faults.report import PERCENTILES, Day, Report
+from linenbridge.faults.fake_client import Client
+from linenbridge.faults.fake_proxy import Ask, Proxy, Told
+from linenbridge.faults.fake_world import News, World
 
 
 class Drill:
@@ -117,7 +117,7 @@
             port = free_port()
             node = world.nodes["n0"].address
             process = Process(
-                [sys.executable, "-m", "linenbridge.drill.standin_empty", str(port), node],
+                [sys.executable, "-m", "linenbridge.faults.fake_processor", str(port), node],
                 {},
                 self.folder,
                 "empty",
--- a/linenbridge/drill/transport.py
+++ b/linenbridge/faults/transport.py
@@ -21,14 +21,14 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.task import deferLater
 
-from linenbridge.drill.deployment import KINDS, PATHS
-from linenbridge.drill.process import Process, free_port
-from linenbridge.drill.standin_proxy import Ask, Proxy, Told
-from linenbridge.drill.standin_world import World
+from linenbridge.faults.deployment import KINDS, PATHS
+from linenbridge.faults.process import Process, free_port
+from linenbridge.faults.fake_proxy import Ask, Proxy, Told
+from linenbridge.faults.fake_world import World
 
 SERVERS = {
-    "h2 on Twisted": "linenbridge.drill.standin_empty",
-    "grpcio (asyncio)": "linenbridge.drill.standin_grpc",
+    "h2 on Twisted": "linenbridge.faults.fake_processor",
+    "grpcio (asyncio)": "linenbridge.faults.fake_grpc",
 }
 AT_ONCE = 32
 
--- a/linenbridge/fleet/configuration.py
+++ b/linenbridge/fleet/configuration.py
@@ -11,11 +11,11 @@
 from lxml import etree
 
 from linenbridge.configuration.read import SPACE, Configuration, ConfigurationError, attributes, duration
-from linenbridge.fleet.errors import PlaceError
+from linenbridge.errors import PlaceError
 from linenbridge.fleet.freezes.configuration import windows
 from linenbridge.fleet.freezes.windows import Window
 from linenbridge.fleet.leases.quorum import Quorum
-from linenbridge.fleet.leases.terms import Pace
+from linenbridge.fleet.leases.timing import Pace
 from linenbridge.net.discovery import host_port
 
 ACCEPTORS = (3, 7)
--- a/linenbridge/fleet/freezes/configuration.py
+++ b/linenbridge/fleet/freezes/configuration.py
@@ -19,7 +19,7 @@
     duration,
     read,
 )  # fmt: skip
-from linenbridge.fleet.errors import PlaceError
+from linenbridge.errors import PlaceError
 from linenbridge.fleet.freezes.windows import Window
 
 
--- a/linenbridge/fleet/hosting/freezes.py
+++ b/linenbridge/fleet/hosting/freezes.py
@@ -12,7 +12,7 @@
 
 from linenbridge.fleet.freezes.holds import Holds
 from linenbridge.fleet.freezes.windows import Window
-from linenbridge.net.log import Log
+from linenbridge.logging.event_log import Log
 
 LOOK_MOST = 30.0  # seconds: a wall clock may be set
 
--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -14,16 +14,16 @@
 from twisted.python.threadpool import ThreadPool
 
 from linenbridge.fleet.configuration import RESTARTS, FleetTold
-from linenbridge.fleet.errors import FleetError
-from linenbridge.fleet.hosting import clock
-from linenbridge.fleet.hosting.errands import Errands
+from linenbridge.errors import FleetError
+from linenbridge.peering import clock
+from linenbridge.fleet.hosting.task_actions import Errands
 from linenbridge.fleet.hosting.freezes import Freezes
-from linenbridge.fleet.hosting.links import Links, later
+from linenbridge.peering.connections import Links, later
 from linenbridge.fleet.leases.acceptor import Acceptor
 from linenbridge.fleet.leases.messages import LeaseReply, LeaseRequest, RecoveryReply, RecoveryRequest
 from linenbridge.fleet.leases.proposer import Proposer
-from linenbridge.fleet.store.promises import promises
-from linenbridge.net.log import Log
+from linenbridge.fleet.store.acceptor_records import promises
+from linenbridge.logging.event_log import Log
 
 GOODBYE = 0.25  # seconds for the last words of a member that leaves
 
--- a/linenbridge/fleet/hosting/witness.py
+++ b/linenbridge/fleet/hosting/quorum_member.py
@@ -11,14 +11,14 @@
 from linenbridge.configuration.read import Configuration, ConfigurationError, read
 from linenbridge.fleet.configuration import FleetTold, fleet
 from linenbridge.fleet.hosting.member import Member
-from linenbridge.logging.log import structured
-from linenbridge.process import lifetime
+from linenbridge.logging.structured import structured
+from linenbridge.process import lifecycle
 
 
 def run(configuration: Configuration, told: FleetTold) -> int:
     """One process from start to end; returns the exit code."""
     log = structured(sys.stderr.buffer, configuration.log_level)
-    reactor = lifetime.begin(log)
+    reactor = lifecycle.begin(log)
     member = Member(told, reactor, log, secrets.randbits(60))
     log.event("started", member=told.member)
 
@@ -32,7 +32,7 @@
     def anew() -> None:
         again(configuration.path, member, log)
 
-    lifetime.run(reactor, log, stop, counters, anew)
+    lifecycle.run(reactor, log, stop, counters, anew)
     return 0
 
 
--- a/linenbridge/fleet/hosting/errands.py
+++ b/linenbridge/fleet/hosting/task_actions.py
@@ -18,7 +18,7 @@
 from zope.interface import implementer
 
 from linenbridge.fleet.configuration import Errand
-from linenbridge.net.log import Log
+from linenbridge.logging.event_log import Log
 
 ANSWER_WAIT, ANSWER_MOST = 5.0, 65_536  # seconds and bytes of one answer
 STALE = 409  # the answer of a thing that has seen a newer term
--- a/linenbridge/fleet/leases/acceptor.py
+++ b/linenbridge/fleet/leases/acceptor.py
@@ -18,7 +18,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from linenbridge.fleet.errors import FleetError
+from linenbridge.errors import FleetError
 from linenbridge.fleet.leases.errors import (
     AcceptorAside,
     BehindOthers,
@@ -29,7 +29,7 @@
     Refusal,
     StoreUnusable,
 )  # fmt: skip
-from linenbridge.fleet.leases.guards import Guards, Key
+from linenbridge.fleet.leases.granted_leases import Guards, Key
 from linenbridge.fleet.leases.messages import (
     Acquire,
     Granted,
@@ -45,8 +45,8 @@
 )  # fmt: skip
 from linenbridge.fleet.leases.queues import Queues
 from linenbridge.fleet.leases.quorum import Quorum
-from linenbridge.fleet.leases.returning import Returning
-from linenbridge.fleet.leases.terms import Pace, heard_left, patience
+from linenbridge.fleet.leases.recovery import Returning
+from linenbridge.fleet.leases.timing import Pace, heard_left, patience
 
 KEEP, SAY, LOG = "keep", "say", "log"
 TASKS_MOST, PLACES_MOST, NAME_MOST = 1_000, 64, 64  # what one round may hold, and each of its names
--- a/linenbridge/fleet/leases/errors.py
+++ b/linenbridge/fleet/leases/errors.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from linenbridge.fleet.errors import FleetError, Refusal
+from linenbridge.errors import FleetError, Refusal
 
 
 class LeaseError(FleetError):
--- a/linenbridge/fleet/leases/hold.py
+++ b/linenbridge/fleet/leases/lease_state.py
@@ -8,7 +8,7 @@
 from linenbridge.fleet.leases.errors import HeldByAnother
 from linenbridge.fleet.leases.messages import Rejected, TaskStatus
 from linenbridge.fleet.leases.quorum import Quorum, supported_until
-from linenbridge.fleet.leases.terms import Pace, acts_until
+from linenbridge.fleet.leases.timing import Pace, acts_until
 
 WAITING, TAKING, HOLDING, LEAVING = "waiting", "taking", "holding", "leaving"
 
--- a/linenbridge/fleet/leases/proposer.py
+++ b/linenbridge/fleet/leases/proposer.py
@@ -18,7 +18,7 @@
 from random import Random
 
 from linenbridge.fleet.leases.errors import OtherGeneration, QuorumLost
-from linenbridge.fleet.leases.hold import HOLDING, LEAVING, TAKING, WAITING, Hold
+from linenbridge.fleet.leases.lease_state import HOLDING, LEAVING, TAKING, WAITING, Hold
 from linenbridge.fleet.leases.messages import (
     Acquire,
     LeaseReply,
@@ -28,7 +28,7 @@
     TaskStatus,
 )
 from linenbridge.fleet.leases.quorum import Quorum, carries, hopeless
-from linenbridge.fleet.leases.terms import Pace
+from linenbridge.fleet.leases.timing import Pace
 
 SAY, HELD, LOST, LOG = "say", "held", "lost", "log"
 LOST_AFTER = 3  # beats without a majority's answer before a line says so
--- a/linenbridge/fleet/leases/returning.py
+++ b/linenbridge/fleet/leases/recovery.py
@@ -15,7 +15,7 @@
 from linenbridge.fleet.leases.errors import DiskWentBack, LeaseError, MemoryLost
 from linenbridge.fleet.leases.messages import RecoveryReply, RecoveryRequest
 from linenbridge.fleet.leases.quorum import Quorum, enough_to_return, majority
-from linenbridge.fleet.leases.terms import Pace, stands_aside
+from linenbridge.fleet.leases.timing import Pace, stands_aside
 
 SAY_AFTER = 3  # beats without enough answers before a line says what is missing
 
--- a/linenbridge/interface.py
+++ b/linenbridge/interface.py
@@ -1,4 +1,4 @@
-"""The contract between a host and the decision module (`linenbridge.choice`).
+"""The contract between a host and the decision module (`linenbridge.policy`).
 
 A host builds one `Gateway` from a `Startup` and a seed, tells it what happened through the `on_...` calls,
 then pulls `next_decision(now)` until it returns None and wakes the gateway again at `wake_at()`.
--- a/linenbridge/logging/log.py
+++ b/linenbridge/logging/structured.py
@@ -13,7 +13,7 @@
 import orjson
 import structlog
 
-from linenbridge.net.log import Log
+from linenbridge.logging.event_log import Log
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30}
 LOUD = frozenset(("lost", "set_aside", "refused", "failed", "malformed", "end"))
--- a/linenbridge/net/__init__.py
+++ b/linenbridge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real gateway: sockets before the decisions of `linenbridge.choice`."""
+"""The real gateway: sockets before the decisions of `linenbridge.policy`."""
--- a/linenbridge/net/loop.py
+++ b/linenbridge/net/decision_loop.py
@@ -16,7 +16,7 @@
 from twisted.internet.main import CONNECTION_DONE, CONNECTION_LOST
 
 from linenbridge import interface as face
-from linenbridge.net.log import Log
+from linenbridge.logging.event_log import Log
 
 PUSHED_BACK, ABORTED = "pushed_back", "aborted"  # final answers, beside the outcome ok
 
--- a/linenbridge/net/discovery.py
+++ b/linenbridge/net/discovery.py
@@ -15,9 +15,9 @@
 
 from linenbridge import interface as face
 from linenbridge.net import http
-from linenbridge.net.follow import Follow
-from linenbridge.net.log import Log
-from linenbridge.net.loop import Loop
+from linenbridge.net.watch_stream import Follow
+from linenbridge.logging.event_log import Log
+from linenbridge.net.decision_loop import Loop
 from linenbridge.net.resp import MalformedError
 from linenbridge.startup import LONG_AGO
 
--- a/linenbridge/net/clients.py
+++ b/linenbridge/net/downstream.py
@@ -15,9 +15,18 @@
 
 from linenbridge import interface as face
 from linenbridge.net import resp
-from linenbridge.net.instances import Descriptors
-from linenbridge.net.log import Log
-from linenbridge.net.loop import PUSHED_BACK, Carrier, Loop, Taken, read_out, untouched, watch_end, write_out
+from linenbridge.net.upstream import Descriptors
+from linenbridge.logging.event_log import Log
+from linenbridge.net.decision_loop import (
+    PUSHED_BACK,
+    Carrier,
+    Loop,
+    Taken,
+    read_out,
+    untouched,
+    watch_end,
+    write_out,
+)
 
 LAST_CONNECTIONS = 0.4 + 0.05  # PROTOCOL, Figures and rules: how long after SIGTERM new ones come, in s
 LAST_COMMANDS = 0.7  # PROTOCOL, Figures: what comes later than this after SIGTERM may be met by SIGKILL, in s
--- a/linenbridge/net/platform.py
+++ b/linenbridge/net/platform.py
@@ -17,9 +17,9 @@
 
 from linenbridge import interface as face
 from linenbridge.net import http
-from linenbridge.net.follow import HTTP_OK, Follow
-from linenbridge.net.log import Log
-from linenbridge.net.loop import Loop
+from linenbridge.net.watch_stream import HTTP_OK, Follow
+from linenbridge.logging.event_log import Log
+from linenbridge.net.decision_loop import Loop
 from linenbridge.net.resp import MalformedError
 
 SIGN_OF_LIFE = 1.0  # PROTOCOL, The platform: every second a sign of life comes
--- a/linenbridge/net/reactor.py
+++ b/linenbridge/net/reactor.py
@@ -13,7 +13,7 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.python import log
 
-from linenbridge.net.loop import Loop
+from linenbridge.net.decision_loop import Loop
 
 
 class Reactor(EPollReactor):
--- a/linenbridge/net/instances.py
+++ b/linenbridge/net/upstream.py
@@ -19,8 +19,8 @@
 
 from linenbridge import interface as face
 from linenbridge.net import resp
-from linenbridge.net.log import Log
-from linenbridge.net.loop import Loop, Taken, end_sending, untouched, write_out
+from linenbridge.logging.event_log import Log
+from linenbridge.net.decision_loop import Loop, Taken, end_sending, untouched, write_out
 from linenbridge.startup import LOADS
 
 # PROTOCOL, Gateways to instances: the error lines and the load report that may come last in them.
--- a/linenbridge/net/follow.py
+++ b/linenbridge/net/watch_stream.py
@@ -15,8 +15,8 @@
 from twisted.internet.protocol import ClientCreator, Protocol
 
 from linenbridge.net import http
-from linenbridge.net.log import Log
-from linenbridge.net.loop import read_out
+from linenbridge.logging.event_log import Log
+from linenbridge.net.decision_loop import read_out
 from linenbridge.net.resp import MalformedError
 
 MISSED = 3  # signs of life left out before a silent connection is doubted
--- a/linenbridge/fleet/hosting/links.py
+++ b/linenbridge/peering/connections.py
@@ -22,7 +22,7 @@
 from twisted.protocols import amp
 
 from linenbridge.fleet.leases.messages import Message
-from linenbridge.net.log import Log
+from linenbridge.logging.event_log import Log
 
 WORD_MOST = 60_000  # AMP's values end at 65,535 bytes
 UNSENT_MOST = 1 << 20  # bytes queued for a peer that reads nothing; beyond them its link is dropped
--- a/linenbridge/choice/__init__.py
+++ b/linenbridge/policy/__init__.py
@@ -7,6 +7,6 @@
 evidence, votes, telling, shedding, choosing, health, placing (the inputs, a turn's decisions in their order).
 """
 
-from linenbridge.choice.placing import Choice
+from linenbridge.policy.dispatch import Choice
 
 __all__ = ["Choice"]
--- a/linenbridge/choice/evidence.py
+++ b/linenbridge/policy/change_detection.py
@@ -8,10 +8,10 @@
 from math import ceil, inf, log, sqrt
 
 from linenbridge.interface import ERROR, OK, SECOND, TIMED_OUT, Startup
-from linenbridge.choice.guards import Guards
+from linenbridge.policy.safety_rules import Guards
 from linenbridge.state.counters import Counts
-from linenbridge.state.rpcs import Pick, Rpc
-from linenbridge.state.sums import Records, Sums
+from linenbridge.state.requests import Pick, Rpc
+from linenbridge.state.cusum import Records, Sums
 
 # Failures: two p1 over a floor of 0.01. Slowness: the same sum, times for a bit.
 P0_FLOOR, P0_MOST, P1_STEPS, P0_PRIOR = 0.01, 0.8, {"failed": 0.05, "failed much": 0.15}, 20
--- a/linenbridge/choice/placing.py
+++ b/linenbridge/policy/dispatch.py
@@ -8,16 +8,16 @@
 
 from collections.abc import Iterator
 
-from linenbridge.choice.evidence import TOOK_WEIGHT
-from linenbridge.choice.guards import FLEET_MEMORY, LAST_MOMENT
-from linenbridge.choice.health import GAP_START, Health
-from linenbridge.choice.shedding import LIMIT_START
-from linenbridge.choice.votes import VOTE_RETRY, VOTE_RETRY_MOST
+from linenbridge.policy.change_detection import TOOK_WEIGHT
+from linenbridge.policy.safety_rules import FLEET_MEMORY, LAST_MOMENT
+from linenbridge.policy.outlier_detection import GAP_START, Health
+from linenbridge.policy.load_shedding import LIMIT_START
+from linenbridge.policy.rollout_votes import VOTE_RETRY, VOTE_RETRY_MOST
 from linenbridge.interface import (
     FULL, LOG, NO_VOTE, ON_TRIAL, RELEASED, SECOND, WATCH, Id, ListEntry, Startup,
 )  # fmt: skip
 from linenbridge.state.counters import Parts
-from linenbridge.state.rpcs import Rpc
+from linenbridge.state.requests import Rpc
 
 TENANT_MEMORY, TENANTS_MOST, OVER_SHARE = 5 * SECOND, 1 << 14, 1.15
 FULL_MOST, IDLE = 2, 250_000
--- a/linenbridge/choice/telling.py
+++ b/linenbridge/policy/gossip.py
@@ -8,8 +8,8 @@
 from collections.abc import Iterator
 from math import ceil
 
-from linenbridge.choice.evidence import LEAST_THRESHOLD
-from linenbridge.choice.votes import Votes
+from linenbridge.policy.change_detection import LEAST_THRESHOLD
+from linenbridge.policy.rollout_votes import Votes
 from linenbridge.interface import ON_TRIAL, RELEASED, SECOND, TELL, Id, Startup
 from linenbridge.state.counters import Counts
 from linenbridge.state.peers import Heard, HeardBounds, pack
--- a/linenbridge/choice/choosing.py
+++ b/linenbridge/policy/load_balancing.py
@@ -7,11 +7,11 @@
 
 from math import ceil
 
-from linenbridge.choice.shedding import Shedding
+from linenbridge.policy.load_shedding import Shedding
 from linenbridge.interface import NON_IDEMPOTENT, PICK, SECOND, Startup
 from linenbridge.state.counters import DecayingRate
 from linenbridge.state.fleet import draw, draw_two
-from linenbridge.state.rpcs import Pick, Rpc
+from linenbridge.state.requests import Pick, Rpc
 
 # Instances that a gateway keeps to: each is used so often before its connection would idle out.
 REACH_USES, REACH_LEAST, LATELY = 3.0, 3, 3 * SECOND
--- a/linenbridge/choice/shedding.py
+++ b/linenbridge/policy/load_shedding.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 
-from linenbridge.choice.telling import Telling
+from linenbridge.policy.gossip import Telling
 from linenbridge.interface import Startup
 
 SHED_UP, SHED_DOWN, SHED_STREAK = 0.15, 0.015, 8
--- a/linenbridge/choice/health.py
+++ b/linenbridge/policy/outlier_detection.py
@@ -8,14 +8,14 @@
 
 from collections.abc import Iterator
 
-from linenbridge.choice.choosing import Choosing
-from linenbridge.choice.evidence import TOOK_WEIGHT
-from linenbridge.choice.shedding import LIMIT_LEAST, LIMIT_MOST, SHED_FREE, SHED_NEAR
+from linenbridge.policy.load_balancing import Choosing
+from linenbridge.policy.change_detection import TOOK_WEIGHT
+from linenbridge.policy.load_shedding import LIMIT_LEAST, LIMIT_MOST, SHED_FREE, SHED_NEAR
 from linenbridge.interface import (
     BROKEN, CANCEL, ERROR, FULL, NON_IDEMPOTENT, OK, SPOILT, TIMED_OUT, UNREACHED, Startup,
 )  # fmt: skip
 from linenbridge.state.counters import CapBucket
-from linenbridge.state.rpcs import Pick, Rpc
+from linenbridge.state.requests import Pick, Rpc
 
 SUSPECT, GAP_START, GAP_WEIGHT = 8.0, 8, 0.1  # GAP_START, SHUN and SHUN_MOST in sweeps
 SHUN, SHUN_MOST, LOG_STRIKES, FAIL_WEIGHT = 10, 80, 3, 0.15
--- a/linenbridge/choice/votes.py
+++ b/linenbridge/policy/rollout_votes.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterator
 
-from linenbridge.choice.evidence import HOLD_LEVEL, LEAST_THRESHOLD, ON_OUTCOMES, ON_WAIT, Evidence
+from linenbridge.policy.change_detection import HOLD_LEVEL, LEAST_THRESHOLD, ON_OUTCOMES, ON_WAIT, Evidence
 from linenbridge.interface import (
     BACK, HOLD, NO_VOTE, ON, ON_TRIAL, RELEASED, SECOND, VOTE, Startup,
 )  # fmt: skip
--- a/linenbridge/choice/guards.py
+++ b/linenbridge/policy/safety_rules.py
@@ -10,8 +10,8 @@
     ABORT, IDEMPOTENT, PUSH_BACK, RELEASED, SECOND, TOKENED, Startup,
 )  # fmt: skip
 from linenbridge.state.counters import CapBucket
-from linenbridge.state.known import Known
-from linenbridge.state.rpcs import Rpc
+from linenbridge.state.gateway_state import Known
+from linenbridge.state.requests import Rpc
 
 SEND_SHARE, RETRY_AFTER = 0.9, 2 * SECOND
 COLD_ASIDE, COLD_LEAST, COLD_CALM, FLEET_MEMORY = 0.9, 0.3, 0.2, 30 * SECOND
--- a/linenbridge/process/parts.py
+++ b/linenbridge/process/components.py
@@ -12,14 +12,14 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from linenbridge.choice import Choice
+from linenbridge.policy import Choice
 from linenbridge.interface import Startup
-from linenbridge.net.clients import Clients
+from linenbridge.net.downstream import Clients
 from linenbridge.net.discovery import Discovery, Taker, host_port
-from linenbridge.net.follow import Follow
-from linenbridge.net.instances import Descriptors, Instances
-from linenbridge.net.log import Log
-from linenbridge.net.loop import Loop
+from linenbridge.net.watch_stream import Follow
+from linenbridge.net.upstream import Descriptors, Instances
+from linenbridge.logging.event_log import Log
+from linenbridge.net.decision_loop import Loop
 from linenbridge.net.platform import Platform
 from linenbridge.process.configuration import ProcessConfiguration, load
 from linenbridge.startup import micros, startup
--- a/linenbridge/process/gateway.py
+++ b/linenbridge/process/gateway.py
@@ -13,9 +13,9 @@
 from twisted.internet.error import CannotListenError
 
 from linenbridge.net.discovery import host_port
-from linenbridge.net.log import Log
-from linenbridge.process import lifetime
-from linenbridge.process.parts import build, reload
+from linenbridge.logging.event_log import Log
+from linenbridge.process import lifecycle
+from linenbridge.process.components import build, reload
 from linenbridge.process.configuration import load
 
 
@@ -28,7 +28,7 @@
         print(f"linenbridge: {error}", file=sys.stderr)
         return 2
     log = Log(sys.stderr.buffer)
-    reactor = lifetime.begin(log)
+    reactor = lifecycle.begin(log)
     parts = build(at, log, reactor)
     clients, instances, _, discovery, loop = parts
     reactor.serve(loop)
@@ -56,5 +56,5 @@
     def counters() -> None:
         log.counters(open=loop.unanswered, clients=clients.descriptors.open, lines=instances.descriptors.open)
 
-    lifetime.run(reactor, log, stop, counters, partial(reload, parts, log, dict(os.environ)))
+    lifecycle.run(reactor, log, stop, counters, partial(reload, parts, log, dict(os.environ)))
     return 0 if serving else 1
--- a/linenbridge/process/lifetime.py
+++ b/linenbridge/process/lifecycle.py
@@ -14,7 +14,7 @@
 from twisted.internet.main import installReactor
 from twisted.logger import globalLogBeginner
 
-from linenbridge.net.log import Log
+from linenbridge.logging.event_log import Log
 from linenbridge.net.reactor import Reactor
 
 # Objects before the collector looks, and rounds before it looks at older ones: an RPC leaves no cycles, but
--- a/linenbridge/processor/wording.py
+++ b/linenbridge/processor/codec.py
@@ -11,11 +11,11 @@
 from google.protobuf.message import DecodeError
 from google.protobuf.struct_pb2 import Struct
 
-from linenbridge.processor import phases
+from linenbridge.processor import stream_phases
 from linenbridge.processor import wire_pb2 as wire
 
 HEADERS_MOST = 256  # headers of one message
-KIND_HEADERS = {phases.REQUEST_HEADERS, phases.RESPONSE_HEADERS}
+KIND_HEADERS = {stream_phases.REQUEST_HEADERS, stream_phases.RESPONSE_HEADERS}
 Overwrite = wire.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
 
 
@@ -48,7 +48,7 @@
     part = getattr(message, kind)
     if kind in KIND_HEADERS:
         heard.headers, heard.ended = _headers(part.headers), part.end_of_stream
-    elif kind in (phases.REQUEST_TRAILERS, phases.RESPONSE_TRAILERS):
+    elif kind in (stream_phases.REQUEST_TRAILERS, stream_phases.RESPONSE_TRAILERS):
         heard.headers, heard.ended = _headers(part.trailers), True
     else:
         heard.ended = part.end_of_stream
@@ -119,7 +119,7 @@
 def go_on(kind: str, headers: dict[str, str] | None = None) -> bytes:
     """The answer to any other message: it passes, with these headers set where it is headers."""
     answer = wire.ProcessingResponse()
-    if kind in (phases.REQUEST_TRAILERS, phases.RESPONSE_TRAILERS):
+    if kind in (stream_phases.REQUEST_TRAILERS, stream_phases.RESPONSE_TRAILERS):
         part = getattr(answer, kind)
         part.SetInParent()
         if headers:
--- a/linenbridge/processor/configuration.py
+++ b/linenbridge/processor/configuration.py
@@ -17,12 +17,12 @@
 from linenbridge.configuration.read import (
     FILE_MOST, SPACE, Configuration, ConfigurationError, duration, said, size,
 )  # fmt: skip
-from linenbridge.processor.answers import AnswerForm
-from linenbridge.processor.conversation import Partner
-from linenbridge.processor.keys import KeyFiles
-from linenbridge.processor.limits import Bounds
-from linenbridge.processor.tickets import TicketTerms
-from linenbridge.processor.verdicts import Proof
+from linenbridge.processor.responses import AnswerForm
+from linenbridge.processor.stream_session import Partner
+from linenbridge.processor.tls import KeyFiles
+from linenbridge.processor.connection_limits import Bounds
+from linenbridge.processor.reservations import TicketTerms
+from linenbridge.processor.response_classification import Proof
 from linenbridge.routes.language import RouteError
 from linenbridge.routes.table import FaultsError, Table, table
 
--- a/linenbridge/processor/distributed.py
+++ b/linenbridge/processor/distributed.py
@@ -19,7 +19,7 @@
 from linenbridge.distribution.view.serving import TenantShares
 from linenbridge.distribution.view.view import View
 from linenbridge.interface import Startup
-from linenbridge.net.log import Log
+from linenbridge.logging.event_log import Log
 from linenbridge.process.configuration import ProcessConfiguration
 from linenbridge.startup import startup
 
--- a/linenbridge/processor/front.py
+++ b/linenbridge/processor/external_processor.py
@@ -12,15 +12,15 @@
 from typing import Any
 
 from linenbridge import interface as face
-from linenbridge.net.instances import load_report
-from linenbridge.net.loop import Loop, Taken
-from linenbridge.processor import http2, phases, tickets, wording
-from linenbridge.processor.answers import AnswerForm, seconds
-from linenbridge.processor.conversation import Conversation
+from linenbridge.net.upstream import load_report
+from linenbridge.net.decision_loop import Loop, Taken
+from linenbridge.processor import codec, http2, reservations, stream_phases
+from linenbridge.processor.responses import AnswerForm, seconds
+from linenbridge.processor.stream_session import Conversation
 from linenbridge.processor.evidence import Evidence
 from linenbridge.processor.store import Store, digest
-from linenbridge.processor.tickets import Entry, Ledger, Ticket
-from linenbridge.processor.verdicts import LATER, Verdicts
+from linenbridge.processor.reservations import Entry, Ledger, Ticket
+from linenbridge.processor.response_classification import LATER, Verdicts
 from linenbridge.routes.table import Request, Routing
 
 ATTEMPT_DIGITS = 4
@@ -81,7 +81,7 @@
 
     # ---- what proxies say ------------------------------------------------------------------------
 
-    def asked(self, conversation: Conversation, heard: wording.Heard) -> None:
+    def asked(self, conversation: Conversation, heard: codec.Heard) -> None:
         """Request headers: an RPC, a further attempt of one, or what must not go out."""
         partner, headers = conversation.partner, heard.headers
         conversation.grpc = headers.get("content-type", "").startswith("application/grpc")
@@ -98,7 +98,7 @@
         if asked is None:
             self.log.count("unrouted", partner.name)
             if self.passes_unrouted:
-                conversation.handed(wording.go_on(phases.REQUEST_HEADERS))
+                conversation.handed(codec.go_on(stream_phases.REQUEST_HEADERS))
                 return
             conversation.refused(
                 self.form.final(conversation.grpc, self.form.unrouted, {}, "no route takes this request")
@@ -110,16 +110,18 @@
             self.loop.now(), partner.name, digest(name) if name else "", int(count), method.effect
         )
         self.log.count("admitted", what)
-        if what == tickets.TAKE and entry is not None:
+        if what == reservations.TAKE and entry is not None:
             self._take(conversation, entry, asked)
-        elif what == tickets.AGAIN and entry is not None:
+        elif what == reservations.AGAIN and entry is not None:
             self._again(conversation, entry)
-        elif what == tickets.FULL_HOUSE:
+        elif what == reservations.FULL_HOUSE:
             wait, text = self.ledger.terms.retry_within, "too many requests are open"
             conversation.refused(self.form.pushed_back_by(conversation.grpc, wait, text))
         else:
             self.log.rarely("refused", what, proxy=partner.name, request=name[:64], attempt=int(count))
-            text = "the request has no id" if what == tickets.NO_ID else "an earlier attempt may have run"
+            text = (
+                "the request has no id" if what == reservations.NO_ID else "an earlier attempt may have run"
+            )
             conversation.refused(self.form.final(conversation.grpc, self.form.aborted, {}, text))
 
     def _take(self, conversation: Conversation, entry: Entry, asked: Any) -> None:
@@ -147,35 +149,37 @@
             else:
                 self._ended(entry, ticket, face.UNSENT)
 
-    def reported(self, conversation: Conversation, heard: wording.Heard) -> None:
+    def reported(self, conversation: Conversation, heard: codec.Heard) -> None:
         """The response's headers, or its trailers where these tell how it went."""
         entry, ticket, kind = conversation.entry, conversation.ticket, heard.kind or ""
-        if kind == phases.RESPONSE_TRAILERS:
+        if kind == stream_phases.RESPONSE_TRAILERS:
             if not conversation.later or entry is None or ticket is None or ticket.outcome is not None:
-                conversation.call.send(wording.go_on(kind))
+                conversation.call.send(codec.go_on(kind))
                 return
             outcome: str | None = self.verdicts.of_trailers(heard.headers, heard.attributes)
         elif entry is None or ticket is None or ticket.outcome is not None:
-            conversation.call.send(wording.go_on(kind))  # Its RPC went on, or ended, without it.
+            conversation.call.send(codec.go_on(kind))  # Its RPC went on, or ended, without it.
             return
         else:
             outcome = self.verdicts.of_headers(heard.headers, heard.attributes, heard.ended)
         if outcome is None or outcome == LATER:
             conversation.later = outcome == LATER
-            conversation.call.send(wording.go_on(kind))
+            conversation.call.send(codec.go_on(kind))
             return
         conversation.later = False
         self._report(conversation, entry, ticket, outcome, heard)
 
     def _report(
-        self, conversation: Conversation, entry: Entry, ticket: Ticket, outcome: str, heard: wording.Heard
+        self, conversation: Conversation, entry: Entry, ticket: Ticket, outcome: str, heard: codec.Heard
     ) -> None:
         """One that failed may be tried again by its proxy: then the module says first what it means."""
         partner, kind, now = conversation.partner, heard.kind or "", self.loop.now()
         told = self.evidence.heard(
             now, partner.name, ticket.build, self._method(entry), entry.effect, outcome
         )
-        again = outcome != face.OK and kind == phases.RESPONSE_HEADERS and entry.attempt < partner.attempts
+        again = (
+            outcome != face.OK and kind == stream_phases.RESPONSE_HEADERS and entry.attempt < partner.attempts
+        )
         load = load_report(heard.headers.get(self.form.load, "").encode("latin-1", "replace") or None)
         self.log.count("reported", outcome)
         if self.log.detail is not None:
@@ -191,7 +195,7 @@
         self._ended(entry, ticket, told, load)
         self._over(now, entry, answered=told not in face.NEVER_RAN)
         conversation.entry = conversation.ticket = None
-        conversation.call.send(wording.go_on(kind))
+        conversation.call.send(codec.go_on(kind))
 
     def left(self, conversation: Conversation) -> None:
         """The one place where a conversation is given back. A ticket of which nothing was said stays out: a
@@ -378,9 +382,9 @@
         for why, entry, ticket in list(self.ledger.overdue(self.loop.now())):
             if entry.ended:
                 continue
-            if why == tickets.UNREPORTED and ticket is not None:
+            if why == reservations.UNREPORTED and ticket is not None:
                 self._unreported(entry, ticket, entry.proxy)
-            elif why == tickets.LEFT and (out := entry.out()) is not None:
+            elif why == reservations.LEFT and (out := entry.out()) is not None:
                 self._unreported(entry, out, entry.proxy)
             elif entry.id not in self.deciding:
                 self._give_up(entry)
@@ -391,6 +395,6 @@
     def _tell(self, conversation: Conversation, headers: dict[str, str]) -> None:
         """A failure goes on to the proxy with what it means."""
         conversation.entry = conversation.ticket = None
-        conversation.call.send(wording.go_on(phases.RESPONSE_HEADERS, headers))
+        conversation.call.send(codec.go_on(stream_phases.RESPONSE_HEADERS, headers))
         if conversation.call.half:
             conversation.half_closed()
--- a/linenbridge/processor/http2/connection.py
+++ b/linenbridge/processor/http2/connection.py
@@ -18,11 +18,11 @@
 from hyperframe.frame import GoAwayFrame
 from twisted.internet.protocol import Protocol
 
-from linenbridge.net.log import Log
-from linenbridge.processor.frames import PREFACE, GoAways
+from linenbridge.logging.event_log import Log
+from linenbridge.processor.goaway_filter import PREFACE, GoAways
 from linenbridge.processor.http2.status import INVALID_ARGUMENT, UNAVAILABLE, UNIMPLEMENTED, percent_encoded
 from linenbridge.processor.http2.stream import Call, MessageError, Peer, Receiver, framed
-from linenbridge.processor.limits import Account, Bounds
+from linenbridge.processor.connection_limits import Account, Bounds
 
 WINDOW = 1 << 20  # bytes that a whole connection may send before they are read
 GOAWAYS_MOST = 8
--- a/linenbridge/processor/http2/server.py
+++ b/linenbridge/processor/http2/server.py
@@ -12,11 +12,11 @@
 import h2.errors
 from twisted.internet.protocol import Factory
 
-from linenbridge.net.log import Log
+from linenbridge.logging.event_log import Log
 from linenbridge.processor.http2.connection import Connection
 from linenbridge.processor.http2.status import DEADLINE_EXCEEDED
 from linenbridge.processor.http2.stream import Call, Receiver
-from linenbridge.processor.limits import Bounds
+from linenbridge.processor.connection_limits import Bounds
 
 LAST_STREAM = (1 << 31) - 1  # in a first GOAWAY: streams that are under way are still taken
 SWEEP = 0.5  # seconds between two looks at what is overdue
--- a/linenbridge/processor/answers.py
+++ b/linenbridge/processor/responses.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from linenbridge.processor import http2, wording
+from linenbridge.processor import codec, http2
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
         if grpc:
             status = http2.UNAVAILABLE if code == self.pushed_back else http2.INTERNAL
             status = http2.NOT_FOUND if code == self.unrouted else status
-        return wording.immediate(code, headers, text, status)
+        return codec.immediate(code, headers, text, status)
 
     def hand_out(self, grpc: bool, endpoint: str, ticket: str, left: int, use_within: int) -> bytes:
         """Where the request goes, under which ticket, for how long; times in microseconds."""
@@ -54,7 +54,7 @@
             self.use_within: str(max(1, use_within // 1000)),
         }
         metadata = (self.metadata, {self.endpoint: endpoint}) if self.metadata else None
-        return wording.hand_out(headers, metadata, grpc)
+        return codec.hand_out(headers, metadata, grpc)
 
 
 def seconds(micros: int) -> str:
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -13,24 +13,24 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from linenbridge.logging.log import structured
+from linenbridge.logging.structured import structured
 from linenbridge.net.discovery import host_port
-from linenbridge.net.log import Log
-from linenbridge.net.loop import Loop
+from linenbridge.logging.event_log import Log
+from linenbridge.net.decision_loop import Loop
 from linenbridge.configuration.read import Configuration, ConfigurationError
-from linenbridge.process import lifetime
-from linenbridge.process.parts import build, reload
+from linenbridge.process import lifecycle
+from linenbridge.process.components import build, reload
 from linenbridge.process.configuration import ProcessConfiguration
-from linenbridge.processor import keys
+from linenbridge.processor import tls
 from linenbridge.processor.evidence import Evidence
-from linenbridge.processor.conversation import Conversation
-from linenbridge.processor.front import Front
+from linenbridge.processor.stream_session import Conversation
+from linenbridge.processor.external_processor import Front
 from linenbridge.processor.health import Health
 from linenbridge.processor.http2 import PERMISSION_DENIED, Call, Server
 from linenbridge.processor.configuration import Directory, ProcessorSettings, processor_settings, routes
 from linenbridge.processor.store import Store
-from linenbridge.processor.tickets import Ledger
-from linenbridge.processor.verdicts import Verdicts
+from linenbridge.processor.reservations import Ledger
+from linenbridge.processor.response_classification import Verdicts
 from linenbridge.routes.table import Routing, Table
 from linenbridge.startup import micros, startup
 
@@ -68,7 +68,7 @@
         self.routing = _routing(self.table, view)
         self.directory = Directory(settings.partners)
         self.health = Health()
-        self.keys = keys.Keys(settings.tls) if settings.tls is not None else None
+        self.keys = tls.Keys(settings.tls) if settings.tls is not None else None
         self.front: Front | None = None
         self.server: Server | None = None
 
@@ -82,7 +82,7 @@
             Verdicts(settings.proofs), settings.form, store, settings.passes_unrouted, time.time,
         )  # fmt: skip
         front.start()
-        named = keys.names if self.keys is not None else lambda transport: ()
+        named = tls.names if self.keys is not None else lambda transport: ()
         self.server = Server(self.reactor, loop.now, settings.bounds, settings.connections, self.log, named)
         self.server.services = {
             PROCESS: self._converse,
@@ -114,7 +114,7 @@
     def reload(self) -> None:
         """Keys anew; routes and all else count from the next start."""
         if self.keys is not None and (why := self.keys.reload()) is not None:
-            self.log.event("keys.refused", error=why)
+            self.log.event("tls.refused", error=why)
 
     def leave(self, stopped: Any) -> None:
         """Proxies are told to go elsewhere; what is open ends within its time."""
@@ -184,7 +184,7 @@
     if (told := processor_settings(configuration)) is None:
         raise ConfigurationError(f"{configuration.path}: element 'linenbridge': it has no processor")
     log = structured(sys.stderr.buffer, configuration.log_level)
-    reactor = lifetime.begin(log)
+    reactor = lifecycle.begin(log)
     distributed = _distributed(configuration, at, log, reactor)
     view, start = (None, None) if distributed is None else (distributed.view, distributed.start)
     server = ProcessorServer(at, told, log, reactor, view)
@@ -229,9 +229,9 @@
         reload(parts, log, dict(os.environ))
         server.reload()
         if member is not None:
-            from linenbridge.fleet.hosting.witness import again
+            from linenbridge.fleet.hosting.quorum_member import again
 
             again(configuration.path, member, log)
 
-    lifetime.run(reactor, log, stop, counters, anew)
+    lifecycle.run(reactor, log, stop, counters, anew)
     return 0
--- a/linenbridge/processor/conversation.py
+++ b/linenbridge/processor/stream_session.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from linenbridge.net.log import Log
-from linenbridge.processor import http2, phases, wording
-from linenbridge.processor.tickets import Entry, Ticket
+from linenbridge.logging.event_log import Log
+from linenbridge.processor import codec, http2, stream_phases
+from linenbridge.processor.reservations import Entry, Ticket
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,10 +30,10 @@
 
     log: Log
 
-    def asked(self, conversation: Conversation, heard: wording.Heard) -> None:
+    def asked(self, conversation: Conversation, heard: codec.Heard) -> None:
         """Request headers have come; an answer is owed."""
 
-    def reported(self, conversation: Conversation, heard: wording.Heard) -> None:
+    def reported(self, conversation: Conversation, heard: codec.Heard) -> None:
         """Response headers or trailers have come; an answer is owed."""
 
     def left(self, conversation: Conversation) -> None:
@@ -50,7 +50,7 @@
 
     def __init__(self, handler: Handler, partner: Partner, call: http2.Call) -> None:
         self.handler, self.partner, self.call = handler, partner, call
-        self.phases = phases.Phases()
+        self.phases = stream_phases.Phases()
         self.entry: Entry | None = None
         self.ticket: Ticket | None = None
         self.grpc = self.later = False
@@ -58,22 +58,22 @@
     def message(self, data: memoryview) -> None:
         handler = self.handler
         try:
-            heard = wording.read(data)
+            heard = codec.read(data)
             what = self.phases.step(heard.kind, heard.watched)
-        except wording.MalformedError as error:
+        except codec.MalformedError as error:
             handler.log.rarely("malformed", "message", error=str(error), proxy=self.partner.name)
             self.fail(http2.INVALID_ARGUMENT, str(error))
             return
-        except phases.OutOfOrderError as error:
+        except stream_phases.OutOfOrderError as error:
             handler.log.rarely("malformed", "order", error=str(error), proxy=self.partner.name)
             self.fail(http2.FAILED_PRECONDITION, str(error))
             return
-        if what == phases.DECIDE:
+        if what == stream_phases.DECIDE:
             handler.asked(self, heard)
-        elif what == phases.REPORT:
+        elif what == stream_phases.REPORT:
             handler.reported(self, heard)
-        elif what == phases.PASS:
-            self.call.send(wording.go_on(heard.kind or ""))
+        elif what == stream_phases.PASS:
+            self.call.send(codec.go_on(heard.kind or ""))
 
     def fail(self, status: int, text: str) -> None:
         """The stream ends here; what it was about is settled as if the proxy had left."""
@@ -82,7 +82,7 @@
 
     def half_closed(self) -> None:
         """The proxy says no more: an answer still owed is given, else the stream ends well."""
-        if self.phases.stands != phases.ASKED and not self.handler.owes(self):
+        if self.phases.stands != stream_phases.ASKED and not self.handler.owes(self):
             self.handler.left(self)
             self.call.finish(http2.OK)
 
@@ -94,7 +94,7 @@
         waited = self.phases.handed()
         self.call.send(answer)
         for kind in waited:
-            self.call.send(wording.go_on(kind))
+            self.call.send(codec.go_on(kind))
         if self.call.half:
             self.half_closed()
 
--- a/linenbridge/wirehost/__init__.py
+++ b/linenbridge/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter: the bench's wire on standard input and output before the decisions of `linenbridge.choice`."""
+"""Adapter: the bench's wire on standard input and output before the decisions of `linenbridge.policy`."""
--- a/linenbridge/wirehost/adapter.py
+++ b/linenbridge/simulator/adapter.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from linenbridge import interface as face
-from linenbridge.choice import Choice
+from linenbridge.policy import Choice
 from linenbridge.startup import LOADS, LONG_AGO, micros, startup
-from linenbridge.wirehost import messages as wire
+from linenbridge.simulator import messages as wire
 
 OUTCOMES = {
     "S": face.OK, "E": face.ERROR, "F": face.FULL, "T": face.TIMED_OUT,
@@ -188,7 +188,7 @@
         try:
             steps = host.batch(decoder.decode(line))
         except (msgspec.DecodeError, ValueError) as error:
-            print(f"linenbridge.wirehost: cannot read the batch: {error}", file=sys.stderr)
+            print(f"linenbridge.simulator: cannot read the batch: {error}", file=sys.stderr)
             return 2
         replies.write(msgspec.json.encode({"steps": steps}) + b"\n")
         replies.flush()
--- a/linenbridge/state/fleet.py
+++ b/linenbridge/state/fleet.py
@@ -13,8 +13,8 @@
 from zlib import crc32
 
 from linenbridge.interface import GONE, READY, Id, ListEntry
-from linenbridge.state.free import FreeIndices
-from linenbridge.state.order import ReadyOrder
+from linenbridge.state.free_indices import FreeIndices
+from linenbridge.state.ready_order import ReadyOrder
 
 
 def draw(random: Random, items: list[int], sums: Sequence[float]) -> int:
--- a/linenbridge/state/known.py
+++ b/linenbridge/state/gateway_state.py
@@ -12,7 +12,7 @@
 from linenbridge.interface import WITHDRAWN, Id, Startup
 from linenbridge.state.counters import CapBucket, Counts
 from linenbridge.state.fleet import Fleet
-from linenbridge.state.rpcs import OpenRpcs, Pick
+from linenbridge.state.requests import OpenRpcs, Pick
 
 
 class Known:
--- a/tests/days.py
+++ b/tests/days.py
@@ -14,7 +14,7 @@
 from random import Random
 
 from linenbridge import interface as face
-from linenbridge.choice import Choice
+from linenbridge.policy import Choice
 from linenbridge.interface import SECOND, ListEntry, Startup
 from linenbridge.state.counters import Counts
 from linenbridge.state.peers import pack
--- a/tests/distribution/feed/test_cuts.py
+++ b/tests/distribution/dissemination/test_cuts.py
@@ -9,9 +9,9 @@
 import msgspec
 import pytest
 
-from linenbridge.distribution.feed import FeedSettings
-from tests.distribution.feed.test_simulation import breaches, different_digests, publish_over
-from tests.distribution.feed.world import SECOND, Shape, World
+from linenbridge.distribution.dissemination.feed import FeedSettings
+from tests.distribution.dissemination.test_simulation import breaches, different_digests, publish_over
+from tests.distribution.dissemination.world import SECOND, Shape, World
 
 HOUR = 3_600
 WITHIN = 10 * SECOND  # after the regions have met: back-off of the links and of the followers, and the bytes
--- a/tests/distribution/feed/test_feed.py
+++ b/tests/distribution/dissemination/test_feed.py
@@ -10,9 +10,9 @@
 
 from linenbridge.distribution.changes import RANGES, Kind, Position, Version, sealed
 from linenbridge.distribution.decisions import Apply, Event, ReplaceRange, Send, SumsBelow
-from linenbridge.distribution.feed import Feed, FeedSettings
+from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
 from linenbridge.distribution.messages import Batch, Digests, Follow, Message, Progress, Refused, Whole
-from linenbridge.distribution.pacing import PAGE_MOST, TokenBucket, Window
+from linenbridge.distribution.dissemination.flow_control import PAGE_MOST, TokenBucket, Window
 
 SECOND = 1_000_000
 REGIONS = ["r1", "r2"]
--- a/tests/distribution/feed/test_follower.py
+++ b/tests/distribution/dissemination/test_follower.py
@@ -11,11 +11,11 @@
 
 from linenbridge.distribution.changes import Kind, Position, Version, range_of, sealed
 from linenbridge.distribution.decisions import Apply, Dial, Event, HangUp, ReplaceRange, Send
-from linenbridge.distribution.follower import Follower, FollowerSettings
+from linenbridge.distribution.dissemination.follower import Follower, FollowerSettings
 from linenbridge.distribution.messages import (
     Batch, Digests, Follow, Progress, Refused, Whole, batch_checksum, whole_checksum,
 )  # fmt: skip
-from linenbridge.distribution.relays import RelayOrder, RelayPlace, ranked
+from linenbridge.distribution.dissemination.relay_selection import RelayOrder, RelayPlace, ranked
 
 SECOND = 1_000_000
 NEAR = [RelayPlace(f"near{n}", "r1") for n in range(4)]
--- a/tests/distribution/feed/test_progress.py
+++ b/tests/distribution/dissemination/test_progress.py
@@ -6,7 +6,7 @@
 
 from linenbridge.distribution.changes import Position
 from linenbridge.distribution.messages import Progress, Summary
-from linenbridge.distribution.progress import (
+from linenbridge.distribution.dissemination.progress import (
     DEPARTED_MOST, GONE_AFTER, GRACE, GRACE_ELSEWHERE, HEADS_MOST, LAG_BUCKETS, SLOWEST_MOST, UNREACHED_MOST,
     Departed, FollowerProgress, Heads, add_up, bucket_of,
 )  # fmt: skip
--- a/tests/distribution/feed/test_simulation.py
+++ b/tests/distribution/dissemination/test_simulation.py
@@ -11,12 +11,12 @@
 import msgspec
 import pytest
 
-from linenbridge.distribution import acceptance, pacing
+from linenbridge.distribution.dissemination import acceptance, flow_control
 from linenbridge.distribution.changes import Kind, range_of
-from linenbridge.distribution.feed import FeedSettings
+from linenbridge.distribution.dissemination.feed import FeedSettings
 from linenbridge.distribution.messages import Batch, Whole
-from tests.distribution.feed import checker
-from tests.distribution.feed.world import SECOND, InForce, Shape, World
+from tests.distribution.dissemination import checker
+from tests.distribution.dissemination.world import SECOND, InForce, Shape, World
 
 MADE_GOOD = 4 * SECOND  # a relay's death, and the aim for a change to be in force everywhere
 FEW_TOMBSTONES = FeedSettings(tombstones_most=3)
@@ -454,7 +454,7 @@
 
 
 def test_without_the_token_bucket_the_budget_is_broken(monkeypatch):
-    monkeypatch.setattr(pacing.TokenBucket, "take", lambda self, size: None)
+    monkeypatch.setattr(flow_control.TokenBucket, "take", lambda self, size: None)
     world = World(Shape(keys=4_000), 1)
     world.run(2)
     world.publish_some("r0", 8_000)
--- a/tests/distribution/feed/test_table.py
+++ b/tests/distribution/dissemination/test_table.py
@@ -10,7 +10,7 @@
 from linenbridge.distribution.changes import (
     RANGES, START, Change, Kind, Version, digest_of, range_of, sealed,
 )  # fmt: skip
-from linenbridge.distribution.table import Table
+from linenbridge.distribution.dissemination.compacted_log import Table
 
 REGION = "r1"
 KEYS = [(Kind.TENANT, f"t{n}") for n in range(6)] + [(Kind.INSTANCE, f"shop/i{n}") for n in range(4)]
--- a/tests/distribution/feed/test_with_views.py
+++ b/tests/distribution/dissemination/test_with_views.py
@@ -6,11 +6,11 @@
 
 from linenbridge.distribution.changes import Version
 from linenbridge.distribution.decisions import Apply, ReplaceRange
-from linenbridge.distribution.feed import FeedSettings
-from linenbridge.distribution.follower import Follower
+from linenbridge.distribution.dissemination.feed import FeedSettings
+from linenbridge.distribution.dissemination.follower import Follower
 from linenbridge.distribution.view.view import View
-from tests.distribution.feed.test_simulation import FEW_TOMBSTONES, publish_over, random_fault
-from tests.distribution.feed.world import SECOND, Shape, World
+from tests.distribution.dissemination.test_simulation import FEW_TOMBSTONES, publish_over, random_fault
+from tests.distribution.dissemination.world import SECOND, Shape, World
 from tests.helpers import startup
 
 
--- a/tests/distribution/feed/world.py
+++ b/tests/distribution/dissemination/world.py
@@ -21,10 +21,10 @@
     START, Change, Kind, Position, Version, added, digest_of, range_of, removed, sealed,
 )  # fmt: skip
 from linenbridge.distribution.decisions import Apply, Dial, Event, HangUp, ReplaceRange, Send, SumsBelow
-from linenbridge.distribution.feed import Feed, FeedSettings
-from linenbridge.distribution.follower import Follower, FollowerSettings
+from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
+from linenbridge.distribution.dissemination.follower import Follower, FollowerSettings
 from linenbridge.distribution.messages import Batch, Digests, Follow, Message, Progress, Refused, Whole
-from linenbridge.distribution.relays import RelayPlace
+from linenbridge.distribution.dissemination.relay_selection import RelayPlace
 
 MS, SECOND = 1_000, 1_000_000
 CONNECT = 3 * MS
--- a/tests/distribution/hosting/processes.py
+++ b/tests/distribution/hosting/processes.py
@@ -21,7 +21,7 @@
         "linenbridge.distribution.hosting.relay",
         "linenbridge.distribution.hosting.publisher",
         "linenbridge.distribution.hosting.gateway",
-        "linenbridge.fleet.hosting.witness",
+        "linenbridge.fleet.hosting.quorum_member",
         "tests.distribution.hosting.processes",
     ]
 )
--- a/tests/distribution/hosting/test_carrier.py
+++ b/tests/distribution/hosting/test_carrier.py
@@ -11,9 +11,9 @@
 from twisted.python.failure import Failure
 
 from linenbridge.distribution.decisions import Event
-from linenbridge.distribution.hosting.carrier import Carrier
-from linenbridge.distribution.hosting.writer import GroupWriter
-from linenbridge.fleet.hosting import clock
+from linenbridge.distribution.hosting.core_driver import Carrier
+from linenbridge.distribution.hosting.disk_writer import GroupWriter
+from linenbridge.peering import clock
 from tests.distribution.hosting.standins import StandinReactor
 
 
--- a/tests/distribution/hosting/test_hosts.py
+++ b/tests/distribution/hosting/test_hosts.py
@@ -19,7 +19,7 @@
 from linenbridge.distribution.decisions import Apply
 from linenbridge.distribution.errors import RelayStoreError, ViewStoreError
 from linenbridge.distribution.hosting import publisher as hosting
-from linenbridge.distribution.hosting.author import ASK_AGAIN, Author
+from linenbridge.distribution.hosting.change_client import ASK_AGAIN, Author
 from linenbridge.distribution.hosting.gateway import STORE_EVERY, Gateway, open_view
 from linenbridge.distribution.hosting.methods import Methods
 from linenbridge.distribution.hosting.publisher import PublisherProcess
@@ -27,8 +27,8 @@
 from linenbridge.distribution.messages import (
     Append, Appended, Batch, Follow, Prepare, Prepared, Progress, Publish, Published,
 )  # fmt: skip
-from linenbridge.fleet.hosting.links import Links
-from linenbridge.net.log import Log
+from linenbridge.peering.connections import Links
+from linenbridge.logging.event_log import Log
 from tests.distribution.hosting.standins import StandinReactor
 from tests.distribution.hosting.test_configuration import GATEWAY, PUBLISHER, RELAY, file, fleet
 from tests.helpers import startup
--- a/tests/distribution/hosting/test_imports.py
+++ b/tests/distribution/hosting/test_imports.py
@@ -14,8 +14,8 @@
     ("linenbridge.process.gateway", DISTRIBUTION),
     ("linenbridge.processor.server", DISTRIBUTION),
     ("linenbridge.cli.commands", DISTRIBUTION),
-    ("linenbridge.wirehost.adapter", DISTRIBUTION),
-    ("linenbridge.fleet.hosting.witness", DISTRIBUTION),
+    ("linenbridge.simulator.adapter", DISTRIBUTION),
+    ("linenbridge.fleet.hosting.quorum_member", DISTRIBUTION),
     ("linenbridge.distribution.hosting.relay", f"{DISTRIBUTION}.view"),
     ("linenbridge.distribution.hosting.gateway", f"{DISTRIBUTION}.replica"),
 ]
--- a/tests/distribution/hosting/test_processes.py
+++ b/tests/distribution/hosting/test_processes.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from linenbridge.distribution.store.log import RelayLog
+from linenbridge.distribution.storage.log_store import RelayLog
 from tests.distribution.hosting.installation import ROUTES, Installation
 
 # After a publisher is lost: its lease, what clocks run apart, beats of those that wait, the reading of the
--- a/tests/distribution/log/checker.py
+++ b/tests/distribution/log/checker.py
@@ -9,7 +9,7 @@
 from linenbridge.distribution.changes import Change
 from linenbridge.distribution.decisions import Keep
 from linenbridge.distribution.messages import Append, Publish, Published
-from linenbridge.distribution.replica import Kept
+from linenbridge.distribution.log.replica import Kept
 
 
 class Disk:
--- a/tests/distribution/log/explored.py
+++ b/tests/distribution/log/explored.py
@@ -14,11 +14,11 @@
 
 from linenbridge.distribution.changes import Kind
 from linenbridge.distribution.decisions import Committed, Event, Keep, Send
-from linenbridge.distribution.log import DELETIONS_MOST
+from linenbridge.distribution.log.region_log import DELETIONS_MOST
 from linenbridge.distribution.messages import Append, Message, Publish, Published
-from linenbridge.distribution.peers import PublisherPace
-from linenbridge.distribution.publisher import Publisher
-from linenbridge.distribution.replica import Kept, Replica
+from linenbridge.distribution.log.replication import PublisherPace
+from linenbridge.distribution.log.publisher import Publisher
+from linenbridge.distribution.log.replica import Kept, Replica
 from tests.distribution.log.checker import LogChecker
 from tests.distribution.log.world import REGION, deliver, disk_after, no_faults
 
--- a/tests/distribution/log/measure.py
+++ b/tests/distribution/log/measure.py
@@ -15,7 +15,7 @@
 from linenbridge.distribution.changes import Change, Kind, Version, sealed
 from linenbridge.distribution.decisions import Keep
 from linenbridge.distribution.messages import Message, Publish
-from linenbridge.distribution.replica import Kept
+from linenbridge.distribution.log.replica import Kept
 from tests.distribution.log.world import REGION, Region
 
 CHANGES = 500
--- a/tests/distribution/log/mutants.py
+++ b/tests/distribution/log/mutants.py
@@ -11,14 +11,14 @@
 
 import msgspec
 
-from linenbridge.distribution import log, peers, publisher, reading, replica
+from linenbridge.distribution.log import publisher, recovery, region_log, replica, replication
 
 
 @contextmanager
 def half_is_enough() -> Iterator[None]:
     """One relay fewer than a majority is enough, to read and to write."""
     with (
-        patch.object(reading, "majority", lambda relays: relays // 2),
+        patch.object(recovery, "majority", lambda relays: relays // 2),
         patch.object(publisher, "majority", lambda relays: relays // 2),
     ):
         yield
@@ -66,7 +66,7 @@
 @contextmanager
 def does_not_look_back() -> Iterator[None]:
     """A relay appends whatever the entry before may be."""
-    with patch.object(log.Log, "agrees_at", lambda self, version: True):
+    with patch.object(region_log.Log, "agrees_at", lambda self, version: True):
         yield
 
 
@@ -91,8 +91,8 @@
         self._quorum = [peer for peer in self.peers.values() if peer.prepared is not None]
         self._finish(now)
 
-    with patch.object(reading.Reading, "_choose", choose), patch.object(
-        reading.Reading, "_is_over", lambda self, peer: False
+    with patch.object(recovery.Reading, "_choose", choose), patch.object(
+        recovery.Reading, "_is_over", lambda self, peer: False
     ):  # fmt: skip
         yield
 
@@ -100,7 +100,7 @@
 @contextmanager
 def reads_any_log() -> Iterator[None]:
     """A publisher reads some relay of a majority, not the one with the newest log."""
-    with patch.object(reading, "max", lambda rows, **_: list(rows)[0], create=True):
+    with patch.object(recovery, "max", lambda rows, **_: list(rows)[0], create=True):
         yield
 
 
@@ -115,8 +115,8 @@
 def counts_without_memory() -> Iterator[None]:
     """A relay that lost its disk counts as one that never did."""
     with (
-        patch.object(log.Log, "life_counts", lambda self, relay, life: True),
-        patch.object(reading.Reading, "_is_over", lambda self, peer: False),
+        patch.object(region_log.Log, "life_counts", lambda self, relay, life: True),
+        patch.object(recovery.Reading, "_is_over", lambda self, peer: False),
     ):
         yield
 
@@ -141,14 +141,14 @@
         found = self.lives.get(relay)
         return found is not None and found.number == life
 
-    with patch.object(log.Log, "life_counts", counts):
+    with patch.object(region_log.Log, "life_counts", counts):
         yield
 
 
 @contextmanager
 def believes_lives_that_are_over() -> Iterator[None]:
     """A publisher counts the promise of a relay that has forgotten it since."""
-    with patch.object(reading.Reading, "_is_over", lambda self, peer: False):
+    with patch.object(recovery.Reading, "_is_over", lambda self, peer: False):
         yield
 
 
@@ -160,7 +160,7 @@
         self.told = log.committed
         return self.told
 
-    with patch.object(peers.Peer, "_tell", tell):
+    with patch.object(replication.Peer, "_tell", tell):
         yield
 
 
@@ -181,7 +181,7 @@
 @contextmanager
 def keeps_what_it_knew() -> Iterator[None]:
     """A publisher goes on with keys whose deletions were made, and let go, since it knew them."""
-    with patch.object(reading.Reading, "_settled", lambda self: 0):
+    with patch.object(recovery.Reading, "_settled", lambda self: 0):
         yield
 
 
--- a/tests/distribution/log/test_region.py
+++ b/tests/distribution/log/test_region.py
@@ -6,13 +6,13 @@
 
 import pytest
 
-from linenbridge.distribution.authors import QUEUED_MOST
+from linenbridge.distribution.log.change_requests import QUEUED_MOST
 from linenbridge.distribution.changes import VALUE_MOST, Kind, Position, Version
-from linenbridge.distribution.log import PAGE_BYTES, Log
+from linenbridge.distribution.log.region_log import PAGE_BYTES, Log
 from linenbridge.distribution.messages import Appended, Progress, Publish, Summary
-from linenbridge.distribution.peers import MESSAGES_MOST, WINDOW_BYTES
-from linenbridge.distribution.publisher import UNCOMMITTED_MOST
-from linenbridge.distribution.replica import Kept
+from linenbridge.distribution.log.replication import MESSAGES_MOST, WINDOW_BYTES
+from linenbridge.distribution.log.publisher import UNCOMMITTED_MOST
+from linenbridge.distribution.log.replica import Kept
 from tests.distribution.log.world import PACE, REGION, Region
 
 
--- a/tests/distribution/log/test_store.py
+++ b/tests/distribution/log/test_store.py
@@ -17,8 +17,8 @@
 from linenbridge.distribution.decisions import Keep, Send
 from linenbridge.distribution.errors import RelayStoreError
 from linenbridge.distribution.messages import Append, Prepare
-from linenbridge.distribution.replica import Kept, Replica
-from linenbridge.distribution.store.log import FILE_NAME, RelayLog
+from linenbridge.distribution.log.replica import Kept, Replica
+from linenbridge.distribution.storage.log_store import FILE_NAME, RelayLog
 from tests.distribution.log.explored import LogScenario, LogWorld
 from tests.distribution.log.schedules import DELETES
 
--- a/tests/distribution/log/world.py
+++ b/tests/distribution/log/world.py
@@ -23,10 +23,10 @@
     Publish,
     Published,
 )
-from linenbridge.distribution.peers import PublisherPace
-from linenbridge.distribution.publisher import Publisher
-from linenbridge.distribution.replica import Kept, Replica
-from linenbridge.fleet.hosting.links import WORD_MOST
+from linenbridge.distribution.log.replication import PublisherPace
+from linenbridge.distribution.log.publisher import Publisher
+from linenbridge.distribution.log.replica import Kept, Replica
+from linenbridge.peering.connections import WORD_MOST
 
 REGION = "north"
 PACE = PublisherPace(heartbeat=100, retry=50, retry_most=200, answer_within=2_000, silence=1_000)
--- a/tests/distribution/view/test_serving.py
+++ b/tests/distribution/view/test_serving.py
@@ -16,17 +16,17 @@
 import grpc
 import pytest
 
-from linenbridge.choice import Choice
+from linenbridge.policy import Choice
 from linenbridge.distribution.changes import Kind
 from linenbridge.configuration.read import ConfigurationError, read
 from linenbridge.distribution.configuration import distribution
 from linenbridge.distribution.hosting.gateway import open_view
 from linenbridge.distribution.hosting.methods import Methods
-from linenbridge.net.log import Log
+from linenbridge.logging.event_log import Log
 from linenbridge.distribution.view.serving import RoutesByAuthority, TenantShares
-from linenbridge.distribution.view.store import ViewStore, fingerprint
+from linenbridge.distribution.storage.view_store import ViewStore, fingerprint
 from linenbridge.distribution.view.view import View
-from linenbridge.drill.process import free_port
+from linenbridge.faults.process import free_port
 from linenbridge.process.configuration import load
 from linenbridge.processor.distributed import distributed
 from linenbridge.routes.table import table
--- a/tests/distribution/view/test_store.py
+++ b/tests/distribution/view/test_store.py
@@ -14,7 +14,7 @@
 from linenbridge.distribution.changes import Kind, Version
 from linenbridge.distribution.decisions import Apply
 from linenbridge.distribution.errors import ViewStoreError
-from linenbridge.distribution.view.store import ASIDE, FORM, ViewStore, fingerprint, restored
+from linenbridge.distribution.storage.view_store import ASIDE, FORM, ViewStore, fingerprint, restored
 from linenbridge.distribution.view.view import View
 from linenbridge.routes.table import Request
 from tests.distribution.view.helpers import METHODS, new_view
--- a/tests/fleet/explore/leases.py
+++ b/tests/fleet/explore/leases.py
@@ -21,7 +21,7 @@
 )
 from linenbridge.fleet.leases.proposer import Proposer
 from linenbridge.fleet.leases.quorum import Quorum
-from linenbridge.fleet.leases.terms import Pace
+from linenbridge.fleet.leases.timing import Pace
 
 FAST, SLOW = 5, 4  # units of a process's clock in one tick of true time: a fifth apart, as the pace says
 PACE = Pace(length=40, longest=40, apart=200_000, beat=10)
--- a/tests/fleet/explore/mutants.py
+++ b/tests/fleet/explore/mutants.py
@@ -9,7 +9,7 @@
 from contextlib import contextmanager
 from unittest.mock import patch
 
-from linenbridge.fleet.leases import acceptor, errors, guards, hold, proposer, quorum, returning
+from linenbridge.fleet.leases import acceptor, errors, granted_leases, lease_state, proposer, quorum, recovery
 
 
 @contextmanager
@@ -27,7 +27,7 @@
 @contextmanager
 def forgets_the_clocks() -> Iterator[None]:
     """The holder trusts its clock to run as fast as the acceptors'."""
-    with patch.object(hold, "acts_until", lambda pace, asked: asked + pace.length):
+    with patch.object(lease_state, "acts_until", lambda pace, asked: asked + pace.length):
         yield
 
 
@@ -37,7 +37,7 @@
 
     def may_act(self, now, task):
         held = self.holds.get(task)
-        return held.term if held is not None and held.state == hold.HOLDING else None
+        return held.term if held is not None and held.state == lease_state.HOLDING else None
 
     with patch.object(proposer.Proposer, "may_act", may_act):
         yield
@@ -53,7 +53,7 @@
 @contextmanager
 def grants_what_is_held() -> Iterator[None]:
     """The acceptor does not keep a place for its holder."""
-    with patch.object(guards.Guards, "left", lambda self, key, now: 0):
+    with patch.object(granted_leases.Guards, "left", lambda self, key, now: 0):
         yield
 
 
@@ -66,7 +66,7 @@
         found = plain(self, now, name, take)
         return None if found is errors.OlderTerm else found
 
-    choose = hold.Hold.choose
+    choose = lease_state.Hold.choose
 
     def first(self, rows, free, give_up):
         found = choose(self, rows, free, give_up)
@@ -74,14 +74,14 @@
             self.asked_term = 1
         return found
 
-    with patch.object(acceptor.Acceptor, "_refusal", lax), patch.object(hold.Hold, "choose", first):
+    with patch.object(acceptor.Acceptor, "_refusal", lax), patch.object(lease_state.Hold, "choose", first):
         yield
 
 
 @contextmanager
 def does_not_stand_aside() -> Iterator[None]:
     """An acceptor that starts anew does not let the longest lease run out."""
-    with patch.object(returning, "stands_aside", lambda pace: 0):
+    with patch.object(recovery, "stands_aside", lambda pace: 0):
         yield
 
 
@@ -89,8 +89,8 @@
 def returns_alone() -> Iterator[None]:
     """An acceptor that starts anew hears nobody, and grants at once."""
     with (
-        patch.object(returning, "stands_aside", lambda pace: 0),
-        patch.object(returning.Returning, "_grounds", lambda self: "recalled"),
+        patch.object(recovery, "stands_aside", lambda pace: 0),
+        patch.object(recovery.Returning, "_grounds", lambda self: "recalled"),
     ):
         yield
 
@@ -98,7 +98,7 @@
 @contextmanager
 def learns_no_terms() -> Iterator[None]:
     """An acceptor that comes back takes in nothing of what the others remember."""
-    with patch.object(guards.Guards, "merge", lambda self, place, until: False):
+    with patch.object(granted_leases.Guards, "merge", lambda self, place, until: False):
         yield
 
 
@@ -109,7 +109,7 @@
     def moves(self, now, quorum):
         self.quorum, self.settled = quorum, quorum.generation
 
-    with patch.object(returning.Returning, "moves", moves):
+    with patch.object(recovery.Returning, "moves", moves):
         yield
 
 
--- a/tests/fleet/freezes/test_holds.py
+++ b/tests/fleet/freezes/test_holds.py
@@ -8,13 +8,13 @@
 import pytest
 
 from linenbridge import interface as face
-from linenbridge.choice import Choice
+from linenbridge.policy import Choice
 from linenbridge.configuration.read import ConfigurationError
 from linenbridge.fleet.freezes.configuration import windows
 from linenbridge.fleet.freezes.holds import Holds
 from linenbridge.fleet.freezes.windows import Window
 from linenbridge.interface import SECOND
-from tests.choice.helpers import fail_trial, outcome
+from tests.policy.helpers import fail_trial, outcome
 from tests.helpers import MS, entry, pull, running, startup
 
 START = datetime(2026, 12, 8, 2)
--- a/tests/fleet/procs/run_member.py
+++ b/tests/fleet/procs/run_member.py
@@ -9,7 +9,7 @@
 import sys
 
 from linenbridge.cli.commands import run
-from linenbridge.fleet.hosting import clock
+from linenbridge.peering import clock
 
 rate, plain = float(os.environ.get("LB_TEST_RATE", "1")), clock.now
 began = plain()
--- a/tests/fleet/sim/world.py
+++ b/tests/fleet/sim/world.py
@@ -21,7 +21,7 @@
 )
 from linenbridge.fleet.leases.proposer import Proposer
 from linenbridge.fleet.leases.quorum import Quorum
-from linenbridge.fleet.leases.terms import Pace
+from linenbridge.fleet.leases.timing import Pace
 from tests.fleet.procs.standin_resource import Act
 
 MS, SECOND = 1_000, 1_000_000
--- a/tests/fleet/test_errors.py
+++ b/tests/fleet/test_errors.py
@@ -10,7 +10,7 @@
 
 import linenbridge.distribution
 import linenbridge.fleet
-from linenbridge.fleet.errors import FleetError, Refusal, kinds
+from linenbridge.errors import FleetError, Refusal, kinds
 from linenbridge.fleet.leases.errors import QuorumLost
 
 DOCS = Path(__file__).parents[2] / "docs"
--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -12,9 +12,9 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from linenbridge.fleet.hosting.links import CONNECT_WAIT, Links, Meet, Say, WellFormedNames, _encode
+from linenbridge.peering.connections import CONNECT_WAIT, Links, Meet, Say, WellFormedNames, _encode
 from linenbridge.fleet.leases.messages import RecoveryRequest
-from linenbridge.net.log import Log
+from linenbridge.logging.event_log import Log
 
 
 class Wire(StringTransport):
--- a/tests/fleet/test_store.py
+++ b/tests/fleet/test_store.py
@@ -14,8 +14,8 @@
 from linenbridge.fleet.leases.errors import StoreTorn, StoreUnusable
 from linenbridge.fleet.leases.messages import Acquire, LeaseRequest, PlaceRecord
 from linenbridge.fleet.leases.quorum import Quorum
-from linenbridge.fleet.leases.terms import Pace
-from linenbridge.fleet.store.promises import Promises, promises
+from linenbridge.fleet.leases.timing import Pace
+from linenbridge.fleet.store.acceptor_records import Promises, promises
 
 ROWS = [("sweep", 0, 7, "g1#1", 0), ("sweep", 1, 5, "g2#1", 5)]
 FACTS = {"remembers": 1, "settled": 3, "stamp": 12, "longest": 9}
@@ -42,7 +42,7 @@
 def test_a_promise_survives_a_kill_right_after_it(tmp_path):
     path = str(tmp_path / "acceptor.db")
     text = (
-        "import os, sys; from linenbridge.fleet.store.promises import Promises\n"
+        "import os, sys; from linenbridge.fleet.store.acceptor_records import Promises\n"
         f"store = Promises(sys.argv[1], 'g1'); store.read()\n"
         f"store.keep({ROWS!r}, {FACTS!r}); os.kill(os.getpid(), 9)"
     )
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from linenbridge import interface as face
-from linenbridge.choice import Choice
+from linenbridge.policy import Choice
 from linenbridge.interface import SECOND, Allowances, ListEntry, Method, RolloutPlan, Startup
 
 MS = 1_000
--- a/tests/net/bench.py
+++ b/tests/net/bench.py
@@ -13,14 +13,14 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from linenbridge.choice import Choice
+from linenbridge.policy import Choice
 from linenbridge.net import resp
-from linenbridge.net.clients import Clients
+from linenbridge.net.downstream import Clients
 from linenbridge.net.discovery import Discovery
-from linenbridge.net.follow import Follow
-from linenbridge.net.instances import Descriptors, Instances
-from linenbridge.net.log import Log
-from linenbridge.net.loop import Loop
+from linenbridge.net.watch_stream import Follow
+from linenbridge.net.upstream import Descriptors, Instances
+from linenbridge.logging.event_log import Log
+from linenbridge.net.decision_loop import Loop
 from linenbridge.net.platform import Platform
 from tests.helpers import startup
 
--- a/tests/net/test_clients.py
+++ b/tests/net/test_clients.py
@@ -9,7 +9,7 @@
 
 from linenbridge import interface as face
 from linenbridge.net import resp
-from linenbridge.net.clients import BATCH, LAST_COMMANDS, LAST_CONNECTIONS, QUIET
+from linenbridge.net.downstream import BATCH, LAST_COMMANDS, LAST_CONNECTIONS, QUIET
 
 from tests.net.bench import Bench
 
--- a/tests/net/test_ends.py
+++ b/tests/net/test_ends.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from linenbridge.net.clients import LAST_COMMANDS
+from linenbridge.net.downstream import LAST_COMMANDS
 from tests.net.loopback import PING, Running, answer, ask
 
 LARGE = b"v" * 60_000  # more than a small buffer of the client's takes
@@ -60,7 +60,7 @@
 def test_whoever_waits_to_be_accepted_when_the_listener_closes_is_served(tmp_path):
     """The process stands still over the moment of the close, put off here so that it cannot be missed:
     connections come up in the system's queue."""
-    late = "import linenbridge.net.clients as c; c.LAST_CONNECTIONS, c.LAST_COMMANDS = 2.0, 2.2"
+    late = "import linenbridge.net.downstream as c; c.LAST_CONNECTIONS, c.LAST_COMMANDS = 2.0, 2.2"
     with Running(tmp_path, before=late) as gateway:
         gateway.until("started")
         gateway.signal(signal.SIGTERM)
--- a/tests/net/test_picks.py
+++ b/tests/net/test_picks.py
@@ -10,7 +10,7 @@
 
 from linenbridge import interface as face
 from linenbridge.net import resp
-from linenbridge.net.instances import REST, load_report
+from linenbridge.net.upstream import REST, load_report
 
 from tests.net.bench import SPOILT, STAGE
 
--- a/tests/net/test_runs.py
+++ b/tests/net/test_runs.py
@@ -9,9 +9,9 @@
 from twisted.python.failure import Failure
 
 from linenbridge import interface as face
-from linenbridge.choice import Choice
+from linenbridge.policy import Choice
 from linenbridge.net import resp
-from linenbridge.net.clients import Client
+from linenbridge.net.downstream import Client
 from tests.helpers import startup
 
 from tests.net.bench import SPOILT, Bench, Wire
--- a/tests/net/test_streams.py
+++ b/tests/net/test_streams.py
@@ -12,7 +12,7 @@
 
 from linenbridge import interface as face
 from linenbridge.net.discovery import SIGN_OF_LIFE, TOLD_ANYWAY
-from linenbridge.net.follow import REFUSED_MOST
+from linenbridge.net.watch_stream import REFUSED_MOST
 
 from tests.net.bench import HEAD, STAGE, chunk
 
--- a/tests/peer_script.py
+++ b/tests/peer_script.py
@@ -12,21 +12,21 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from linenbridge.choice import Choice
-from linenbridge.net.log import Log
-from linenbridge.net.loop import Loop
+from linenbridge.policy import Choice
+from linenbridge.logging.event_log import Log
+from linenbridge.net.decision_loop import Loop
 from linenbridge.processor import wire_pb2 as wire
 from linenbridge.processor.evidence import Evidence
-from linenbridge.processor.frames import GoAways
-from linenbridge.processor.answers import AnswerForm
-from linenbridge.processor.conversation import Conversation, Partner
-from linenbridge.processor.front import Front
+from linenbridge.processor.goaway_filter import GoAways
+from linenbridge.processor.responses import AnswerForm
+from linenbridge.processor.stream_session import Conversation, Partner
+from linenbridge.processor.external_processor import Front
 from linenbridge.processor.health import Health
 from linenbridge.processor.http2 import Server
-from linenbridge.processor.limits import Bounds
+from linenbridge.processor.connection_limits import Bounds
 from linenbridge.processor.store import Store
-from linenbridge.processor.tickets import Ledger, TicketTerms
-from linenbridge.processor.verdicts import Proof, Verdicts
+from linenbridge.processor.reservations import Ledger, TicketTerms
+from linenbridge.processor.response_classification import Proof, Verdicts
 from linenbridge.routes.table import table
 from tests.helpers import MS, entry, startup
 
--- a/tests/choice/test_evidence.py
+++ b/tests/policy/test_change_detection.py
@@ -4,11 +4,11 @@
 
 
 from linenbridge import interface as face
-from linenbridge.choice import Choice
+from linenbridge.policy import Choice
 from linenbridge.interface import SECOND
 from linenbridge.state.counters import Counts
 from tests.helpers import MS, entry, pull, running, startup
-from tests.choice.helpers import fail_trial, outcome
+from tests.policy.helpers import fail_trial, outcome
 
 
 def test_failures_at_the_trial_raise_a_standing_back_vote():
--- a/tests/choice/test_others.py
+++ b/tests/policy/test_gossip.py
@@ -8,7 +8,7 @@
 from linenbridge.state.counters import Counts
 from linenbridge.state.peers import pack
 from tests.helpers import MS, entry, pull, running
-from tests.choice.helpers import outcome
+from tests.policy.helpers import outcome
 
 
 def test_a_small_gateway_takes_the_tallies_for_its_own_outcomes():
--- a/tests/choice/test_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -4,7 +4,7 @@
 
 
 from linenbridge import interface as face
-from linenbridge.choice import Choice
+from linenbridge.policy import Choice
 from linenbridge.interface import SECOND
 from tests.helpers import MS, entry, pull, running, startup
 
--- a/tests/choice/test_votes.py
+++ b/tests/policy/test_rollout_votes.py
@@ -4,12 +4,12 @@
 
 
 from linenbridge import interface as face
-from linenbridge.choice import Choice
-from linenbridge.choice.evidence import ON_OUTCOMES
+from linenbridge.policy import Choice
+from linenbridge.policy.change_detection import ON_OUTCOMES
 from linenbridge.interface import SECOND
 from linenbridge.state.counters import Counts
 from tests.helpers import MS, entry, pull, running, startup
-from tests.choice.helpers import outcome
+from tests.policy.helpers import outcome
 
 
 def test_on_after_enough_clean_outcomes():
--- a/tests/choice/test_guards.py
+++ b/tests/policy/test_safety_rules.py
@@ -7,7 +7,7 @@
 import pytest
 
 from linenbridge import interface as face
-from linenbridge.choice import Choice
+from linenbridge.policy import Choice
 from linenbridge.interface import SECOND, Method
 from tests.helpers import MS, entry, pull, startup
 
--- a/tests/processor/test_bounds.py
+++ b/tests/processor/test_bounds.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from linenbridge.processor.tickets import TicketTerms
+from linenbridge.processor.reservations import TicketTerms
 from tests.helpers import MS
 from tests.peer_script import Bench
 from tests.processor.helpers import READY
--- a/tests/scale/author.py
+++ b/tests/scale/author.py
@@ -20,11 +20,11 @@
 from msgspec import Struct, field
 
 from linenbridge.distribution.errors import NotPublisher, PublisherBusy
-from linenbridge.distribution.hosting.words import AUTHOR_TAKES
+from linenbridge.distribution.hosting.link_messages import AUTHOR_TAKES
 from linenbridge.distribution.messages import Publish, Published
-from linenbridge.fleet.hosting.links import Links
-from linenbridge.logging.log import structured
-from linenbridge.process import lifetime
+from linenbridge.peering.connections import Links
+from linenbridge.logging.structured import structured
+from linenbridge.process import lifecycle
 from tests.scale.hollow import Address, shown
 from tests.scale.records import Recorder, Sent, Told, now
 
@@ -206,7 +206,7 @@
 def main() -> int:
     spec = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=AuthorSpec)
     log = structured(sys.stderr.buffer, "warning", process=spec.name)
-    reactor = lifetime.begin(log)
+    reactor = lifecycle.begin(log)
     recorder = Recorder(Path(sys.argv[2]))
     author = Author(spec, recorder, reactor, log)
     reactor.run(installSignalHandlers=False)
--- a/tests/scale/hollow.py
+++ b/tests/scale/hollow.py
@@ -31,14 +31,14 @@
 from linenbridge.distribution.decisions import Apply, ReplaceRange
 from linenbridge.distribution.hosting.gateway import Gateway
 from linenbridge.distribution.view.results import Applied
-from linenbridge.distribution.view.store import ViewStore, fingerprint, restored
+from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
 from linenbridge.distribution.view.values import Value, ValueChecks
 from linenbridge.distribution.view.view import View
-from linenbridge.fleet.hosting import links
+from linenbridge.peering import connections
 from linenbridge.interface import GONE, IDEMPOTENT, Method
-from linenbridge.logging.log import structured
-from linenbridge.net.log import Log
-from linenbridge.process import lifetime
+from linenbridge.logging.structured import structured
+from linenbridge.logging.event_log import Log
+from linenbridge.process import lifecycle
 from linenbridge.routes.table import Request
 from tests.scale.records import Answered, Final, Recorder, Seen, Serving, Started, Usage, now
 
@@ -288,17 +288,17 @@
 
     def _count_links(self) -> None:
         """Count what all links of the process read and write."""
-        read, write = links.Link.dataReceived, links.Outbox.write
+        read, write = connections.Link.dataReceived, connections.Outbox.write
 
-        def counted_read(link: links.Link, data: bytes) -> None:
+        def counted_read(link: connections.Link, data: bytes) -> None:
             self.received += len(data)
             read(link, data)
 
-        def counted_write(outbox: links.Outbox, data: bytes) -> None:
+        def counted_write(outbox: connections.Outbox, data: bytes) -> None:
             self.sent += len(data)
             write(outbox, data)
 
-        links.Link.dataReceived, links.Outbox.write = counted_read, counted_write
+        connections.Link.dataReceived, connections.Outbox.write = counted_read, counted_write
 
     def read(self) -> None:
         at, used = now(), _processor_seconds()
@@ -359,7 +359,7 @@
 def main() -> int:
     spec = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=HollowSpec)
     log = structured(sys.stderr.buffer, "warning", process=spec.process)
-    reactor = lifetime.begin(log)
+    reactor = lifecycle.begin(log)
     hollow = Hollow(spec, Recorder(Path(sys.argv[2])), log, reactor)
     StandardIO(Commands(hollow))
     reactor.run(installSignalHandlers=False)
--- a/tests/scale/measure/module.py
+++ b/tests/scale/measure/module.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from linenbridge.choice import Choice, placing
+from linenbridge.policy import Choice, dispatch
 from linenbridge.interface import OK, PICK, RELEASED
 
 from tests.helpers import pull, startup
@@ -63,7 +63,7 @@
 
 
 def rows() -> list[Slope]:
-    common = dict(role=ROLE, size="instances", measured_by=MEASURED_BY, text=text_of(placing))
+    common = dict(role=ROLE, size="instances", measured_by=MEASURED_BY, text=text_of(dispatch))
     return [
         slope("linear", [(n, rpc_time(n)) for n in SIZES], what="one RPC", unit="us", **common,
               note=f"{RATE} RPCs a second at the gateway"),
--- a/tests/scale/measure/peers.py
+++ b/tests/scale/measure/peers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from linenbridge.choice.telling import BUILDS_HEARD, LIVES_HEARD
+from linenbridge.policy.gossip import BUILDS_HEARD, LIVES_HEARD
 from linenbridge.state import peers as peers_module
 from linenbridge.state.counters import Counts
 from linenbridge.state.peers import Heard, HeardBounds, pack
--- a/tests/scale/measure/pools.py
+++ b/tests/scale/measure/pools.py
@@ -7,8 +7,8 @@
 
 from linenbridge.interface import DRAINING
 from linenbridge.net import instances as instances_module
-from linenbridge.net.instances import Instances
-from linenbridge.net.log import Log
+from linenbridge.net.upstream import Instances
+from linenbridge.logging.event_log import Log
 
 from tests.scale.measure.costs import processor_time, text_of
 from tests.scale.measure.instances import listed
--- a/tests/scale/measure/processor.py
+++ b/tests/scale/measure/processor.py
@@ -8,8 +8,8 @@
 
 import time
 
-from linenbridge.choice import placing
-from linenbridge.processor.tickets import TicketTerms
+from linenbridge.policy import dispatch
+from linenbridge.processor.reservations import TicketTerms
 
 from tests.helpers import MS, entry
 from tests.peer_script import Bench, PeerScript
@@ -70,7 +70,7 @@
             size="open at once",
             unit="us",
             measured_by=MEASURED_BY,
-            text=f"module {text_of(placing)}, front interpreted",
+            text=f"module {text_of(dispatch)}, front interpreted",
             note="transports in memory; neither sockets nor TLS",
         )
     ]
--- a/tests/scale/measure/relay.py
+++ b/tests/scale/measure/relay.py
@@ -14,7 +14,7 @@
 from linenbridge.distribution import feed as feed_module
 from linenbridge.distribution.changes import START, Change, Kind, Position, TenantValue, Version, sealed
 from linenbridge.distribution.decisions import Send
-from linenbridge.distribution.feed import Feed, FeedSettings
+from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
 from linenbridge.distribution.messages import (
     Append,
     Appended,
@@ -25,9 +25,9 @@
     Progress,
     Publish,
 )
-from linenbridge.distribution.peers import PublisherPace
-from linenbridge.distribution.publisher import Publisher
-from linenbridge.distribution.table import Table
+from linenbridge.distribution.log.replication import PublisherPace
+from linenbridge.distribution.log.publisher import Publisher
+from linenbridge.distribution.dissemination.compacted_log import Table
 
 from tests.scale.measure.costs import held_bytes, processor_time, text_of
 from tests.scale.measure.view import (
--- a/tests/scale/measure/releases.py
+++ b/tests/scale/measure/releases.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from linenbridge.choice import Choice, placing
+from linenbridge.policy import Choice, dispatch
 from linenbridge.interface import ON_TRIAL
 from linenbridge.state.counters import Counts
 
@@ -46,7 +46,7 @@
             size="instances on trial",
             unit="us",
             measured_by=MEASURED_BY,
-            text=text_of(placing),
+            text=text_of(dispatch),
             note="every second outcome a failure, each instance in turn",
         )
     ]
--- a/tests/scale/measure/tenants.py
+++ b/tests/scale/measure/tenants.py
@@ -4,7 +4,7 @@
 
 import itertools
 
-from linenbridge.choice.placing import TENANTS_MOST
+from linenbridge.policy.dispatch import TENANTS_MOST
 from linenbridge.state import counters as counters_module
 from linenbridge.state.counters import Parts
 
--- a/tests/scale/measure/view.py
+++ b/tests/scale/measure/view.py
@@ -28,7 +28,7 @@
 )
 from linenbridge.distribution.decisions import Apply
 from linenbridge.distribution.view import view as view_module
-from linenbridge.distribution.view.store import ViewStore, fingerprint, restored
+from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
 from linenbridge.distribution.view.values import Value
 from linenbridge.distribution.view.view import View
 from linenbridge.interface import DRAINING, READY
--- a/tests/scale/tables/process.py
+++ b/tests/scale/tables/process.py
@@ -22,7 +22,7 @@
 from msgspec import Struct
 
 from linenbridge.distribution.decisions import Apply, ReplaceRange
-from linenbridge.distribution.view.store import ViewStore, fingerprint, restored
+from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
 from linenbridge.distribution.view.view import View
 from linenbridge.routes.table import Request
 from tests.scale.tables.content import LONGEST, METHODS, REGIONS, SEED, Content, Size
--- a/tests/state/test_peers.py
+++ b/tests/state/test_peers.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linenbridge.choice import Choice
+from linenbridge.policy import Choice
 from linenbridge.state.counters import Counts
 from linenbridge.state.peers import Heard, HeardBounds, pack, unpack
 from tests.helpers import startup
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -14,7 +14,7 @@
 from typer.testing import CliRunner
 
 from linenbridge.cli.commands import app
-from linenbridge.drill.process import free_port
+from linenbridge.faults.process import free_port
 from linenbridge.configuration.read import ConfigurationError, duration, parse, size
 from linenbridge.processor.configuration import Directory, processor_settings
 
--- a/tests/test_drill.py
+++ b/tests/test_faults.py
@@ -7,11 +7,11 @@
 import sys
 from pathlib import Path
 
-from linenbridge.drill import checker
-from linenbridge.drill.deployment import KINDS, TERMS
-from linenbridge.drill.plan import plan
-from linenbridge.drill.standin_proxy import Ask, Told
-from linenbridge.drill.standin_world import Ran, World
+from linenbridge.faults import checker
+from linenbridge.faults.deployment import KINDS, TERMS
+from linenbridge.faults.plan import plan
+from linenbridge.faults.fake_proxy import Ask, Told
+from linenbridge.faults.fake_world import Ran, World
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -4,7 +4,7 @@
 
 from hyperframe.frame import DataFrame, GoAwayFrame, PingFrame
 
-from linenbridge.processor.frames import PREFACE, GoAways
+from linenbridge.processor.goaway_filter import PREFACE, GoAways
 from tests.peer_script import seeded
 
 
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -8,7 +8,7 @@
 
 from linenbridge.processor import http2
 from linenbridge.processor import wire_pb2 as wire
-from linenbridge.processor.limits import CONTROL, RESETS_FREE, Account, Bounds
+from linenbridge.processor.connection_limits import CONTROL, RESETS_FREE, Account, Bounds
 from tests.peer_script import ADDRESSES, BOUNDS, Bench, Pipe, asking, seeded
 
 SERVING = wire.HealthCheckResponse.SERVING
--- a/tests/test_interop.py
+++ b/tests/test_interop.py
@@ -18,7 +18,7 @@
 from cryptography.hazmat.primitives import hashes, serialization
 from cryptography.hazmat.primitives.asymmetric import ec
 
-from linenbridge.drill.process import free_port
+from linenbridge.faults.process import free_port
 from linenbridge.processor import wire_pb2 as wire
 from tests.peer_script import asking
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -7,7 +7,7 @@
 import pytest
 
 from linenbridge import interface as face
-from linenbridge.choice import Choice
+from linenbridge.policy import Choice
 from linenbridge.interface import SECOND
 from tests.helpers import LONG_AGO, MS, entry, startup
 
--- a/tests/test_wirehost.py
+++ b/tests/test_simulator.py
@@ -5,7 +5,7 @@
 import io
 import json
 
-from linenbridge.wirehost.adapter import serve
+from linenbridge.simulator.adapter import serve
 
 INFO = {
     "discovery": "push", "a_new_table": {},
