--- a/linenbridge/cli/commands.py
+++ b/linenbridge/cli/commands.py
@@ -199,7 +199,9 @@
             for question, value, answer in step.answers:
                 print(f"            {'yes' if answer else 'no '}  {question}   (it is {value!r})")
         if asked is not None:
-            times = f"soft deadline {asked.soft_deadline / 1000:g} ms, deadline {asked.deadline / 1000:g} ms"
+            times = (
+                f"soft deadline {asked.latency_objective / 1000:g} ms, deadline {asked.deadline / 1000:g} ms"
+            )
             print(
                 f"method {asked.method}, tenant {asked.tenant!r}, key {asked.key!r}, {times}, "
                 f"cost {asked.cost}"
--- a/linenbridge/distribution/view/results.py
+++ b/linenbridge/distribution/view/results.py
@@ -12,7 +12,7 @@
 
 from linenbridge.distribution.changes import Version
 from linenbridge.distribution.errors import ChangeRefused
-from linenbridge.interface import ListEntry
+from linenbridge.interface import EndpointEntry
 
 KIND_NAMES = {1: "routes", 2: "tenant", 3: "instance", 4: "zone"}
 
@@ -44,7 +44,7 @@
 class Listed(NamedTuple):
     """One instance as the decision module and the processor's front take it."""
 
-    entry: ListEntry
+    entry: EndpointEntry
     address: tuple[str, int]
 
 
--- a/linenbridge/distribution/view/values.py
+++ b/linenbridge/distribution/view/values.py
@@ -21,7 +21,7 @@
 )
 from linenbridge.distribution.errors import ChangeRefused
 from linenbridge.distribution.view.rules import pack_rules
-from linenbridge.interface import DRAINING, GONE, READY, Method
+from linenbridge.interface import InstanceState, Method
 from linenbridge.routes.language import RouteError, parse_by_rule
 from linenbridge.routes.table import FaultsError, checked_table
 
@@ -104,7 +104,7 @@
     if not service or not instance:
         raise ValueError("an instance's name is service/instance")
     found = msgspec.msgpack.decode(value, type=InstanceValue)
-    if found.state not in (GONE, READY, DRAINING):
+    if found.state not in (InstanceState.REMOVED, InstanceState.READY, InstanceState.DRAINING):
         raise ValueError(f"no state is numbered {found.state}")
     if not (isfinite(found.size) and found.size > 0.0):
         raise ValueError(f"a size is above 0, not {found.size}")
--- a/linenbridge/distribution/view/view.py
+++ b/linenbridge/distribution/view/view.py
@@ -34,7 +34,7 @@
 from linenbridge.distribution.view.tenants import EPOCH_MOST, SEQUENCE_MOST, TenantTable
 from linenbridge.distribution.view.values import Value, ValueChecks
 from linenbridge.distribution.view.zones import ZoneTable
-from linenbridge.interface import GONE, ListEntry, Method
+from linenbridge.interface import InstanceState, EndpointEntry, Method
 from linenbridge.startup import LONG_AGO
 
 Examined = Value | ChangeRefused | None  # read, refused, or a deletion
@@ -95,8 +95,8 @@
         """The share of the load that a tenant may take; None where nothing is said of it."""
         return self.by_tenant.share(name)
 
-    def instances(self, service: str) -> list[ListEntry]:
-        """The instance list of a service, in no particular order. Those of a lost zone are GONE."""
+    def instances(self, service: str) -> list[EndpointEntry]:
+        """The instance list of a service, in no particular order. Those of a lost zone are removed."""
         return [self._entry(name, value) for name, value in self.by_service.find(service).items()]
 
     def listed(self, service: str) -> list[Listed]:
@@ -115,10 +115,10 @@
     def _listed(self, name: str, value: InstanceValue, gone: bool = False) -> Listed:
         return Listed(self._entry(name, value, gone), (value.host, value.port))
 
-    def _entry(self, name: str, value: InstanceValue, gone: bool = False) -> ListEntry:
-        state = GONE if gone or self.by_zone.lost(value.zone) else value.state
+    def _entry(self, name: str, value: InstanceValue, gone: bool = False) -> EndpointEntry:
+        state = InstanceState.REMOVED if gone or self.by_zone.lost(value.zone) else value.state
         started = value.started * 1000 + self.unix_offset if value.started else LONG_AGO
-        return ListEntry(name, value.build, value.zone, value.cell, state, value.size, started)
+        return EndpointEntry(name, value.build, value.zone, value.cell, state, value.size, started)
 
     # ---- how far it is ---------------------------------------------------------------------------
 
--- a/linenbridge/net/decision_loop.py
+++ b/linenbridge/net/decision_loop.py
@@ -1,8 +1,8 @@
-"""The loop: gathers what is ready, hands it to the module in one go, then carries out what came back.
+"""The decision loop: batches inputs, reports them to the decision module in one turn, executes its decisions.
 
-Owns the open RPCs (from the last byte of a command to its one answer and the end of its last pick), the
-turn and the one timer that wakes the module. It must never decide: it picks, answers and votes as the
-module says, and an RPC gets the first answer that ends it and no other.
+Owns the open requests, from the last byte of a command to its final response and the end of its last attempt,
+the turn, and the timer that wakes the module. It decides nothing: it sends, responds and votes as the module
+decides. A request gets the first response that ends it and no other.
 """
 
 from __future__ import annotations
@@ -15,63 +15,94 @@
 
 from twisted.internet.main import CONNECTION_DONE, CONNECTION_LOST
 
-from linenbridge import interface as face
+from linenbridge.decisions import (
+    CancelAttempt,
+    CastVote,
+    Decision,
+    Fail,
+    LogMessage,
+    Reject,
+    SendAttempt,
+    WatchEndpoints,
+)
+from linenbridge.interface import DecisionMaker, Id, Outcome, Vote
 from linenbridge.logging.event_log import Log
 
-PUSHED_BACK, ABORTED = "pushed_back", "aborted"  # final answers, beside the outcome ok
+# Final responses, beside `Outcome.OK`.
+REJECTED = "rejected"
+FAILED = "failed"
 
 
-class Carrier(Protocol):
-    """Who carries the picks of a front's RPCs to instances, and tells of their ends by `Loop.pick_ended`."""
+class AttemptTransport(Protocol):
+    """Sends attempts to instances, and reports their ends by `DecisionLoop.attempt_finished`."""
 
-    def pick(self, now: int, rpc: Taken, number: int, instance: face.Id, time_out: int) -> None: ...
-    def cancel(self, rpc: Taken, number: int) -> None: ...
-    def withdraw(self, rpc: Taken) -> None: ...
+    def send(self, now: int, request: ActiveRequest, attempt: int, instance: Id, timeout: int) -> None:
+        """Send an attempt; it fails after `timeout` microseconds without a response."""
+
+    def cancel(self, request: ActiveRequest, attempt: int) -> None:
+        """Cancel an attempt, unless it has ended."""
+
+    def withdraw_unsent(self, request: ActiveRequest) -> None:
+        """End all attempts of a request that have not been sent yet."""
 
 
 @dataclass(slots=True, eq=False)
-class Taken:
-    """An RPC that a front has taken: who carries its picks, what that one needs for it, and where the final
-    answer goes: its outcome, the time in microseconds after which to come again, and the value."""
+class ActiveRequest:
+    """A request from its acceptance to the end of its last attempt.
+
+    `payload` is what the transport needs to send it. `respond` takes the final response: its outcome, the
+    time in microseconds after which to retry, and the value.
+    """
 
     id: str
     method: str
-    carrier: Carrier
-    load: Any
-    answer: Callable[[str, int, Any], None]
-    picks: int = 0
-    out: int = 0
+    transport: AttemptTransport
+    payload: Any
+    respond: Callable[[str, int, Any], None]
+    attempts: int = 0
+    in_flight: int = 0
     ended: bool = False
 
 
 class Platform(Protocol):
-    def vote(self, build: int, stage: int, verdict: int) -> None: ...
+    """Takes this gateway's votes."""
+
+    def vote(self, build: int, stage: int, vote: Vote) -> None:
+        """Cast or withdraw a vote."""
 
 
 class Discovery(Protocol):
-    def watch(self) -> None: ...
+    """Serves the endpoint list."""
+
+    def watch(self) -> None:
+        """Request the list's changes."""
 
 
-class Loop:
-    """One gateway's turns."""
+class DecisionLoop:
+    """The turns of one gateway."""
 
     platform: Platform
     discovery: Discovery
 
-    def __init__(self, gateway: face.Gateway, reactor: Any, now: Callable[[], int], log: Log) -> None:
-        self.gateway, self.reactor, self.now, self.log = gateway, reactor, now, log
-        self.gathered: list[Callable[[int], None]] = []
-        self.open: dict[str, Taken] = {}
+    def __init__(
+        self, decision_module: DecisionMaker, reactor: Any, now: Callable[[], int], log: Log
+    ) -> None:
+        self.decision_module = decision_module
+        self.reactor = reactor
+        self.now = now
+        self.log = log
+        self.pending_inputs: list[Callable[[int], None]] = []
+        self.open: dict[str, ActiveRequest] = {}
         self.unanswered = 0
         self.next_turn: Any = None
-        self.polled = False  # The reactor runs the turn itself, after each round of reading.
+        self.polled = False  # The reactor itself runs the turn, after each round of reading.
         self.wake: Any = None
         self.wake_at = 0
-        self.settled: list[Callable[[], None]] = []  # What is to be handed over in one go at a turn's end.
+        self.on_turn_end: list[Callable[[], None]] = []
 
-    def gather(self, call: Callable[[int], None]) -> None:
-        """Something came in: the next turn, after all that is ready has been read, tells the module."""
-        self.gathered.append(call)
+    def enqueue(self, call: Callable[[int], None]) -> None:
+        """Report an input in the next turn, which runs once all that is ready has been read."""
+        self.pending_inputs.append(call)
         if self.next_turn is None and not self.polled:
             self.next_turn = self.reactor.callLater(0, self._ready)
 
@@ -80,29 +111,29 @@
         self.turn()
 
     def turn(self) -> None:
-        """One moment for all that was gathered and all that is decided on it."""
+        """Report all pending inputs at one time, then execute all that is decided on them."""
         now = self.now()
-        calls, self.gathered = self.gathered, []
+        calls, self.pending_inputs = self.pending_inputs, []
         for call in calls:
             try:
                 call(now)
-            except Exception as error:
+            except Exception as error:  # One input's fault must not cost the others their turn.
                 self.log.failed("input", error)
         while (decision := self._decision(now)) is not None:
             try:
-                self.carry_out(now, decision)
-            except Exception as error:
-                self.log.failed(f"carrying out {decision[0]}", error)
-        for hand_over in self.settled:
+                self.execute(now, decision)
+            except Exception as error:  # Nor one decision's.
+                self.log.failed(f"executing {type(decision).__name__}", error)
+        for call_at_end in self.on_turn_end:
             try:
-                hand_over()
+                call_at_end()
             except Exception as error:
                 self.log.failed("a turn's end", error)
         self._arm()
 
     def _arm(self) -> None:
-        """One timer for the module's next wake-up; one due sooner stays: an early turn is harmless."""
-        due = self.gateway.wake_at()
+        """Set one timer for the module's next wake-up. One due sooner stays: an early turn is harmless."""
+        due = self.decision_module.wake_at()
         if due is None or (self.wake is not None and self.wake_at <= due):
             return
         if self.wake is not None:
@@ -112,100 +143,117 @@
 
     def _woken(self) -> None:
         self.wake = None
-        if self.next_turn is None and not (self.polled and self.gathered):
+        if self.next_turn is None and not (self.polled and self.pending_inputs):
             self.turn()
 
-    def _decision(self, now: int) -> tuple | None:
-        """A decision that failed ends the turn's pulling, not the process."""
+    def _decision(self, now: int) -> Decision | None:
+        """Return the next decision; one that fails ends the turn's pulling, not the process."""
         try:
-            return self.gateway.next_decision(now)
+            return self.decision_module.next_decision(now)
         except Exception as error:
             self.log.failed("deciding", error)
             return None
 
-    def carry_out(self, now: int, decision: tuple) -> None:
+    def execute(self, now: int, decision: Decision) -> None:
+        """Execute one decision; KeyError where it names a request that is not open."""
         match decision:
-            case (face.PICK, rpc, instance, time_out):
-                self._pick(now, self.open[rpc], instance, time_out)
-            case (face.CANCEL, rpc, number):
-                if taken := self.open.get(rpc):
-                    taken.carrier.cancel(taken, number)
-            case (face.PUSH_BACK, rpc, retry_after):
-                self._answer(rpc, PUSHED_BACK, retry_after)
-            case (face.ABORT, rpc):
-                self._answer(rpc, ABORTED)
-            case (face.VOTE, build, stage, verdict):
+            case SendAttempt():
+                self._send(now, self.open[decision.rpc_id], decision.instance, decision.timeout)
+            case CancelAttempt():
+                if request := self.open.get(decision.rpc_id):
+                    request.transport.cancel(request, decision.attempt)
+            case Reject():
+                self._respond(decision.rpc_id, REJECTED, decision.retry_after)
+            case Fail():
+                self._respond(decision.rpc_id, FAILED)
+            case CastVote():
                 self.log.count("vote", "sent")
-                self.platform.vote(build, stage, verdict)
-            case (face.WATCH,):
+                self.platform.vote(decision.build, decision.stage, decision.vote)
+            case WatchEndpoints():
                 self.discovery.watch()
-            case (face.LOG, text):
-                self.log.event("mode", text=text)
+            case LogMessage():
+                self.log.event("mode", text=decision.text)
             case _:
-                raise ValueError(f"no way to carry out {decision!r}")
+                raise TypeError(f"this host can't execute {decision!r}")
 
-    # ---- the life of an RPC ----------------------------------------------------------------------
+    # ---- the lifecycle of a request --------------------------------------------------------------
 
-    def take(self, taken: Taken, ttl: int, work: int | None, tenant: str, key: str) -> None:
-        """A command has wholly come: from here one answer is owed."""
-        self.open[taken.id] = taken
+    def accept(self, request: ActiveRequest, ttl: int, work: int | None, tenant: str, key: str) -> None:
+        """Accept a request that has been read whole: from here on exactly one response is due."""
+        self.open[request.id] = request
         self.unanswered += 1
-        self.log.count("taken", taken.method)
-        self.gather(lambda now: self.gateway.on_rpc(now, taken.id, taken.method, ttl, work, tenant, key))
-
-    def gone(self, taken: Taken) -> None:
-        """The client has left: nothing is owed any more. A pick still out tells the module its outcome at its
-        own end, at the client's deadline at the latest, as on the bench."""
-        if not taken.ended:
-            self.log.count("gone", taken.method)
-            self._end(taken)
-            self.gather(lambda now: self.gateway.on_gone(now, taken.id))
-
-    def settle(self, taken: Taken, outcome: str) -> None:
-        """The final answer went to the client without passing here: its front has seen that it did."""
-        if not taken.ended:
-            self.log.count("answered", taken.method, outcome)
-            self._end(taken)
-
-    def _answer(self, rpc: str, outcome: str, retry_after: int = 0, value: Any = ()) -> None:
-        taken = self.open.get(rpc)
-        if taken is not None and not taken.ended:
-            self.log.count("answered", taken.method, outcome)
-            self._end(taken)
-            taken.answer(outcome, retry_after, value)
-
-    def _end(self, taken: Taken) -> None:
-        """The one place where an RPC's duty ends; it is forgotten once its last pick has ended too. A pick
-        that has not left by now never does: nothing is sent for an RPC that is over."""
-        taken.ended = True
+        self.log.count("taken", request.method)
+        self.enqueue(
+            lambda now: self.decision_module.on_request(
+                now, request.id, request.method, ttl, work, tenant, key
+            )
+        )
+
+    def client_disconnected(self, request: ActiveRequest) -> None:
+        """End a request whose client has disconnected. An attempt in flight reports its outcome at its own
+        end, at the client's deadline at the latest."""
+        if not request.ended:
+            self.log.count("gone", request.method)
+            self._end(request)
+            self.enqueue(lambda now: self.decision_module.on_client_disconnected(now, request.id))
+
+    def mark_answered(self, request: ActiveRequest, outcome: str) -> None:
+        """End a request whose final response reached the client without passing through this process."""
+        if not request.ended:
+            self.log.count("answered", request.method, outcome)
+            self._end(request)
+
+    def _respond(self, rpc_id: str, outcome: str, retry_after: int = 0, value: Any = ()) -> None:
+        request = self.open.get(rpc_id)
+        if request is not None and not request.ended:
+            self.log.count("answered", request.method, outcome)
+            self._end(request)
+            request.respond(outcome, retry_after, value)
+
+    def _end(self, request: ActiveRequest) -> None:
+        """End a request in the one place for that. It is forgotten once its last attempt has ended too; an
+        attempt that has not been sent by now never is."""
+        request.ended = True
         self.unanswered -= 1
-        taken.carrier.withdraw(taken)
-        if not taken.out:
-            self.open.pop(taken.id, None)
-
-    def place_anew(self) -> None:
-        """What the picks were decided on has changed: those that have not left yet never do."""
-        for taken in [taken for taken in self.open.values() if taken.out]:
-            taken.carrier.withdraw(taken)
-
-    def _pick(self, now: int, taken: Taken, instance: face.Id, time_out: int) -> None:
-        number, taken.picks, taken.out = taken.picks, taken.picks + 1, taken.out + 1
-        self.log.count("picked", taken.method)
-        taken.carrier.pick(now, taken, number, instance, time_out)
-
-    def pick_ended(
-        self, taken: Taken, number: int, sent: int, outcome: str, load: dict[str, float], value: Any = ()
+        request.transport.withdraw_unsent(request)
+        if not request.in_flight:
+            self.open.pop(request.id, None)
+
+    def reschedule_unsent(self) -> None:
+        """Withdraw the attempts not sent yet, as what they were decided on has changed: the module decides
+        on them once more."""
+        for request in [request for request in self.open.values() if request.in_flight]:
+            request.transport.withdraw_unsent(request)
+
+    def _send(self, now: int, request: ActiveRequest, instance: Id, timeout: int) -> None:
+        attempt = request.attempts
+        request.attempts += 1
+        request.in_flight += 1
+        self.log.count("picked", request.method)
+        request.transport.send(now, request, attempt, instance, timeout)
+
+    def attempt_finished(
+        self,
+        request: ActiveRequest,
+        attempt: int,
+        sent: int,
+        outcome: Outcome,
+        load: dict[str, float],
+        value: Any = (),
     ) -> None:
-        """Called once for each pick. The first ok answers the client at once; a later copy's is dropped."""
-        taken.out -= 1
-        self.log.count("ended", taken.method, outcome)
-        if outcome == face.OK:
-            self._answer(taken.id, face.OK, 0, value)
-        final = taken.ended
-        if final and not taken.out:
-            self.open.pop(taken.id, None)
-        self.gather(
-            lambda now: self.gateway.on_reply(now, taken.id, number, outcome, final, now - sent, load)
+        """Take the end of an attempt, once for each. The first success answers the client at once; that of a
+        later hedge is dropped."""
+        request.in_flight -= 1
+        self.log.count("ended", request.method, outcome)
+        if outcome == Outcome.OK:
+            self._respond(request.id, Outcome.OK, 0, value)
+        final = request.ended
+        if final and not request.in_flight:
+            self.open.pop(request.id, None)
+        self.enqueue(
+            lambda now: self.decision_module.on_attempt_finished(
+                now, request.id, attempt, outcome, final, now - sent, load
+            )
         )
 
 
--- a/linenbridge/net/discovery.py
+++ b/linenbridge/net/discovery.py
@@ -13,23 +13,23 @@
 import msgspec
 from msgspec import Struct
 
-from linenbridge import interface as face
+from linenbridge.interface import EndpointEntry, InstanceState
 from linenbridge.net import http
 from linenbridge.net.watch_stream import Follow
 from linenbridge.logging.event_log import Log
-from linenbridge.net.decision_loop import Loop
+from linenbridge.net.decision_loop import DecisionLoop
 from linenbridge.net.resp import MalformedError
 from linenbridge.startup import LONG_AGO
 
 SIGN_OF_LIFE = 2.0  # PROTOCOL, Discovery: an empty line comes every 2 s
 TOLD_ANYWAY = 6.0  # STANDING: what a watch fallen silent misses counts as told so long after, in s
-STATES = {"active": face.READY, "leaving": face.DRAINING, "left": face.GONE}
+STATES = {"active": InstanceState.READY, "leaving": InstanceState.DRAINING, "left": InstanceState.REMOVED}
 
 
 class Taker(Protocol):
     """Who has to know where instances are: entries with their addresses, as discovery has them now."""
 
-    def listed(self, listed: Sequence[tuple[face.ListEntry, tuple[str, int]]], whole: bool) -> None: ...
+    def listed(self, listed: Sequence[tuple[EndpointEntry, tuple[str, int]]], whole: bool) -> None: ...
 
 
 class Endpoint(Struct):
@@ -65,7 +65,7 @@
     """What discovery tells, handed to the instances' connections and to the module."""
 
     def __init__(
-        self, loop: Loop, takers: Sequence[Taker], unix_offset: int, pushes: bool, log: Log,
+        self, loop: DecisionLoop, takers: Sequence[Taker], unix_offset: int, pushes: bool, log: Log,
         follow: Callable[..., Follow],
     ) -> None:  # fmt: skip
         self.loop, self.takers, self.log = loop, takers, log
@@ -112,12 +112,16 @@
         for taker in self.takers:
             taker.listed(listed, whole)
         entries = [entry for entry, _ in listed]
-        self.loop.gather(lambda now: self.loop.gateway.on_list(now, entries, whole=whole, answers=answers))
+        self.loop.enqueue(
+            lambda now: self.loop.decision_module.on_endpoint_list(
+                now, entries, is_snapshot=whole, is_poll_response=answers
+            )
+        )
 
-    def _entry(self, row: Endpoint) -> face.ListEntry:
+    def _entry(self, row: Endpoint) -> EndpointEntry:
         """Unix milliseconds become the gateway's microseconds: here alone, and always to the same figure."""
         started = round(row.since_ms * 1000) + self.unix_offset if row.since_ms else LONG_AGO
         size = 1.0 if row.weight is None else row.weight
-        return face.ListEntry(
+        return EndpointEntry(
             row.name, row.release, row.zone or "", row.group or 0, STATES[row.status], size, started
         )
--- a/linenbridge/net/downstream.py
+++ b/linenbridge/net/downstream.py
@@ -13,15 +13,15 @@
 
 from twisted.internet.protocol import Factory, Protocol
 
-from linenbridge import interface as face
+from linenbridge.interface import Idempotency, Method, Outcome
 from linenbridge.net import resp
 from linenbridge.net.upstream import Descriptors
 from linenbridge.logging.event_log import Log
 from linenbridge.net.decision_loop import (
-    PUSHED_BACK,
-    Carrier,
-    Loop,
-    Taken,
+    REJECTED,
+    AttemptTransport,
+    DecisionLoop,
+    ActiveRequest,
     read_out,
     untouched,
     watch_end,
@@ -50,13 +50,13 @@
     def __init__(self, client: Client) -> None:
         self.client = client
         self.words: Sequence[bytes | memoryview] | None = None
-        self.taken: Taken | None = None
+        self.taken: ActiveRequest | None = None
 
     def final(self, outcome: str, retry_after: int, value: Sequence[bytes | memoryview]) -> None:
         """An RPC's one answer, worded as PROTOCOL has it."""
-        if outcome == face.OK:
+        if outcome == Outcome.OK:
             self.answer(value)
-        elif outcome == PUSHED_BACK:
+        elif outcome == REJECTED:
             wait = -(-retry_after // 1000)
             self.answer((b"-BUSY %d\r\n" % wait if wait else b"-BUSY\r\n",))
         else:
@@ -149,7 +149,7 @@
         for response in self.pending:
             if response.taken is not None:
                 taken, response.taken = response.taken, None
-                self.clients.loop.gone(taken)
+                self.clients.loop.client_disconnected(taken)
         self.pending.clear()
         self.clients.closed(self)
 
@@ -158,9 +158,17 @@
     """All clients of one gateway."""
 
     def __init__(
-        self, loop: Loop, reactor: Any, instances: Carrier, methods: dict[str, face.Method], longest: int,
-        held_most: int, descriptors: Descriptors, pool: int, log: Log,
-    ) -> None:  # fmt: skip
+        self,
+        loop: DecisionLoop,
+        reactor: Any,
+        instances: AttemptTransport,
+        methods: dict[str, Method],
+        longest: int,
+        held_most: int,
+        descriptors: Descriptors,
+        pool: int,
+        log: Log,
+    ) -> None:
         self.loop, self.reactor, self.descriptors, self.log = loop, reactor, descriptors, log
         self.instances = instances
         self.pool = pool  # Its usual clients hold so many connections at most: an idle one keeps an RPC out.
@@ -307,7 +315,7 @@
         method = self.methods.get(named.get(b"c", b""))
         if method is None:
             raise UnfitError("no such method" if b"c" in named else "the field c is missing")
-        if again != (method.effect == face.IDEMPOTENT):
+        if again != (method.idempotency == Idempotency.IDEMPOTENT):
             raise UnfitError("this method goes by the other command")
         if not (wait.isdigit() and len(wait) <= resp.DIGITS_MOST):
             raise UnfitError("the field d is missing or no number")
@@ -318,11 +326,11 @@
         passed = b"".join([field + b"," for field in fields if field[:2] != b"d="])
         head = (b"SVC.QUERY" if again else b"SVC.SUBMIT", key, rpc.encode("latin-1"))
         command = resp.Passed((*head, *map(bytes, words[4:])), passed)
-        response.taken = Taken(rpc, method.name, self.instances, command, response.final)
+        response.taken = ActiveRequest(rpc, method.name, self.instances, command, response.final)
         # Nobody waits longer than the settings say; a longer time would only keep what is forgotten open.
         ttl = min(int(wait) * 1000, self.longest)
         hint = int(work) if work else None
-        self.loop.take(response.taken, ttl, hint, tenant.decode("utf-8", "replace"), key.decode("latin-1"))
+        self.loop.accept(response.taken, ttl, hint, tenant.decode("utf-8", "replace"), key.decode("latin-1"))
 
     # ---- the stop --------------------------------------------------------------------------------
 
--- a/linenbridge/net/platform.py
+++ b/linenbridge/net/platform.py
@@ -15,19 +15,22 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ClientCreator, Protocol
 
-from linenbridge import interface as face
+from linenbridge.interface import Method, RolloutPhase, Vote
 from linenbridge.net import http
 from linenbridge.net.watch_stream import HTTP_OK, Follow
 from linenbridge.logging.event_log import Log
-from linenbridge.net.decision_loop import Loop
+from linenbridge.net.decision_loop import DecisionLoop
 from linenbridge.net.resp import MalformedError
 
 SIGN_OF_LIFE = 1.0  # PROTOCOL, The platform: every second a sign of life comes
 MOOT = 409
 PHASES = {
-    "testing": face.ON_TRIAL, "recalling": face.GOING_BACK, "live": face.RELEASED, "recalled": face.WITHDRAWN,
-}  # fmt: skip
-VERDICTS = {face.NO_VOTE: "none", face.ON: "on", face.HOLD: "hold", face.BACK: "back"}
+    "testing": RolloutPhase.ON_TRIAL,
+    "recalling": RolloutPhase.ROLLING_BACK,
+    "live": RolloutPhase.RELEASED,
+    "recalled": RolloutPhase.WITHDRAWN,
+}
+VERDICTS = {Vote.NONE: "none", Vote.PROMOTE: "on", Vote.HOLD: "hold", Vote.ROLL_BACK: "back"}
 
 
 class News(Struct, rename="camel"):
@@ -105,9 +108,16 @@
     """What the platform tells, handed to the module; what the module votes, handed to the platform."""
 
     def __init__(
-        self, loop: Loop, reactor: Any, address: tuple[str, int], methods: dict[str, face.Method],
-        connect_wait: int, answer_wait: int, log: Log, follow: Callable[..., Follow],
-    ) -> None:  # fmt: skip
+        self,
+        loop: DecisionLoop,
+        reactor: Any,
+        address: tuple[str, int],
+        methods: dict[str, Method],
+        connect_wait: int,
+        answer_wait: int,
+        log: Log,
+        follow: Callable[..., Follow],
+    ) -> None:
         self.loop, self.reactor, self.address, self.methods, self.log = loop, reactor, address, methods, log
         self.connect_wait, self.answer_wait = connect_wait / 1e6, answer_wait / 1e6
         self.news: News | None = None
@@ -143,18 +153,25 @@
         phase = PHASES[news.status]
         if news != self.news:
             self.news = news
-            self.loop.place_anew()
-        self.loop.gather(
-            lambda now: self.loop.gateway.on_stage(
-                now, news.version, news.step, phase, news.max_weight, vote=vote, valid=True, moot=False
+            self.loop.reschedule_unsent()
+        self.loop.enqueue(
+            lambda now: self.loop.decision_module.on_rollout_update(
+                now,
+                news.version,
+                news.step,
+                phase,
+                news.max_weight,
+                is_vote_response=vote,
+                is_valid=True,
+                is_stale=False,
             )
         )
 
     def _tally(self, tally: Tally) -> None:
         ended = self.loop.now() - round(tally.observed_ago_ms * 1000)
         took = round(tally.avg_ms * 1000)
-        self.loop.gather(
-            lambda now: self.loop.gateway.on_tally(
+        self.loop.enqueue(
+            lambda now: self.loop.decision_module.on_tally(
                 now, tally.version, tally.kind, tally.requests, tally.failures, took, ended
             )
         )
@@ -162,7 +179,7 @@
     def _flag(self, flag: Flag) -> None:
         sent = self.loop.now() - round(flag.observed_ago_ms * 1000)
         if flag.kind in self.methods:
-            self.loop.gather(lambda now: self.loop.gateway.on_flag(now, flag.pod, flag.kind, sent))
+            self.loop.enqueue(lambda now: self.loop.decision_module.on_flag(now, flag.pod, flag.kind, sent))
 
     # ---- votes -----------------------------------------------------------------------------------
 
@@ -200,8 +217,8 @@
 
     def _uncounted(self, what: str, moot: bool) -> None:
         self.log.count(what)
-        self.loop.gather(
-            lambda now: self.loop.gateway.on_stage(
-                now, 0, 0, face.ON_TRIAL, 0.0, vote=True, valid=False, moot=moot
+        self.loop.enqueue(
+            lambda now: self.loop.decision_module.on_rollout_update(
+                now, 0, 0, RolloutPhase.ON_TRIAL, 0.0, is_vote_response=True, is_valid=False, is_stale=moot
             )
         )
--- a/linenbridge/net/reactor.py
+++ b/linenbridge/net/reactor.py
@@ -13,20 +13,20 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.python import log
 
-from linenbridge.net.decision_loop import Loop
+from linenbridge.net.decision_loop import DecisionLoop
 
 
 class Reactor(EPollReactor):
     """Serves one loop."""
 
-    loop: Loop | None = None
+    loop: DecisionLoop | None = None
 
-    def serve(self, loop: Loop) -> None:
+    def serve(self, loop: DecisionLoop) -> None:
         self.loop, loop.polled = loop, True
 
     def timeout(self) -> float | None:
         """What timers have gathered does not wait for the next event."""
-        return 0 if self.loop is not None and self.loop.gathered else super().timeout()
+        return 0 if self.loop is not None and self.loop.pending_inputs else super().timeout()
 
     def doPoll(self, timeout: float | None) -> None:
         ready = self._poller.poll(-1 if timeout is None else timeout, len(self._selectables))
@@ -38,7 +38,7 @@
                 self._read(selectable)
             else:
                 log.callWithLogger(selectable, self._doReadOrWrite, selectable, fd, event)
-        if self.loop is not None and self.loop.gathered:
+        if self.loop is not None and self.loop.pending_inputs:
             self.loop.turn()
 
     doIteration = doPoll  # noqa: N815
--- a/linenbridge/net/upstream.py
+++ b/linenbridge/net/upstream.py
@@ -17,10 +17,10 @@
 
 from twisted.internet.protocol import ClientCreator, Protocol
 
-from linenbridge import interface as face
+from linenbridge.interface import EndpointEntry, Id, InstanceState, Outcome
 from linenbridge.net import resp
 from linenbridge.logging.event_log import Log
-from linenbridge.net.decision_loop import Loop, Taken, end_sending, untouched, write_out
+from linenbridge.net.decision_loop import DecisionLoop, ActiveRequest, end_sending, untouched, write_out
 from linenbridge.startup import LOADS
 
 # PROTOCOL, Gateways to instances: the error lines and the load report that may come last in them.
@@ -53,7 +53,7 @@
 
     __slots__ = ("connection", "ended", "number", "pool", "rpc", "sent", "until")
 
-    def __init__(self, rpc: Taken, number: int, pool: ConnectionPool, sent: int, until: int) -> None:
+    def __init__(self, rpc: ActiveRequest, number: int, pool: ConnectionPool, sent: int, until: int) -> None:
         self.rpc, self.number, self.pool, self.sent, self.until = rpc, number, pool, sent, until
         self.connection: Connection | None = None
         self.ended = False
@@ -62,7 +62,7 @@
 class ConnectionPool:
     """One instance as listed: where it is, its idle connections, and picks that wait for one."""
 
-    def __init__(self, entry: face.ListEntry, address: tuple[str, int]) -> None:
+    def __init__(self, entry: EndpointEntry, address: tuple[str, int]) -> None:
         self.entry, self.address = entry, address
         self.idle: deque[Connection] = deque()
         self.waiting: deque[Pick] = deque()
@@ -76,7 +76,7 @@
     def __init__(self, instances: Instances, pool: ConnectionPool) -> None:
         self.instances, self.pool = instances, pool
         self.reader = resp.Reader(commands=False)
-        self.address, self.process = pool.address, (pool.entry.started, pool.entry.build)
+        self.address, self.process = pool.address, (pool.entry.started_at, pool.entry.build)
         self.pick: Pick | None = None
         self.idle_since = 0
         self.lost = self.used = False
@@ -111,14 +111,14 @@
     """All connections of one gateway to instances."""
 
     def __init__(
-        self, loop: Loop, reactor: Any, most: int, connect_wait: int, idle_close: int, log: Log
+        self, loop: DecisionLoop, reactor: Any, most: int, connect_wait: int, idle_close: int, log: Log
     ) -> None:
         self.loop, self.reactor, self.log = loop, reactor, log
         self.connect_wait = connect_wait / 1e6
         # The far side closes at this idle time at the latest: well before it, none is written to any more.
         self.idle_close = idle_close // 2
         self.descriptors = Descriptors(most, self._spare)
-        self.pools: dict[face.Id, ConnectionPool] = {}
+        self.pools: dict[Id, ConnectionPool] = {}
         self.picks: dict[tuple[str, int], Pick] = {}
         self.due: list[tuple[int, int, Pick]] = []
         self.serial = count()
@@ -128,24 +128,24 @@
 
     # ---- the list --------------------------------------------------------------------------------
 
-    def listed(self, listed: Iterable[tuple[face.ListEntry, tuple[str, int]]], whole: bool) -> None:
+    def listed(self, listed: Iterable[tuple[EndpointEntry, tuple[str, int]]], whole: bool) -> None:
         """What discovery says now: nothing more goes to what drains, is gone, or was another process."""
         named = set()
         for entry, address in listed:
             named.add(entry.instance)
             pool = self.pools.get(entry.instance)
             if pool is None:
-                if entry.state != face.GONE:
+                if entry.state != InstanceState.REMOVED:
                     self.pools[entry.instance] = ConnectionPool(entry, address)
                 continue
-            before = (pool.address, pool.entry.started, pool.entry.build)
+            before = (pool.address, pool.entry.started_at, pool.entry.build)
             pool.entry, pool.address = entry, address
-            if entry.state != face.READY or before != (address, entry.started, entry.build):
+            if entry.state != InstanceState.READY or before != (address, entry.started_at, entry.build):
                 self._leave(pool)
         for name, pool in list(self.pools.items()):
-            if pool.entry.state == face.GONE or (whole and name not in named):
+            if pool.entry.state == InstanceState.REMOVED or (whole and name not in named):
                 # Forgotten here; connections still busy hold it until they close, as nothing is ready there.
-                pool.entry = pool.entry._replace(state=face.GONE)
+                pool.entry = pool.entry._replace(state=InstanceState.REMOVED)
                 del self.pools[name]
                 self._leave(pool)
 
@@ -154,15 +154,15 @@
         for connection in list(pool.idle):
             self._close(connection)
         for pick in list(pool.waiting):
-            self._ended(pick, face.UNSENT)
+            self._ended(pick, Outcome.NOT_SENT)
 
     # ---- picks -----------------------------------------------------------------------------------
 
-    def pick(self, now: int, rpc: Taken, number: int, instance: face.Id, time_out: int) -> None:
+    def send(self, now: int, rpc: ActiveRequest, number: int, instance: Id, time_out: int) -> None:
         """Write it to an idle connection, or as soon as one is idle or has come up."""
         pool = self.pools.get(instance)
         if pool is None:  # It has left the list since the module last heard of it.
-            self.loop.pick_ended(rpc, number, now, face.UNSENT, {})
+            self.loop.attempt_finished(rpc, number, now, Outcome.NOT_SENT, {})
             return
         pick = self.picks[rpc.id, number] = Pick(rpc, number, pool, now, now + time_out)
         while self.due and self.due[0][2].ended:
@@ -200,20 +200,20 @@
             self._write(connection, pool.waiting.popleft())
         self._rest(pool, now)
 
-    def cancel(self, rpc: Taken, number: int) -> None:
+    def cancel(self, rpc: ActiveRequest, number: int) -> None:
         if (pick := self.picks.get((rpc.id, number))) is not None:
-            self._ended(pick, face.CANCELLED if pick.connection else face.UNSENT)
+            self._ended(pick, Outcome.CANCELLED if pick.connection else Outcome.NOT_SENT)
 
-    def withdraw(self, rpc: Taken) -> None:
+    def withdraw_unsent(self, rpc: ActiveRequest) -> None:
         """Picks of an RPC that is over: none that waits for a connection is written any more."""
-        for number in range(rpc.picks):
+        for number in range(rpc.attempts):
             pick = self.picks.get((rpc.id, number))
             if pick is not None and pick.connection is None:
-                self._ended(pick, face.UNSENT)
+                self._ended(pick, Outcome.NOT_SENT)
 
     def _write(self, connection: Connection, pick: Pick) -> None:
         connection.pick, pick.connection, connection.used = pick, connection, True
-        write_out(connection.transport, pick.rpc.load.command(pick.until - self.loop.now()))
+        write_out(connection.transport, pick.rpc.payload.command(pick.until - self.loop.now()))
 
     def _arm(self, now: int) -> None:
         """One timer for whichever pick is due first; those that have ended meanwhile are passed over."""
@@ -230,19 +230,19 @@
         now, self.timer = self.loop.now(), None
         while self.due and (self.due[0][0] <= now or self.due[0][2].ended):
             pick = heappop(self.due)[2]
-            self._ended(pick, face.TIMED_OUT if pick.connection else face.UNREACHED)
+            self._ended(pick, Outcome.TIMED_OUT if pick.connection else Outcome.CONNECT_FAILED)
         self._arm(now)
 
     def answered(self, connection: Connection, pick: Pick, message: resp.Value) -> None:
         """PROTOCOL's table, to the letter: what only looks like a refusal may have run."""
         match message:
             case [memoryview() as value, None, (None | memoryview()) as report]:
-                self._ended(pick, face.OK, load_report(report), resp.bulk(value))
+                self._ended(pick, Outcome.OK, load_report(report), resp.bulk(value))
             case resp.Line(mark=b"-", text=text) if ERROR_LINE.fullmatch(text):
                 word, _, report = text.partition(b" ")
                 if word == b"SYNTAX":
                     self.log.event("syntax", instance=connection.pool.entry.instance)
-                outcome = face.FULL if word == b"BUSY" else face.ERROR
+                outcome = Outcome.OVERLOADED if word == b"BUSY" else Outcome.ERROR
                 self._ended(pick, outcome, load_report(report.split(b" ")[-1]))
             case _:
                 raise resp.MalformedError("an answer that is neither a value nor an error")
@@ -250,7 +250,7 @@
     def spoilt(self, connection: Connection) -> None:
         """Of no further use. The pick that was out on it may have run, and its instance has spoken."""
         if connection.pick is not None:
-            self._ended(connection.pick, face.SPOILT)
+            self._ended(connection.pick, Outcome.MALFORMED_RESPONSE)
         self._close(connection)
 
     def _ended(
@@ -266,9 +266,9 @@
             pick.pool.waiting.remove(pick)
         else:
             connection.pick = None
-            if outcome not in (face.OK, face.ERROR, face.FULL):
+            if outcome not in (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED):
                 self._close(connection)
-        self.loop.pick_ended(pick.rpc, pick.number, pick.sent, outcome, load or {}, value)
+        self.loop.attempt_finished(pick.rpc, pick.number, pick.sent, outcome, load or {}, value)
 
     # ---- connections -----------------------------------------------------------------------------
 
@@ -276,7 +276,7 @@
         """One more connection to the instance; it serves whichever pick waits first when it is up."""
         if not self.descriptors.take():
             self.log.count("line.no_descriptor")
-            self._ended(pool.waiting[-1], face.UNREACHED)
+            self._ended(pool.waiting[-1], Outcome.CONNECT_FAILED)
             return
         pool.coming += 1
         self.log.count("line.opened")
@@ -303,15 +303,19 @@
     def _too_many_waiting(self, pool: ConnectionPool) -> None:
         """A pick for which no connection comes up any more was never written."""
         while len(pool.waiting) > pool.coming:
-            self._ended(pool.waiting[0], face.UNREACHED)
+            self._ended(pool.waiting[0], Outcome.CONNECT_FAILED)
 
     def free(self, connection: Connection) -> None:
         """A new one to the pick that waits first; else kept, one that has been used to rest. Not where the
         instance has moved or is another process."""
         pool = connection.pool
         entry = pool.entry
-        same = connection.address == pool.address and connection.process == (entry.started, entry.build)
-        if not same or entry.state != face.READY or not (connection.used or untouched(connection.transport)):
+        same = connection.address == pool.address and connection.process == (entry.started_at, entry.build)
+        if (
+            not same
+            or entry.state != InstanceState.READY
+            or not (connection.used or untouched(connection.transport))
+        ):
             self._close(connection)
             self._too_many_waiting(pool)
         elif pool.waiting and not connection.used:
@@ -358,7 +362,7 @@
         self.descriptors.give_back()
         self._close(connection)
         if connection.pick is not None:
-            self._ended(connection.pick, face.BROKEN)
+            self._ended(connection.pick, Outcome.CONNECTION_LOST)
 
 
 def load_report(text: bytes | memoryview | None) -> dict[str, float]:
--- a/linenbridge/policy/change_detection.py
+++ b/linenbridge/policy/change_detection.py
@@ -7,7 +7,7 @@
 
 from math import ceil, inf, log, sqrt
 
-from linenbridge.interface import ERROR, OK, SECOND, TIMED_OUT, Startup
+from linenbridge.interface import Outcome, SECOND, Startup
 from linenbridge.policy.safety_rules import Guards
 from linenbridge.state.counters import Counts
 from linenbridge.state.requests import Pick, Rpc
@@ -27,7 +27,7 @@
         super().__init__(start, seed, now)
         self.sums, self.records, self.outcomes = Sums(), Records(RECORD_MEMORY), 0
         self.tallied_at, self.sharing = -(1 << 60), False
-        self.took = [method.soft_deadline * TOOK_START for method in self.methods]
+        self.took = [method.latency_objective * TOOK_START for method in self.methods]
         self.least = self.took[:]  # the mean time at its best: what an RPC takes where little queues
 
     def _judge(self, build: int) -> None:
@@ -48,16 +48,16 @@
         """Only what shows that the build ran counts. A broken connection, or a time-out of an instance silent
         throughout, tells of the instance; times of cold instances tell of their start."""
         key = (pick.build, rpc.method)
-        timed_out = outcome == TIMED_OUT and not self.silent(pick) and self._comparable(pick.build)
-        if outcome in (OK, ERROR) or timed_out:
-            warm = outcome == OK and self._warmth(pick.instance, pick.sent) >= 1.0
-            counts = Counts(1, int(outcome != OK), int(warm), took * warm)
+        timed_out = outcome == Outcome.TIMED_OUT and not self.silent(pick) and self._comparable(pick.build)
+        if outcome in (Outcome.OK, Outcome.ERROR) or timed_out:
+            warm = outcome == Outcome.OK and self._warmth(pick.instance, pick.sent) >= 1.0
+            counts = Counts(1, int(outcome != Outcome.OK), int(warm), took * warm)
             self.tell_apart(key, counts)
             stale = now > self.tallied_at + TALLY_STALE * self.plan.tally_period
             # With no earlier build ready tallies tell errors from the hour by the methods alone: own ones do.
             if not self._few(now) or stale or not self._comparable(pick.build):
                 self._hear(*key, counts, pick.instance)
-        if outcome == OK:
+        if outcome == Outcome.OK:
             self.moves(rpc.key, pick.build)
             self.took[rpc.method] += (took - self.took[rpc.method]) * TOOK_WEIGHT
             self.least[rpc.method] = min(self.least[rpc.method], self.took[rpc.method])
@@ -93,7 +93,7 @@
         same, so their alarms are one: its level answers for all the back votes. One sick instance is not the
         build: its part in W is bounded, so an alarm needs about the square root of the build's instances."""
         level = max(LEAST_THRESHOLD, H * divergence)
-        level += log(max(1, self.plan.back_votes)) if self.sharing else 0.0
+        level += log(max(1, self.plan.rollback_votes)) if self.sharing else 0.0
         like = 0 if i is None else len(self.near.get(self.fleet.build[i], ()))
         w, alarms = self.sums.add(key, z, i, PART * level / max(1, ceil(sqrt(like)))), self.sums.alarms
         if (w > level and key not in alarms) or (w <= HOLD_LEVEL * level and key in alarms):
--- a/linenbridge/policy/load_balancing.py
+++ b/linenbridge/policy/load_balancing.py
@@ -8,7 +8,8 @@
 from math import ceil
 
 from linenbridge.policy.load_shedding import Shedding
-from linenbridge.interface import NON_IDEMPOTENT, PICK, SECOND, Startup
+from linenbridge.decisions import SendAttempt
+from linenbridge.interface import Idempotency, SECOND, Startup
 from linenbridge.state.counters import DecayingRate
 from linenbridge.state.fleet import draw, draw_two
 from linenbridge.state.requests import Pick, Rpc
@@ -42,13 +43,18 @@
         """Two random choices, by size, on what is in flight, among the first of the build in this gateway's
         own lasting order: as many as its traffic keeps connections open to, others in place of sick ones."""
         fleet, tried = self.fleet, {pick.instance for pick in rpc.picks}
-        uses = self.lately.per_second(now) * self.allow.idle_close / SECOND / REACH_USES
+        uses = self.lately.per_second(now) * self.allow.idle_timeout / SECOND / REACH_USES
         reach = ceil(max(REACH_LEAST, uses * len(self.near[build]) / len(fleet.ready)))
-        shun, failing, warm, room = fleet.shun_until, fleet.failing, now - self.allow.cold, list[int]()
+        shun, failing, warm, room = (
+            fleet.shun_until,
+            fleet.failing,
+            now - self.allow.slow_start_duration,
+            list[int](),
+        )
         for i in self.near[build]:  # The plainest grounds first: this is asked of many for every RPC.
             sound_here = (shun[i] <= now and failing[i] < FAIL_MOST) or not sound or self._sound(i, now)
             if sound_here and self._has_room(i, rpc) and (not rpc.picks or self._in_group(rpc, i)):
-                if fleet.started[i] <= warm or self._cold_room(now, i):
+                if fleet.started_at[i] <= warm or self._cold_room(now, i):
                     room.append(i)
                 if len(room) >= reach:
                     break
@@ -63,7 +69,7 @@
 
     def _has_room(self, i: int, rpc: Rpc) -> bool:
         """An instance back from a strike is tried with one RPC that may be repeated."""
-        fleet, safe = self.fleet, self.methods[rpc.method].effect != NON_IDEMPOTENT
+        fleet, safe = self.fleet, self.methods[rpc.method].idempotency != Idempotency.NON_IDEMPOTENT
         return fleet.out[i] < fleet.limit[i] if not fleet.strikes[i] else safe and not fleet.out[i]
 
     def _crowding(self, i: int, now: int) -> float:
@@ -72,12 +78,12 @@
         sound = max(FAIL_LEAST, 1 - fleet.failing_now(i, now, FAIL_MEMORY))
         return (fleet.out[i] + fleet.others_now(i, now, REPORT_MEMORY) + 1) / (fleet.size[i] * sound * sound)
 
-    def _send(self, now: int, rpc: Rpc, i: int) -> tuple:
+    def _send(self, now: int, rpc: Rpc, i: int) -> SendAttempt:
         fleet, build = self.fleet, self.fleet.build[i]
         rpc.picks.append(Pick(i, build, now))
         fleet.sent(i, now)
         if bucket := self._bucket(build, rpc.method):
             bucket.tokens -= 1.0
         if self._warmth(i, now) < 1.0:
-            fleet.cold_tokens[i] -= rpc.cost
-        return PICK, rpc.id, fleet.ids[i], max(1, rpc.deadline - now)
+            fleet.slow_start_tokens[i] -= rpc.cost
+        return SendAttempt(rpc.id, fleet.ids[i], max(1, rpc.deadline - now))
--- a/linenbridge/policy/load_shedding.py
+++ b/linenbridge/policy/load_shedding.py
@@ -23,8 +23,8 @@
     def _sheds(self, now: int, utility: float) -> bool:
         """Overload seen by a gateway too small for limits to bind: RPCs go by chance, low utility first. The
         same where the least limits, one out from every gateway, already queue past a soft deadline."""
-        queue = max(self.least[m] / method.soft_deadline for m, method in enumerate(self.methods))
-        if not self._few(now) and self.allow.gateways * LIMIT_LEAST * queue <= 1.0:
+        queue = max(self.least[m] / method.latency_objective for m, method in enumerate(self.methods))
+        if not self._few(now) and self.allow.gateway_count * LIMIT_LEAST * queue <= 1.0:
             return False
         rank = sum(other < utility for other in self.utilities) / len(self.utilities)
         self.utilities.append(utility)
--- a/linenbridge/policy/outlier_detection.py
+++ b/linenbridge/policy/outlier_detection.py
@@ -11,9 +11,8 @@
 from linenbridge.policy.load_balancing import Choosing
 from linenbridge.policy.change_detection import TOOK_WEIGHT
 from linenbridge.policy.load_shedding import LIMIT_LEAST, LIMIT_MOST, SHED_FREE, SHED_NEAR
-from linenbridge.interface import (
-    BROKEN, CANCEL, ERROR, FULL, NON_IDEMPOTENT, OK, SPOILT, TIMED_OUT, UNREACHED, Startup,
-)  # fmt: skip
+from linenbridge.decisions import CancelAttempt, Decision
+from linenbridge.interface import Outcome, Idempotency, Startup
 from linenbridge.state.counters import CapBucket
 from linenbridge.state.requests import Pick, Rpc
 
@@ -35,22 +34,26 @@
         fleet.out[i] = max(0, fleet.out[i] - 1)
         if (reported := load.get("in_flight", load.get("waiting"))) is not None:
             fleet.reported(i, now, reported, TOOK_WEIGHT)
-        if outcome in (UNREACHED, BROKEN, TIMED_OUT):
+        if outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTION_LOST, Outcome.TIMED_OUT):
             self._strike(now, i)
-        elif outcome in (OK, ERROR, FULL, SPOILT):
+        elif outcome in (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED, Outcome.MALFORMED_RESPONSE):
             fleet.answered(i, now, GAP_WEIGHT)
-            # FULL too: one that drains before the list says so turns all away at once and would look empty.
-            fleet.failing[i] += ((outcome != OK) - fleet.failing[i]) * FAIL_WEIGHT
-        within = self.methods[rpc.method].soft_deadline * (SHED_NEAR if self.shed > SHED_FREE else 1.0)
-        late = outcome in (TIMED_OUT, FULL) or (outcome == OK and now > rpc.arrived + within)
+            # OVERLOADED too: one that drains before the list says so rejects at once and would look empty.
+            fleet.failing[i] += ((outcome != Outcome.OK) - fleet.failing[i]) * FAIL_WEIGHT
+        within = self.methods[rpc.method].latency_objective * (SHED_NEAR if self.shed > SHED_FREE else 1.0)
+        late = outcome in (Outcome.TIMED_OUT, Outcome.OVERLOADED) or (
+            outcome == Outcome.OK and now > rpc.arrived + within
+        )
         # A time-out at an instance silent throughout tells of it, not of the load: pauses alone would shed.
         # It hurts where a whole fleet falls silent at once: only refusals and late answers are left to tell.
-        if outcome in (OK, FULL) or (late and not self.silent(pick)):
+        if outcome in (Outcome.OK, Outcome.OVERLOADED) or (late and not self.silent(pick)):
             self._weigh_shed(late)
         used = fleet.out[i] + 1 >= LIMIT_USED * fleet.limit[i]
-        if outcome == OK and took < EARLY_SHARE * soft and used:
+        if outcome == Outcome.OK and took < EARLY_SHARE * soft and used:
             fleet.limit[i] = min(LIMIT_MOST, fleet.limit[i] + 1 / fleet.limit[i])
-        elif (outcome in (FULL, TIMED_OUT) or took > LATE_SHARE * soft) and pick.sent >= fleet.cut_at[i]:
+        elif (
+            outcome in (Outcome.OVERLOADED, Outcome.TIMED_OUT) or took > LATE_SHARE * soft
+        ) and pick.sent >= fleet.cut_at[i]:
             fleet.limit[i] = max(LIMIT_LEAST, fleet.limit[i] * LIMIT_CUT)
             fleet.cut_at[i] = now
 
@@ -62,7 +65,7 @@
             if fleet.strikes[i] == LOG_STRIKES:
                 self.notes.append(f"shun {fleet.ids[i]} gap {fleet.gap[i] / 1000:.0f} ms out {fleet.out[i]}")
 
-    def _doubt(self, now: int) -> Iterator[tuple]:
+    def _doubt(self, now: int) -> Iterator[Decision]:
         """Accrual: an instance whose silence is out of keeping with its gaps, for what is in flight, is
         shunned. What it holds that may be repeated goes elsewhere; so does one missed among its answers."""
         fleet, doubted, budget = self.fleet, set(), self.again.settle(self.taken[-1])
@@ -72,19 +75,22 @@
                 self._strike(now, i)
                 doubted.add(i)
         for rpc in list(self.rpcs.values()) if doubted or budget >= 1.0 else ():
-            if rpc.ended or rpc.streaming or now > rpc.soft_deadline or rpc.out() != 1:
+            if rpc.ended or rpc.streaming or now > rpc.latency_objective or rpc.out() != 1:
                 continue
             number, pick = next((n, pick) for n, pick in enumerate(rpc.picks) if pick.outcome is None)
             usual = max(self.sweep, self.took[rpc.method] * max(1.0, rpc.cost))
             missed = self.again.tokens >= 1.0 and fleet.last_reply[pick.instance] > pick.sent + MISSED * usual
-            once = self.methods[rpc.method].effect == NON_IDEMPOTENT or len(rpc.picks) >= self.allow.max_picks
+            once = (
+                self.methods[rpc.method].idempotency == Idempotency.NON_IDEMPOTENT
+                or len(rpc.picks) >= self.allow.max_attempts
+            )
             if once or pick.cancelled or not (missed or pick.instance in doubted):
                 continue
             self.again.tokens -= missed
-            if self.allow.second_copies:
+            if self.allow.hedging_allowed:
                 target = self._target(now, rpc) if self._may_pick(now, rpc) else None
                 if target is not None and target != pick.instance:
                     yield self._send(now, rpc, target)
-            elif self.allow.may_cancel:
+            elif self.allow.cancel_allowed:
                 pick.cancelled = True
-                yield CANCEL, rpc.id, number
+                yield CancelAttempt(rpc.id, number)
--- a/linenbridge/policy/safety_rules.py
+++ b/linenbridge/policy/safety_rules.py
@@ -6,9 +6,8 @@
 
 from __future__ import annotations
 
-from linenbridge.interface import (
-    ABORT, IDEMPOTENT, PUSH_BACK, RELEASED, SECOND, TOKENED, Startup,
-)  # fmt: skip
+from linenbridge.decisions import Fail, Reject
+from linenbridge.interface import Idempotency, RolloutPhase, SECOND, Startup
 from linenbridge.state.counters import CapBucket
 from linenbridge.state.gateway_state import Known
 from linenbridge.state.requests import Rpc
@@ -22,42 +21,50 @@
     def __init__(self, start: Startup, seed: int, now: int) -> None:
         super().__init__(start, seed, now)
         self.work_taken, self.shed = 0.0, 0.0
-        self.strictest = min(method.soft_deadline for method in self.methods)
+        self.strictest = min(method.latency_objective for method in self.methods)
         self.sweep = min(SWEEP, self.strictest // SWEEPS)
 
     def _may_pick(self, now: int, rpc: Rpc) -> bool:
         """Rule 2, asked before every pick: may this RPC go out (again) at all?"""
-        if not rpc.picks or rpc.streaming or (rpc.out() and not self.allow.second_copies):
+        if not rpc.picks or rpc.streaming or (rpc.out() and not self.allow.hedging_allowed):
             return not rpc.picks
         ran = rpc.first_that_may_have_run()
         method = self.methods[rpc.method]
-        if ran is None or method.effect == IDEMPOTENT:
+        if ran is None or method.idempotency == Idempotency.IDEMPOTENT:
             return True
-        return method.effect == TOKENED and self._remembered(now, rpc)
+        return method.idempotency == Idempotency.IDEMPOTENT_BY_KEY and self._remembered(now, rpc)
 
     def _remembered(self, at: int, rpc: Rpc) -> bool:
         """Rule 2 for tokened RPCs: whether what is sent at that time is still known as a repeat when it gets
         there, by the first pick that may have run; it may wait for a connection first."""
-        window = self.methods[rpc.method].token_window - self.sweep - self.allow.connect_wait
+        window = self.methods[rpc.method].idempotency_window - self.sweep - self.allow.connect_timeout
         return (ran := rpc.first_that_may_have_run()) is None or at < ran.sent + window
 
     def _in_group(self, rpc: Rpc, i: int) -> bool:
         """Rule 2 for tokened RPCs: a repeat stays among the instances that drop it."""
         method, fleet = self.methods[rpc.method], self.fleet
-        if method.effect != TOKENED or method.group == "all" or not (ran := rpc.first_that_may_have_run()):
+        if (
+            method.idempotency != Idempotency.IDEMPOTENT_BY_KEY
+            or method.group == "all"
+            or not (ran := rpc.first_that_may_have_run())
+        ):
             return True
         group = fleet.zone if method.group == "zone" else fleet.cell
         return group[i] == group[ran.instance]
 
-    def _final(self, now: int, rpc: Rpc) -> tuple:
+    def _final(self, now: int, rpc: Rpc) -> Reject | Fail:
         """Rules 1 and 2: the one final answer; a pushback only where a repeat is harmless."""
         self.rpcs.end(rpc)
-        method, wait = self.methods[rpc.method], min(RETRY_AFTER, self.allow.retry_after_most)
+        method, wait = self.methods[rpc.method], min(RETRY_AFTER, self.allow.max_retry_after)
         # It comes again when it is told to: while that is still known as a repeat everywhere.
-        known = method.effect == TOKENED and method.group == "all" and self._remembered(now + wait, rpc)
-        if rpc.first_that_may_have_run() is None or method.effect == IDEMPOTENT or known:
-            return PUSH_BACK, rpc.id, wait
-        return ABORT, rpc.id
+        known = (
+            method.idempotency == Idempotency.IDEMPOTENT_BY_KEY
+            and method.group == "all"
+            and self._remembered(now + wait, rpc)
+        )
+        if rpc.first_that_may_have_run() is None or method.idempotency == Idempotency.IDEMPOTENT or known:
+            return Reject(rpc.id, wait)
+        return Fail(rpc.id)
 
     def _holds(self, build: int) -> bool:
         """Whether a hold covers a build: it has instances where releases are held."""
@@ -77,7 +84,7 @@
         """Rule 5: the cap and stage that bind picks at a build; None where nothing does."""
         if build > self.build >= 0 or (self.build < 0 and build > self.lowest):
             return self.plan.caps[0], 0
-        if build < self.build or self.build < 0 or self.phase == RELEASED:
+        if build < self.build or self.build < 0 or self.phase == RolloutPhase.RELEASED:
             return None
         return self.cap, self.stage
 
@@ -95,14 +102,20 @@
         """Whether rule 5 lets one more RPC of the method go to the build now."""
         if (cap := self._cap(build)) is None:
             return True
-        if cap[0] <= 0.0 or (cap[1] < self.plan.closed_stages and self.methods[m].effect != IDEMPOTENT):
+        if cap[0] <= 0.0 or (
+            cap[1] < self.plan.closed_stages and self.methods[m].idempotency != Idempotency.IDEMPOTENT
+        ):
             return False
         return (bucket := self._bucket(build, m)) is None or bucket.tokens >= 1.0
 
     def _warmth(self, i: int, now: int) -> float:
         """The least share of its capacity that an instance has at that time."""
-        age, cold = now - self.fleet.started[i], self.allow.cold
-        return 1.0 if age >= cold else self.allow.cold_from + (1 - self.allow.cold_from) * max(0, age) / cold
+        age, cold = now - self.fleet.started_at[i], self.allow.slow_start_duration
+        return (
+            1.0
+            if age >= cold
+            else self.allow.slow_start_floor + (1 - self.allow.slow_start_floor) * max(0, age) / cold
+        )
 
     def _cold_room(self, now: int, i: int) -> bool:
         """Rule 4, by this gateway alone: of its own work a cold instance gets no more than the part that its
@@ -111,10 +124,19 @@
         warmth, fleet = self._warmth(i, now), self.fleet
         if warmth >= 1.0:
             return True
-        part = max(COLD_LEAST, self.allow.fall_multiple - COLD_ASIDE) * warmth * max(COLD_CALM, 1 - self.shed)
+        part = (
+            max(COLD_LEAST, self.allow.slow_start_multiple - COLD_ASIDE)
+            * warmth
+            * max(COLD_CALM, 1 - self.shed)
+        )
         part *= fleet.size[i] / fleet.usual_size
-        if fleet.cold_mark[i] < 0.0:  # By chance: hundreds of whole ones, or of light RPCs, would meet here.
-            fleet.cold_tokens[i], fleet.cold_mark[i] = self.random.random(), self.work_taken
-        earned = part * (self.work_taken - fleet.cold_mark[i])
-        fleet.cold_tokens[i], fleet.cold_mark[i] = min(1.0, fleet.cold_tokens[i] + earned), self.work_taken
-        return fleet.cold_tokens[i] >= 1.0
+        if (
+            fleet.slow_start_mark[i] < 0.0
+        ):  # By chance: hundreds of whole ones, or of light RPCs, would meet here.
+            fleet.slow_start_tokens[i], fleet.slow_start_mark[i] = self.random.random(), self.work_taken
+        earned = part * (self.work_taken - fleet.slow_start_mark[i])
+        fleet.slow_start_tokens[i], fleet.slow_start_mark[i] = (
+            min(1.0, fleet.slow_start_tokens[i] + earned),
+            self.work_taken,
+        )
+        return fleet.slow_start_tokens[i] >= 1.0
--- a/linenbridge/process/components.py
+++ b/linenbridge/process/components.py
@@ -12,14 +12,14 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from linenbridge.policy import Choice
+from linenbridge.policy import DecisionModule
 from linenbridge.interface import Startup
 from linenbridge.net.downstream import Clients
 from linenbridge.net.discovery import Discovery, Taker, host_port
 from linenbridge.net.watch_stream import Follow
 from linenbridge.net.upstream import Descriptors, Instances
 from linenbridge.logging.event_log import Log
-from linenbridge.net.decision_loop import Loop
+from linenbridge.net.decision_loop import DecisionLoop
 from linenbridge.net.platform import Platform
 from linenbridge.process.configuration import ProcessConfiguration, load
 from linenbridge.startup import micros, startup
@@ -39,11 +39,11 @@
     instances: Instances
     platform: Platform
     discovery: Discovery
-    loop: Loop
+    loop: DecisionLoop
 
 
 def build(
-    at: ProcessConfiguration, log: Log, reactor: Any, more: Callable[[Loop], Taker] | None = None,
+    at: ProcessConfiguration, log: Log, reactor: Any, more: Callable[[DecisionLoop], Taker] | None = None,
     start: Startup | None = None,
 ) -> Parts:  # fmt: skip
     """The parts of one gateway; the module has heard the list and the news before anyone can ask. `more` adds
@@ -54,7 +54,7 @@
     answer_wait = micros(settings.family_info.answer_wait)
     # An RPC that is out holds one of each.
     most = at.limits.sockets - len(os.listdir("/proc/self/fd")) - BESIDE_INSTANCES
-    loop = Loop(Choice(start, int(at.seed, 16), now()), reactor, now, log)
+    loop = DecisionLoop(DecisionModule(start, int(at.seed, 16), now()), reactor, now, log)
     instances = Instances(
         loop, reactor, most // 2, connect_wait, micros(settings.permissions.idle_close), log
     )
--- a/linenbridge/processor/distributed.py
+++ b/linenbridge/processor/distributed.py
@@ -43,6 +43,6 @@
         return None
     view, store = open_view(settings, methods_in(at), log)
     start = startup(at.settings)
-    start = replace(start, tenant_shares=TenantShares(view, start.tenant_shares))
+    start = replace(start, tenant_quotas=TenantShares(view, start.tenant_quotas))
     random = Random(secrets.randbits(64))
     return Distributed(view, start, lambda: Gateway(settings, reactor, log, view, random, store))
--- a/linenbridge/processor/evidence.py
+++ b/linenbridge/processor/evidence.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 from math import exp, log
 
-from linenbridge.interface import CANCELLED, ERROR, IDEMPOTENT, NEVER_RAN, OK, UNSENT
+from linenbridge.interface import Outcome, Idempotency, NOT_EXECUTED
 
 LEVEL = 5.0  # nats, as the design's least threshold
 FLOOR, MOST, ENOUGH, PLAIN = 0.01, 0.95, 20.0, 0.05
@@ -91,8 +91,8 @@
             return self._partner(effect, outcome)
         witness = self._witness(proxy)
         witness.reports.add(now, 1.0, 0.0)
-        if outcome in (OK, ERROR):
-            self._compare(now, proxy, witness, (build, method), outcome == OK)
+        if outcome in (Outcome.OK, Outcome.ERROR):
+            self._compare(now, proxy, witness, (build, method), outcome == Outcome.OK)
         came, missed = witness.reports.seen(now)
         if came + missed >= MISSING_LEAST and missed > MISSING_MOST * (came + missed):
             self._set_aside(now, proxy, witness, f"leaves out {missed:.0f} of {came + missed:.0f} reports")
@@ -105,7 +105,11 @@
 
     @staticmethod
     def _partner(effect: str, outcome: str) -> str:
-        return UNSENT if outcome in NEVER_RAN and effect == IDEMPOTENT else CANCELLED
+        return (
+            Outcome.NOT_SENT
+            if outcome in NOT_EXECUTED and effect == Idempotency.IDEMPOTENT
+            else Outcome.CANCELLED
+        )
 
     @staticmethod
     def _add(now: int, rows: OrderedDict[tuple[int, str], Fading], key: tuple[int, str], ok: bool) -> None:
--- a/linenbridge/processor/external_processor.py
+++ b/linenbridge/processor/external_processor.py
@@ -11,9 +11,9 @@
 from functools import partial
 from typing import Any
 
-from linenbridge import interface as face
+from linenbridge.interface import EndpointEntry, Id, Idempotency, InstanceState, NOT_EXECUTED, Outcome
 from linenbridge.net.upstream import load_report
-from linenbridge.net.decision_loop import Loop, Taken
+from linenbridge.net.decision_loop import REJECTED, ActiveRequest, DecisionLoop
 from linenbridge.processor import codec, http2, reservations, stream_phases
 from linenbridge.processor.responses import AnswerForm, seconds
 from linenbridge.processor.stream_session import Conversation
@@ -31,7 +31,7 @@
     """All conversations of one gateway; what the loop calls when the module has decided."""
 
     def __init__(
-        self, loop: Loop, reactor: Any, table: Routing, ledger: Ledger, evidence: Evidence,
+        self, loop: DecisionLoop, reactor: Any, table: Routing, ledger: Ledger, evidence: Evidence,
         verdicts: Verdicts, form: AnswerForm, store: Store | None, passes_unrouted: bool,
         unix: Callable[[], float],
     ) -> None:  # fmt: skip
@@ -39,16 +39,16 @@
         self.table, self.ledger, self.evidence, self.verdicts = table, ledger, evidence, verdicts
         self.form, self.store, self.unix = form, store, unix
         self.passes_unrouted = passes_unrouted
-        self.addresses: dict[face.Id, tuple[str, int]] = {}
-        self.builds: dict[face.Id, int] = {}
+        self.addresses: dict[Id, tuple[str, int]] = {}
+        self.builds: dict[Id, int] = {}
         self.deciding: dict[str, Conversation] = {}  # by RPC: who waits for its first answer
         self.telling: dict[str, Conversation] = {}  # by RPC: who waits to hear what a failure means
-        self.taken: dict[str, Taken] = {}
+        self.taken: dict[str, ActiveRequest] = {}
         self.giving: list[tuple[Conversation, Entry, Ticket]] = []
         self.forgetting: list[str] = []
         self.timer: Any = None
         self.timer_at = 0
-        loop.settled.append(self.turned)
+        loop.on_turn_end.append(self.turned)
 
     def start(self) -> None:
         """What earlier lives handed out is known again before anyone can ask."""
@@ -62,7 +62,7 @@
 
     # ---- the list --------------------------------------------------------------------------------
 
-    def listed(self, listed: Iterable[tuple[face.ListEntry, tuple[str, int]]], whole: bool) -> None:
+    def listed(self, listed: Iterable[tuple[EndpointEntry, tuple[str, int]]], whole: bool) -> None:
         """Addresses as discovery has them; an instance that leaves the list is not handed out any more."""
         listed = list(listed)
         if whole:
@@ -70,12 +70,12 @@
             for instance in [instance for instance in self.addresses if instance not in named]:
                 self._forget_instance(instance)
         for entry, address in listed:
-            if entry.state == face.READY:
+            if entry.state == InstanceState.READY:
                 self.addresses[entry.instance], self.builds[entry.instance] = address, entry.build
             else:
                 self._forget_instance(entry.instance)
 
-    def _forget_instance(self, instance: face.Id) -> None:
+    def _forget_instance(self, instance: Id) -> None:
         self.addresses.pop(instance, None)
         self.builds.pop(instance, None)
 
@@ -107,7 +107,7 @@
         name = headers.get(self.form.request_id, "")
         method = self.table.methods[asked.method]
         what, entry = self.ledger.admit(
-            self.loop.now(), partner.name, digest(name) if name else "", int(count), method.effect
+            self.loop.now(), partner.name, digest(name) if name else "", int(count), method.idempotency
         )
         self.log.count("admitted", what)
         if what == reservations.TAKE and entry is not None:
@@ -126,11 +126,11 @@
 
     def _take(self, conversation: Conversation, entry: Entry, asked: Any) -> None:
         conversation.entry = entry
-        taken = self.taken[entry.id] = Taken(
+        taken = self.taken[entry.id] = ActiveRequest(
             entry.id, asked.method, self, entry, partial(self.answered, entry)
         )
         self.deciding[entry.id] = conversation
-        self.loop.take(taken, asked.deadline, asked.cost, asked.tenant, asked.key or "")
+        self.loop.accept(taken, asked.deadline, asked.cost, asked.tenant, asked.key or "")
 
     def _again(self, conversation: Conversation, entry: Entry) -> None:
         """A further attempt. What is still out of the one before may have run; a pick already decided on goes
@@ -139,15 +139,15 @@
         conversation.entry = entry
         self.deciding[entry.id] = conversation
         if (ticket := entry.out()) is not None:
-            self._ended(entry, ticket, face.CANCELLED)
+            self._ended(entry, ticket, Outcome.CANCELLED)
         elif (ticket := entry.reserved()) is not None:
             if now < ticket.use_by and ticket.instance in self.addresses:
                 del self.deciding[entry.id]
                 self.ledger.give(entry, ticket)
                 self.giving.append((conversation, entry, ticket))
-                self.loop.gather(lambda _: None)  # So that a turn comes, and its end.
+                self.loop.enqueue(lambda _: None)  # So that a turn comes, and its end.
             else:
-                self._ended(entry, ticket, face.UNSENT)
+                self._ended(entry, ticket, Outcome.NOT_SENT)
 
     def reported(self, conversation: Conversation, heard: codec.Heard) -> None:
         """The response's headers, or its trailers where these tell how it went."""
@@ -178,7 +178,9 @@
             now, partner.name, ticket.build, self._method(entry), entry.effect, outcome
         )
         again = (
-            outcome != face.OK and kind == stream_phases.RESPONSE_HEADERS and entry.attempt < partner.attempts
+            outcome != Outcome.OK
+            and kind == stream_phases.RESPONSE_HEADERS
+            and entry.attempt < partner.attempts
         )
         load = load_report(heard.headers.get(self.form.load, "").encode("latin-1", "replace") or None)
         self.log.count("reported", outcome)
@@ -191,9 +193,9 @@
             self.ledger.waits(now, entry)
             return
         # The proxy passes the upstream's answer on: that is the RPC's final answer.
-        self.loop.settle(self.taken[entry.id], outcome)
+        self.loop.mark_answered(self.taken[entry.id], outcome)
         self._ended(entry, ticket, told, load)
-        self._over(now, entry, answered=told not in face.NEVER_RAN)
+        self._over(now, entry, answered=told not in NOT_EXECUTED)
         conversation.entry = conversation.ticket = None
         conversation.call.send(codec.go_on(kind))
 
@@ -222,7 +224,7 @@
         """The stream ended before its answer left. A proxy that fails open may have sent the request all the
         same: then it is known as one that may have run."""
         self._give_up(entry)
-        if entry.effect != face.IDEMPOTENT and conversation.partner.fail_open:
+        if entry.effect != Idempotency.IDEMPOTENT and conversation.partner.fail_open:
             until = self.ledger.terms.remember
             self.ledger.remember(entry.request, self.loop.now() + until, True)
             if self.store is not None and self.store.serves:
@@ -234,11 +236,11 @@
 
     # ---- what the loop calls ---------------------------------------------------------------------
 
-    def pick(self, now: int, taken: Taken, number: int, instance: face.Id, time_out: int) -> None:
+    def send(self, now: int, taken: ActiveRequest, number: int, instance: Id, time_out: int) -> None:
         """The module's pick: to the stream that waits for it, or kept for the attempt that is to come."""
-        entry: Entry = taken.load
+        entry: Entry = taken.payload
         if instance not in self.addresses:
-            self.loop.pick_ended(taken, number, now, face.UNSENT, {})
+            self.loop.attempt_finished(taken, number, now, Outcome.NOT_SENT, {})
             return
         conversation = self.deciding.pop(entry.id, None)
         ticket = self.ledger.decided(
@@ -249,10 +251,10 @@
         if (told := self.telling.pop(entry.id, None)) is not None:
             self._tell(told, {self.form.outcome: "again", self.form.again: "1"})
 
-    def cancel(self, taken: Taken, number: int) -> None:
+    def cancel(self, taken: ActiveRequest, number: int) -> None:
         """A proxy cannot be called back: the pick goes on, and the module hears of its end as of any."""
 
-    def withdraw(self, taken: Taken) -> None:
+    def withdraw_unsent(self, taken: ActiveRequest) -> None:
         """Nothing waits here to be sent: what is reserved and not yet handed out is ended with the answer."""
 
     def answered(self, entry: Entry, outcome: str, retry_after: int, value: object) -> None:
@@ -260,7 +262,7 @@
         now = self.loop.now()
         conversation = self.deciding.pop(entry.id, None)
         told = self.telling.pop(entry.id, None)
-        pushed = outcome == "pushed_back"
+        pushed = outcome == REJECTED
         if conversation is not None:
             if pushed:
                 text = "pushed back: trying again is harmless"
@@ -268,18 +270,23 @@
             else:
                 late = bool(entry.tickets) and now >= entry.tickets[0].report_by - LATE
                 status = self.form.timed_out if late else self.form.aborted
-                answer = self.form.final(conversation.grpc, status, {self.form.outcome: outcome}, "aborted")
+                answer = self.form.final(
+                    conversation.grpc,
+                    status,
+                    {self.form.outcome: self.form.outcome_value(outcome)},
+                    "aborted",
+                )
             conversation.refused(answer)
         if told is not None:
-            headers = {self.form.outcome: outcome}
+            headers = {self.form.outcome: self.form.outcome_value(outcome)}
             if pushed and retry_after:
                 headers["retry-after"] = seconds(retry_after)
             self._tell(told, headers)
         if (ticket := entry.out()) is not None:
             # Its time is up at the proxy too; what comes now is late and tells nothing.
-            self._ended(entry, ticket, face.CANCELLED)
+            self._ended(entry, ticket, Outcome.CANCELLED)
         elif (ticket := entry.reserved()) is not None:
-            self._ended(entry, ticket, face.UNSENT)
+            self._ended(entry, ticket, Outcome.NOT_SENT)
         self._over(now, entry, answered=not pushed)
 
     def turned(self) -> None:
@@ -288,7 +295,7 @@
         kept = {
             entry.request: self.unix() + self.ledger.terms.remember / 1e6
             for conversation, entry, _ in giving
-            if entry.effect != face.IDEMPOTENT and not conversation.call.ended
+            if entry.effect != Idempotency.IDEMPOTENT and not conversation.call.ended
         }
         if kept and self.store is not None and self.store.serves:
             self.store.keep(kept.items())
@@ -332,24 +339,26 @@
     ) -> None:
         """The first word on a ticket counts, and the module hears it once."""
         if self.ledger.ended(ticket, outcome):
-            self.loop.pick_ended(self.taken[entry.id], ticket.number, ticket.decided, outcome, load or {})
+            self.loop.attempt_finished(
+                self.taken[entry.id], ticket.number, ticket.decided, outcome, load or {}
+            )
             if entry.ended:
                 self.taken.pop(entry.id, None)
 
     def _give_up(self, entry: Entry) -> None:
         """Nobody waits for it any more: nothing is owed, and what was not handed out never ran."""
-        self.loop.gone(self.taken[entry.id])
+        self.loop.client_disconnected(self.taken[entry.id])
         ticket = entry.reserved()
         if ticket is not None:
-            self._ended(entry, ticket, face.UNSENT)
+            self._ended(entry, ticket, Outcome.NOT_SENT)
         self._over(self.loop.now(), entry, answered=False)
 
     def _unreported(self, entry: Entry, ticket: Ticket, proxy: str) -> None:
         """Nothing was said of a ticket: it may have run, and tells nothing of its instance."""
         self.log.count("unreported", proxy)
         self.evidence.missed(self.loop.now(), proxy)
-        self.loop.gone(self.taken[entry.id])
-        self._ended(entry, ticket, face.CANCELLED)
+        self.loop.client_disconnected(self.taken[entry.id])
+        self._ended(entry, ticket, Outcome.CANCELLED)
         self._over(self.loop.now(), entry, answered=False)
 
     def _over(self, now: int, entry: Entry, answered: bool) -> None:
@@ -361,9 +370,14 @@
             conversation.refused(self.form.final(conversation.grpc, self.form.aborted, {}, "aborted"))
         if (told := self.telling.pop(entry.id, None)) is not None:
             self._tell(told, {})
-        if not self.taken[entry.id].out:
+        if not self.taken[entry.id].in_flight:
             del self.taken[entry.id]
-        if entry.effect != face.IDEMPOTENT and entry.tickets and not answered and not entry.may_have_run():
+        if (
+            entry.effect != Idempotency.IDEMPOTENT
+            and entry.tickets
+            and not answered
+            and not entry.may_have_run()
+        ):
             self.forgetting.append(entry.request)
 
     # ---- time ------------------------------------------------------------------------------------
--- a/linenbridge/processor/reservations.py
+++ b/linenbridge/processor/reservations.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from itertools import count
 
-from linenbridge.interface import IDEMPOTENT, NEVER_RAN, Id
+from linenbridge.interface import Idempotency, NOT_EXECUTED, Id
 
 # What a stream that opens is.
 TAKE, AGAIN, MAY_HAVE_RUN, FULL_HOUSE, NO_ID = "take", "again", "may_have_run", "full_house", "no_id"
@@ -81,7 +81,7 @@
         return ticket if ticket is not None and not ticket.given and ticket.outcome is None else None
 
     def may_have_run(self) -> bool:
-        return any(ticket.given and ticket.outcome not in NEVER_RAN for ticket in self.tickets)
+        return any(ticket.given and ticket.outcome not in NOT_EXECUTED for ticket in self.tickets)
 
 
 @dataclass(frozen=True, slots=True)
@@ -115,7 +115,7 @@
         us, or under an earlier life that left no record: it may have run. So does a gap in the counts.
         """
         attempt = min(max(1, attempt), ATTEMPT_MOST)
-        if effect == IDEMPOTENT:
+        if effect == Idempotency.IDEMPOTENT:
             entry = self.open.get((proxy, request)) if request else None
             if entry is not None and attempt > entry.attempt:
                 entry.attempt = attempt
@@ -147,7 +147,7 @@
         ):
             return FULL_HOUSE, None
         entry = Entry(f"{proxy}/{request}/{next(self.serial)}", request, proxy, effect, attempt)
-        key = (proxy if effect == IDEMPOTENT else "", request)
+        key = (proxy if effect == Idempotency.IDEMPOTENT else "", request)
         if request and key not in self.open:
             self.open[key] = entry
         self.by_id[entry.id] = entry
@@ -196,7 +196,7 @@
             return
         entry.ended = True
         del self.by_id[entry.id]
-        key = (entry.proxy if entry.effect == IDEMPOTENT else "", entry.request)
+        key = (entry.proxy if entry.effect == Idempotency.IDEMPOTENT else "", entry.request)
         if self.open.get(key) is entry:
             del self.open[key]
         left = self.per_proxy[entry.proxy] - 1
@@ -204,7 +204,7 @@
             self.per_proxy[entry.proxy] = left
         else:
             del self.per_proxy[entry.proxy]
-        if entry.effect != IDEMPOTENT and entry.tickets:
+        if entry.effect != Idempotency.IDEMPOTENT and entry.tickets:
             self.remember(entry.request, now + self.terms.remember, answered or entry.may_have_run())
 
     def remember(self, request: str, until: int, ran: bool) -> None:
--- a/linenbridge/processor/response_classification.py
+++ b/linenbridge/processor/response_classification.py
@@ -10,16 +10,16 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from linenbridge.interface import ERROR, FULL, OK, UNREACHED
+from linenbridge.interface import Outcome
 
 # Published response code details of proxies whose request has provably not left them.
 NOT_SENT = {
-    "no_healthy_upstream": UNREACHED,
-    "cluster_not_found": UNREACHED,
-    "route_not_found": UNREACHED,
-    "upstream_reset_before_response_started{connection_failure}": UNREACHED,
-    "upstream_reset_before_response_started{connection_timeout}": UNREACHED,
-    "upstream_reset_before_response_started{overflow}": FULL,
+    "no_healthy_upstream": Outcome.CONNECT_FAILED,
+    "cluster_not_found": Outcome.CONNECT_FAILED,
+    "route_not_found": Outcome.CONNECT_FAILED,
+    "upstream_reset_before_response_started{connection_failure}": Outcome.CONNECT_FAILED,
+    "upstream_reset_before_response_started{connection_timeout}": Outcome.CONNECT_FAILED,
+    "upstream_reset_before_response_started{overflow}": Outcome.OVERLOADED,
 }
 DETAILS = "response.code_details"
 # gRPC statuses that the caller has brought about: the instance has answered as it should.
@@ -57,9 +57,9 @@
         if headers.get("content-type", "").startswith(GRPC_TYPE) and code == 200:
             said = headers.get("grpc-status")
             if said is None:
-                return ERROR if ended else LATER
+                return Outcome.ERROR if ended else LATER
             return grpc_outcome(said)
-        return OK if code < 500 else ERROR
+        return Outcome.OK if code < 500 else Outcome.ERROR
 
     def of_trailers(self, trailers: Mapping[str, str], attributes: Mapping[str, str]) -> str:
         if (found := self._not_run(200, trailers, attributes)) is not None:
@@ -69,7 +69,7 @@
     def _not_run(self, code: int, headers: Mapping[str, str], attributes: Mapping[str, str]) -> str | None:
         for proof in self.proofs:
             if code == proof.status and headers.get(proof.header) == proof.value:
-                return FULL
+                return Outcome.OVERLOADED
         details = attributes.get(DETAILS, "")
         return NOT_SENT.get(details) if code >= 500 else None
 
@@ -77,4 +77,4 @@
 def grpc_outcome(status: str) -> str:
     """A gRPC status as an outcome; one that is no number is a failure."""
     known = status.isascii() and status.isdigit() and len(status) <= 3
-    return OK if known and int(status) in GRPC_CALLER else ERROR
+    return Outcome.OK if known and int(status) in GRPC_CALLER else Outcome.ERROR
--- a/linenbridge/processor/responses.py
+++ b/linenbridge/processor/responses.py
@@ -7,6 +7,7 @@
 
 from dataclasses import dataclass
 
+from linenbridge.net.decision_loop import FAILED, REJECTED
 from linenbridge.processor import codec, http2
 
 
@@ -29,6 +30,10 @@
     timed_out: int = 504
     unrouted: int = 404
 
+    def outcome_value(self, outcome: str) -> str:
+        """The header's value for a final outcome, in the words that proxies know."""
+        return {REJECTED: "pushed_back", FAILED: "aborted"}.get(outcome, outcome)
+
     def pushed_back_by(self, grpc: bool, retry_after: int, text: str) -> bytes:
         """The pushback, with when to come again where that was said."""
         headers = {self.outcome: "pushed_back"}
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -16,7 +16,7 @@
 from linenbridge.logging.structured import structured
 from linenbridge.net.discovery import host_port
 from linenbridge.logging.event_log import Log
-from linenbridge.net.decision_loop import Loop
+from linenbridge.net.decision_loop import DecisionLoop
 from linenbridge.configuration.read import Configuration, ConfigurationError
 from linenbridge.process import lifecycle
 from linenbridge.process.components import build, reload
@@ -72,7 +72,7 @@
         self.front: Front | None = None
         self.server: Server | None = None
 
-    def open(self, loop: Loop) -> Front:
+    def open(self, loop: DecisionLoop) -> Front:
         """The front on this loop; it listens only when told to."""
         settings = self.settings
         ours = frozenset(known.partner.name for known in settings.partners if known.partner.ours)
@@ -89,7 +89,7 @@
             HEALTH + b"Check": self.health.check,
             HEALTH + b"Watch": self.health.watch,
         }
-        loop.settled.append(self.server.flush)
+        loop.on_turn_end.append(self.server.flush)
         return front
 
     def _converse(self, call: Call) -> Conversation | Stranger:
@@ -162,7 +162,7 @@
     return distributed(configuration, at, log, reactor)
 
 
-def _member(configuration: Configuration, log: Log, reactor: Any, loop: Loop):  # noqa: ANN202  (imported where it is used)
+def _member(configuration: Configuration, log: Log, reactor: Any, loop: DecisionLoop):  # noqa: ANN202  (imported where it is used)
     """This process as a member of the fleet, where the settings have one."""
     if configuration.part("fleet") is None:
         return None
@@ -174,7 +174,7 @@
         return None
 
     def held(zones: frozenset[str] | None) -> None:
-        loop.gather(lambda now: loop.gateway.on_hold(now, zones))
+        loop.enqueue(lambda now: loop.decision_module.on_rollout_freeze(now, zones))
 
     return Member(told, reactor, log, secrets.randbits(60), held)
 
--- a/linenbridge/routes/table.py
+++ b/linenbridge/routes/table.py
@@ -76,7 +76,7 @@
     method: str
     tenant: str
     key: str | None
-    soft_deadline: int
+    latency_objective: int
     deadline: int
     cost: int | None
 
@@ -149,7 +149,7 @@
     def _asked(self, rule: Rule, request: Request) -> Asked:
         method = self.methods[rule.method]
         deadline = min(_time(rule.deadline, request) or self.longest, self.longest)
-        soft = min(rule.soft or method.soft_deadline, deadline)
+        soft = min(rule.soft or method.latency_objective, deadline)
         cost = _time(rule.cost, request) if rule.cost is not None else None
         tenant, key = _value(rule.tenant, request) or "", _value(rule.key, request)
         return Asked(rule.name, rule.method, tenant, key, soft, deadline, cost)
--- a/linenbridge/simulator/adapter.py
+++ b/linenbridge/simulator/adapter.py
@@ -8,31 +8,55 @@
 
 import msgspec
 
-from linenbridge import interface as face
-from linenbridge.policy import Choice
+from linenbridge.decisions import (
+    CancelAttempt,
+    CastVote,
+    Decision,
+    Fail,
+    Gossip,
+    LogMessage,
+    Reject,
+    SendAttempt,
+    WatchEndpoints,
+)
+from linenbridge.interface import EndpointEntry, InstanceState, Outcome, RolloutPhase
+from linenbridge.policy import DecisionModule
 from linenbridge.startup import LOADS, LONG_AGO, micros, startup
 from linenbridge.simulator import messages as wire
 
 OUTCOMES = {
-    "S": face.OK, "E": face.ERROR, "F": face.FULL, "T": face.TIMED_OUT,
-    "C": face.UNREACHED, "R": face.BROKEN, "X": face.CANCELLED, "N": face.UNSENT,
-}  # fmt: skip
+    "S": Outcome.OK,
+    "E": Outcome.ERROR,
+    "F": Outcome.OVERLOADED,
+    "T": Outcome.TIMED_OUT,
+    "C": Outcome.CONNECT_FAILED,
+    "R": Outcome.CONNECTION_LOST,
+    "X": Outcome.CANCELLED,
+    "N": Outcome.NOT_SENT,
+}
 
 
 class Host:
     """The gateways of one process; nothing is shared between them but the numbered lists."""
 
     def __init__(self) -> None:
-        self.lists: dict[int, list[face.ListEntry]] = {}
-        self.gateways: dict[int, Choice] = {}
+        self.lists: dict[int, list[EndpointEntry]] = {}
+        self.gateways: dict[int, DecisionModule] = {}
         self.armed: dict[int, int] = {}
         self.now = 0
-        self.handlers: dict[str, Callable[[Choice, Any], None]] = {
-            "announce": self.announce, "new_request": self.new_request, "expired": self.expired,
-            "release_state": self.release_state, "metrics": self.metrics, "first": self.first,
-            "reply": self.reply, "objection": self.objection, "elapsed": self.elapsed,
-            "inbox": self.inbox, "checked": self.unused,
-        }  # fmt: skip
+        self.handlers: dict[str, Callable[[DecisionModule, Any], None]] = {
+            "announce": self.announce,
+            "new_request": self.new_request,
+            "expired": self.expired,
+            "release_state": self.release_state,
+            "metrics": self.metrics,
+            "first": self.first,
+            "reply": self.reply,
+            "objection": self.objection,
+            "elapsed": self.elapsed,
+            "inbox": self.inbox,
+            "checked": self.unused,
+        }
 
     def batch(self, batch: wire.Batch) -> list[dict[str, Any]]:
         """Take in all events in their order, then pull what each gateway that had one decides."""
@@ -73,7 +97,9 @@
     def take(self, name: str, message: Any) -> None:
         if name == "attach":
             self.forget(message.gateway_id)
-            self.gateways[message.gateway_id] = Choice(startup(message.info), message.random_seed, self.now)
+            self.gateways[message.gateway_id] = DecisionModule(
+                startup(message.info), message.random_seed, self.now
+            )
             return
         gateway = self.gateways.get(message.gateway_id)
         if gateway is None:
@@ -83,57 +109,65 @@
             raise ValueError(f"profile {profile!r} is not among the settings")
         self.handlers[name](gateway, message)
 
-    def announce(self, gateway: Choice, message: wire.Announce) -> None:
+    def announce(self, gateway: DecisionModule, message: wire.Announce) -> None:
         if message.form == 3:
-            gateway.on_list_failed(self.now)
+            gateway.on_endpoint_list_failed(self.now)
             return
         if message.bank not in self.lists:
             raise ValueError(f"bank {message.bank} names no roster")
         entries = self.lists[message.bank]
-        gateway.on_list(self.now, entries, whole=message.form != 2, answers=message.form != 0)
+        gateway.on_endpoint_list(
+            self.now, entries, is_snapshot=message.form != 2, is_poll_response=message.form != 0
+        )
 
-    def new_request(self, gateway: Choice, message: wire.NewRequest) -> None:
+    def new_request(self, gateway: DecisionModule, message: wire.NewRequest) -> None:
         work = None if message.estimate is None else micros(message.estimate)
         ttl, tenant = micros(message.ttl), str(message.realm)
-        gateway.on_rpc(self.now, message.handle, message.profile, ttl, work, tenant, message.subject)
-
-    def expired(self, gateway: Choice, message: wire.Expired) -> None:
-        gateway.on_gone(self.now, message.handle)
-
-    def release_state(self, gateway: Choice, message: wire.ReleaseState) -> None:
-        gateway.on_stage(
-            self.now, message.rel, message.wave, message.course, message.limit_share,
-            vote=message.code == 1, valid=message.outcome == "S", moot=message.outcome == "N",
-        )  # fmt: skip
-
-    def metrics(self, gateway: Choice, message: wire.Metrics) -> None:
+        gateway.on_request(self.now, message.handle, message.profile, ttl, work, tenant, message.subject)
+
+    def expired(self, gateway: DecisionModule, message: wire.Expired) -> None:
+        gateway.on_client_disconnected(self.now, message.handle)
+
+    def release_state(self, gateway: DecisionModule, message: wire.ReleaseState) -> None:
+        gateway.on_rollout_update(
+            self.now,
+            message.rel,
+            message.wave,
+            RolloutPhase(message.course),
+            message.limit_share,
+            is_vote_response=message.code == 1,
+            is_valid=message.outcome == "S",
+            is_stale=message.outcome == "N",
+        )
+
+    def metrics(self, gateway: DecisionModule, message: wire.Metrics) -> None:
         took = micros(message.delay_seen)
         ended = self.now - micros(message.since)
         gateway.on_tally(self.now, message.rel, message.profile, message.n, message.lost, took, ended)
 
-    def inbox(self, gateway: Choice, message: wire.Inbox) -> None:
+    def inbox(self, gateway: DecisionModule, message: wire.Inbox) -> None:
         try:
             words = bytes.fromhex(message.contents)
         except ValueError:
             return
-        gateway.on_peer(self.now, message.src, words)
+        gateway.on_gossip(self.now, message.src, words)
 
-    def first(self, gateway: Choice, message: wire.First) -> None:
-        gateway.on_stream(self.now, message.handle, message.hop)
+    def first(self, gateway: DecisionModule, message: wire.First) -> None:
+        gateway.on_response_started(self.now, message.handle, message.hop)
 
-    def reply(self, gateway: Choice, message: wire.Reply) -> None:
+    def reply(self, gateway: DecisionModule, message: wire.Reply) -> None:
         load = {LOADS[name]: value for name, value in message.feedback.items() if name in LOADS}
         outcome, took = OUTCOMES[message.outcome], micros(message.delay_seen)
-        gateway.on_reply(self.now, message.handle, message.hop, outcome, message.final, took, load)
+        gateway.on_attempt_finished(self.now, message.handle, message.hop, outcome, message.final, took, load)
 
-    def objection(self, gateway: Choice, message: wire.Objection) -> None:
+    def objection(self, gateway: DecisionModule, message: wire.Objection) -> None:
         gateway.on_flag(self.now, message.instance, message.profile, self.now)
 
-    def elapsed(self, gateway: Choice, message: wire.Elapsed) -> None:
+    def elapsed(self, gateway: DecisionModule, message: wire.Elapsed) -> None:
         if message.mark == str(self.armed.get(message.gateway_id)):
             del self.armed[message.gateway_id]
 
-    def unused(self, gateway: Choice, message: Any) -> None:
+    def unused(self, gateway: DecisionModule, message: Any) -> None:
         """Probe results: this gateway sends no probes, so nothing hangs on them."""
 
     def pull(self, gateway_id: int, steps: list[dict[str, Any]]) -> None:
@@ -147,32 +181,38 @@
             steps.append({"arm": {"gateway_id": gateway_id, "span": span, "mark": str(wake)}})
 
 
-def entry(row: wire.Row) -> face.ListEntry:
+def entry(row: wire.Row) -> EndpointEntry:
     started = micros(row.since) if row.since else LONG_AGO
-    return face.ListEntry(
-        row.instance, row.edition, row.rack_zone, row.block, row.health, row.power_hint, started
+    return EndpointEntry(
+        row.instance,
+        row.edition,
+        row.rack_zone,
+        row.block,
+        InstanceState(row.health),
+        row.power_hint,
+        started,
     )
 
 
-def step(gateway_id: int, decision: tuple) -> dict[str, Any]:
+def step(gateway_id: int, decision: Decision) -> dict[str, Any]:
     """One decision as one message."""
     match decision:
-        case (face.PICK, rpc, instance, time_out):
-            fields = {"handle": rpc, "instance": instance, "give_up_after": time_out / 1e6}
+        case SendAttempt(rpc_id=rpc_id, instance=instance, timeout=timeout):
+            fields = {"handle": rpc_id, "instance": instance, "give_up_after": timeout / 1e6}
             name = "issue"
-        case (face.CANCEL, rpc, number):
-            name, fields = "revoke", {"handle": rpc, "hop": number}
-        case (face.PUSH_BACK, rpc, retry_after):
-            name, fields = "say_no", {"handle": rpc, "retry_in": retry_after / 1e6}
-        case (face.ABORT, rpc):
-            name, fields = "abort", {"handle": rpc}
-        case (face.VOTE, build, stage, verdict):
-            name, fields = "ballot", {"rel": build, "wave": stage, "code": verdict}
-        case (face.TELL, peer, words):
-            name, fields = "post", {"peer": "*" if peer is None else peer, "contents": words.hex()}
-        case (face.WATCH,):
+        case CancelAttempt(rpc_id=rpc_id, attempt=attempt):
+            name, fields = "revoke", {"handle": rpc_id, "hop": attempt}
+        case Reject(rpc_id=rpc_id, retry_after=retry_after):
+            name, fields = "say_no", {"handle": rpc_id, "retry_in": retry_after / 1e6}
+        case Fail(rpc_id=rpc_id):
+            name, fields = "abort", {"handle": rpc_id}
+        case CastVote(build=build, stage=stage, vote=vote):
+            name, fields = "ballot", {"rel": build, "wave": stage, "code": vote}
+        case Gossip(peer=peer, payload=payload):
+            name, fields = "post", {"peer": "*" if peer is None else peer, "contents": payload.hex()}
+        case WatchEndpoints():
             name, fields = "listen", {"active": True}
-        case (face.LOG, text):
+        case LogMessage(text=text):
             name, fields = "trace", {"what": text}
         case _:
             raise ValueError(f"no message for the decision {decision!r}")
--- a/linenbridge/startup.py
+++ b/linenbridge/startup.py
@@ -10,9 +10,13 @@
 
 from msgspec import Struct
 
-from linenbridge import interface as face
+from linenbridge.interface import Allowances, Idempotency, Method, RolloutPlan, Startup
 
-EFFECTS = {"repeatable": face.IDEMPOTENT, "by_key": face.TOKENED, "once": face.NON_IDEMPOTENT}
+IDEMPOTENCY = {
+    "repeatable": Idempotency.IDEMPOTENT,
+    "by_key": Idempotency.IDEMPOTENT_BY_KEY,
+    "once": Idempotency.NON_IDEMPOTENT,
+}
 LOADS = {
     "rif": "in_flight", "q": "waiting", "busy": "busy", "lat_ms": "service_ms",
     "inflight": "in_flight", "queue": "waiting", "util": "busy", "latency_ms": "service_ms",
@@ -87,51 +91,51 @@
     return round(seconds * 1e6)
 
 
-def startup(info: Info) -> face.Startup:
+def startup(info: Info) -> Startup:
     """The settings in the module's own words."""
     plan, allow, rules = info.family_info, info.permissions, info.rules
-    return face.Startup(
+    return Startup(
         methods=tuple(
-            face.Method(
+            Method(
                 name=row.name,
-                effect=EFFECTS[row.idempotency],
+                idempotency=IDEMPOTENCY[row.idempotency],
                 group=row.group,
-                token_window=micros(row.window),
-                soft_deadline=micros(row.aim),
-                utility=row.worth,
+                idempotency_window=micros(row.window),
+                latency_objective=micros(row.aim),
+                priority_weight=row.worth,
             )
             for row in info.profiles
         ),
-        tenant_shares={tenant.name: tenant.share for tenant in info.tenants},
-        plan=face.RolloutPlan(
+        tenant_quotas={tenant.name: tenant.share for tenant in info.tenants},
+        plan=RolloutPlan(
             by_timer=plan.gate_mode == "timer",
             in_place=plan.style == "in_place",
             shares=tuple(plan.shares),
             caps=tuple(plan.caps),
             closed_stages=plan.closed_stages,
             per_method=plan.per == "class",
-            spare_picks=plan.spare_tries,
+            burst_attempts=plan.spare_tries,
             forward_only=plan.forward_only,
-            vote_stands=micros(plan.vote_stands),
-            back_votes=plan.back_votes,
+            vote_ttl=micros(plan.vote_stands),
+            rollback_votes=plan.back_votes,
             tally_period=micros(plan.metrics_period),
             calls_per_second=plan.api_rate,
         ),
-        allowances=face.Allowances(
-            max_picks=allow.max_attempts,
-            second_copies=allow.second_copies,
-            may_cancel=allow.may_cancel,
-            retry_after_most=micros(allow.max_retry_after) if allow.retry_after else 0,
-            asks_for_list=info.discovery == "ask",
-            cold_from=rules.cold_from,
-            cold=micros(rules.cold),
-            fall_multiple=rules.fall_multiple,
-            by_work=info.value_by == "work",
-            over_share_utility=info.over_share_worth,
-            number=info.slot_no,
-            gateways=info.balancers,
-            may_tell=allow.may_tell,
-            idle_close=micros(allow.idle_close),
-            connect_wait=micros(allow.connect_timeout),
+        allowances=Allowances(
+            max_attempts=allow.max_attempts,
+            hedging_allowed=allow.second_copies,
+            cancel_allowed=allow.may_cancel,
+            max_retry_after=micros(allow.max_retry_after) if allow.retry_after else 0,
+            polls_endpoints=info.discovery == "ask",
+            slow_start_floor=rules.cold_from,
+            slow_start_duration=micros(rules.cold),
+            slow_start_multiple=rules.fall_multiple,
+            weighted_by_work=info.value_by == "work",
+            over_quota_weight=info.over_share_worth,
+            gateway_number=info.slot_no,
+            gateway_count=info.balancers,
+            gossip_allowed=allow.may_tell,
+            idle_timeout=micros(allow.idle_close),
+            connect_timeout=micros(allow.connect_timeout),
         ),
     )
--- a/linenbridge/state/fleet.py
+++ b/linenbridge/state/fleet.py
@@ -12,7 +12,7 @@
 from random import Random
 from zlib import crc32
 
-from linenbridge.interface import GONE, READY, Id, ListEntry
+from linenbridge.interface import InstanceState, Id, EndpointEntry
 from linenbridge.state.free_indices import FreeIndices
 from linenbridge.state.ready_order import ReadyOrder
 
@@ -41,7 +41,7 @@
         self.cell: list[Id] = []
         self.state: list[int] = []
         self.size: list[float] = []
-        self.started: list[int] = []
+        self.started_at: list[int] = []
         self.out: list[int] = []
         self.busy_since: list[int] = []
         self.last_reply: list[int] = []
@@ -54,8 +54,8 @@
         self.shun_until: list[int] = []
         self.others: list[float] = []
         self.reported_at: list[int] = []
-        self.cold_tokens: list[float] = []
-        self.cold_mark: list[float] = []
+        self.slow_start_tokens: list[float] = []
+        self.slow_start_mark: list[float] = []
         self.others_mean = 0.0
         self.usual_size, self.listed_at = 0.0, now
         self.rank: list[int] = []
@@ -64,7 +64,7 @@
         self.ready, self.sums, self.near = self.order.ready, self.order.sums, self.order.near
 
     def update(
-        self, entries: Iterable[ListEntry], whole: bool, gap: float, limit: float, used: set[int]
+        self, entries: Iterable[EndpointEntry], whole: bool, gap: float, limit: float, used: set[int]
     ) -> None:
         """Take in a list; an instance that a whole list leaves out is gone. A new one takes the index of one
         that is gone, unless that is among those `used`, so that no run of new ids makes the arrays grow.
@@ -78,7 +78,7 @@
             i = self.index.get(entry.instance)
             if i is not None:
                 self._change(i, entry, gap, limit)
-            elif entry.state != GONE:
+            elif entry.state != InstanceState.REMOVED:
                 i = self._add(entry.instance, self.free.take(self.state, used))
                 self._reset(i, entry, gap, limit)
                 self._change(i, entry, gap, limit)
@@ -89,30 +89,33 @@
         self.order.finish()
         self.free.finish()
 
-    def _change(self, i: int, entry: ListEntry, gap: float, limit: float) -> None:
+    def _change(self, i: int, entry: EndpointEntry, gap: float, limit: float) -> None:
         """What the list says of a known instance."""
-        size, listed = self.size[i], self.state[i] == READY
-        stays = listed and entry.state == READY and entry.build == self.build[i]
-        if entry.state == GONE:
+        size, listed = self.size[i], self.state[i] == InstanceState.READY
+        stays = listed and entry.state == InstanceState.READY and entry.build == self.build[i]
+        if entry.state == InstanceState.REMOVED:
             self._gone(i)
         elif listed and not stays:
             self.order.remove(i)
-        if entry.state == READY and (entry.started, entry.build) != (self.started[i], self.build[i]):
+        if entry.state == InstanceState.READY and (entry.started_at, entry.build) != (
+            self.started_at[i],
+            self.build[i],
+        ):
             self._reset(i, entry, gap, limit)
         self.state[i], self.zone[i], self.cell[i] = entry.state, entry.zone, entry.cell
         self.size[i] = max(entry.size, 1e-6)
-        if entry.state == READY and not stays:
+        if entry.state == InstanceState.READY and not stays:
             self.order.add(i)
         elif stays and self.size[i] != size:
             self.order.resize(i)
 
     def _gone(self, i: int) -> None:
         """The instance is there no more; its index may be given to another one."""
-        if self.state[i] == READY:
+        if self.state[i] == InstanceState.READY:
             self.order.remove(i)
-        if self.state[i] != GONE:
+        if self.state[i] != InstanceState.REMOVED:
             self.free.release(i)
-        self.state[i] = GONE
+        self.state[i] = InstanceState.REMOVED
 
     def _add(self, instance: Id, free: int | None) -> int:
         i = len(self.ids) if free is None else free
@@ -120,23 +123,39 @@
             del self.index[self.ids[i]]
         self.index[instance] = i
         arrays: list[tuple[list, object]] = [
-            (self.build, 0), (self.zone, ""), (self.cell, 0), (self.state, GONE), (self.size, 1.0),
-            (self.started, 0), (self.out, 0), (self.busy_since, 0), (self.last_reply, 0), (self.gap, 0.0),
-            (self.behind, 0), (self.failing, 0.0), (self.limit, 0.0), (self.cut_at, 0), (self.strikes, 0),
-            (self.shun_until, 0), (self.others, 0.0), (self.reported_at, 0), (self.cold_tokens, 0.0),
-            (self.cold_mark, -1.0), (self.rank, crc32(f"{self.number}/{instance}".encode()) << 32 | i),
+            (self.build, 0),
+            (self.zone, ""),
+            (self.cell, 0),
+            (self.state, InstanceState.REMOVED),
+            (self.size, 1.0),
+            (self.started_at, 0),
+            (self.out, 0),
+            (self.busy_since, 0),
+            (self.last_reply, 0),
+            (self.gap, 0.0),
+            (self.behind, 0),
+            (self.failing, 0.0),
+            (self.limit, 0.0),
+            (self.cut_at, 0),
+            (self.strikes, 0),
+            (self.shun_until, 0),
+            (self.others, 0.0),
+            (self.reported_at, 0),
+            (self.slow_start_tokens, 0.0),
+            (self.slow_start_mark, -1.0),
+            (self.rank, crc32(f"{self.number}/{instance}".encode()) << 32 | i),
             (self.ids, instance),
-        ]  # fmt: skip
+        ]
         for array, empty in arrays:
             array[i : i + 1] = [empty]
         return i
 
-    def _reset(self, i: int, entry: ListEntry, gap: float, limit: float) -> None:
+    def _reset(self, i: int, entry: EndpointEntry, gap: float, limit: float) -> None:
         """A process that starts anew inherits nothing from the one before it."""
-        self.build[i], self.started[i], self.size[i] = entry.build, entry.started, max(entry.size, 1e-6)
+        self.build[i], self.started_at[i], self.size[i] = entry.build, entry.started_at, max(entry.size, 1e-6)
         self.gap[i], self.limit[i] = gap, limit
         self.failing[i], self.strikes[i], self.shun_until[i] = 0.0, 0, 0
-        self.others[i], self.cold_tokens[i], self.cold_mark[i] = 0.0, 0.0, -1.0
+        self.others[i], self.slow_start_tokens[i], self.slow_start_mark[i] = 0.0, 0.0, -1.0
 
     def sent(self, i: int, now: int) -> None:
         if not self.out[i]:
--- a/linenbridge/state/free_indices.py
+++ b/linenbridge/state/free_indices.py
@@ -7,7 +7,7 @@
 
 import heapq
 
-from linenbridge.interface import GONE
+from linenbridge.interface import InstanceState
 
 
 class FreeIndices:
@@ -32,11 +32,11 @@
         """The lowest free index after the last one given out, None where there is none up to the end."""
         while self.heap:
             i = heapq.heappop(self.heap)
-            if i in used and state[i] == GONE:
+            if i in used and state[i] == InstanceState.REMOVED:
                 self.put_off.append(i)
                 continue
             self.known.discard(i)
-            if state[i] == GONE:
+            if state[i] == InstanceState.REMOVED:
                 self.last = i
                 return i
         self.last = self.end
--- a/linenbridge/state/gateway_state.py
+++ b/linenbridge/state/gateway_state.py
@@ -9,7 +9,7 @@
 from collections import deque
 from random import Random
 
-from linenbridge.interface import WITHDRAWN, Id, Startup
+from linenbridge.interface import RolloutPhase, Id, Startup
 from linenbridge.state.counters import CapBucket, Counts
 from linenbridge.state.fleet import Fleet
 from linenbridge.state.requests import OpenRpcs, Pick
@@ -22,14 +22,14 @@
         self.start, self.plan, self.allow, self.methods = start, start.plan, start.allowances, start.methods
         self.row = {method.name: m for m, method in enumerate(start.methods)}
         self.random, self.born = Random(seed), now
-        self.fleet = Fleet(self.allow.number, now)
+        self.fleet = Fleet(self.allow.gateway_number, now)
         self.near: dict[int, list[int]] = {}
         self.rpcs = OpenRpcs()
         self.notes: deque[str] = deque()
         self.taken = [0] * (len(self.methods) + 1)  # RPCs by method, and in all
         self.work = 0.0  # the mean work of an RPC, where RPCs tell theirs
         # The platform's news, the build judged, keys that the new build has answered, (build, row)'s buckets.
-        self.build, self.stage, self.phase, self.cap, self.lowest = -1, 0, WITHDRAWN, 0.0, -1
+        self.build, self.stage, self.phase, self.cap, self.lowest = -1, 0, RolloutPhase.WITHDRAWN, 0.0, -1
         self.judged, self.withdrawn = -1, set[int]()
         self.moved: dict[Id | None, int] = {}
         self.buckets: dict[tuple[int, int], CapBucket] = {}
@@ -39,7 +39,7 @@
         self.told: dict[tuple[int, int], Counts] = {}
         self.news = False
 
-    def on_hold(self, now: int, zones: frozenset[str] | None) -> None:
+    def on_rollout_freeze(self, now: int, zones: frozenset[str] | None) -> None:
         """Releases are held in these zones from now on, everywhere where none is named; None: not any more.
         The caps as they are when a hold begins are kept."""
         if self.held is None and zones is not None:
@@ -49,12 +49,12 @@
             self.notes.append(f"hold {where} build {self.build} stage {self.stage} cap {self.cap:g}")
         self.held = zones
 
-    def on_gone(self, now: int, rpc: str) -> None:
+    def on_client_disconnected(self, now: int, rpc: str) -> None:
         """The client of an RPC has left; its picks that are out go on to their end."""
         if rpc in self.rpcs:
             self.rpcs.end(self.rpcs[rpc])
 
-    def on_stream(self, now: int, rpc: str, pick: int) -> None:
+    def on_response_started(self, now: int, rpc: str, pick: int) -> None:
         """The answer of an RPC has begun to go to its client."""
         if rpc in self.rpcs:
             self.rpcs[rpc].streaming = True
@@ -79,7 +79,7 @@
         if binds and key is not None:
             self.moved[key] = max(build, self.moved.get(key, 0))
 
-    def takes_news(self, build: int, stage: int, phase: int, cap: float, rising: bool) -> None:
+    def takes_news(self, build: int, stage: int, phase: RolloutPhase, cap: float, rising: bool) -> None:
         """The platform's news of a build; `rising` where the build is on its way or there."""
         if self.build >= 0 and (build, stage, phase) != (self.build, self.stage, self.phase):
             self.notes.append(f"build {build} stage {stage} phase {phase} cap {cap:g}")
@@ -90,7 +90,7 @@
     def bucket(self, build: int, row: int, share: float) -> CapBucket:
         """The cap's tokens for a build and a row of methods, with what has been earned by now."""
         if (build, row) not in self.buckets:
-            self.buckets[build, row] = CapBucket(self.plan.spare_picks, self.taken[row], share)
+            self.buckets[build, row] = CapBucket(self.plan.burst_attempts, self.taken[row], share)
         self.buckets[build, row].settle(self.taken[row])
         return self.buckets[build, row]
 
--- a/linenbridge/state/ready_order.py
+++ b/linenbridge/state/ready_order.py
@@ -9,7 +9,7 @@
 from bisect import bisect_left
 from itertools import accumulate, filterfalse
 
-from linenbridge.interface import READY
+from linenbridge.interface import InstanceState
 
 
 class ReadyOrder:
@@ -88,12 +88,12 @@
     def _remake(self) -> None:
         """All that a list has changed, at once. What it left alone stands in its order already."""
         self.first = 0
-        self.ready[:] = [i for i, state in enumerate(self.state) if state == READY]
+        self.ready[:] = [i for i, state in enumerate(self.state) if state == InstanceState.READY]
         self.sizes[:] = array("d", map(self.size.__getitem__, self.ready))
         for build, same in self.near.items():
             self.near[build] = list(filterfalse(self.changed.__contains__, same))
         for i in self.changed:
-            if self.state[i] == READY:
+            if self.state[i] == InstanceState.READY:
                 self.near.setdefault(self.build[i], []).append(i)
         for build in [build for build, same in self.near.items() if not same]:
             del self.near[build]
--- a/linenbridge/state/requests.py
+++ b/linenbridge/state/requests.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from linenbridge.interface import NEVER_RAN, Id
+from linenbridge.interface import NOT_EXECUTED, Id
 
 
 @dataclass(slots=True)
@@ -30,7 +30,7 @@
     id: str
     method: int
     arrived: int
-    soft_deadline: int
+    latency_objective: int
     deadline: int
     cost: float
     utility: float
@@ -41,7 +41,7 @@
 
     def first_that_may_have_run(self) -> Pick | None:
         """The one fact behind the second rule: a pick still out may have run too."""
-        return next((pick for pick in self.picks if pick.outcome not in NEVER_RAN), None)
+        return next((pick for pick in self.picks if pick.outcome not in NOT_EXECUTED), None)
 
     def out(self) -> int:
         return sum(pick.outcome is None for pick in self.picks)
--- a/tests/days.py
+++ b/tests/days.py
@@ -13,16 +13,56 @@
 from dataclasses import replace
 from random import Random
 
-from linenbridge import interface as face
-from linenbridge.policy import Choice
-from linenbridge.interface import SECOND, ListEntry, Startup
+from linenbridge.decisions import (
+    CancelAttempt,
+    CastVote,
+    Decision,
+    Fail,
+    Gossip,
+    LogMessage,
+    Reject,
+    SendAttempt,
+    WatchEndpoints,
+)
+from linenbridge.interface import EndpointEntry, InstanceState, Outcome, RolloutPhase, SECOND, Startup
+from linenbridge.policy import DecisionModule
 from linenbridge.state.counters import Counts
 from linenbridge.state.peers import pack
 from tests.helpers import LONG_AGO, MS, startup
 
 NAMES = ("", "north", "south")
 SHARES = {f"tenant{n}": 0.002 * n for n in range(30)}
-OUTCOMES = (face.OK, face.ERROR, face.FULL, face.TIMED_OUT, face.UNREACHED, face.BROKEN, face.SPOILT)
+OUTCOMES = (
+    Outcome.OK,
+    Outcome.ERROR,
+    Outcome.OVERLOADED,
+    Outcome.TIMED_OUT,
+    Outcome.CONNECT_FAILED,
+    Outcome.CONNECTION_LOST,
+    Outcome.MALFORMED_RESPONSE,
+)
+
+
+def rendered(decision: Decision) -> str:
+    """A decision in the form of the record: as the tuple that stood for it when the digests were taken."""
+    match decision:
+        case SendAttempt():
+            fields: tuple[object, ...] = ("pick", decision.rpc_id, decision.instance, decision.timeout)
+        case CancelAttempt():
+            fields = ("cancel", decision.rpc_id, decision.attempt)
+        case Reject():
+            fields = ("push_back", decision.rpc_id, decision.retry_after)
+        case Fail():
+            fields = ("abort", decision.rpc_id)
+        case CastVote():
+            fields = ("vote", decision.build, decision.stage, int(decision.vote))
+        case Gossip():
+            fields = ("tell", decision.peer, decision.payload)
+        case WatchEndpoints():
+            fields = ("watch",)
+        case LogMessage():
+            fields = ("log", decision.text)
+    return repr(fields)
 
 
 class Day:
@@ -30,34 +70,47 @@
 
     def __init__(self, seed: int, shares: dict[str, float] | None = None) -> None:
         self.dice = Random(f"day {seed}")
-        self.start = replace(self._settings(), tenant_shares=shares or {})
-        self.tenants = (*NAMES, *self.start.tenant_shares)
-        self.gateways = self.start.allowances.gateways
+        self.start = replace(self._settings(), tenant_quotas=shares or {})
+        self.tenants = (*NAMES, *self.start.tenant_quotas)
+        self.gateways = self.start.allowances.gateway_count
         self.now, self.count, self.lines = 0, 0, list[str]()
-        self.gateway = Choice(self.start, seed, 0)
-        self.entries = {n: self._entry(n, 1, face.READY, LONG_AGO) for n in range(self.dice.choice((6, 40)))}
+        self.gateway = DecisionModule(self.start, seed, 0)
+        self.entries = {
+            n: self._entry(n, 1, InstanceState.READY, LONG_AGO) for n in range(self.dice.choice((6, 40)))
+        }
         self.open: dict[str, int] = {}
         self.due: list[tuple[int, str, int, int]] = []
         self.pace = self.dice.choice((1, 3, 12))
-        self.stage = (1, 1, face.RELEASED, 1.0)
+        self.stage = (1, 1, RolloutPhase.RELEASED, 1.0)
         self.sick: set[int] = set()
-        self.gateway.on_list(0, list(self.entries.values()), whole=True, answers=False)
-        self.gateway.on_stage(0, *self.stage, vote=False, valid=True, moot=False)
+        self.gateway.on_endpoint_list(
+            0, list(self.entries.values()), is_snapshot=True, is_poll_response=False
+        )
+        self.gateway.on_rollout_update(0, *self.stage, is_vote_response=False, is_valid=True, is_stale=False)
 
     def _settings(self) -> Startup:
         dice = self.dice
         return startup(
-            second_copies=dice.random() < 0.5, may_cancel=dice.random() < 0.5, may_tell=dice.random() < 0.5,
-            per_method=dice.random() < 0.5, forward_only=dice.random() < 0.5, by_work=dice.random() < 0.3,
-            asks_for_list=dice.random() < 0.5, by_timer=dice.random() < 0.3, in_place=dice.random() < 0.5,
-            cold_from=dice.uniform(0.1, 0.4), fall_multiple=dice.uniform(1.2, 3.0),
-            gateways=dice.choice((1, 4, 40, 214)), number=dice.randrange(4),
-            back_votes=dice.choice((1, 3, 70)), tally_period=dice.choice((0, SECOND)),
+            hedging_allowed=dice.random() < 0.5,
+            cancel_allowed=dice.random() < 0.5,
+            gossip_allowed=dice.random() < 0.5,
+            per_method=dice.random() < 0.5,
+            forward_only=dice.random() < 0.5,
+            weighted_by_work=dice.random() < 0.3,
+            polls_endpoints=dice.random() < 0.5,
+            by_timer=dice.random() < 0.3,
+            in_place=dice.random() < 0.5,
+            slow_start_floor=dice.uniform(0.1, 0.4),
+            slow_start_multiple=dice.uniform(1.2, 3.0),
+            gateway_count=dice.choice((1, 4, 40, 214)),
+            gateway_number=dice.randrange(4),
+            rollback_votes=dice.choice((1, 3, 70)),
+            tally_period=dice.choice((0, SECOND)),
             calls_per_second=dice.choice((0.0, 16.0)),
-        )  # fmt: skip
+        )
 
-    def _entry(self, n: int, build: int, state: int, started: int) -> ListEntry:
-        return ListEntry(n, build, "abc"[n % 3], n % 5, state, 1.0 + n % 2, started)
+    def _entry(self, n: int, build: int, state: int, started: int) -> EndpointEntry:
+        return EndpointEntry(n, build, "abc"[n % 3], n % 5, state, 1.0 + n % 2, started)
 
     def play(self, steps: int) -> list[str]:
         for step in range(steps):
@@ -73,7 +126,7 @@
             if self.dice.random() < 0.02 and self.open:
                 rpc = self.dice.choice(list(self.open))
                 del self.open[rpc]
-                self.gateway.on_gone(self.now, rpc)
+                self.gateway.on_client_disconnected(self.now, rpc)
             self._decisions()
             self.lines.append(f"{self.now} wake {self.gateway.wake_at()}")
         return self.lines
@@ -88,37 +141,60 @@
             self.dice.choice((None, self.dice.randrange(40))),
         )
         self.open[rpc] = 0
-        self.gateway.on_rpc(self.now, rpc, method.name, ttl, work, tenant, key)
+        self.gateway.on_request(self.now, rpc, method.name, ttl, work, tenant, key)
 
     def _end(self, rpc: str, number: int, instance: int) -> None:
         weights = (20, 40, 10, 10, 5, 5, 2) if instance in self.sick else (200, 3, 1, 3, 1, 1, 1)
         outcome = self.dice.choices(OUTCOMES, weights)[0]
-        final = outcome == face.OK and rpc in self.open
+        final = outcome == Outcome.OK and rpc in self.open
         if final:
             del self.open[rpc]
         load = self.dice.choice(({}, {"in_flight": 3.0}, {"waiting": 1.0}))
         took = self.dice.randrange(5 * MS, self.dice.choice((40, 200, 1200)) * MS)
-        self.gateway.on_reply(self.now, rpc, number, outcome, final or rpc not in self.open, took, load)
+        self.gateway.on_attempt_finished(
+            self.now, rpc, number, outcome, final or rpc not in self.open, took, load
+        )
 
     def _news(self, turn: int) -> None:
         """What the list, the platform and other gateways say; a new build comes, moves on or goes back."""
         dice = self.dice
         for n in dice.sample(sorted(self.entries), 2):
             build = dice.choice((1, 2)) if turn < 12 else dice.choice((2, 3))
-            state = dice.choice((face.READY, face.READY, face.READY, face.DRAINING, face.GONE))
+            state = dice.choice(
+                (
+                    InstanceState.READY,
+                    InstanceState.READY,
+                    InstanceState.READY,
+                    InstanceState.DRAINING,
+                    InstanceState.REMOVED,
+                )
+            )
             self.entries[n] = self._entry(n, build, state, dice.choice((LONG_AGO, self.now - SECOND)))
         if turn % 5 == 4:
             self.sick = set(dice.sample(sorted(self.entries), 2))
-        self.gateway.on_list(
-            self.now, list(self.entries.values()), whole=turn % 3 == 0, answers=dice.random() < 0.8
+        self.gateway.on_endpoint_list(
+            self.now,
+            list(self.entries.values()),
+            is_snapshot=turn % 3 == 0,
+            is_poll_response=dice.random() < 0.8,
         )
         if dice.random() < 0.1:
-            self.gateway.on_list_failed(self.now)
+            self.gateway.on_endpoint_list_failed(self.now)
         if dice.random() < 0.4:
-            build, phase = 2 if turn < 12 else 3, dice.choice((face.ON_TRIAL, face.ON_TRIAL, face.GOING_BACK))
-            cap = dice.choice((0.2, 1.0)) if phase == face.ON_TRIAL else 0.0
-            self.gateway.on_stage(
-                self.now, build, int(cap == 1.0), phase, cap, vote=dice.random() < 0.2, valid=True, moot=False
+            build, phase = (
+                2 if turn < 12 else 3,
+                dice.choice((RolloutPhase.ON_TRIAL, RolloutPhase.ON_TRIAL, RolloutPhase.ROLLING_BACK)),
+            )
+            cap = dice.choice((0.2, 1.0)) if phase == RolloutPhase.ON_TRIAL else 0.0
+            self.gateway.on_rollout_update(
+                self.now,
+                build,
+                int(cap == 1.0),
+                phase,
+                cap,
+                is_vote_response=dice.random() < 0.2,
+                is_valid=True,
+                is_stale=False,
             )
         build, method = dice.choice((1, 2, 3)), dice.choice(self.start.methods).name
         picks = dice.randrange(60)
@@ -128,24 +204,34 @@
         )
         counts = {(build, m): Counts(4 * turn, turn, 3 * turn, 3 * turn * 90 * MS) for m in range(3)}
         words = pack(9, [build], 3, counts)
-        self.gateway.on_peer(self.now, dice.randrange(4), words[: dice.choice((len(words), len(words) - 3))])
+        self.gateway.on_gossip(
+            self.now, dice.randrange(4), words[: dice.choice((len(words), len(words) - 3))]
+        )
         self.gateway.on_flag(self.now, dice.choice(sorted(self.entries)), method, self.now - SECOND // 2)
 
     def _decisions(self) -> None:
         while (decision := self.gateway.next_decision(self.now)) is not None:
-            self.lines.append(f"{self.now} {decision!r}")
-            kind = decision[0]
-            if kind == face.PICK:
-                wait = min(decision[3], self.dice.choice((5, 10, 30, 60, 200, 3000)) * MS)
-                self.due.append((self.now + wait, decision[1], self._number(decision[1]), decision[2]))
-            elif kind in (face.PUSH_BACK, face.ABORT):
-                del self.open[decision[1]]
-            elif kind == face.VOTE:
+            self.lines.append(f"{self.now} {rendered(decision)}")
+            if isinstance(decision, SendAttempt):
+                wait = min(decision.timeout, self.dice.choice((5, 10, 30, 60, 200, 3000)) * MS)
+                self.due.append(
+                    (self.now + wait, decision.rpc_id, self._number(decision.rpc_id), decision.instance)
+                )
+            elif isinstance(decision, Reject | Fail):
+                del self.open[decision.rpc_id]
+            elif isinstance(decision, CastVote):
                 valid = self.dice.random() < 0.7
-                build, stage = (decision[1], decision[2]) if valid else (0, 0)
+                build, stage = (decision.build, decision.stage) if valid else (0, 0)
                 cap, moot = self.start.plan.caps[stage], not valid and self.dice.random() < 0.3
-                self.gateway.on_stage(
-                    self.now, build, stage, face.ON_TRIAL, cap, vote=True, valid=valid, moot=moot
+                self.gateway.on_rollout_update(
+                    self.now,
+                    build,
+                    stage,
+                    RolloutPhase.ON_TRIAL,
+                    cap,
+                    is_vote_response=True,
+                    is_valid=valid,
+                    is_stale=moot,
                 )
 
     def _number(self, rpc: str) -> int:
--- a/tests/distribution/view/helpers.py
+++ b/tests/distribution/view/helpers.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from linenbridge import interface as face
+from linenbridge.interface import InstanceState
 from linenbridge.distribution.changes import InstanceValue, Kind, TenantValue, ZoneValue
 from linenbridge.distribution.view.results import ViewLimits
 from linenbridge.distribution.view.view import View
@@ -34,7 +34,7 @@
 
 
 def expected_entry(name: str, value: InstanceValue, lost: set[str]) -> tuple:
-    state = face.GONE if value.zone in lost else value.state
+    state = InstanceState.REMOVED if value.zone in lost else value.state
     started = value.started * 1000 + UNIX_OFFSET
     entry = (name, value.build, value.zone, value.cell, state, value.size, started)
     return entry, (value.host, value.port)
--- a/tests/distribution/view/test_serving.py
+++ b/tests/distribution/view/test_serving.py
@@ -16,7 +16,7 @@
 import grpc
 import pytest
 
-from linenbridge.policy import Choice
+from linenbridge.policy import DecisionModule
 from linenbridge.distribution.changes import Kind
 from linenbridge.configuration.read import ConfigurationError, read
 from linenbridge.distribution.configuration import distribution
@@ -150,12 +150,12 @@
 
 def test_the_module_weighs_by_the_views_shares_as_by_a_dict_of_them():
     def utilities(shares) -> list[float]:
-        gateway = Choice(replace(startup(gateways=1), tenant_shares=shares), 7, 0)
-        gateway.on_list(0, [entry(1)], whole=True, answers=True)
+        gateway = DecisionModule(replace(startup(gateway_count=1), tenant_quotas=shares), 7, 0)
+        gateway.on_endpoint_list(0, [entry(1)], is_snapshot=True, is_poll_response=True)
         found = []
         for number in range(60):
             tenant, rpc = ("t1", "t2", "t3")[number % 3], f"r{number}"
-            gateway.on_rpc(number * 500, rpc, "look", 50 * MS, None, tenant, None)
+            gateway.on_request(number * 500, rpc, "look", 50 * MS, None, tenant, None)
             found.append(gateway.rpcs.get(rpc).utility)
         return found
 
--- a/tests/distribution/view/test_view.py
+++ b/tests/distribution/view/test_view.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from linenbridge import interface as face
+from linenbridge.interface import InstanceState
 from linenbridge.distribution.changes import VALUE_MOST, InstanceValue, Kind, TenantValue, Version
 from linenbridge.distribution.decisions import Apply
 from linenbridge.distribution.errors import ChangeRefused
@@ -265,9 +265,9 @@
     applied = view.apply(batch(change(Kind.ZONE, "z1", zone_value(), 200)))
     assert (applied.taken, applied.zones) == (1, ["z1"])
     states = [entry.state for entry in view.instances("shop")]
-    assert (states.count(face.GONE), states.count(face.READY)) == (50, 50)
+    assert (states.count(InstanceState.REMOVED), states.count(InstanceState.READY)) == (50, 50)
     view.apply(batch(change(Kind.ZONE, "z1", zone_value(False), 201)))
-    assert all(entry.state == face.READY for entry in view.instances("shop"))
+    assert all(entry.state == InstanceState.READY for entry in view.instances("shop"))
 
 
 def test_changes_of_services_in_use_are_told_one_by_one():
@@ -280,7 +280,7 @@
     )  # fmt: skip
     told = applied.instances["shop"]
     assert [(one.entry.instance, one.entry.build, one.entry.state) for one in told] == [
-        ("i7", 9, face.READY), ("i8", 1, face.GONE),
+        ("i7", 9, InstanceState.READY), ("i8", 1, InstanceState.REMOVED),
     ]  # fmt: skip
     assert list(applied.instances) == ["shop"] and told[0].address == ("127.0.0.1", 9000)
     assert sorted(view.instances("shop")) == sorted(one.entry for one in reloaded(view, {}).listed("shop"))
@@ -292,7 +292,7 @@
     view = new_view()
     unknown = pack(InstanceValue(1, "z", "c", 1, 1.0, 0, "h", 1))
     view.apply(batch(instance(1, "shop/i1"), change(Kind.INSTANCE, "shop/i2", unknown, 2)))
-    starts = {entry.instance: entry.started for entry in view.instances("shop")}
+    starts = {entry.instance: entry.started_at for entry in view.instances("shop")}
     assert starts == {"i1": 1_700_000_000_000_000 - 7, "i2": LONG_AGO}
 
 
--- a/tests/fleet/freezes/test_holds.py
+++ b/tests/fleet/freezes/test_holds.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from linenbridge import interface as face
-from linenbridge.policy import Choice
+from linenbridge.decisions import CastVote, SendAttempt
+from linenbridge.interface import Outcome, RolloutPhase, SECOND, Vote
+from linenbridge.policy import DecisionModule
 from linenbridge.configuration.read import ConfigurationError
 from linenbridge.fleet.freezes.configuration import windows
 from linenbridge.fleet.freezes.holds import Holds
 from linenbridge.fleet.freezes.windows import Window
-from linenbridge.interface import SECOND
 from tests.policy.helpers import fail_trial, outcome
 from tests.helpers import MS, entry, pull, running, startup
 
@@ -59,9 +59,11 @@
     for step in range(steps):
         at = now + step * 100 * MS
         for decision in pull(gateway, at):
-            if decision[0] == face.VOTE:
-                found.add(decision[3])
-                gateway.on_stage(at, 2, 1, face.ON_TRIAL, gateway.cap, vote=True, valid=True)
+            if isinstance(decision, CastVote):
+                found.add(decision.vote)
+                gateway.on_rollout_update(
+                    at, 2, 1, RolloutPhase.ON_TRIAL, gateway.cap, is_vote_response=True, is_valid=True
+                )
     return found
 
 
@@ -69,70 +71,72 @@
 def test_a_hold_takes_an_on_back_and_keeps_from_casting_one(zones):
     gateway = running()
     for n in range(200):
-        outcome(gateway, n * 10 * MS, f"r{n}", face.OK)
-    assert on_votes(gateway, 3 * SECOND) == {face.ON}
-    gateway.on_hold(20 * SECOND, zones)
-    assert on_votes(gateway, 20 * SECOND) == {face.NO_VOTE}
-    gateway.on_hold(40 * SECOND, None)
-    assert on_votes(gateway, 40 * SECOND) == {face.ON}
+        outcome(gateway, n * 10 * MS, f"r{n}", Outcome.OK)
+    assert on_votes(gateway, 3 * SECOND) == {Vote.PROMOTE}
+    gateway.on_rollout_freeze(20 * SECOND, zones)
+    assert on_votes(gateway, 20 * SECOND) == {Vote.NONE}
+    gateway.on_rollout_freeze(40 * SECOND, None)
+    assert on_votes(gateway, 40 * SECOND) == {Vote.PROMOTE}
 
 
 def test_a_hold_elsewhere_changes_nothing():
     gateway = running()
     for n in range(200):
-        outcome(gateway, n * 10 * MS, f"r{n}", face.OK)
-    gateway.on_hold(2 * SECOND, frozenset({"elsewhere"}))
-    assert on_votes(gateway, 3 * SECOND) == {face.ON}
+        outcome(gateway, n * 10 * MS, f"r{n}", Outcome.OK)
+    gateway.on_rollout_freeze(2 * SECOND, frozenset({"elsewhere"}))
+    assert on_votes(gateway, 3 * SECOND) == {Vote.PROMOTE}
 
 
 def test_going_back_is_free_under_a_hold():
     gateway = running()
-    gateway.on_hold(0, frozenset())
+    gateway.on_rollout_freeze(0, frozenset())
     now = fail_trial(gateway, 0, 8)
-    assert gateway.sums.alarms and face.BACK in on_votes(gateway, now)
+    assert gateway.sums.alarms and Vote.ROLL_BACK in on_votes(gateway, now)
 
 
 def test_where_votes_are_scarce_a_held_on_is_taken_back_and_not_left_to_lapse():
-    gateway = running(calls_per_second=0.5, gateways=200)
+    gateway = running(calls_per_second=0.5, gateway_count=200)
     for n in range(200):
-        outcome(gateway, n * 10 * MS, f"r{n}", face.OK)
-    assert face.ON in on_votes(gateway, 3 * SECOND)
-    gateway.on_hold(20 * SECOND, frozenset())
-    assert on_votes(gateway, 20 * SECOND, steps=5) == {face.NO_VOTE}
+        outcome(gateway, n * 10 * MS, f"r{n}", Outcome.OK)
+    assert Vote.PROMOTE in on_votes(gateway, 3 * SECOND)
+    gateway.on_rollout_freeze(20 * SECOND, frozenset())
+    assert on_votes(gateway, 20 * SECOND, steps=5) == {Vote.NONE}
 
 
 def picks_at_trial(gateway, now: int, count: int) -> int:
     sent = 0
     for n in range(count):
         at = now + n * 10 * MS
-        gateway.on_rpc(at, f"p{at}", "look", 4 * SECOND, None, "", None)
+        gateway.on_request(at, f"p{at}", "look", 4 * SECOND, None, "", None)
         for decision in pull(gateway, at):
-            if decision[0] == face.PICK:
-                sent += gateway.fleet.build[gateway.fleet.index[decision[2]]] == 2
-                gateway.on_reply(at + MS, decision[1], 0, face.OK, True, MS, {})
-                gateway.on_gone(at + MS, decision[1])
+            if isinstance(decision, SendAttempt):
+                sent += gateway.fleet.build[gateway.fleet.index[decision.instance]] == 2
+                gateway.on_attempt_finished(at + MS, decision.rpc_id, 0, Outcome.OK, True, MS, {})
+                gateway.on_client_disconnected(at + MS, decision.rpc_id)
     return sent
 
 
 def test_the_share_does_not_grow_under_a_hold_whatever_the_platform_says():
     gateway = running()
-    gateway.on_stage(0, 2, 0, face.ON_TRIAL, 0.1, vote=False, valid=True)
-    gateway.on_hold(SECOND, frozenset())
-    gateway.on_stage(SECOND, 2, 1, face.ON_TRIAL, 1.0, vote=False, valid=True)
+    gateway.on_rollout_update(0, 2, 0, RolloutPhase.ON_TRIAL, 0.1, is_vote_response=False, is_valid=True)
+    gateway.on_rollout_freeze(SECOND, frozenset())
+    gateway.on_rollout_update(SECOND, 2, 1, RolloutPhase.ON_TRIAL, 1.0, is_vote_response=False, is_valid=True)
     assert 0 < picks_at_trial(gateway, SECOND, 400) <= 0.1 * 400 + 4
-    gateway.on_hold(6 * SECOND, None)
+    gateway.on_rollout_freeze(6 * SECOND, None)
     assert picks_at_trial(gateway, 6 * SECOND, 400) > 60
 
 
 def test_a_build_that_comes_under_a_hold_gets_nothing_while_an_earlier_one_is_there():
-    gateway = Choice(startup(), seed=7, now=0)
-    gateway.on_list(0, [entry(1), entry(2), entry(3, zone="b")], whole=True, answers=True)
-    gateway.on_stage(0, 1, 1, face.RELEASED, 1.0, vote=False, valid=True)
-    gateway.on_hold(SECOND, frozenset())
-    gateway.on_list(SECOND, [entry(4, build=2)], whole=False, answers=True)
-    gateway.on_stage(SECOND, 2, 0, face.ON_TRIAL, 0.2, vote=False, valid=True)
+    gateway = DecisionModule(startup(), seed=7, now=0)
+    gateway.on_endpoint_list(
+        0, [entry(1), entry(2), entry(3, zone="b")], is_snapshot=True, is_poll_response=True
+    )
+    gateway.on_rollout_update(0, 1, 1, RolloutPhase.RELEASED, 1.0, is_vote_response=False, is_valid=True)
+    gateway.on_rollout_freeze(SECOND, frozenset())
+    gateway.on_endpoint_list(SECOND, [entry(4, build=2)], is_snapshot=False, is_poll_response=True)
+    gateway.on_rollout_update(SECOND, 2, 0, RolloutPhase.ON_TRIAL, 0.2, is_vote_response=False, is_valid=True)
     assert picks_at_trial(gateway, SECOND, 200) == 0
-    gateway.on_list(4 * SECOND, [entry(4, build=2)], whole=True, answers=True)
+    gateway.on_endpoint_list(4 * SECOND, [entry(4, build=2)], is_snapshot=True, is_poll_response=True)
     assert picks_at_trial(gateway, 4 * SECOND, 100) > 0, "serving goes on where nothing else is left"
 
 
--- a/tests/net/bench.py
+++ b/tests/net/bench.py
@@ -13,14 +13,14 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from linenbridge.policy import Choice
+from linenbridge.policy import DecisionModule
 from linenbridge.net import resp
 from linenbridge.net.downstream import Clients
 from linenbridge.net.discovery import Discovery
 from linenbridge.net.watch_stream import Follow
 from linenbridge.net.upstream import Descriptors, Instances
 from linenbridge.logging.event_log import Log
-from linenbridge.net.decision_loop import Loop
+from linenbridge.net.decision_loop import DecisionLoop
 from linenbridge.net.platform import Platform
 from tests.helpers import startup
 
@@ -110,12 +110,12 @@
 class Bench:
     """One gateway's parts around a scripted module."""
 
-    def __init__(self, descriptors: int = 50, module: Choice | None = None, pool: int = 99) -> None:
+    def __init__(self, descriptors: int = 50, module: DecisionModule | None = None, pool: int = 99) -> None:
         self.reactor, self.module = MemoryReactorClock(), module or Scripted()
         self.lines = io.BytesIO()
         self.log = Log(self.lines)
         self.now = lambda: int(self.reactor.seconds() * 1e6)
-        self.loop = Loop(self.module, self.reactor, self.now, self.log)
+        self.loop = DecisionLoop(self.module, self.reactor, self.now, self.log)
         self.instances = Instances(self.loop, self.reactor, descriptors, 200_000, 8_000_000, self.log)
         self.clients = Clients(
             self.loop,
@@ -194,7 +194,7 @@
         return wire
 
     def outcomes(self) -> list[tuple]:
-        return [told[1:4] for told in self.module.told if told[0] == "on_reply"]
+        return [told[1:4] for told in self.module.told if told[0] == "on_attempt_finished"]
 
 
 SPOILT = [
--- a/tests/net/test_clients.py
+++ b/tests/net/test_clients.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from linenbridge import interface as face
+from linenbridge.decisions import Fail, Reject, SendAttempt
 from linenbridge.net import resp
 from linenbridge.net.downstream import BATCH, LAST_COMMANDS, LAST_CONNECTIONS, QUIET
 
@@ -45,7 +45,7 @@
         resp.command([b"SVC.QUERY", b"key", b"id1", b"c=look,d=900,t=" + tenant])
     )
     bench.turn()
-    assert next(told for told in bench.module.told if told[0] == "on_rpc")[5] == known
+    assert next(told for told in bench.module.told if told[0] == "on_request")[5] == known
 
 
 def test_what_is_no_resp_ends_the_connection_after_the_answers_owed_on_it(bench):
@@ -55,7 +55,7 @@
     )
     bench.turn()
     assert client.connected
-    bench.say((face.PUSH_BACK, "a", 0))
+    bench.say(Reject("a", 0))
     assert client.taken().startswith(b"-BUSY\r\n-ERR ") and not client.connected
 
 
@@ -70,7 +70,7 @@
         assert wire.taken().startswith(b"-ERR ") and not wire.connected
     bench.turn(3)
     assert asks.connected and other.connected
-    bench.say((face.ABORT, "id1"))
+    bench.say(Fail("id1"))
     asks.protocol.dataReceived(b"*2\r\n")
     bench.turn(1.9)
     assert asks.connected
@@ -107,7 +107,7 @@
     for n in range(60):
         wire = bench.client()
         bench.send(wire, f"once{n}")
-        bench.say((face.ABORT, f"once{n}"))
+        bench.say(Fail(f"once{n}"))
         assert wire.taken() == b"-ERR aborted\r\n" and len(bench.clients.open) <= 30 - BATCH
     assert busy.connected and not bench.clients.paused
 
@@ -167,13 +167,13 @@
             wire.protocol.dataReceived(bytes(spoilt[:size]))
             del spoilt[:size]
         bench.send(usual, f"usual{n}")
-        bench.say((face.PUSH_BACK, f"usual{n}", 0))
+        bench.say(Reject(f"usual{n}", 0))
         assert usual.taken() == b"-BUSY\r\n"
         bench.turn(QUIET / 1e6 + 0.1)
         if not wire.protocol.pending:
             assert wire.value().startswith(b"-ERR ") or not wire.connected
         for rpc in [rpc.id for rpc in bench.loop.open.values() if not rpc.ended]:
-            bench.say((face.ABORT, rpc))
+            bench.say(Fail(rpc))
     assert not bench.loop.open and ("failed",) not in bench.log.counts
 
 
@@ -190,11 +190,11 @@
     assert not idle.connected and busy.connected and not stopped
     # Its first command was on the way: taken, answered, and the connection ends with that.
     bench.send(late, "id2")
-    bench.say((face.PUSH_BACK, "id2", 0))
+    bench.say(Reject("id2", 0))
     assert late.taken() == b"-BUSY\r\n" and not late.connected and silent.connected
     bench.turn(LAST_COMMANDS - LAST_CONNECTIONS)
     assert not silent.connected and busy.connected and not stopped
-    bench.say((face.ABORT, "id1"))
+    bench.say(Fail("id1"))
     assert busy.taken() == b"-ERR aborted\r\n" and not busy.connected and len(stopped) == 1 and stopped[0] > 0
 
 
@@ -210,7 +210,7 @@
     client.doRead()
     bench.turn(1)
     assert "id2" not in bench.loop.open and client.unread
-    bench.say((face.ABORT, "id1"))
+    bench.say(Fail("id1"))
     assert client.taken() == b"+PONG\r\n-ERR aborted\r\n" and not client.connected and stopped
 
 
@@ -222,7 +222,7 @@
     bench.turn(LAST_CONNECTIONS)
     client.protocol.dataReceived(command[-9:])
     bench.turn()
-    bench.say((face.ABORT, "id1"))
+    bench.say(Fail("id1"))
     assert client.taken() == b"+PONG\r\n-ERR aborted\r\n" and not client.connected and stopped
 
 
@@ -237,7 +237,7 @@
     assert bench.clients.paused
     bench.clients.stop(bench.reactor, lambda: stopped.append(bench.now()))
     bench.turn(1)
-    bench.say((face.ABORT, "id0"), (face.ABORT, "id1"))
+    bench.say(Fail("id0"), Fail("id1"))
     for _ in range(3):
         bench.turn(QUIET / 1e6)
     assert stopped and not bench.clients.open and not bench.clients.descriptors.open
@@ -254,16 +254,16 @@
         resp.command([b"PING"]) + resp.command([b"SVC.QUERY", b"key", b"id1", b"c=look,t=a,d=900"])
     )
     bench.turn()
-    bench.say((face.ABORT, "id1"))
+    bench.say(Fail("id1"))
     assert client.taken() == b"+PONG\r\n-ERR aborted\r\n"
 
 
 def test_one_call_that_fails_is_logged_and_the_rest_of_the_turn_goes_on(bench):
-    bench.loop.gather(lambda now: 1 / 0)
+    bench.loop.enqueue(lambda now: 1 / 0)
     bench.send(bench.client(), "id1")
-    bench.say((face.PICK, "no such id", "s-1", 1), (face.ABORT, "id1"))
+    bench.say(SendAttempt("no such id", "s-1", 1), Fail("id1"))
     events = [json.loads(line) for line in bench.lines.getvalue().splitlines()]
-    assert [e["where"] for e in events if e["event"] == "failed"] == ["input", "carrying out pick"]
+    assert [e["where"] for e in events if e["event"] == "failed"] == ["input", "executing SendAttempt"]
     assert "ZeroDivisionError" in next(e["trace"] for e in events if e["event"] == "failed")
 
 
@@ -276,7 +276,7 @@
         clients.append(bench.client())
         bench.send(clients[-1], f"id{n}")
     assert reads == ["stop"] and all(client.connected for client in clients)
-    bench.say((face.ABORT, "id0"))
+    bench.say(Fail("id0"))
     assert not clients[0].connected and reads == ["stop"]
     clients[3].lose()
     assert reads == ["stop", "start"] and all(client.connected for client in clients[1:3])
--- a/tests/net/test_lists.py
+++ b/tests/net/test_lists.py
@@ -21,8 +21,8 @@
 
 
 def told(bench: Bench) -> list[int]:
-    lists = [told[1] for told in bench.module.told if told[0] == "on_list"]
-    return [entries[0].started for entries in lists if entries[0].instance == NAME]
+    lists = [told[1] for told in bench.module.told if told[0] == "on_endpoint_list"]
+    return [entries[0].started_at for entries in lists if entries[0].instance == NAME]
 
 
 @pytest.mark.parametrize("ending", [b"\n", b"\r\n"])
@@ -86,7 +86,7 @@
     bench.discovery.told(memoryview(text))
     bench.turn()
     entry = bench.module.told[-1][1][0]
-    assert (entry.zone, entry.cell, entry.size, entry.started) == read
+    assert (entry.zone, entry.cell, entry.size, entry.started_at) == read
 
 
 @pytest.mark.parametrize("text", [b'{"a": "b\n"}\n', b"{" + b"[\n" * 60, b"x" * 101])
--- a/tests/net/test_runs.py
+++ b/tests/net/test_runs.py
@@ -8,8 +8,8 @@
 from twisted.internet.error import ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
 
-from linenbridge import interface as face
-from linenbridge.policy import Choice
+from linenbridge.decisions import CancelAttempt, Fail, Reject, SendAttempt
+from linenbridge.policy import DecisionModule
 from linenbridge.net import resp
 from linenbridge.net.downstream import Client
 from tests.helpers import startup
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize("seed", range(8))
 def test_the_modules_picture_of_what_is_open_and_out_is_what_is_on_the_sockets(seed):
     """The module itself, before stand-ins that answer, spoil, break, drain and come back started anew."""
-    dice, module = Random(seed), Choice(startup(), seed, 0)
+    dice, module = Random(seed), DecisionModule(startup(), seed, 0)
     bench, lines, starts, wires = Bench(80, module), [], [0] * 5, [None] * 20
     bench.list(*((f"s-{i}", i + 1, "active", 0) for i in range(5)))
     for n in range(400):
@@ -81,16 +81,13 @@
                     bench.send(wire, f"r{n}")
             case 2 | 3 if open_rpcs:
                 bench.say(
-                    (
-                        face.PICK,
-                        dice.choice(open_rpcs).id,
-                        dice.choice(("s-1", "s-2")),
-                        dice.randint(1, 400_000),
+                    SendAttempt(
+                        dice.choice(open_rpcs).id, dice.choice(("s-1", "s-2")), dice.randint(1, 400_000)
                     )
                 )
             case 4 if open_rpcs:
                 rpc = dice.choice(open_rpcs).id
-                bench.say(dice.choice(((face.ABORT, rpc), (face.PUSH_BACK, rpc, 0), (face.CANCEL, rpc, 0))))
+                bench.say(dice.choice((Fail(rpc), Reject(rpc, 0), CancelAttempt(rpc, 0))))
             case 5 if bench.dialled < len(bench.reactor.tcpClients):
                 if dice.random() < 0.7:
                     lines.append(bench.up())
@@ -108,15 +105,15 @@
                 bench.list(*dice.sample(rows, 2)[: dice.randint(1, 2)])
         bench.turn(dice.choice((0, 0, 0.01, 0.3)))
         picks = bench.instances.picks.values()
-        assert sum(rpc.out for rpc in bench.loop.open.values()) == len(picks)
-        assert all(rpc.out or not rpc.ended for rpc in bench.loop.open.values())
+        assert sum(rpc.in_flight for rpc in bench.loop.open.values()) == len(picks)
+        assert all(rpc.in_flight or not rpc.ended for rpc in bench.loop.open.values())
         assert all((pick.connection is None) == (pick in pick.pool.waiting) for pick in picks)
         for wire in clients:
             if wire.connected:
                 answers = wire.value().count(b"\r\n") - wire.value().count(b"$1\r\n")
                 assert answers + len(wire.protocol.pending) == owed.get(wire.protocol, 0)
     for rpc in [rpc.id for rpc in bench.loop.open.values() if not rpc.ended]:
-        bench.say((face.ABORT, rpc))
+        bench.say(Fail(rpc))
     for wire in clients + lines:
         wire.lose()
     while bench.dialled < len(bench.reactor.tcpClients):
@@ -127,7 +124,7 @@
         kind: sum(c for names, c in counts.items() if names[0] == kind)
         for kind in ("taken", "answered", "gone")
     }
-    ends = sum(told[0] == "on_reply" for told in bench.module.told)
+    ends = sum(told[0] == "on_attempt_finished" for told in bench.module.told)
     assert total["taken"] == total["answered"] + total["gone"] and bench.loop.unanswered == 0
     assert ends == sum(c for names, c in counts.items() if names[0] == "picked")
     assert not bench.loop.open and not bench.instances.picks
@@ -136,7 +133,7 @@
 
 @pytest.mark.parametrize("left", [0, 1, 11, 12])
 def test_an_rpc_taken_with_hardly_any_time_left_is_answered_at_once_and_sent_to_nobody(left):
-    bench = Bench(80, Choice(startup(), 1, 0))
+    bench = Bench(80, DecisionModule(startup(), 1, 0))
     bench.list(("s-1", 1, "active", 0))
     wire = bench.client()
     command = [b"SVC.QUERY", b"key", b"id1", b"c=look,d=%d" % left]
--- a/tests/net/test_streams.py
+++ b/tests/net/test_streams.py
@@ -10,7 +10,8 @@
 from twisted.internet.error import ConnectionLost, ConnectionRefusedError
 from twisted.python.failure import Failure
 
-from linenbridge import interface as face
+from linenbridge.decisions import CastVote
+from linenbridge.interface import RolloutPhase, Vote
 from linenbridge.net.discovery import SIGN_OF_LIFE, TOLD_ANYWAY
 from linenbridge.net.watch_stream import REFUSED_MOST
 
@@ -37,8 +38,8 @@
     assert bench.dialled == len(bench.reactor.tcpClients)
     bench.turn(0.2)
     bench.up()
-    lists = [told for told in bench.module.told if told[0] == "on_list"][1:]
-    assert [(told[2], [entry.started for entry in told[1]]) for told in lists] == [(False, [13_000])] * 4
+    lists = [told for told in bench.module.told if told[0] == "on_endpoint_list"][1:]
+    assert [(told[2], [entry.started_at for entry in told[1]]) for told in lists] == [(False, [13_000])] * 4
     assert bench.log.counts["malformed", "discovery"] == 5
 
 
@@ -79,7 +80,7 @@
     new.protocol.dataReceived(HEAD + changed(9, "s-9"))
     assert not old.connected and new.connected
     bench.turn(0.5)
-    told = [entries[0].instance for name, entries, *_ in bench.module.told[1:] if name == "on_list"]
+    told = [entries[0].instance for name, entries, *_ in bench.module.told[1:] if name == "on_endpoint_list"]
     assert told == ["s-8", "s-9", "s-10"] and len(bench.reactor.tcpClients) == 2
 
 
@@ -95,7 +96,7 @@
     bench.dialled += 1
     new = bench.up()
     new.protocol.dataReceived(HEAD + chunk(dict(type="stage", object=STAGE)))
-    bench.say((face.VOTE, 2, 0, face.BACK))
+    bench.say(CastVote(2, 0, Vote.ROLL_BACK))
     bench.turn(0.5)
     assert [dialled[:2] for dialled in bench.reactor.tcpClients[3:]] == [("10.0.0.8", 82)] and new.connected
 
@@ -113,7 +114,7 @@
     for line in lines:
         bench.platform.told(memoryview(json.dumps(line).encode()))
     bench.turn()
-    assert ("on_stage", 2, 0, face.ON_TRIAL, 0.2, False, True, False) in bench.module.told
+    assert ("on_rollout_update", 2, 0, RolloutPhase.ON_TRIAL, 0.2, False, True, False) in bench.module.told
     assert ("on_tally", 2, "look", 57, 2, 18_500, 2_100_000) in bench.module.told
     flags = [told for told in bench.module.told if told[0] == "on_flag"]
     assert flags == [("on_flag", "s-1", "look", 2_997_000)]
@@ -137,7 +138,7 @@
     bench.turn()
     bench.up().protocol.dataReceived(HEAD + chunk(dict(type="stage", object=STAGE)))
     bench.turn()
-    assert [told[0] for told in bench.module.told[heard:]] == ["on_stage"]
+    assert [told[0] for told in bench.module.told[heard:]] == ["on_rollout_update"]
     assert bench.log.counts["malformed", "feed"] == 1
 
 
@@ -157,7 +158,7 @@
     ],
 )
 def test_a_vote_is_sent_once_and_what_became_of_it_is_told_once(bench, happens, valid, moot):
-    bench.say((face.VOTE, 2, 0, face.BACK))
+    bench.say(CastVote(2, 0, Vote.ROLL_BACK))
     if happens == "refused":
         bench.dial().clientConnectionFailed(None, Failure(ConnectionRefusedError()))
     else:
@@ -182,7 +183,7 @@
             bench.turn(1.1)
     bench.turn()
     bench.turn(5)
-    votes = [told for told in bench.module.told if told[0] == "on_stage" and told[5]]
+    votes = [told for told in bench.module.told if told[0] == "on_rollout_update" and told[5]]
     assert [told[6:] for told in votes] == [(valid, moot)] and len(bench.reactor.tcpClients) == 1
 
 
--- a/tests/peer_script.py
+++ b/tests/peer_script.py
@@ -12,9 +12,9 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from linenbridge.policy import Choice
+from linenbridge.policy import DecisionModule
 from linenbridge.logging.event_log import Log
-from linenbridge.net.decision_loop import Loop
+from linenbridge.net.decision_loop import DecisionLoop
 from linenbridge.processor import wire_pb2 as wire
 from linenbridge.processor.evidence import Evidence
 from linenbridge.processor.goaway_filter import GoAways
@@ -237,9 +237,9 @@
         self.lines = io.BytesIO()
         self.log = Log(self.lines)
         self.now = lambda: int(self.reactor.seconds() * 1e6)
-        start = startup(second_copies=False, **changes)
-        self.module = module or Choice(start, 7, self.now())
-        self.loop = Loop(self.module, self.reactor, self.now, self.log)
+        start = startup(hedging_allowed=False, **changes)
+        self.module = module or DecisionModule(start, 7, self.now())
+        self.loop = DecisionLoop(self.module, self.reactor, self.now, self.log)
         self.partner = Partner("desk", ours, attempts, fail_open)
         self.partners = [self.partner]
         self.front = Front(
@@ -255,19 +255,21 @@
             b"/grpc.health.v1.Health/Check": self.health.check,
             b"/grpc.health.v1.Health/Watch": self.health.watch,
         }
-        self.loop.settled.append(self.server.flush)
+        self.loop.on_turn_end.append(self.server.flush)
         self.list(ADDRESSES[:instances])
 
     def list(self, listed: list, whole: bool = True) -> None:
         self.front.listed(listed, whole)
         entries = [found for found, _ in listed]
-        self.loop.gather(lambda now: self.module.on_list(now, entries, whole=whole, answers=True))
+        self.loop.enqueue(
+            lambda now: self.module.on_endpoint_list(now, entries, is_snapshot=whole, is_poll_response=True)
+        )
         self.turn()
 
     def stage(self, build: int, stage: int, phase: int, cap: float) -> None:
-        self.loop.gather(
-            lambda now: self.module.on_stage(
-                now, build, stage, phase, cap, vote=False, valid=True, moot=False
+        self.loop.enqueue(
+            lambda now: self.module.on_rollout_update(
+                now, build, stage, phase, cap, is_vote_response=False, is_valid=True, is_stale=False
             )
         )
         self.turn()
--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -3,30 +3,30 @@
 from __future__ import annotations
 
 
-from linenbridge import interface as face
-from linenbridge.policy import Choice
-from linenbridge.interface import SECOND
+from linenbridge.decisions import SendAttempt
+from linenbridge.interface import Outcome, SECOND
+from linenbridge.policy import DecisionModule
 from tests.helpers import MS, pull
 
 
-def outcome(gateway: Choice, now: int, name: str, result: str, method: str = "look") -> int:
+def outcome(gateway: DecisionModule, now: int, name: str, result: str, method: str = "look") -> int:
     """Send one RPC and let its first pick end; returns the build that it went to."""
-    gateway.on_rpc(now, name, method, 4 * SECOND, None, "", None)
-    pick = next(d for d in pull(gateway, now) if d[0] == face.PICK and d[1] == name)
-    gateway.on_reply(now + MS, name, 0, result, result == face.OK, MS, {})
-    gateway.on_gone(now + MS, name)
-    return gateway.fleet.build[gateway.fleet.index[pick[2]]]
+    gateway.on_request(now, name, method, 4 * SECOND, None, "", None)
+    pick = next(d for d in pull(gateway, now) if isinstance(d, SendAttempt) and d.rpc_id == name)
+    gateway.on_attempt_finished(now + MS, name, 0, result, result == Outcome.OK, MS, {})
+    gateway.on_client_disconnected(now + MS, name)
+    return gateway.fleet.build[gateway.fleet.index[pick.instance]]
 
 
-def fail_trial(gateway: Choice, now: int, count: int, result: str = face.ERROR) -> int:
+def fail_trial(gateway: DecisionModule, now: int, count: int, result: str = Outcome.ERROR) -> int:
     """RPCs that fail at build 2 only, until `count` of them did."""
     failures = n = 0
     while failures < count:
         now, n = now + 10 * MS, n + 1
-        gateway.on_rpc(now, f"f{now}", "look", 4 * SECOND, None, "", None)
-        pick = next(d for d in pull(gateway, now) if d[0] == face.PICK and d[1] == f"f{now}")
-        bad = pick[2] == 4
-        gateway.on_reply(now + MS, f"f{now}", 0, result if bad else face.OK, not bad, MS, {})
-        gateway.on_gone(now + MS, f"f{now}")
+        gateway.on_request(now, f"f{now}", "look", 4 * SECOND, None, "", None)
+        pick = next(d for d in pull(gateway, now) if isinstance(d, SendAttempt) and d.rpc_id == f"f{now}")
+        bad = pick.instance == 4
+        gateway.on_attempt_finished(now + MS, f"f{now}", 0, result if bad else Outcome.OK, not bad, MS, {})
+        gateway.on_client_disconnected(now + MS, f"f{now}")
         failures += bad
     return now
--- a/tests/policy/test_change_detection.py
+++ b/tests/policy/test_change_detection.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 
-from linenbridge import interface as face
-from linenbridge.policy import Choice
-from linenbridge.interface import SECOND
+from linenbridge.decisions import CastVote, SendAttempt
+from linenbridge.interface import Outcome, RolloutPhase, SECOND, Vote
+from linenbridge.policy import DecisionModule
 from linenbridge.state.counters import Counts
 from tests.helpers import MS, entry, pull, running, startup
 from tests.policy.helpers import fail_trial, outcome
@@ -14,40 +14,40 @@
 def test_failures_at_the_trial_raise_a_standing_back_vote():
     gateway = running()
     now = fail_trial(gateway, 0, 5)
-    gateway.on_stage(now, 2, 1, face.ON_TRIAL, 1.0, vote=True, valid=True)
+    gateway.on_rollout_update(now, 2, 1, RolloutPhase.ON_TRIAL, 1.0, is_vote_response=True, is_valid=True)
     pull(gateway, now + 2 * MS)
-    assert gateway.cast == (2, 1, face.BACK)
-    gateway.on_stage(now, 2, 1, face.ON_TRIAL, 1.0, vote=True, valid=True)
-    later = [d for step in range(100) for d in pull(gateway, now + step * 50 * MS) if d[0] == face.VOTE]
-    assert (face.VOTE, 2, 1, face.BACK) in later
+    assert gateway.cast == (2, 1, Vote.ROLL_BACK)
+    gateway.on_rollout_update(now, 2, 1, RolloutPhase.ON_TRIAL, 1.0, is_vote_response=True, is_valid=True)
+    later = [d for step in range(100) for d in pull(gateway, now + step * 50 * MS) if isinstance(d, CastVote)]
+    assert CastVote(2, 1, Vote.ROLL_BACK) in later
 
 
 def test_outcomes_that_prove_no_run_say_nothing_of_the_build():
     gateway = running()
     for n in range(200):
-        outcome(gateway, n * 10 * MS, f"r{n}", face.UNREACHED if n % 3 == 0 else face.OK)
+        outcome(gateway, n * 10 * MS, f"r{n}", Outcome.CONNECT_FAILED if n % 3 == 0 else Outcome.OK)
     assert not gateway.sums.alarms and all(w <= 0 for w in gateway.sums.by_key.values())
 
 
 def test_time_outs_after_the_earlier_build_has_gone_are_the_hours_not_the_builds():
     gateway = running()
-    now = fail_trial(gateway, 0, 1, face.OK)
-    gateway.on_list(now, [entry(4, build=2)], whole=True, answers=True)
+    now = fail_trial(gateway, 0, 1, Outcome.OK)
+    gateway.on_endpoint_list(now, [entry(4, build=2)], is_snapshot=True, is_poll_response=True)
     for n in range(20):
         now += SECOND
-        gateway.on_rpc(now, f"t{n}", "look", 4 * SECOND, None, "", None)
-        gateway.on_rpc(now, f"u{n}", "look", 4 * SECOND, None, "", None)
+        gateway.on_request(now, f"t{n}", "look", 4 * SECOND, None, "", None)
+        gateway.on_request(now, f"u{n}", "look", 4 * SECOND, None, "", None)
         pull(gateway, now)
-        gateway.on_reply(now + MS, f"t{n}", 0, face.OK, True, MS, {})
-        gateway.on_reply(now + 2 * MS, f"u{n}", 0, face.TIMED_OUT, False, 2 * MS, {})
+        gateway.on_attempt_finished(now + MS, f"t{n}", 0, Outcome.OK, True, MS, {})
+        gateway.on_attempt_finished(now + 2 * MS, f"u{n}", 0, Outcome.TIMED_OUT, False, 2 * MS, {})
     assert not gateway.sums.alarms
 
 
-def trial_of(instances: int) -> Choice:
-    gateway = Choice(startup(), seed=5, now=0)
+def trial_of(instances: int) -> DecisionModule:
+    gateway = DecisionModule(startup(), seed=5, now=0)
     entries = [entry(1), *(entry(10 + n, build=2) for n in range(instances))]
-    gateway.on_list(0, entries, whole=True, answers=True)
-    gateway.on_stage(0, 2, 1, face.ON_TRIAL, 1.0, vote=False, valid=True)
+    gateway.on_endpoint_list(0, entries, is_snapshot=True, is_poll_response=True)
+    gateway.on_rollout_update(0, 2, 1, RolloutPhase.ON_TRIAL, 1.0, is_vote_response=False, is_valid=True)
     return gateway
 
 
@@ -65,9 +65,11 @@
     gateway = running()
     for n in range(120):
         now = n * 50 * MS
-        gateway.on_rpc(now, f"r{n}", "look", 4 * SECOND, None, "", None)
-        pick = next(d for d in pull(gateway, now) if d[0] == face.PICK)
-        gateway.on_reply(now, f"r{n}", 0, face.OK, True, (300 if pick[2] == 4 else 100) * MS, {})
+        gateway.on_request(now, f"r{n}", "look", 4 * SECOND, None, "", None)
+        pick = next(d for d in pull(gateway, now) if isinstance(d, SendAttempt))
+        gateway.on_attempt_finished(
+            now, f"r{n}", 0, Outcome.OK, True, (300 if pick.instance == 4 else 100) * MS, {}
+        )
     assert (0, "slow") in gateway.sums.alarms
 
 
--- a/tests/processor/test_deadlines.py
+++ b/tests/processor/test_deadlines.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from linenbridge import interface as face
+from linenbridge.interface import InstanceState, RolloutPhase
 from tests.helpers import MS, entry
 from tests.peer_script import ADDRESSES, Bench
 from tests.processor.helpers import READY
@@ -39,7 +39,7 @@
     peer.report(first, 500)
     assert first.header("x-linenbridge-again") == "1"
     bench.turn(0.2)
-    assert bench.empty() and bench.counts("ended", "look", "unsent") == 1
+    assert bench.empty() and bench.counts("ended", "look", "not_sent") == 1
     again = peer.ask(attempt=2)
     assert again.endpoint in READY
 
@@ -50,7 +50,7 @@
     first = peer.ask()
     peer.report(first, 500)
     kept = next(iter(bench.front.ledger.by_id.values())).reserved().instance
-    bench.list([(entry(kept, state=face.DRAINING), ("10.0.0.1", 7000 + kept))], whole=False)
+    bench.list([(entry(kept, state=InstanceState.DRAINING), ("10.0.0.1", 7000 + kept))], whole=False)
     second = peer.ask(attempt=2)
     assert second.endpoint in READY - {f"10.0.0.1:{7000 + kept}"}
 
@@ -68,7 +68,7 @@
     bench = Bench()
     peer = bench.peer()
     streams = [peer.ask(request=f"r{n}") for n in range(8)]
-    bench.stage(2, 0, face.ON_TRIAL, 0.2)
+    bench.stage(2, 0, RolloutPhase.ON_TRIAL, 0.2)
     bench.list([(entry(9, build=2), ("10.0.0.1", 7009))], whole=True)
     for stream in streams:
         peer.report(stream, 200)
@@ -79,7 +79,7 @@
     bench = Bench(closed_stages=1)
     peer, trial, taken = bench.peer(), 0, 0
     bench.list([*ADDRESSES, (entry(9, build=2), ("10.0.0.1", 7009))])
-    bench.stage(2, 0, face.ON_TRIAL, 0.2)
+    bench.stage(2, 0, RolloutPhase.ON_TRIAL, 0.2)
     for n in range(300):
         path = ("/look/1", "/charge/1")[n % 2]
         stream = peer.ask(path, f"r{n}")
--- a/tests/processor/test_evidence.py
+++ b/tests/processor/test_evidence.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from linenbridge import interface as face
+from linenbridge.interface import Idempotency, Outcome, RolloutPhase
 from linenbridge.processor.evidence import ASIDE, ENOUGH, Evidence
 from tests.helpers import MS, entry
 from tests.peer_script import ADDRESSES, Bench, seeded
@@ -12,7 +12,7 @@
 
 def _trial(bench: Bench) -> None:
     bench.list([*ADDRESSES, (entry(9, build=2), ("10.0.0.1", 7009))])
-    bench.stage(2, 1, face.ON_TRIAL, 1.0)
+    bench.stage(2, 1, RolloutPhase.ON_TRIAL, 1.0)
 
 
 @pytest.mark.parametrize(("ours", "moves"), [(True, True), (False, False)])
@@ -45,10 +45,10 @@
     for _ in range(60):
         now += 50 * MS
         for proxy in ("plain", "other"):
-            outcome = face.ERROR if chance.random() < 0.3 else face.OK
-            assert evidence.heard(now, proxy, 2, "look", face.IDEMPOTENT, outcome) == outcome
-        told = evidence.heard(now, "rosy", 2, "look", face.IDEMPOTENT, face.OK)
-    assert told == face.CANCELLED and not evidence.counts(now, "rosy")
+            outcome = Outcome.ERROR if chance.random() < 0.3 else Outcome.OK
+            assert evidence.heard(now, proxy, 2, "look", Idempotency.IDEMPOTENT, outcome) == outcome
+        told = evidence.heard(now, "rosy", 2, "look", Idempotency.IDEMPOTENT, Outcome.OK)
+    assert told == Outcome.CANCELLED and not evidence.counts(now, "rosy")
     assert evidence.counts(now, "plain") and evidence.counts(now, "other")
     assert any("set aside rosy" in note for note in evidence.notes)
     assert evidence.counts(now + ASIDE + 1, "rosy")
@@ -58,9 +58,9 @@
     evidence, now = Evidence(frozenset(("bleak", "plain"))), 0
     for n in range(40):
         now += 50 * MS
-        evidence.heard(now, "plain", 2, "look", face.IDEMPOTENT, face.OK)
+        evidence.heard(now, "plain", 2, "look", Idempotency.IDEMPOTENT, Outcome.OK)
         if n > ENOUGH:
-            evidence.heard(now, "bleak", 2, "look", face.IDEMPOTENT, face.ERROR)
+            evidence.heard(now, "bleak", 2, "look", Idempotency.IDEMPOTENT, Outcome.ERROR)
     assert not evidence.counts(now, "bleak") and evidence.counts(now, "plain")
 
 
@@ -68,13 +68,16 @@
     evidence = Evidence(frozenset(("desk",)))
     for n in range(40):
         evidence.missed(n, "desk") if n % 2 else evidence.heard(
-            n, "desk", 1, "look", face.IDEMPOTENT, face.OK
+            n, "desk", 1, "look", Idempotency.IDEMPOTENT, Outcome.OK
         )
     assert not evidence.counts(40, "desk")
 
 
 def test_a_partners_word_proves_nothing_for_a_method_with_an_effect():
     evidence = Evidence(frozenset())
-    assert evidence.heard(0, "p", 1, "charge", face.NON_IDEMPOTENT, face.FULL) == face.CANCELLED
-    assert evidence.heard(0, "p", 1, "look", face.IDEMPOTENT, face.FULL) == face.UNSENT
-    assert evidence.heard(0, "p", 1, "look", face.IDEMPOTENT, face.OK) == face.CANCELLED
+    assert (
+        evidence.heard(0, "p", 1, "charge", Idempotency.NON_IDEMPOTENT, Outcome.OVERLOADED)
+        == Outcome.CANCELLED
+    )
+    assert evidence.heard(0, "p", 1, "look", Idempotency.IDEMPOTENT, Outcome.OVERLOADED) == Outcome.NOT_SENT
+    assert evidence.heard(0, "p", 1, "look", Idempotency.IDEMPOTENT, Outcome.OK) == Outcome.CANCELLED
--- a/tests/processor/test_resets.py
+++ b/tests/processor/test_resets.py
@@ -27,13 +27,13 @@
     """The turn that decides has run, what it hands over has not: the ticket is taken back."""
     bench = Bench(fail_open=fail_open, store=store(tmp_path))
     peer = bench.peer()
-    hooks, bench.loop.settled = bench.loop.settled, []
+    hooks, bench.loop.on_turn_end = bench.loop.on_turn_end, []
     stream = peer.ask("/charge/1")
     assert bench.front.giving
     peer.h2.reset_stream(stream.number, 8)
     peer.pipe.protocol.dataReceived(peer.h2.data_to_send())
-    bench.loop.settled = hooks
-    bench.loop.gather(lambda now: None)
+    bench.loop.on_turn_end = hooks
+    bench.loop.enqueue(lambda now: None)
     bench.turn()
     peer.read()
     assert stream.endpoint is None and bench.empty()
--- a/tests/scale/hollow.py
+++ b/tests/scale/hollow.py
@@ -35,14 +35,14 @@
 from linenbridge.distribution.view.values import Value, ValueChecks
 from linenbridge.distribution.view.view import View
 from linenbridge.peering import connections
-from linenbridge.interface import GONE, IDEMPOTENT, Method
+from linenbridge.interface import InstanceState, Idempotency, Method
 from linenbridge.logging.structured import structured
 from linenbridge.logging.event_log import Log
 from linenbridge.process import lifecycle
 from linenbridge.routes.table import Request
 from tests.scale.records import Answered, Final, Recorder, Seen, Serving, Started, Usage, now
 
-METHODS = (Method("look", IDEMPOTENT, "all", 0, 1_000_000, 1.0),)
+METHODS = (Method("look", Idempotency.IDEMPOTENT, "all", 0, 1_000_000, 1.0),)
 COMPILED_ROUTES = 1 << 20  # bytes; hollow gateways compile what the few requests ask for
 LONGEST = 30_000_000  # microseconds of the longest deadline
 REQUESTS_EVERY = 0.2  # seconds between two requests of a process
@@ -268,7 +268,7 @@
         for zone in {entry.zone for entry in view.instances(service)}:
             if view.by_zone.lost(zone):
                 states = [entry.state for entry in view.instances(service) if entry.zone == zone]
-                marks = ["gone" if state == GONE else "there" for state in states]
+                marks = ["gone" if state == InstanceState.REMOVED else "there" for state in states]
                 self.recorder.write(Answered(now(), name, f"{service} {zone}", [*marks, "gone"]))
 
 
--- a/tests/scale/measure/instances.py
+++ b/tests/scale/measure/instances.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from linenbridge.interface import DRAINING, GONE, READY, ListEntry
+from linenbridge.interface import InstanceState, EndpointEntry
 from linenbridge.state import fleet as fleet_module
 from linenbridge.state.fleet import Fleet
 
@@ -17,18 +17,23 @@
 GAP, LIMIT = 400_000.0, 3.0  # as the module passes them in
 
 
-def listed(count: int) -> list[ListEntry]:
+def listed(count: int) -> list[EndpointEntry]:
     """A list of that many ready instances, a tenth of them at a later build, over 19 zones."""
     return [
-        ListEntry(
-            f"i-{number:06d}", 2 if number % 10 == 0 else 1, f"zone-{number % ZONES}", number % 400, READY,
-            1.0, LONG_AGO - number,
+        EndpointEntry(
+            f"i-{number:06d}",
+            2 if number % 10 == 0 else 1,
+            f"zone-{number % ZONES}",
+            number % 400,
+            InstanceState.READY,
+            1.0,
+            LONG_AGO - number,
         )
         for number in range(count)
-    ]  # fmt: skip
+    ]
 
 
-def view(entries: list[ListEntry]) -> Fleet:
+def view(entries: list[EndpointEntry]) -> Fleet:
     """The view of a gateway that has taken in a whole list."""
     fleet = Fleet(0, 0)
     fleet.update(entries, True, GAP, LIMIT, set())
@@ -40,7 +45,7 @@
     entries = listed(count)
     fleet = view(entries)
     middle = entries[count // 2]
-    states = [[middle._replace(state=DRAINING)], [middle]]
+    states = [[middle._replace(state=InstanceState.DRAINING)], [middle]]
 
     def change_and_back() -> None:
         for entry in states:
@@ -55,7 +60,7 @@
     entries = listed(count)
     fleet = view(entries)
     zone = [entry for entry in entries if entry.zone == "zone-0"]
-    states = [[entry._replace(state=GONE) for entry in zone], zone]
+    states = [[entry._replace(state=InstanceState.REMOVED) for entry in zone], zone]
 
     def gone_and_back() -> None:
         for changes in states:
@@ -84,13 +89,17 @@
         slope("linear", [(n, change_time(n)) for n in SIZES], what="one change", unit="us", **common),
         slope("n log n", [(n, zone_time(n)) for n in SIZES], what="a zone gone at once", unit="us", **common),
         slope("n log n", [(n, whole_time(n)) for n in SIZES], what="a whole list", unit="us", **common),
-        slope("linear", [(n, view_bytes(n)) for n in SIZES],
-              what="memory of the view", unit="bytes", **common),
         slope(
-            "linear", [(n, held_bytes(lambda n=n: listed(n))) for n in SIZES],
-            what="memory of the list", unit="bytes", **common,
+            "linear", [(n, view_bytes(n)) for n in SIZES], what="memory of the view", unit="bytes", **common
         ),
-    ]  # fmt: skip
+        slope(
+            "linear",
+            [(n, held_bytes(lambda n=n: listed(n))) for n in SIZES],
+            what="memory of the list",
+            unit="bytes",
+            **common,
+        ),
+    ]
 
 
 if __name__ == "__main__":
--- a/tests/scale/measure/module.py
+++ b/tests/scale/measure/module.py
@@ -4,8 +4,9 @@
 
 from collections import deque
 
-from linenbridge.policy import Choice, dispatch
-from linenbridge.interface import OK, PICK, RELEASED
+from linenbridge.policy import DecisionModule, dispatch
+from linenbridge.decisions import SendAttempt
+from linenbridge.interface import Outcome, RolloutPhase
 
 from tests.helpers import pull, startup
 from tests.scale.measure.costs import held_bytes, processor_time, text_of
@@ -24,7 +25,7 @@
 class Traffic:
     """RPCs at a steady pace on the module's own clock, each answered well after a fixed time."""
 
-    def __init__(self, gateway: Choice) -> None:
+    def __init__(self, gateway: DecisionModule) -> None:
         self.gateway, self.now, self.number = gateway, 0, 0
         self.out: deque[tuple[int, str]] = deque()
 
@@ -34,22 +35,22 @@
         self.now += 1_000_000 // RATE
         while self.out and self.out[0][0] <= self.now:
             answered, rpc = self.out.popleft()
-            gateway.on_reply(answered, rpc, 0, OK, True, TOOK, {})
+            gateway.on_attempt_finished(answered, rpc, 0, Outcome.OK, True, TOOK, {})
             pull(gateway, answered)
         rpc = str(self.number)
         self.number += 1
-        gateway.on_rpc(self.now, rpc, METHOD, TTL, None, "", None)
+        gateway.on_request(self.now, rpc, METHOD, TTL, None, "", None)
         for decision in pull(gateway, self.now):
-            if decision[0] == PICK:
-                self.out.append((self.now + TOOK, decision[1]))
+            if isinstance(decision, SendAttempt):
+                self.out.append((self.now + TOOK, decision.rpc_id))
 
 
-def gateway(instances: int) -> Choice:
+def gateway(instances: int) -> DecisionModule:
     """A module that has heard a whole list, its one later build released."""
-    made = Choice(startup(gateways=3_200), seed=7, now=0)
+    made = DecisionModule(startup(gateway_count=3_200), seed=7, now=0)
     if instances:
-        made.on_list(0, listed(instances), whole=True, answers=True)
-        made.on_stage(0, 2, 1, RELEASED, 1.0, vote=False, valid=True)
+        made.on_endpoint_list(0, listed(instances), is_snapshot=True, is_poll_response=True)
+        made.on_rollout_update(0, 2, 1, RolloutPhase.RELEASED, 1.0, is_vote_response=False, is_valid=True)
     return made
 
 
--- a/tests/scale/measure/pools.py
+++ b/tests/scale/measure/pools.py
@@ -5,7 +5,7 @@
 import io
 from types import SimpleNamespace
 
-from linenbridge.interface import DRAINING
+from linenbridge.interface import InstanceState
 from linenbridge.net import instances as instances_module
 from linenbridge.net.upstream import Instances
 from linenbridge.logging.event_log import Log
@@ -27,7 +27,7 @@
     entries = listed(count)
     pools.listed([(entry, ADDRESS) for entry in entries], True)
     middle = entries[count // 2]
-    states = [middle._replace(state=DRAINING), middle]
+    states = [middle._replace(state=InstanceState.DRAINING), middle]
 
     def change_and_back() -> None:
         for entry in states:
--- a/tests/scale/measure/releases.py
+++ b/tests/scale/measure/releases.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from linenbridge.policy import Choice, dispatch
-from linenbridge.interface import ON_TRIAL
+from linenbridge.policy import DecisionModule, dispatch
+from linenbridge.interface import RolloutPhase
 from linenbridge.state.counters import Counts
 
 from tests.helpers import entry, startup
@@ -20,10 +20,12 @@
 
 def outcome_time(instances: int) -> float:
     """Microseconds to weigh a good outcome after every instance of the build has failed once."""
-    gateway = Choice(startup(gateways=3_200), seed=7, now=0)
+    gateway = DecisionModule(startup(gateway_count=3_200), seed=7, now=0)
     entries = [entry(n, EARLIER if n % 2 else ON_TRIAL_BUILD) for n in range(2 * instances)]
-    gateway.on_list(0, entries, whole=True, answers=True)
-    gateway.on_stage(0, ON_TRIAL_BUILD, 1, ON_TRIAL, 1.0, vote=False, valid=True)
+    gateway.on_endpoint_list(0, entries, is_snapshot=True, is_poll_response=True)
+    gateway.on_rollout_update(
+        0, ON_TRIAL_BUILD, 1, RolloutPhase.ON_TRIAL, 1.0, is_vote_response=False, is_valid=True
+    )
     gateway._hear(EARLIER, 0, Counts(100, 1, 99, 99 * 5_000))
     tried = gateway.near[ON_TRIAL_BUILD]
 
--- a/tests/scale/measure/routes.py
+++ b/tests/scale/measure/routes.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from linenbridge.interface import IDEMPOTENT, Method
+from linenbridge.interface import Idempotency, Method
 from linenbridge.routes import language, table as table_module
 from linenbridge.routes.table import Request, Table, table
 
@@ -19,7 +19,9 @@
 FIND_SIZES = (26, 260, 2_600)
 RULES_A_SERVICE = 26  # 230,000 routes over 8,900 services
 LONGEST = 30_000_000
-METHODS = [Method(name, IDEMPOTENT, "all", 0, 1_000_000, 1.0) for name in ("look", "store", "charge")]
+METHODS = [
+    Method(name, Idempotency.IDEMPOTENT, "all", 0, 1_000_000, 1.0) for name in ("look", "store", "charge")
+]
 
 
 def lift_limits() -> None:
--- a/tests/scale/measure/view.py
+++ b/tests/scale/measure/view.py
@@ -31,7 +31,7 @@
 from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
 from linenbridge.distribution.view.values import Value
 from linenbridge.distribution.view.view import View
-from linenbridge.interface import DRAINING, READY
+from linenbridge.interface import InstanceState
 from linenbridge.routes.table import Request
 
 from tests.scale.measure.costs import REPEATS, made_and_held, processor_time, text_of
@@ -92,7 +92,7 @@
     return f"service-{number:04d}.internal"
 
 
-def instance_value(number: int, state: int = READY) -> bytes:
+def instance_value(number: int, state: int = InstanceState.READY) -> bytes:
     chance = drawn("instance", number)
     value = InstanceValue(
         363, f"zone-{chance % ZONES}", str(chance % 400), state, 1.0, 1_700_000_000_000 + chance % MONTH,
@@ -214,7 +214,7 @@
     author = Author()
     view, held = made_and_held(lambda: filled(instance_changes(author, count)))
     number = count // 2
-    values = [instance_value(number, state) for state in (DRAINING, READY)]
+    values = [instance_value(number, state) for state in (InstanceState.DRAINING, InstanceState.READY)]
     lost = [msgspec.msgpack.encode(ZoneValue(said)) for said in (True, False)]
     of_service = service(number // INSTANCES_A_SERVICE)
     return {
--- a/tests/scale/tables/content.py
+++ b/tests/scale/tables/content.py
@@ -15,15 +15,15 @@
 from linenbridge.distribution.changes import (
     Change, InstanceValue, Kind, TenantValue, Version, ZoneValue, digest_of, sealed,
 )  # fmt: skip
-from linenbridge.interface import IDEMPOTENT, MS, NON_IDEMPOTENT, READY, SECOND, TOKENED, Method
+from linenbridge.interface import Idempotency, MILLISECOND, InstanceState, SECOND, Method
 
 METHODS = (
-    Method("read", IDEMPOTENT, "all", 0, SECOND, 1.0),
-    Method("search", IDEMPOTENT, "all", 0, 2 * SECOND, 1.0),
-    Method("write", TOKENED, "zone", 5 * SECOND, SECOND, 2.0),
-    Method("pay", NON_IDEMPOTENT, "all", 0, SECOND, 4.0),
+    Method("read", Idempotency.IDEMPOTENT, "all", 0, SECOND, 1.0),
+    Method("search", Idempotency.IDEMPOTENT, "all", 0, 2 * SECOND, 1.0),
+    Method("write", Idempotency.IDEMPOTENT_BY_KEY, "zone", 5 * SECOND, SECOND, 2.0),
+    Method("pay", Idempotency.NON_IDEMPOTENT, "all", 0, SECOND, 4.0),
 )
-LONGEST = 5_000 * MS
+LONGEST = 5_000 * MILLISECOND
 EPOCH, SEED = 7, 1
 REGIONS = ("ap-south", "ap-east", "eu-central", "eu-west", "us-east", "us-west")
 ZONES = 19
@@ -140,7 +140,7 @@
     def _instance(self) -> bytes:
         draw = self.random.randrange
         value = InstanceValue(
-            300 + draw(4), f"zone-{draw(ZONES)}", f"rack-{draw(400):03d}", READY,
+            300 + draw(4), f"zone-{draw(ZONES)}", f"rack-{draw(400):03d}", InstanceState.READY,
             self.random.choice((1.0, 1.0, 2.0, 0.5)), 1_700_000_000_000 + draw(10**9),
             f"10.{draw(256)}.{draw(256)}.{draw(256)}", draw(8000, 9000),
         )  # fmt: skip
--- a/tests/scale/traffic.py
+++ b/tests/scale/traffic.py
@@ -13,12 +13,16 @@
 import msgspec
 
 from linenbridge.distribution.changes import InstanceValue, Kind, TenantValue, ZoneValue
-from linenbridge.interface import DRAINING, GONE, READY
+from linenbridge.interface import InstanceState
 
 DAY = 86_400  # seconds
 SECOND = 1_000_000
 CHANGES_A_DAY, RESTARTS_A_DAY = 68_000, 72_000  # docs/capacity/size.toml
-RESTART_STEPS = (DRAINING, GONE, READY)  # of one restarted instance: GONE deletes its key
+RESTART_STEPS = (
+    InstanceState.DRAINING,
+    InstanceState.REMOVED,
+    InstanceState.READY,
+)  # of one restarted instance: InstanceState.REMOVED deletes its key
 OF_ROUTES = 0.7  # share of the configuration changes that change routes; the others change tenants
 
 _encode = msgspec.msgpack.encode
@@ -72,7 +76,13 @@
             yield Request(0, region, Kind.ROUTES, name, routes("m0", shape.rules))
             for instance in range(shape.instances):
                 zone = f"{region}-{instance % shape.zones}"
-                yield Request(0, region, Kind.INSTANCE, f"{name}/i{instance}", _instance(zone, READY, 1, 0))
+                yield Request(
+                    0,
+                    region,
+                    Kind.INSTANCE,
+                    f"{name}/i{instance}",
+                    _instance(zone, InstanceState.READY, 1, 0),
+                )
         for tenant in range(shape.tenants):
             yield Request(0, region, Kind.TENANT, f"t{tenant}.{region}", _encode(TenantValue(0.01)))
 
@@ -94,7 +104,7 @@
         instance = random.randrange(shape.instances)
         zone = f"{region}-{instance % shape.zones}"
         for step, state in enumerate(RESTART_STEPS):
-            value = b"" if state == GONE else _instance(zone, state, 1, number + 1)
+            value = b"" if state == InstanceState.REMOVED else _instance(zone, state, 1, number + 1)
             requests.append(
                 Request(at + step * SECOND // 2, region, Kind.INSTANCE, f"{name}/i{instance}", value)
             )
--- a/tests/state/test_fleet.py
+++ b/tests/state/test_fleet.py
@@ -8,7 +8,7 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from linenbridge.interface import DRAINING, GONE, READY, ListEntry
+from linenbridge.interface import InstanceState, EndpointEntry
 from linenbridge.state import fleet as fleet_module
 from linenbridge.state.fleet import Fleet
 
@@ -20,22 +20,26 @@
     """What a list does to a fleet, in one pass over all instances: written for these tests alone."""
 
     def __init__(self) -> None:
-        self.slots: list[ListEntry] = []  # by index: build and start as of the last reset
+        self.slots: list[EndpointEntry] = []  # by index: build and start as of the last reset
         self.index: dict[int | str, int] = {}
         self.resets: list[int] = []
         self.ready: list[int] = []
         self.sums: list[float] = []
         self.near: dict[int, list[int]] = {}
 
-    def update(self, entries: list[ListEntry], whole: bool, used: set[int]) -> None:
+    def update(self, entries: list[EndpointEntry], whole: bool, used: set[int]) -> None:
         there = len(self.slots)
         last = -1
         for entry in entries:
             i = self.index.get(entry.instance)
-            if i is None and entry.state == GONE:
+            if i is None and entry.state == InstanceState.REMOVED:
                 continue
             if i is None:
-                free = [j for j in range(last + 1, there) if self.slots[j].state == GONE and j not in used]
+                free = [
+                    j
+                    for j in range(last + 1, there)
+                    if self.slots[j].state == InstanceState.REMOVED and j not in used
+                ]
                 last = free[0] if free else there
                 if free:
                     i = free[0]
@@ -48,17 +52,20 @@
                 self.index[entry.instance] = i
                 continue
             before = self.slots[i]
-            if entry.state == READY and (entry.started, entry.build) != (before.started, before.build):
+            if entry.state == InstanceState.READY and (entry.started_at, entry.build) != (
+                before.started_at,
+                before.build,
+            ):
                 self.resets[i] += 1
             else:
-                entry = entry._replace(started=before.started, build=before.build)
+                entry = entry._replace(started_at=before.started_at, build=before.build)
             self.slots[i] = entry
         if whole:
             named = {entry.instance for entry in entries}
             for name, i in self.index.items():
                 if name not in named:
-                    self.slots[i] = self.slots[i]._replace(state=GONE)
-        self.ready = [i for i, slot in enumerate(self.slots) if slot.state == READY]
+                    self.slots[i] = self.slots[i]._replace(state=InstanceState.REMOVED)
+        self.ready = [i for i, slot in enumerate(self.slots) if slot.state == InstanceState.READY]
         self.sums = list(accumulate(max(self.slots[i].size, 1e-6) for i in self.ready))
         self.near = {build: [] for build in sorted({self.slots[i].build for i in self.ready})}
         for i in sorted(self.ready, key=self.rank):
@@ -68,14 +75,28 @@
         return fleet_module.crc32(f"{NUMBER}/{self.slots[i].instance}".encode())
 
 
-def entries(ids: st.SearchStrategy) -> st.SearchStrategy[ListEntry]:
+def entries(ids: st.SearchStrategy) -> st.SearchStrategy[EndpointEntry]:
     sizes = st.one_of(
         st.sampled_from((1.0, 2.0, 0.1, 0.3, 0.0, -1.0)), st.floats(1e-9, 1e12, allow_subnormal=False)
     )
     return st.builds(
-        ListEntry, instance=ids, build=st.integers(1, 4), zone=st.sampled_from("abc"), cell=st.integers(0, 3),
-        state=st.sampled_from((READY, READY, READY, DRAINING, GONE)), size=sizes, started=st.integers(-3, 0),
-    )  # fmt: skip
+        EndpointEntry,
+        instance=ids,
+        build=st.integers(1, 4),
+        zone=st.sampled_from("abc"),
+        cell=st.integers(0, 3),
+        state=st.sampled_from(
+            (
+                InstanceState.READY,
+                InstanceState.READY,
+                InstanceState.READY,
+                InstanceState.DRAINING,
+                InstanceState.REMOVED,
+            )
+        ),
+        size=sizes,
+        started_at=st.integers(-3, 0),
+    )
 
 
 SMALL = entries(st.one_of(st.integers(0, 9), st.sampled_from(("i-1", "i-2"))))
@@ -90,7 +111,7 @@
 )
 
 
-def played(lists: list[tuple[list[ListEntry], bool, set[int]]]) -> tuple[Fleet, PlainFleet]:
+def played(lists: list[tuple[list[EndpointEntry], bool, set[int]]]) -> tuple[Fleet, PlainFleet]:
     """Both after these lists, compared after each of them."""
     fleet, plain = Fleet(NUMBER, 0), PlainFleet()
     for changes, whole, used in lists:
@@ -101,7 +122,7 @@
         plain.update(changes, whole, used)
         assert fleet.index == plain.index
         assert fleet.ids == [slot.instance for slot in plain.slots]
-        for name in ("build", "zone", "cell", "state", "started"):
+        for name in ("build", "zone", "cell", "state", "started_at"):
             assert getattr(fleet, name) == [getattr(slot, name) for slot in plain.slots]
         assert fleet.size == [max(slot.size, 1e-6) for slot in plain.slots]
         again = [count > before for count, before in zip(plain.resets, resets, strict=False)]
@@ -122,8 +143,8 @@
     played(lists)
 
 
-def ready(name: int, build: int = 1, state: int = READY, size: float = 1.0) -> ListEntry:
-    return ListEntry(name, build, "a", 0, state, size, 0)
+def ready(name: int, build: int = 1, state: int = InstanceState.READY, size: float = 1.0) -> EndpointEntry:
+    return EndpointEntry(name, build, "a", 0, state, size, 0)
 
 
 def test_an_index_freed_behind_the_last_one_given_out_waits_for_the_next_list():
@@ -131,8 +152,16 @@
     fleet, _ = played(
         [
             ([ready(n) for n in range(5)], True, set()),
-            ([ready(1, state=GONE), ready(3, state=GONE), ready(4, state=GONE)], False, set()),
-            ([ready(10), ready(11), ready(0, state=GONE), ready(12), ready(13)], False, {3}),
+            (
+                [
+                    ready(1, state=InstanceState.REMOVED),
+                    ready(3, state=InstanceState.REMOVED),
+                    ready(4, state=InstanceState.REMOVED),
+                ],
+                False,
+                set(),
+            ),
+            ([ready(10), ready(11), ready(0, state=InstanceState.REMOVED), ready(12), ready(13)], False, {3}),
             ([ready(14), ready(15)], False, set()),
         ]
     )
@@ -146,7 +175,10 @@
         [
             ([ready(n, build=1 + n % 2) for n in range(40)], True, set()),
             *(([ready(n, build=2 - n % 2, size=0.1 * n)], False, set()) for n in range(40)),
-            *(([ready(39 - n, state=GONE), ready(100 + n)], False, set()) for n in range(40)),
+            *(
+                ([ready(39 - n, state=InstanceState.REMOVED), ready(100 + n)], False, set())
+                for n in range(40)
+            ),
         ]
     )
 
@@ -165,7 +197,7 @@
     fleet.order.rank = fleet.rank = Ranks()
     fleet.update([ready(n) for n in range(10_000)], True, GAP, LIMIT, set())
     looks = 0
-    fleet.update([ready(5_000, state=DRAINING)], False, GAP, LIMIT, set())
+    fleet.update([ready(5_000, state=InstanceState.DRAINING)], False, GAP, LIMIT, set())
     fleet.update([ready(5_000, size=0.3)], False, GAP, LIMIT, set())
     assert 0 < looks <= 2 * 16
 
@@ -178,7 +210,7 @@
     fleet = Fleet(0, 0)
     fleet.update([ready(n) for n in range(4)], True, GAP, LIMIT, set())
     for _ in range(times):
-        fleet.update([ready(2, state=GONE)], False, GAP, LIMIT, set())
+        fleet.update([ready(2, state=InstanceState.REMOVED)], False, GAP, LIMIT, set())
         fleet.update([ready(2)], False, GAP, LIMIT, set())
     assert len(fleet.free.heap) + len(fleet.free.put_off) <= 1
     fleet.update([ready(9)], False, GAP, LIMIT, set())
--- a/tests/state/test_peers.py
+++ b/tests/state/test_peers.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linenbridge.policy import Choice
+from linenbridge.policy import DecisionModule
 from linenbridge.state.counters import Counts
 from linenbridge.state.peers import Heard, HeardBounds, pack, unpack
 from tests.helpers import startup
@@ -113,8 +113,8 @@
 
 
 def test_the_module_bounds_what_it_keeps_by_the_number_of_gateways():
-    gateway = Choice(startup(gateways=40), seed=1, now=0)
+    gateway = DecisionModule(startup(gateway_count=40), seed=1, now=0)
     for peer in range(1_000):
         for life in range(3):
-            gateway.on_peer(0, peer, pack(life, [1, 2], 3, {(1, 0): Counts(4, 1, 3, 9_000)}))
+            gateway.on_gossip(0, peer, pack(life, [1, 2], 3, {(1, 0): Counts(4, 1, 3, 9_000)}))
     assert len(gateway.heard.peers) == 40
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -117,7 +117,7 @@
     )
     found = routes.find(Request(path="/charge/k1?t=acme&w=12", headers={"grpc-timeout": "800m"}))
     assert (found.method, found.tenant, found.key) == ("charge", "acme", "k1")
-    assert (found.soft_deadline, found.deadline, found.cost) == (300 * MS, 800 * MS, 12)
+    assert (found.latency_objective, found.deadline, found.cost) == (300 * MS, 800 * MS, 12)
     bare = routes.find(Request(path="/charge/", headers={"grpc-timeout": "99999999999H"}))
     assert (bare.tenant, bare.key, bare.deadline, bare.cost) == ("none", None, 2_000 * MS, 7 * MS)
     assert routes.find(Request(path="/charge/x", headers={"grpc-timeout": "9H"})).deadline == LONGEST
