--- /dev/null
+++ b/tests/compatibility/test_dissemination_runs.py
@@ -0,0 +1,68 @@
+"""A seeded run of relays and followers sends the same bytes in the same order as on the base.
+
+`dissemination_runs.json` was written on commit 4d24a08 by `record_dissemination_at_base.py`.
+"""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from random import Random
+
+import msgspec
+import pytest
+
+from linenbridge.distribution.dissemination.feed import FeedSettings
+from tests.compatibility.dissemination_runs import Installation, Recorder, all_runs
+from tests.distribution.dissemination.test_simulation import Spoiler, publish_over, random_fault
+from tests.distribution.dissemination.world import Shape, World
+
+SHAPES = {
+    "plain": Shape(),
+    "few tombstones": Shape(feed=FeedSettings(tombstones_most=3)),
+    "bounded relays": Shape(relays=2, gateways=10, feed=FeedSettings(followers_most=7)),
+    "six regions": Shape(regions=6, relays=2, gateways=2, keys=200),
+}
+AT_BASE: dict[str, str] = json.loads((Path(__file__).parent / "dissemination_runs.json").read_text())
+
+
+class RecordedWorld(World):
+    """Reports each message to a recorder."""
+
+    def __init__(self, shape: Shape, seed: int, recorder: Recorder) -> None:
+        self._recorder = recorder
+        super().__init__(shape, seed)
+
+    def _send(self, core, to, message) -> None:
+        self._recorder.sent(self.now, core, to, msgspec.msgpack.encode(message))
+        super()._send(core, to, message)
+
+
+def corrupt_messages(world: World, kind: str, seed: int) -> None:
+    relay = world.places[seed % len(world.places)].name
+    world.spoil = Spoiler(relay, kind, Random(f"spoiler {seed}"))
+
+
+def stop_corruption(world: World) -> None:
+    world.spoil = None
+
+
+RUNS = all_runs(
+    Installation(
+        world=lambda shape, seed, recorder: RecordedWorld(SHAPES[shape], seed, recorder),
+        publish_over=publish_over,
+        random_fault=random_fault,
+        break_connection=World.cut_some,
+        corrupt_messages=corrupt_messages,
+        stop_corruption=stop_corruption,
+    )
+)
+
+
+def test_the_record_names_every_run():
+    assert list(AT_BASE) == list(RUNS)
+
+
+@pytest.mark.parametrize("name", RUNS)
+def test_a_seeded_run_sends_what_it_sent_at_the_base(name):
+    assert RUNS[name]() == AT_BASE[name]
