--- a/linenbridge/distribution/dissemination/acceptance.py
+++ b/linenbridge/distribution/dissemination/acceptance.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from linenbridge.distribution.changes import RANGES, START, Change, Version, intact, range_of
+from linenbridge.distribution.changes import RANGES, START, Change, Position, Version, intact, range_of
 from linenbridge.distribution.decisions import Apply, ReplaceRange
 from linenbridge.distribution.messages import Batch, Whole, batch_checksum, whole_checksum
 
@@ -30,6 +30,11 @@
     SPOILT = "spoilt"
 
 
+def spoilt(message: Batch | Whole) -> str:
+    """What is wrong with the bytes of a message; empty: nothing."""
+    return batch_spoilt(message) if isinstance(message, Batch) else whole_spoilt(message)
+
+
 def batch_spoilt(batch: Batch) -> str:
     """What is wrong with the bytes of a batch; empty: nothing."""
     if batch.checksum != batch_checksum(batch.region, batch.after, batch.upto, _encode(batch.changes)):
@@ -98,11 +103,15 @@
         self.confirmed = self.differs = self.behind_horizon = False
         self._drop_parts()
 
+    def judge(self, message: Batch | Whole) -> Verdict:
+        """What becomes of a message of this region; only a heartbeat and a first part change anything."""
+        if spoilt(message):
+            return Verdict.SPOILT
+        return self._judge_batch(message) if isinstance(message, Batch) else self._judge_part(message)
+
     # ---- batches ---------------------------------------------------------------------------------------
 
-    def judge(self, batch: Batch) -> Verdict:
-        if batch_spoilt(batch):
-            return Verdict.SPOILT
+    def _judge_batch(self, batch: Batch) -> Verdict:
         if batch.after > self.taken.sequence:
             return Verdict.GAP
         self.behind_horizon = batch.horizon > self.taken.sequence
@@ -137,9 +146,7 @@
 
     # ---- ranges ----------------------------------------------------------------------------------------
 
-    def judge_whole(self, whole: Whole) -> Verdict:
-        if whole_spoilt(whole):
-            return Verdict.SPOILT
+    def _judge_part(self, whole: Whole) -> Verdict:
         if whole.upto < self.taken or self.transferring_at is None:
             return Verdict.PASSED_OVER
         if whole.part == 0:
@@ -190,3 +197,50 @@
             return False
         self.differs = expected != digest
         return True
+
+
+class Acceptances:
+    """The rules of all regions of one follower. Without `regions` it takes all that its relays send, but no
+    more than `unknown_regions`."""
+
+    def __init__(self, regions: list[str], positions: list[Position], unknown_regions: int) -> None:
+        self._wanted = frozenset(regions)
+        self._unknown_regions = unknown_regions
+        self._by_region = {region: Acceptance(region) for region in regions}
+        for position in positions:
+            if self.of_region(position.region) is not None:
+                self._by_region[position.region] = Acceptance(position.region, position.version)
+
+    def __contains__(self, region: str) -> bool:
+        return region in self._by_region
+
+    def __getitem__(self, region: str) -> Acceptance:
+        return self._by_region[region]
+
+    def of_region(self, region: str) -> Acceptance | None:
+        """A region's rules; None where the follower takes nothing of this region."""
+        if region not in self._by_region:
+            bounded = len(self._by_region) >= self._unknown_regions
+            if bounded or (self._wanted and region not in self._wanted):
+                return None
+            self._by_region[region] = Acceptance(region)
+        return self._by_region[region]
+
+    def applied(self) -> list[Position]:
+        """The positions up to which the host has the changes in force."""
+        return [
+            Position(region, each.applied.epoch, each.applied.sequence)
+            for region, each in self._by_region.items()
+        ]
+
+    def taken(self) -> list[Position]:
+        """The positions up to which changes were given to the host."""
+        return [
+            Position(region, each.taken.epoch, each.taken.sequence)
+            for region, each in self._by_region.items()
+        ]
+
+    def on_new_session(self) -> None:
+        """Nothing of an earlier session goes on."""
+        for acceptance in self._by_region.values():
+            acceptance.on_new_session()
--- /dev/null
+++ b/linenbridge/distribution/dissemination/encoded_lists.py
@@ -0,0 +1,30 @@
+"""Lists of changes that are encoded already: joined into one encoding, and split into messages.
+
+Owns the form of such a list on the wire, which is that of a list of `Change`.
+"""
+
+from __future__ import annotations
+
+import msgspec
+from msgspec import Raw
+
+_encode = msgspec.msgpack.Encoder().encode
+EMPTY_LIST = _encode([])
+
+
+def joined(encoded: list[bytes]) -> bytes:
+    """The encoding of a list, of the encodings of its members."""
+    return _encode([Raw(each) for each in encoded])
+
+
+def split(encoded: list[bytes], bytes_most: int) -> list[list[bytes]]:
+    """A list in parts of at most `bytes_most` bytes, one member at least; an empty list is one empty part."""
+    parts: list[list[bytes]] = [[]]
+    size = 0
+    for each in encoded:
+        if parts[-1] and size + len(each) > bytes_most:
+            parts.append([])
+            size = 0
+        parts[-1].append(each)
+        size += len(each)
+    return parts
--- a/linenbridge/distribution/dissemination/follower.py
+++ b/linenbridge/distribution/dissemination/follower.py
@@ -9,54 +9,22 @@
 
 from collections import deque
 from collections.abc import Callable
-from dataclasses import dataclass
 from random import Random
 
-from linenbridge.distribution.dissemination.acceptance import Acceptance, Verdict, batch_spoilt, whole_spoilt
 from linenbridge.distribution.changes import Position, Version
-from linenbridge.distribution.decisions import Decision, Dial, Event, HangUp, Send
-from linenbridge.distribution.messages import Batch, Digests, Follow, Progress, Refused, Summary, Whole
+from linenbridge.distribution.decisions import Decision, Event, Send
+from linenbridge.distribution.dissemination.acceptance import Acceptance, Acceptances, Verdict, spoilt
+from linenbridge.distribution.dissemination.counters import FollowerCounters
+from linenbridge.distribution.dissemination.digest_repair import DigestRepair
+from linenbridge.distribution.dissemination.relay_links import LeftRelays, RelayLinks
 from linenbridge.distribution.dissemination.relay_selection import RelayOrder, RelayPlace
+from linenbridge.distribution.dissemination.settings import SECOND, FollowerSettings
+from linenbridge.distribution.dissemination.spare_link import SpareLink
+from linenbridge.distribution.messages import Batch, Digests, Follow, Progress, Refused, Summary, Whole
 
-MILLISECOND, SECOND = 1_000, 1_000_000
 SESSION_MOST = 1 << 53
 GAPS_MOST = 3  # at one relay, one after another; then another relay is taken
 REFUSED_MOST = 60 * SECOND  # for which a relay that refuses is left alone, whatever it says
-LEFT_MOST = 8  # relays that are yet to be told that they were left, maybe by an earlier process of this name
-
-
-@dataclass(frozen=True)
-class FollowerSettings:
-    """Times in microseconds, `rate` in bytes a second."""
-
-    rate: int = 14_000  # 0: no bound
-    silence: int = 2_500 * MILLISECOND  # without a word of the relay; then another is taken
-    connect: int = SECOND  # until a dialled link is up
-    jitter: int = 400 * MILLISECOND  # before a lost relay's followers go on at the next, each at its own time
-    progress: int = 200 * MILLISECOND  # between two words on how far it is, while something changes
-    heartbeat: int = SECOND  # the relay hears something at least so often
-    served: int = 10 * SECOND  # after that, a relay's earlier failures are forgotten
-    return_after: int = 20 * SECOND  # how long a better relay's link is up before it is gone back to
-    spoilt: int = 30 * SECOND  # how long a relay that sent something spoilt is left alone
-    ranges: int = 5 * SECOND  # without a part of the ranges asked for; then they are asked for again
-    unknown_regions: int = 16  # regions that are followed without being named in the settings
-
-
-@dataclass
-class FollowerCounters:
-    """What has happened since the start."""
-
-    batches: int = 0
-    changes: int = 0
-    ranges: int = 0
-    passed_over: int = 0
-    gaps: int = 0
-    spoilt: int = 0
-    differed: int = 0
-    refused: int = 0
-    silences: int = 0
-    lost: int = 0
-    sessions: int = 0
 
 
 class Follower:
@@ -65,64 +33,50 @@
     catch-up behind the relay's horizon costs what differs; without it, everything."""
 
     def __init__(
-        self, name: str, home_region: str, relays: list[RelayPlace], regions: list[str],
-        positions: list[Position], settings: FollowerSettings, random: Random, now: int,
+        self,
+        name: str,
+        home_region: str,
+        relays: list[RelayPlace],
+        regions: list[str],
+        positions: list[Position],
+        settings: FollowerSettings,
+        random: Random,
+        now: int,
         range_digests: Callable[[str], bytes] | None = None,
-    ) -> None:  # fmt: skip
-        self.name, self.settings = name, settings
+    ) -> None:
+        self.name = name
+        self.settings = settings
         self.counters = FollowerCounters()
         self.relay = ""  # the one that is followed or tried
         self.following = False
-        self._spare = ""
         self._regions = list(regions)
+        self._random = random
+        self._range_digests = range_digests
+        self._acceptances = Acceptances(regions, positions, settings.unknown_regions)
+        self._out: deque[Decision] = deque()
         self._order = RelayOrder(name, home_region, relays, random)
-        self._random, self._range_digests = random, range_digests
-        self._acceptance = {region: Acceptance(region) for region in regions}
-        for position in positions:
-            self._of_region(position.region, position.version)
-        self._links: dict[str, int] = {}  # those that are up, and since when
-        self._dialled: set[str] = set()
-        near = [relay.name for relay in relays if relay.region == home_region]
-        self._left = dict.fromkeys(near[:LEFT_MOST])  # to be told that another one is followed
+        self._links = RelayLinks(self._out)
+        self._spare = SpareLink(self._order, self._links, settings, now)
+        self._left = LeftRelays([relay.name for relay in relays if relay.region == home_region])
+        self._repair = DigestRepair()
         self._session = self._random.randrange(1, SESSION_MOST)
-        self._messages = self._unanswered = self._unanswered_before = self._gaps = 0
-        self._repaired: set[str] = set()  # regions whose ranges were taken anew from this relay
-        self._differed: dict[str, str] = {}  # by region, the relay whose digest was another one first
+        self._messages = 0  # of the session
+        self._unanswered = 0  # of the session's messages, those that the host has yet to put in force
+        self._unanswered_before = 0  # the same of earlier sessions
+        self._gaps = 0
         self._begin_at = now + self._jitter()
         self._deadline: int | None = None  # for the link, then for the next word
-        self._spare_deadline = now
         self._followed_at = now
         self._progress_at = now
         self._progress_due = False
         self._told_at = now
         self._below: dict[str, Summary] = {}
-        self._out: deque[Decision] = deque()
 
     # ---- what is known ---------------------------------------------------------------------------------
 
     def positions(self) -> list[Position]:
         """What the host has in force."""
-        return [
-            Position(region, each.applied.epoch, each.applied.sequence)
-            for region, each in self._acceptance.items()
-        ]
-
-    def _taken(self) -> list[Position]:
-        return [
-            Position(region, each.taken.epoch, each.taken.sequence)
-            for region, each in self._acceptance.items()
-        ]  # fmt: skip
-
-    def _of_region(self, region: str, version: Version | None = None) -> Acceptance | None:
-        """A region's rules; regions that nobody named are bounded in number."""
-        if region not in self._acceptance:
-            bounded = len(self._acceptance) >= self.settings.unknown_regions
-            if bounded or (self._regions and region not in self._regions):
-                return None
-            self._acceptance[region] = Acceptance(region)
-        if version is not None:
-            self._acceptance[region] = Acceptance(region, version)
-        return self._acceptance[region]
+        return self._acceptances.applied()
 
     def _jitter(self) -> int:
         return self._random.randrange(self.settings.jitter + 1)
@@ -134,10 +88,10 @@
         if relay not in self._order:
             return
         if up:
-            self._links[relay] = now
+            self._links.up[relay] = now
             self._say_elsewhere(relay)
         else:
-            self._links.pop(relay, None)
+            self._links.up.pop(relay, None)
         if relay != self.relay:
             return
         if up:
@@ -148,20 +102,9 @@
 
     def _say_elsewhere(self, relay: str) -> None:
         """Tell a relay that this follower lives and follows another one."""
-        if self.following and relay != self.relay and relay in self._links:
+        if self.following and relay != self.relay and relay in self._links.up:
             self._out.append(Send(relay, Progress(self.name, 0, [], [])))
-            self._left.pop(relay, None)
-
-    def _dial(self, relay: str) -> None:
-        if relay not in self._dialled:
-            self._dialled.add(relay)
-            self._out.append(Dial(relay))
-
-    def _hang_up(self, relay: str) -> None:
-        self._links.pop(relay, None)
-        if relay in self._dialled:
-            self._dialled.discard(relay)
-            self._out.append(HangUp(relay))
+            self._left.discard(relay)
 
     # ---- one relay after another -----------------------------------------------------------------------
 
@@ -171,18 +114,18 @@
         if not usable:
             self._begin_at = max(now + 1, self._order.next_usable_at()) + self._jitter()
             return
-        linked = [relay for relay in usable if relay in self._links]
+        linked = [relay for relay in usable if relay in self._links.up]
         self._take(now, (linked or usable)[0])
 
     def _take(self, now: int, relay: str) -> None:
-        self.relay, self.following = relay, False
-        self._repaired.clear()
+        self.relay = relay
+        self.following = False
+        self._repair.on_new_relay()
         self._gaps = 0
-        if self._spare == relay:
-            self._spare = ""
+        self._spare.release(relay)
         self._deadline = now + self.settings.connect
-        self._dial(relay)
-        if relay in self._links:
+        self._links.dial(relay)
+        if relay in self._links.up:
             self._follow(now)
 
     def _follow(self, now: int) -> None:
@@ -191,12 +134,13 @@
         self._messages = 0
         self._unanswered_before += self._unanswered
         self._unanswered = 0
-        for acceptance in self._acceptance.values():
-            acceptance.on_new_session()
+        self._acceptances.on_new_session()
         self.counters.sessions += 1
         self._deadline = now + self.settings.silence
         self._followed_at = now
-        follow = Follow(self.name, self._session, self._taken(), self.settings.rate, self._regions)
+        follow = Follow(
+            self.name, self._session, self._acceptances.taken(), self.settings.rate, self._regions
+        )
         self._out.append(Send(self.relay, follow))
 
     def _leave(self, now: int, reason: str, at_least: int = 0) -> None:
@@ -204,70 +148,34 @@
         relay = self.relay
         self._out.append(Event("distribution.left", {"relay": relay, "reason": reason}))
         self._order.failed(now, relay, at_least)
-        self._hang_up(relay)
+        self._links.hang_up(relay)
         if self.following:
-            self._remember_left(relay)
-        self.relay, self.following, self._deadline = "", False, None
+            self._left.add(relay)
+        self.relay = ""
+        self.following = False
+        self._deadline = None
         self._begin_at = now + self._jitter()
 
-    def _remember_left(self, relay: str) -> None:
-        self._left[relay] = None
-        if len(self._left) > LEFT_MOST:
-            del self._left[next(iter(self._left))]
-
     def _on_served(self, now: int) -> None:
         """The relay has sent something of this session."""
         self._deadline = now + self.settings.silence
         if not self.following:
             self.following = True
-            self._left.pop(self.relay, None)
+            self._left.discard(self.relay)
             self._progress_due = True
             self._out.append(Event("distribution.following", {"relay": self.relay}))
-            for relay in [relay for relay in self._links if relay != self.relay]:
+            for relay in [relay for relay in self._links.up if relay != self.relay]:
                 self._say_elsewhere(relay)
         elif now - self._followed_at >= self.settings.served:
             self._order.served(self.relay)
 
-    # ---- the second link -------------------------------------------------------------------------------
-
-    def _keep_spare(self, now: int) -> None:
-        """Keep a link to the best relay beside the one that is followed, and go back to a better one whose
-        link has lasted."""
-        if self._spare and self._spare not in self._links and now >= self._spare_deadline:
-            spare, self._spare = self._spare, ""
-            self._order.failed(now, spare)
-            self._hang_up(spare)
-        usable = self._order.usable(now, without=self.relay)
-        best = usable[0] if usable else ""
-        if best and best != self._spare and (not self._spare or self._order.better(best, self._spare)):
-            self._change_spare(now, best)
-        if self._should_return(now):
-            self._return(now)
-
-    def _change_spare(self, now: int, relay: str) -> None:
-        if self._spare:
-            self._hang_up(self._spare)
-        self._spare = relay
-        self._spare_deadline = now + 2 * self.settings.connect
-        self._dial(relay)
-
-    def _should_return(self, now: int) -> bool:
-        spare = self._spare
-        if spare not in self._links or not self._order.better(spare, self.relay):
-            return False
-        return now - max(self._links[spare], self._followed_at) >= self._return_after
-
-    @property
-    def _return_after(self) -> int:
-        """Another time for each follower: they do not all go back at once."""
-        return self.settings.return_after + self._session % (self.settings.return_after + 1)
-
     def _return(self, now: int) -> None:
-        left, better = self.relay, self._spare
-        self._hang_up(left)
-        self._remember_left(left)
+        """Go back to the better relay that the second link goes to."""
+        left = self.relay
+        self._links.hang_up(left)
+        self._left.add(left)
         self._out.append(Event("distribution.left", {"relay": left, "reason": "returned"}))
-        self._take(now, better)
+        self._take(now, self._spare.relay)
 
     # ---- messages of the relay -------------------------------------------------------------------------
 
@@ -281,24 +189,34 @@
 
     def on_batch(self, now: int, relay: str, batch: Batch) -> None:
         """Changes of one region, or a heartbeat."""
-        if not self._is_current(relay, batch.session, batch.number):
+        self._on_content(now, relay, batch)
+
+    def on_whole(self, now: int, relay: str, whole: Whole) -> None:
+        """A part of a range that was asked for."""
+        self._on_content(now, relay, whole)
+
+    def _on_content(self, now: int, relay: str, message: Batch | Whole) -> None:
+        if not self._is_current(relay, message.session, message.number):
             return
-        acceptance = self._of_region(batch.region)
+        acceptance = self._acceptances.of_region(message.region)
         if acceptance is None:
             self.counters.passed_over += 1
             return
-        skipped = batch.number != self._messages + 1
-        verdict = acceptance.judge(batch)
+        skipped = message.number != self._messages + 1
+        verdict = acceptance.judge(message)
         if verdict is Verdict.SPOILT:
-            self._on_spoilt(now, relay, batch.region, batch_spoilt(batch))
+            self._on_spoilt(now, relay, message.region, spoilt(message))
         elif skipped or verdict is Verdict.GAP:
             self._on_gap(now)
         else:
             self._messages += 1
             self._on_served(now)
-            self._on_judged(now, acceptance, batch, verdict)
+            if isinstance(message, Batch):
+                self._on_judged_batch(now, acceptance, message, verdict)
+            else:
+                self._on_judged_part(now, relay, acceptance, message, verdict)
 
-    def _on_judged(self, now: int, acceptance: Acceptance, batch: Batch, verdict: Verdict) -> None:
+    def _on_judged_batch(self, now: int, acceptance: Acceptance, batch: Batch, verdict: Verdict) -> None:
         if verdict is Verdict.TAKEN:
             self.counters.batches += 1
             self.counters.changes += len(batch.changes)
@@ -313,26 +231,9 @@
             self.counters.passed_over += 1
         self._check(now, acceptance, compared)
 
-    def on_whole(self, now: int, relay: str, whole: Whole) -> None:
-        """A part of a range that was asked for."""
-        if not self._is_current(relay, whole.session, whole.number):
-            return
-        acceptance = self._of_region(whole.region)
-        if acceptance is None:
-            self.counters.passed_over += 1
-            return
-        skipped = whole.number != self._messages + 1
-        verdict = acceptance.judge_whole(whole)
-        if verdict is Verdict.SPOILT:
-            self._on_spoilt(now, relay, whole.region, whole_spoilt(whole))
-        elif skipped or verdict is Verdict.GAP:
-            self._on_gap(now)
-        else:
-            self._messages += 1
-            self._on_served(now)
-            self._on_part(now, relay, acceptance, whole, verdict)
-
-    def _on_part(self, now: int, relay: str, acceptance: Acceptance, whole: Whole, verdict: Verdict) -> None:
+    def _on_judged_part(
+        self, now: int, relay: str, acceptance: Acceptance, whole: Whole, verdict: Verdict
+    ) -> None:
         self._progress_due = True
         if verdict is not Verdict.TAKEN:
             self.counters.passed_over += 1
@@ -344,7 +245,7 @@
             self.counters.ranges += 1
             self._unanswered += 1
             if replace.final:
-                self._repaired.add(whole.region)
+                self._repair.on_repaired(whole.region)
             self._out.append(replace)
 
     def on_refused(self, now: int, relay: str, refused: Refused) -> None:
@@ -378,21 +279,21 @@
         elif self._unanswered:
             self._unanswered -= 1
         self._progress_due = True
-        acceptance = self._acceptance[region]
+        acceptance = self._acceptances[region]
         compared = acceptance.on_applied(upto, digest)
         self._check(now, acceptance, compared)
 
     def on_progress_below(self, now: int, summaries: list[Summary]) -> None:
         """A relay's sums over its own followers, for those regions that it follows here."""
         for summary in summaries:
-            if summary.region in self._acceptance and self._below.get(summary.region) != summary:
+            if summary.region in self._acceptances and self._below.get(summary.region) != summary:
                 self._below[summary.region] = summary
                 self._progress_due = True
 
     def _check(self, now: int, acceptance: Acceptance, compared: bool) -> None:
         """Ask for ranges where the digest differs or the relay's changes do not reach back far enough."""
         if compared and not acceptance.differs:
-            self._differed.pop(acceptance.region, None)
+            self._repair.on_equal(acceptance.region)
         if not acceptance.needs_ranges or not self.following:
             return
         asked = acceptance.transferring_at
@@ -403,31 +304,27 @@
         self._ask_ranges(now, acceptance)
 
     def _is_to_repair(self, now: int, acceptance: Acceptance) -> bool:
-        """The digest differs from this relay's. Either side may be wrong, and ranges of a relay that is wrong
-        would make this follower so too: ranges are taken only where another relay's differed before, or
-        there is no other. Where they did not help, another relay is taken."""
-        region, relay = acceptance.region, self.relay
-        alone = not any(other != relay for other in self._links)
+        """Whether ranges are to be taken from this relay, whose digest differs; it is left where another one
+        is to be compared first."""
+        region = acceptance.region
+        relay = self.relay
+        alone = not any(other != relay for other in self._links.up)
         if alone and len(self._order.names) > 1 and now - self._followed_at < self.settings.ranges:
             return False  # the second link may be on its way
         self.counters.differed += 1
         self._out.append(Event("distribution.digest_differs", {"relay": relay, "region": region}))
-        elsewhere = self._differed.get(region, relay) != relay
-        if region not in self._repaired and (alone or elsewhere):
+        if self._repair.may_repair(region, relay, alone):
             return True
-        self._differed[region] = relay
         self._leave(now, "digest", self.settings.spoilt)
         return False
 
     def _ask_ranges(self, now: int, acceptance: Acceptance) -> None:
         acceptance.transferring_at = now
         digests = self._range_digests(acceptance.region) if self._range_digests else b""
-        self._out.append(
-            Send(
-                self.relay,
-                Digests(self._session, acceptance.region, acceptance.taken, 0, digests, True),
-            )
+        request = Digests(
+            self._session, acceptance.region, acceptance.taken, first=0, digests=digests, last=True
         )
+        self._out.append(Send(self.relay, request))
 
     # ---- decisions -------------------------------------------------------------------------------------
 
@@ -454,35 +351,33 @@
                 self._begin(now)
             return
         if self._deadline is not None and now >= self._deadline:
-            linked = self.relay in self._links
+            linked = self.relay in self._links.up
             self.counters.silences += linked
             self._leave(now, "silent" if linked else "no link")
             return
         self._say_progress(now)
         if self.following:
-            self._keep_spare(now)
+            self._spare.update(now, self.relay)
+            if self._spare.better_than(now, self.relay, self._followed_at, self._session):
+                self._return(now)
 
     def _say_progress(self, now: int) -> None:
         wait = self.settings.progress if self._progress_due else self.settings.heartbeat
         if not self.following or now - self._progress_at < wait:
             return
-        self._progress_at, self._progress_due = now, False
+        self._progress_at = now
+        self._progress_due = False
         done = self._messages - self._unanswered
         below = list(self._below.values())
-        self._out.append(
-            Send(self.relay, Progress(self.name, self._session, self.positions(), below, done))
-        )  # fmt: skip
+        progress = Progress(self.name, self._session, self.positions(), below, done)
+        self._out.append(Send(self.relay, progress))
         if now - self._told_at >= self.settings.heartbeat:
             self._told_at = now
             self._tell_left()
 
     def _tell_left(self) -> None:
         """Once a heartbeat: let those go that have been told, and dial the next one that has not."""
-        wanted = {self.relay, self._spare, *self._left}
-        for relay in [relay for relay in self._dialled if relay not in wanted]:
-            self._hang_up(relay)
-        if self._left:
-            relay = next(iter(self._left))
-            del self._left[relay]
-            self._left[relay] = None
-            self._dial(relay)
+        self._links.hang_up_others({self.relay, self._spare.relay, *self._left})
+        relay = self._left.next()
+        if relay is not None:
+            self._links.dial(relay)
--- /dev/null
+++ b/linenbridge/distribution/dissemination/message_builder.py
@@ -0,0 +1,120 @@
+"""What a feed sends a follower next: a batch, a part of a range, or an empty batch.
+
+Owns the choice and the messages' content, read from the tables. When a message may leave is the session's
+bucket and window.
+"""
+
+from __future__ import annotations
+
+from msgspec import Raw
+
+from linenbridge.distribution.dissemination.compacted_log import Table
+from linenbridge.distribution.dissemination.counters import FeedCounters
+from linenbridge.distribution.dissemination.encoded_lists import EMPTY_LIST
+from linenbridge.distribution.dissemination.page_cache import PageCache
+from linenbridge.distribution.dissemination.range_transfer import Transfer
+from linenbridge.distribution.dissemination.sessions import Cursor, Session
+from linenbridge.distribution.messages import EncodedBatch, EncodedWhole, batch_checksum, whole_checksum
+
+_NO_CHANGES = Raw(EMPTY_LIST)
+
+
+class MessageBuilder:
+    """Messages to followers from the tables of all regions. Each call moves the cursor that it is given."""
+
+    def __init__(self, tables: dict[str, Table], pages: PageCache, counters: FeedCounters) -> None:
+        self._tables = tables
+        self._pages = pages
+        self._counters = counters
+
+    def has_more(self, cursor: Cursor) -> bool:
+        """Whether a message for this cursor is waiting."""
+        table = self._tables[cursor.region]
+        if table.replacing:
+            return False
+        if cursor.transfer is not None:
+            return True
+        if cursor.version == table.head or cursor.version.sequence < self._horizon(cursor):
+            return table.settled and cursor.told != table.head
+        return cursor.version < table.head
+
+    def next_message(self, session: Session, cursor: Cursor) -> EncodedBatch | EncodedWhole:
+        """The message that `has_more` has found to be waiting."""
+        if cursor.transfer is not None:
+            return self._range_part(session, cursor, cursor.transfer)
+        if cursor.version == self._tables[cursor.region].head:
+            return self.empty_batch(session, cursor)
+        if cursor.version.sequence < self._horizon(cursor):
+            return self.empty_batch(session, cursor)  # the follower asks for ranges
+        return self._batch(session, cursor)
+
+    def empty_batch(self, session: Session, cursor: Cursor) -> EncodedBatch:
+        """At the follower's cursor, with the digest where that is the head. Of a table that is not settled,
+        neither the digest nor the horizon is told: ranges could not be asked for yet."""
+        table = self._tables[cursor.region]
+        version = cursor.version
+        digest = None
+        horizon = 0
+        if table.settled and cursor.transfer is None:
+            cursor.told = table.head
+            digest = table.digest if version == table.head else None
+            horizon = self._horizon(cursor)
+        return EncodedBatch(
+            session=session.number,
+            region=cursor.region,
+            after=version.sequence,
+            upto=version,
+            changes=_NO_CHANGES,
+            digest=digest,
+            horizon=horizon,
+            checksum=batch_checksum(cursor.region, version.sequence, version, EMPTY_LIST),
+            number=session.messages + 1,
+        )
+
+    def _horizon(self, cursor: Cursor) -> int:
+        """A follower behind this sequence needs ranges. One whose position is in no history that leads to
+        the head (the region began anew, all its disks lost) needs them too."""
+        table = self._tables[cursor.region]
+        apart = cursor.version.epoch < table.head.epoch and cursor.version.sequence >= table.head.sequence
+        return cursor.version.sequence + 1 if apart else table.horizon
+
+    def _batch(self, session: Session, cursor: Cursor) -> EncodedBatch:
+        after = cursor.version.sequence
+        page = self._pages.page(cursor.region, after, session.bucket.page_most)
+        cursor.version = page.upto
+        if page.digest is not None:
+            cursor.told = page.upto
+        self._counters.batches += 1
+        return EncodedBatch(
+            session=session.number,
+            region=cursor.region,
+            after=after,
+            upto=page.upto,
+            changes=page.changes,
+            digest=page.digest,
+            horizon=self._tables[cursor.region].horizon,
+            checksum=page.checksum,
+            number=session.messages + 1,
+        )
+
+    def _range_part(self, session: Session, cursor: Cursor, transfer: Transfer) -> EncodedWhole:
+        table = self._tables[cursor.region]
+        part = transfer.next_part(table, session.bucket.page_most)
+        if part.final:
+            cursor.version = transfer.upto
+            cursor.transfer = None
+        self._counters.ranges += part.last
+        upto = transfer.upto
+        return EncodedWhole(
+            session=session.number,
+            region=cursor.region,
+            upto=upto,
+            range=part.index,
+            part=part.part,
+            last=part.last,
+            final=part.final,
+            changes=Raw(part.changes),
+            horizon=table.horizon,
+            checksum=whole_checksum(cursor.region, upto, part.index, part.part, part.last, part.changes),
+            number=session.messages + 1,
+        )
--- /dev/null
+++ b/linenbridge/distribution/dissemination/page_cache.py
@@ -0,0 +1,73 @@
+"""Encoded batches that followers at the same position share.
+
+Owns the cache: a batch is encoded once for all followers at a position that take messages of the same size,
+and dropped when the table changes.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from msgspec import Raw
+
+from linenbridge.distribution.changes import Version
+from linenbridge.distribution.dissemination.compacted_log import Table
+from linenbridge.distribution.dissemination.counters import FeedCounters
+from linenbridge.distribution.dissemination.encoded_lists import joined
+from linenbridge.distribution.messages import batch_checksum
+
+PAGES_MOST = 64  # batches that are kept, of all regions
+
+
+@dataclass(frozen=True, slots=True)
+class SharedPage:
+    """The changes behind a position up to `upto`, with `batch_checksum`. `digest` is the table's where `upto`
+    is its head and the digest is known."""
+
+    upto: Version
+    changes: Raw
+    checksum: int
+    digest: int | None
+
+
+class _Position(NamedTuple):
+    """What followers share a page by."""
+
+    region: str
+    after: int
+    bytes_most: int
+
+
+class PageCache:
+    """Pages of all regions' tables; the oldest go first."""
+
+    def __init__(self, tables: dict[str, Table], counters: FeedCounters) -> None:
+        self._tables = tables
+        self._counters = counters
+        self._pages: dict[_Position, SharedPage] = {}
+
+    def page(self, region: str, after: int, bytes_most: int) -> SharedPage:
+        """The page behind a sequence, of at most `bytes_most` bytes of changes, one change at least."""
+        position = _Position(region, after, bytes_most)
+        page = self._pages.get(position)
+        if page is None:
+            page = self._encode(position)
+            if len(self._pages) >= PAGES_MOST:
+                del self._pages[next(iter(self._pages))]
+            self._pages[position] = page
+        return page
+
+    def drop(self, region: str) -> None:
+        """Forget the pages of a region whose table has changed."""
+        for position in [position for position in self._pages if position.region == region]:
+            del self._pages[position]
+
+    def _encode(self, position: _Position) -> SharedPage:
+        table = self._tables[position.region]
+        page = table.page(position.after, position.bytes_most)
+        encoded = joined(page.encoded)
+        digest = table.digest if table.settled and page.upto == table.head else None
+        self._counters.encoded += 1
+        checksum = batch_checksum(position.region, position.after, page.upto, encoded)
+        return SharedPage(page.upto, Raw(encoded), checksum, digest)
--- /dev/null
+++ b/linenbridge/distribution/dissemination/progress_reports.py
@@ -0,0 +1,103 @@
+"""A relay's reports of how far all below it are, and when they are due.
+
+Owns the timing of the reports and what the sums are made from: the times of the heads, the followers' last
+words and those that were lost. The own region's sums go to its publisher, the others' to the relays that are
+followed there.
+"""
+
+from __future__ import annotations
+
+from linenbridge.distribution.changes import Position
+from linenbridge.distribution.decisions import Decision, Send, SumsBelow
+from linenbridge.distribution.dissemination.compacted_log import Table
+from linenbridge.distribution.dissemination.progress import Departed, FollowerProgress, Heads, add_up
+from linenbridge.distribution.dissemination.sessions import Session
+from linenbridge.distribution.dissemination.settings import FeedSettings
+from linenbridge.distribution.messages import Progress, Summary
+
+REPORT_SESSION = 1  # of a relay's Progress to its region's publisher
+
+
+class ProgressReports:
+    """Reports of the relay `name` of `region`, over `sessions`. `due`: something has changed since the last
+    one."""
+
+    def __init__(
+        self,
+        name: str,
+        region: str,
+        tables: dict[str, Table],
+        sessions: dict[str, Session],
+        settings: FeedSettings,
+        now: int,
+    ) -> None:
+        self.departed = Departed()
+        self.due = True
+        self._name = name
+        self._region = region
+        self._tables = tables
+        self._sessions = sessions
+        self._settings = settings
+        self._heads = {region: Heads() for region in tables}
+        self._publisher = ""
+        self._reported_at = now - settings.heartbeat
+        self._forgot_at = now
+
+    def on_head(self, now: int, region: str) -> None:
+        """A region's table has moved."""
+        self._heads[region].on_head(self._tables[region].head.sequence, now)
+
+    def on_publisher(self, publisher: str) -> bool:
+        """Who publishes in the own region now; whether that is another one than before."""
+        if publisher == self._publisher:
+            return False
+        self._publisher = publisher
+        self.due = True
+        return True
+
+    def on_departed(self, now: int, progress: FollowerProgress) -> None:
+        """A follower was lost."""
+        self.departed.add(progress, now)
+        self.due = True
+
+    @property
+    def next_at(self) -> int:
+        """When the next report may leave while something changes."""
+        return self._reported_at + self._settings.report
+
+    def summaries(self, now: int) -> list[Summary]:
+        """The sums of all regions."""
+        return [self._summary(region, now) for region in self._tables]
+
+    def _summary(self, region: str, now: int) -> Summary:
+        head = self._tables[region].head.sequence
+        followers = [session.progress for session in self._sessions.values() if region in session.cursors]
+        return add_up(region, head, self._heads[region], followers, self.departed, now)
+
+    def turn(self, now: int) -> list[Decision]:
+        """The reports that are due; lost followers that are gone for good are forgotten now and then."""
+        if now - self._forgot_at >= self._settings.heartbeat:
+            self.departed.forget(now)
+            self._forgot_at = now
+        since = now - self._reported_at
+        if since < (self._settings.report if self.due else self._settings.heartbeat):
+            return []
+        self._reported_at = now
+        self.due = False
+        return self._reports(now)
+
+    def _reports(self, now: int) -> list[Decision]:
+        decisions: list[Decision] = []
+        others = [self._summary(region, now) for region in self._tables if region != self._region]
+        if others:
+            decisions.append(SumsBelow(others))
+        if self._publisher:
+            own = [self._summary(self._region, now)]
+            report = Progress(self._name, REPORT_SESSION, heads(self._tables), own)
+            decisions.append(Send(self._publisher, report))
+        return decisions
+
+
+def heads(tables: dict[str, Table]) -> list[Position]:
+    """How far all tables are."""
+    return [Position(region, table.head.epoch, table.head.sequence) for region, table in tables.items()]
--- a/linenbridge/distribution/dissemination/sessions.py
+++ b/linenbridge/distribution/dissemination/sessions.py
@@ -7,24 +7,13 @@
 from __future__ import annotations
 
 from collections import deque
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from linenbridge.distribution.changes import START, Version
-from linenbridge.distribution.messages import EncodedBatch, EncodedWhole, Follow
 from linenbridge.distribution.dissemination.flow_control import MESSAGE_OVERHEAD, TokenBucket, Window
 from linenbridge.distribution.dissemination.progress import FollowerProgress
-
-
-@dataclass(slots=True)
-class Transfer:
-    """Whole ranges on their way to a follower. `parts` are those left of `index`, each a list of encoded
-    changes; `ranges` are those after it."""
-
-    upto: Version
-    ranges: deque[int]
-    index: int = 0
-    part: int = 0
-    parts: deque[list[bytes]] = field(default_factory=deque)
+from linenbridge.distribution.dissemination.range_transfer import Transfer
+from linenbridge.distribution.messages import EncodedBatch, EncodedWhole, Follow
 
 
 @dataclass(slots=True)
--- /dev/null
+++ b/linenbridge/distribution/dissemination/spare_link.py
@@ -0,0 +1,55 @@
+"""The second link of a follower: to the best relay beside the one that is followed.
+
+Decides without I/O which relay that is, and when a better relay has been linked for long enough to be gone
+back to.
+"""
+
+from __future__ import annotations
+
+from linenbridge.distribution.dissemination.relay_links import RelayLinks
+from linenbridge.distribution.dissemination.relay_selection import RelayOrder
+from linenbridge.distribution.dissemination.settings import FollowerSettings
+
+
+class SpareLink:
+    """`relay` is the one that the second link goes to, or is dialled for; empty: none."""
+
+    def __init__(self, order: RelayOrder, links: RelayLinks, settings: FollowerSettings, now: int) -> None:
+        self.relay = ""
+        self._order = order
+        self._links = links
+        self._settings = settings
+        self._deadline = now
+
+    def release(self, relay: str) -> None:
+        """The link is another one's now."""
+        if self.relay == relay:
+            self.relay = ""
+
+    def update(self, now: int, followed: str) -> None:
+        """Keep a link to the best relay beside the one that is followed."""
+        if self.relay and self.relay not in self._links.up and now >= self._deadline:
+            failed = self.relay
+            self.relay = ""
+            self._order.failed(now, failed)
+            self._links.hang_up(failed)
+        usable = self._order.usable(now, without=followed)
+        best = usable[0] if usable else ""
+        if best and best != self.relay and (not self.relay or self._order.better(best, self.relay)):
+            self._change(now, best)
+
+    def _change(self, now: int, relay: str) -> None:
+        if self.relay:
+            self._links.hang_up(self.relay)
+        self.relay = relay
+        self._deadline = now + 2 * self._settings.connect
+        self._links.dial(relay)
+
+    def better_than(self, now: int, followed: str, followed_at: int, session: int) -> bool:
+        """Whether the second link is to a better relay than the one that is followed, and has lasted. How long
+        is another time for each session: followers do not all go back at once."""
+        up_at = self._links.up.get(self.relay)
+        if up_at is None or not self._order.better(self.relay, followed):
+            return False
+        after = self._settings.return_after
+        return now - max(up_at, followed_at) >= after + session % (after + 1)
--- a/linenbridge/distribution/hosting/follower_settings.py
+++ b/linenbridge/distribution/hosting/follower_settings.py
@@ -6,7 +6,8 @@
 from __future__ import annotations
 
 from linenbridge.distribution.configuration import DistributionSettings
-from linenbridge.distribution.dissemination.follower import Follower, FollowerSettings
+from linenbridge.distribution.dissemination.follower import Follower
+from linenbridge.distribution.dissemination.settings import FollowerSettings
 from linenbridge.distribution.messages import Batch, Refused, Whole
 from linenbridge.distribution.dissemination.relay_selection import RelayPlace
 
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -16,7 +16,8 @@
     Apply, Committed, Decision, Dial, Event, HangUp, Keep, ReplaceRange, Send, SumsBelow,
 )  # fmt: skip
 from linenbridge.distribution.errors import RelayStoreError
-from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
+from linenbridge.distribution.dissemination.feed import Feed
+from linenbridge.distribution.dissemination.settings import FeedSettings
 from linenbridge.distribution.dissemination.follower import Follower
 from linenbridge.distribution.hosting.core_driver import Carrier, Core
 from linenbridge.distribution.hosting.follower_settings import (
--- a/tests/compatibility/test_dissemination_runs.py
+++ b/tests/compatibility/test_dissemination_runs.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from linenbridge.distribution.dissemination.feed import FeedSettings
+from linenbridge.distribution.dissemination.settings import FeedSettings
 from tests.compatibility.dissemination_runs import Installation, Recorder, all_runs
 from tests.distribution.dissemination.test_simulation import Spoiler, publish_over, random_fault
 from tests.distribution.dissemination.world import Shape, World
--- a/tests/distribution/dissemination/test_cuts.py
+++ b/tests/distribution/dissemination/test_cuts.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from linenbridge.distribution.dissemination.feed import FeedSettings
+from linenbridge.distribution.dissemination.settings import FeedSettings
 from tests.distribution.dissemination.test_simulation import breaches, different_digests, publish_over
 from tests.distribution.dissemination.world import SECOND, Shape, World
 
--- a/tests/distribution/dissemination/test_feed.py
+++ b/tests/distribution/dissemination/test_feed.py
@@ -10,7 +10,8 @@
 
 from linenbridge.distribution.changes import RANGES, Kind, Position, Version, sealed
 from linenbridge.distribution.decisions import Apply, Event, ReplaceRange, Send, SumsBelow
-from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
+from linenbridge.distribution.dissemination.feed import Feed
+from linenbridge.distribution.dissemination.settings import FeedSettings
 from linenbridge.distribution.messages import Batch, Digests, Follow, Message, Progress, Refused, Whole
 from linenbridge.distribution.dissemination.flow_control import PAGE_MOST, TokenBucket, Window
 
--- a/tests/distribution/dissemination/test_follower.py
+++ b/tests/distribution/dissemination/test_follower.py
@@ -11,7 +11,8 @@
 
 from linenbridge.distribution.changes import Kind, Position, Version, range_of, sealed
 from linenbridge.distribution.decisions import Apply, Dial, Event, HangUp, ReplaceRange, Send
-from linenbridge.distribution.dissemination.follower import Follower, FollowerSettings
+from linenbridge.distribution.dissemination.follower import Follower
+from linenbridge.distribution.dissemination.settings import FollowerSettings
 from linenbridge.distribution.messages import (
     Batch, Digests, Follow, Progress, Refused, Whole, batch_checksum, whole_checksum,
 )  # fmt: skip
--- a/tests/distribution/dissemination/test_simulation.py
+++ b/tests/distribution/dissemination/test_simulation.py
@@ -13,7 +13,7 @@
 
 from linenbridge.distribution.dissemination import acceptance, flow_control
 from linenbridge.distribution.changes import Kind, range_of
-from linenbridge.distribution.dissemination.feed import FeedSettings
+from linenbridge.distribution.dissemination.settings import FeedSettings
 from linenbridge.distribution.messages import Batch, Whole
 from tests.distribution.dissemination import checker
 from tests.distribution.dissemination.world import SECOND, InForce, Shape, World
--- a/tests/distribution/dissemination/test_with_views.py
+++ b/tests/distribution/dissemination/test_with_views.py
@@ -6,7 +6,7 @@
 
 from linenbridge.distribution.changes import Version
 from linenbridge.distribution.decisions import Apply, ReplaceRange
-from linenbridge.distribution.dissemination.feed import FeedSettings
+from linenbridge.distribution.dissemination.settings import FeedSettings
 from linenbridge.distribution.dissemination.follower import Follower
 from linenbridge.distribution.view.view import View
 from tests.distribution.dissemination.test_simulation import FEW_TOMBSTONES, publish_over, random_fault
--- a/tests/distribution/dissemination/world.py
+++ b/tests/distribution/dissemination/world.py
@@ -21,8 +21,10 @@
     START, Change, Kind, Position, Version, added, digest_of, range_of, removed, sealed,
 )  # fmt: skip
 from linenbridge.distribution.decisions import Apply, Dial, Event, HangUp, ReplaceRange, Send, SumsBelow
-from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
-from linenbridge.distribution.dissemination.follower import Follower, FollowerSettings
+from linenbridge.distribution.dissemination.feed import Feed
+from linenbridge.distribution.dissemination.settings import FeedSettings
+from linenbridge.distribution.dissemination.follower import Follower
+from linenbridge.distribution.dissemination.settings import FollowerSettings
 from linenbridge.distribution.messages import Batch, Digests, Follow, Message, Progress, Refused, Whole
 from linenbridge.distribution.dissemination.relay_selection import RelayPlace
 
--- a/tests/scale/measure/relay.py
+++ b/tests/scale/measure/relay.py
@@ -11,10 +11,11 @@
 
 import msgspec
 
-from linenbridge.distribution import feed as feed_module
+from linenbridge.distribution.dissemination import feed as feed_module
 from linenbridge.distribution.changes import START, Change, Kind, Position, TenantValue, Version, sealed
 from linenbridge.distribution.decisions import Send
-from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
+from linenbridge.distribution.dissemination.feed import Feed
+from linenbridge.distribution.dissemination.settings import FeedSettings
 from linenbridge.distribution.messages import (
     Append,
     Appended,
