--- a/tests/compatibility/test_dissemination_runs.py
+++ b/tests/compatibility/test_dissemination_runs.py
@@ -14,8 +14,10 @@
 
 from linenbridge.distribution.dissemination.settings import FeedSettings
 from tests.compatibility.dissemination_runs import Installation, Recorder, all_runs
-from tests.distribution.dissemination.test_simulation import Spoiler, publish_over, random_fault
-from tests.distribution.dissemination.world import Shape, World
+from tests.distribution.dissemination.simulation.corruption import Spoiler
+from tests.distribution.dissemination.simulation.faults import publish_over, random_fault
+from tests.distribution.dissemination.simulation.shape import Shape
+from tests.distribution.dissemination.simulation.world import World
 
 SHAPES = {
     "plain": Shape(),
--- /dev/null
+++ b/tests/distribution/dissemination/played.py
@@ -0,0 +1,175 @@
+"""One core with the other side of its links played by hand: a follower with relays, a feed with followers."""
+
+from __future__ import annotations
+
+from random import Random
+
+import msgspec
+
+from linenbridge.distribution.changes import Kind, Position, Version, sealed
+from linenbridge.distribution.decisions import Apply, Dial, Event, HangUp, ReplaceRange, Send, SumsBelow
+from linenbridge.distribution.dissemination.feed import Feed
+from linenbridge.distribution.dissemination.follower import Follower
+from linenbridge.distribution.dissemination.relay_selection import RelayPlace, ranked
+from linenbridge.distribution.dissemination.settings import FeedSettings, FollowerSettings
+from linenbridge.distribution.messages import (
+    Batch,
+    Follow,
+    Message,
+    Progress,
+    Whole,
+    batch_checksum,
+    whole_checksum,
+)  # fmt: skip
+
+SECOND = 1_000_000
+NEAR = [RelayPlace(f"near{n}", "r1") for n in range(4)]
+FAR = [RelayPlace(f"far{n}", "r2") for n in range(2)]
+SETTINGS = FollowerSettings()
+FEED_SETTINGS = FeedSettings()
+REGIONS = ["r1", "r2"]
+_decode = msgspec.msgpack.Decoder(Message).decode
+_encode = msgspec.msgpack.Encoder().encode
+
+
+class Gateway:
+    """A follower, and what it decided."""
+
+    def __init__(
+        self, positions: list[Position] | None = None, settings: FollowerSettings = SETTINGS
+    ) -> None:
+        self.now = 0
+        self.core = Follower(
+            "gateway", "r1", NEAR + FAR, ["r1"], positions or [], settings, Random(3), 0, lambda region: b"d"
+        )
+        self.order = ranked("gateway", "r1", NEAR + FAR)
+        self.dialled: list[str] = []
+        self.hung_up: list[str] = []
+        self.sent: list[Send] = []
+        self.applied: list[Apply | ReplaceRange] = []
+        self.events: list[Event] = []
+        self.number = 0
+        self.dead: set[str] = set()
+
+    def run(self, seconds: float) -> None:
+        end = self.now + int(seconds * SECOND)
+        while self.core.wake_at() <= end:
+            self.now = max(self.now + 1, self.core.wake_at())
+            self.pull()
+        self.now = max(self.now, end)
+
+    def pull(self) -> None:
+        while (decision := self.core.next_decision(self.now)) is not None:
+            if isinstance(decision, Dial):
+                self.dialled.append(decision.relay)
+                if decision.relay not in self.dead:
+                    self.core.on_link(self.now, decision.relay, True)
+            elif isinstance(decision, HangUp):
+                self.hung_up.append(decision.relay)
+            elif isinstance(decision, Send):
+                self.sent.append(decision)
+                self.number = 0 if isinstance(decision.message, Follow) else self.number
+            elif isinstance(decision, Event):
+                self.events.append(decision)
+            else:
+                self.applied.append(decision)
+
+    def last(self, kind: type) -> Send:
+        return next(send for send in reversed(self.sent) if isinstance(send.message, kind))
+
+    @property
+    def session(self) -> int:
+        return self.last(Follow).message.session
+
+    def batch(self, after: int, upto: int, names: str = "", **fields) -> Batch:
+        """The relay's next message: a change for each letter of `names`, the last ones before `upto`."""
+        self.number += 1
+        changes = [
+            sealed("r1", Version(1, upto - len(names) + 1 + place), Kind.TENANT, name, b"v")
+            for place, name in enumerate(names)
+        ]
+        end = Version(1 if upto else 0, upto)
+        checksum = batch_checksum("r1", after, end, _encode(changes))
+        batch = Batch(self.session, "r1", after, end, changes, None, 0, checksum, self.number)
+        return msgspec.structs.replace(batch, **fields)
+
+    def whole(self, upto: int, index: int, names: str, **fields) -> Whole:
+        self.number += 1
+        changes = [sealed("r1", Version(1, 1), Kind.TENANT, name, b"w") for name in names.split()]
+        whole = Whole(self.session, "r1", Version(1, upto), index, 0, True, True, changes, 0, 0, self.number)
+        return self.summed(msgspec.structs.replace(whole, **fields))
+
+    def summed(self, whole: Whole) -> Whole:
+        encoded = _encode(whole.changes)
+        checksum = whole_checksum("r1", whole.upto, whole.range, whole.part, whole.last, encoded)
+        return msgspec.structs.replace(whole, checksum=checksum)
+
+    def take(self, message: Batch | Whole, relay: str = "") -> None:
+        handle = self.core.on_batch if isinstance(message, Batch) else self.core.on_whole
+        handle(self.now, relay or self.core.relay, message)
+        self.pull()
+
+    def answer(self, digest: int | None = 0) -> None:
+        last = self.applied[-1]
+        self.core.on_applied(self.now, "r1", last.upto, digest)
+        self.pull()
+
+    def progress(self) -> Progress:
+        """The last word to the relay that is followed."""
+        said = [send.message for send in self.sent if isinstance(send.message, Progress)]
+        return [progress for progress in said if progress.session][-1]
+
+    def following(self) -> Gateway:
+        self.run(1)
+        at = sum(position.sequence for position in self.last(Follow).message.positions)
+        self.take(self.batch(at, at))
+        assert self.core.following
+        return self
+
+
+class Relay:
+    """A feed, and what it sent by follower."""
+
+    def __init__(self, settings: FeedSettings = FEED_SETTINGS) -> None:
+        self.feed, self.now, self.sequence = Feed("relay", "r1", REGIONS, settings, Random(1), 0), 0, 0
+        self.sent: dict[str, list] = {}
+        self.events: list[Event] = []
+        self.sums: list[SumsBelow] = []
+
+    def run(self, seconds: float) -> None:
+        end = self.now + int(seconds * SECOND)
+        while self.feed.wake_at() <= end:
+            self.now = max(self.now, self.feed.wake_at())
+            self.pull()
+        self.now = end
+
+    def pull(self) -> None:
+        while (decision := self.feed.next_decision(self.now)) is not None:
+            if isinstance(decision, Send):
+                self.sent.setdefault(decision.to, []).append(_decode(_encode(decision.message)))
+            else:
+                (self.events if isinstance(decision, Event) else self.sums).append(decision)
+
+    def commit(self, number: int, size: int = 10, name: str = "t{n}") -> None:
+        changes = []
+        for _ in range(number):
+            self.sequence += 1
+            value = b"x" * size
+            key = name.format(n=self.sequence)
+            changes.append(sealed("r1", Version(1, self.sequence), Kind.TENANT, key, value))
+        self.feed.on_committed(self.now, "r1", changes)
+
+    def follow(self, name: str, sequence: int = 0, session: int = 1, rate: int = 0) -> None:
+        position = Position("r1", 1 if sequence else 0, sequence)
+        self.feed.on_follow(self.now, Follow(name, session, [position], rate, ["r1"]))
+        self.pull()
+
+    def acknowledge(self, name: str, session: int = 1) -> None:
+        messages = [each for each in self.sent.get(name, []) if isinstance(each, Batch | Whole)]
+        batches = [each.upto.sequence for each in messages if isinstance(each, Batch)]
+        position = Position("r1", 1, max(batches, default=0))
+        self.feed.on_progress(self.now, Progress(name, session, [position], [], len(messages)))
+        self.pull()
+
+    def batches(self, name: str) -> list[Batch]:
+        return [each for each in self.sent.get(name, []) if isinstance(each, Batch) and each.changes]
--- /dev/null
+++ b/tests/distribution/dissemination/simulation/faults.py
@@ -0,0 +1,107 @@
+"""What is done to a simulated installation, and how its records are handed to the checker."""
+
+from __future__ import annotations
+
+from random import Random
+
+from linenbridge.distribution.dissemination.settings import FeedSettings
+from tests.distribution.dissemination.simulation import checker
+from tests.distribution.dissemination.simulation.shape import SECOND, Shape
+from tests.distribution.dissemination.simulation.world import World
+
+MADE_GOOD = 4 * SECOND  # a relay's death, and the aim for a change to be in force everywhere
+FEW_TOMBSTONES = FeedSettings(tombstones_most=3)
+
+
+def published(world: World) -> list[checker.Published]:
+    return [
+        checker.Published(change.region, change.sequence, change.kind, change.name, change.value)
+        for log in world.logs.values()
+        for change in log
+    ]
+
+
+def gateways(world: World) -> list[str]:
+    return sorted(name for name in world.tables if name not in world.down)
+
+
+def breaches(world: World, at_end: bool = True) -> list[checker.Breach]:
+    found = checker.breaches_of_versions(world.record, published(world))
+    if at_end:
+        found += checker.breaches_at_end(world.record, published(world), gateways(world))
+        found += different_digests(world)
+    for name in world.tables:
+        found += checker.breaches_of_budget(world.bytes_to[name], world.shape.follower.rate, name)
+    return found
+
+
+def different_digests(world: World) -> list[checker.Breach]:
+    found = []
+    for region in world.regions:
+        digests = {name: world.tables[name].sums[region] for name in gateways(world)}
+        digests |= {name: feed.digest(region) for name, feed in world.feeds.items() if name not in world.down}
+        if len(set(digests.values())) != 1:
+            found.append(checker.Breach("digests differ", f"{region}: {digests}"))
+    return found
+
+
+def publish_over(world: World, seconds: int, number: int) -> None:
+    """So many changes in each region, spread over a time."""
+    for region in world.regions:
+        for _ in range(number):
+            at = world.now + world.dice.randrange(seconds * SECOND)
+            world.at(at, world.publish_some, region, 1)
+
+
+def random_fault(world: World, dice: Random) -> None:
+    relay = dice.choice(world.places).name
+    gateway = dice.choice(sorted(world.tables))
+    kind = dice.choice(("cut", "kill", "stop", "kept", "emptied", "part"))
+    if kind == "cut":
+        world.cut_some()
+    elif kind == "kill" and relay not in world.down | world.stopped:
+        world.kill(relay)
+        world.at(world.now + dice.randrange(SECOND, 8 * SECOND), world.start_relay, relay)
+    elif kind == "stop" and relay not in world.down | world.stopped:
+        world.stop(relay, dice.randrange(1, 10))
+    elif kind in ("kept", "emptied") and gateway not in world.down:
+        world.kill(gateway)
+        region = world.home[gateway]
+        world.at(world.now + SECOND, world.start_gateway, gateway, region, kind == "kept")
+    elif kind == "part":
+        world.part(*dice.sample(world.regions, 2))
+        world.at(world.now + dice.randrange(SECOND, 6 * SECOND), world.meet)
+
+
+def reports(world: World) -> list[checker.Report]:
+    return [
+        checker.Report(at, relay, summary.region, summary.least, summary.unreached)
+        for at, relay, progress in world.reports
+        for summary in progress.below
+    ]
+
+
+def breaches_of_sums(world: World) -> list[checker.Breach]:
+    followed = [
+        (at, core, str(event.fields["relay"]))
+        for at, core, event in world.events
+        if event.name == "distribution.following"
+    ]
+    return checker.breaches_of_sums(reports(world), world.reached, followed, 3 * SECOND)
+
+
+def following(world: World) -> list[str]:
+    return [name for name in gateways(world) if world.followers[name].following]
+
+
+def calm_world() -> World:
+    world = World(Shape(), 3)
+    world.run(2)
+    publish_over(world, 4, 40)
+    world.run(10)
+    assert breaches(world) == []
+    return world
+
+
+def rules(found: list[checker.Breach]) -> set[str]:
+    return {breach.rule for breach in found}
--- /dev/null
+++ b/tests/distribution/dissemination/simulation/test_budget.py
@@ -0,0 +1,61 @@
+"""Bytes and times in simulated time: bursts, changes of six regions, a long catch-up."""
+
+from __future__ import annotations
+
+from linenbridge.distribution.changes import Kind
+from tests.distribution.dissemination.simulation import checker
+from tests.distribution.dissemination.simulation.faults import (
+    MADE_GOOD,
+    breaches,
+    gateways,
+    publish_over,
+)
+from tests.distribution.dissemination.simulation.shape import SECOND, Shape
+from tests.distribution.dissemination.simulation.world import World
+
+
+def test_a_burst_stays_within_each_gateways_budget_and_arrives():
+    world = World(Shape(keys=400), 1)
+    world.run(2)
+    for region in world.regions:
+        world.publish_some(region, 2_000)
+    world.run(20)
+    assert breaches(world) == []
+    sent = sum(size for _, size in world.bytes_to["r0-gateway0"])
+    assert sent < 2 * 400 * 200, "the newest of each key, not every change"
+
+
+def test_changes_come_into_force_everywhere_within_the_aim():
+    """Six regions, ten times the day's rate of changes. `-s` prints the times from publishing to in force at
+    each gateway, and the bytes."""
+    world = World(Shape(regions=6, relays=2, gateways=2, keys=500), 7)
+    world.run(3)
+    publish_over(world, 20, 110)
+    world.run(30)
+    assert breaches(world) == []
+    times = sorted(
+        line.at - world.published_at[line.region, line.version.sequence]
+        for line in world.record
+        if line.version is not None
+    )
+    p50, p99, most = times[len(times) // 2], times[len(times) * 99 // 100], times[-1]
+    sent = [sum(size for _, size in world.bytes_to[name]) for name in world.tables]
+    print(f"in force: {len(times)} times, p50 {p50} us, p99 {p99} us, max {most} us")
+    print(
+        f"sent to a gateway: at most {max(sent) / 33:.0f} bytes a second, {6 * 110 / 20:.0f} changes a second"
+    )
+    assert p99 <= 1_500_000
+    assert most <= 4 * SECOND
+
+
+def test_a_change_in_another_region_is_not_held_up_by_a_long_catch_up():
+    world = World(Shape(keys=4_000, relays=2, gateways=2), 1)
+    world.publish_some("r0", 4_000)
+    world.run(4)
+    world.publish("r1", Kind.TENANT, "urgent", b"1")
+    began = world.now
+    world.run(30)
+    last = checker.latest_in_force(world.record, ("r1", Kind.TENANT, "urgent"), 0, gateways(world))
+    assert last is not None
+    assert last - began < MADE_GOOD
+    assert breaches(world) == []
--- a/tests/distribution/dissemination/test_cuts.py
+++ b/tests/distribution/dissemination/simulation/test_partitions.py
@@ -10,8 +10,9 @@
 import pytest
 
 from linenbridge.distribution.dissemination.settings import FeedSettings
-from tests.distribution.dissemination.test_simulation import breaches, different_digests, publish_over
-from tests.distribution.dissemination.world import SECOND, Shape, World
+from tests.distribution.dissemination.simulation.faults import breaches, different_digests, publish_over
+from tests.distribution.dissemination.simulation.shape import SECOND, Shape
+from tests.distribution.dissemination.simulation.world import World
 
 HOUR = 3_600
 WITHIN = 10 * SECOND  # after the regions have met: back-off of the links and of the followers, and the bytes
--- /dev/null
+++ b/tests/distribution/dissemination/simulation/test_sums.py
@@ -0,0 +1,52 @@
+"""The sums along the tree in simulated time: what they say to be in force is in force."""
+
+from __future__ import annotations
+
+import pytest
+
+from tests.distribution.dissemination.simulation.faults import (
+    breaches_of_sums,
+    publish_over,
+    random_fault,
+    reports,
+)
+from tests.distribution.dissemination.simulation.shape import SECOND, Shape
+from tests.distribution.dissemination.simulation.world import World
+
+
+@pytest.mark.parametrize("seed", range(4))
+def test_the_sums_never_say_in_force_where_it_is_not(seed):
+    world = World(Shape(), seed)
+    world.run(2)
+    publish_over(world, 10, 25)
+    for _ in range(5):
+        world.at(world.now + world.dice.randrange(10 * SECOND), random_fault, world, world.dice)
+    world.run(30)
+    assert breaches_of_sums(world) == []
+    for region in world.regions:
+        newest = {
+            relay: progress.below[0] for _, relay, progress in world.reports if relay.startswith(region)
+        }
+        relays = world.shape.relays * (len(world.regions) - 1)
+        assert sum(each.followers for each in newest.values()) == len(world.tables) + relays
+        assert {each.least for each in newest.values()} == {len(world.logs[region])}
+        assert sum(each.unreached_count for each in newest.values()) == 0
+        assert sum(each.lag[0] for each in newest.values()) == len(world.tables) + relays
+
+
+def test_a_gateway_that_is_lost_is_named_until_it_is_back_at_any_relay():
+    world = World(Shape(), 5)
+    world.run(2)
+    lost = "r0-gateway3"
+    world.kill(lost)
+    for region in world.regions:
+        world.publish_some(region, 3)
+    world.run(6)
+    for region in world.regions:
+        newest = {report.relay: report for report in reports(world) if report.region == region}
+        assert [name for report in newest.values() for name in report.unreached] == [lost]
+        assert {report.least for report in newest.values()} == {3}
+    world.start_gateway(lost, "r0", kept=True)
+    world.run(6)
+    assert {name for report in reports(world)[-6:] for name in report.unreached} == set()
+    assert breaches_of_sums(world) == []
--- a/tests/distribution/dissemination/test_with_views.py
+++ b/tests/distribution/dissemination/simulation/test_views.py
@@ -6,11 +6,12 @@
 
 from linenbridge.distribution.changes import Version
 from linenbridge.distribution.decisions import Apply, ReplaceRange
-from linenbridge.distribution.dissemination.settings import FeedSettings
 from linenbridge.distribution.dissemination.follower import Follower
+from linenbridge.distribution.dissemination.settings import FeedSettings
 from linenbridge.distribution.view.view import View
-from tests.distribution.dissemination.test_simulation import FEW_TOMBSTONES, publish_over, random_fault
-from tests.distribution.dissemination.world import SECOND, Shape, World
+from tests.distribution.dissemination.simulation.faults import FEW_TOMBSTONES, publish_over, random_fault
+from tests.distribution.dissemination.simulation.shape import SECOND, Shape
+from tests.distribution.dissemination.simulation.world import World
 from tests.helpers import startup
 
 
--- /dev/null
+++ b/tests/distribution/dissemination/test_acceptance.py
@@ -0,0 +1,149 @@
+"""What a follower takes of a relay's batches and ranges, what it passes over, and what is spoilt."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+import msgspec
+import pytest
+
+from linenbridge.distribution.changes import Kind, Position, Version, range_of, sealed
+from linenbridge.distribution.messages import (
+    Batch,
+    Digests,
+    Follow,
+    batch_checksum,
+)  # fmt: skip
+from tests.distribution.dissemination.played import SETTINGS, Gateway
+
+SECOND = 1_000_000
+_encode = msgspec.msgpack.Encoder().encode
+
+
+def test_batches_are_taken_in_order_and_acknowledged_once_applied():
+    gateway = Gateway().following()
+    gateway.take(gateway.batch(0, 2, "ab"))
+    gateway.run(0.3)
+    assert gateway.progress().received == 1
+    gateway.answer()
+    gateway.run(0.3)
+    progress = gateway.progress()
+    assert (progress.received, progress.positions) == (2, [Position("r1", 1, 2)])
+    assert [change.name for change in gateway.applied[0].changes] == ["a", "b"]
+
+
+def test_a_gap_is_followed_anew_from_the_position_and_several_leave_the_relay():
+    gateway = Gateway().following()
+    gateway.take(gateway.batch(0, 2, "ab"))
+    session, relay = gateway.session, gateway.core.relay
+    gateway.take(gateway.batch(5, 6, "c"))
+    assert gateway.session != session
+    assert gateway.last(Follow).message.positions == [Position("r1", 1, 2)]
+    assert len(gateway.applied) == 1
+    for _ in range(3):
+        gateway.take(gateway.batch(5, 6, "c"))
+    gateway.run(0.5)
+    assert gateway.core.relay != relay
+    assert gateway.core.counters.gaps == 4
+
+
+def test_repeated_older_and_foreign_messages_are_passed_over():
+    gateway = Gateway().following()
+    first = gateway.batch(0, 2, "ab")
+    gateway.take(first)
+    gateway.take(first)
+    gateway.take(gateway.batch(0, 2, "ab"))
+    gateway.take(msgspec.structs.replace(gateway.batch(2, 3, "c"), session=1))
+    gateway.take(gateway.batch(2, 3, "c"), relay=gateway.order[3])
+    assert len(gateway.applied) == 1
+    assert gateway.core.counters.passed_over == 4
+
+
+def spoilt_value(batch: Batch) -> Batch:
+    change = msgspec.structs.replace(batch.changes[0], value=b"other")
+    changes = [change, *batch.changes[1:]]
+    checksum = batch_checksum("r1", batch.after, batch.upto, _encode(changes))
+    return msgspec.structs.replace(batch, changes=changes, checksum=checksum)
+
+
+def reordered(batch: Batch) -> Batch:
+    changes = batch.changes[::-1]
+    checksum = batch_checksum("r1", batch.after, batch.upto, _encode(changes))
+    return msgspec.structs.replace(batch, changes=changes, checksum=checksum)
+
+
+def beyond_its_end(batch: Batch) -> Batch:
+    upto = Version(1, 1)
+    checksum = batch_checksum("r1", batch.after, upto, _encode(batch.changes))
+    return msgspec.structs.replace(batch, upto=upto, checksum=checksum)
+
+
+def cut(batch: Batch) -> Batch:
+    return msgspec.structs.replace(batch, changes=batch.changes[:1])
+
+
+def of_another_region(batch: Batch) -> Batch:
+    changes = [sealed("r2", change.version, change.kind, change.name, b"v") for change in batch.changes]
+    checksum = batch_checksum("r1", batch.after, batch.upto, _encode(changes))
+    return msgspec.structs.replace(batch, changes=changes, checksum=checksum)
+
+
+@pytest.mark.parametrize("spoil", [spoilt_value, reordered, beyond_its_end, cut, of_another_region])
+def test_a_spoilt_batch_is_not_taken_and_its_relay_is_left_counted_and_named(spoil):
+    gateway = Gateway().following()
+    relay = gateway.core.relay
+    gateway.take(spoil(gateway.batch(0, 2, "ab")))
+    assert gateway.applied == []
+    assert gateway.core.counters.spoilt == 1
+    spoilt = next(event for event in gateway.events if event.name == "distribution.spoilt")
+    assert spoilt.fields["relay"] == relay
+    gateway.run(1)
+    assert gateway.core.relay != relay
+
+
+def test_behind_the_horizon_it_asks_for_ranges_and_is_at_their_end_with_the_final_one():
+    gateway = Gateway([Position("r1", 1, 3)]).following()
+    gateway.take(gateway.batch(3, 3, horizon=9))
+    asked = gateway.last(Digests)
+    assert (asked.message.at, asked.message.digests) == (Version(1, 3), b"d")
+    index = range_of(Kind.TENANT, "a")
+    gateway.take(gateway.whole(9, index, "a"))
+    replaced = gateway.applied[-1]
+    assert (replaced.range, replaced.final, replaced.upto) == (index, True, Version(1, 9))
+    gateway.answer()
+    assert gateway.core.positions() == [Position("r1", 1, 9)]
+    gateway.take(gateway.batch(9, 10, "b"))
+    assert gateway.applied[-1].upto == Version(1, 10)
+
+
+def test_parts_of_a_range_are_put_together_and_a_missing_part_is_a_gap():
+    gateway = Gateway([Position("r1", 1, 3)]).following()
+    gateway.take(gateway.batch(3, 3, horizon=9))
+    index = range_of(Kind.TENANT, "a")
+    gateway.take(gateway.whole(9, index, "a", last=False, final=False))
+    assert gateway.applied == []
+    gateway.take(gateway.whole(9, index, "a", part=2))
+    assert (gateway.applied, gateway.core.counters.gaps) == ([], 1)
+
+
+@pytest.mark.parametrize(("index", "name"), [(0, "a"), (2_000, "")])
+def test_a_range_with_keys_of_another_is_spoilt(index, name):
+    gateway = Gateway([Position("r1", 1, 3)]).following()
+    gateway.take(gateway.batch(3, 3, horizon=9))
+    gateway.take(gateway.whole(9, index, name))
+    assert (gateway.applied, gateway.core.counters.spoilt) == ([], 1)
+
+
+def test_ranges_that_nobody_asked_for_are_passed_over():
+    gateway = Gateway([Position("r1", 1, 3)]).following()
+    gateway.take(gateway.whole(9, range_of(Kind.TENANT, "a"), "a"))
+    assert (gateway.applied, gateway.core.counters.passed_over) == ([], 1)
+
+
+def test_ranges_are_asked_for_again_when_none_come():
+    gateway = Gateway([Position("r1", 1, 3)], replace(SETTINGS, ranges=2 * SECOND)).following()
+    for _ in range(4):
+        gateway.take(gateway.batch(3, 3, horizon=9))
+        gateway.run(1)
+    asked = [send for send in gateway.sent if isinstance(send.message, Digests)]
+    assert len(asked) == 2
--- /dev/null
+++ b/tests/distribution/dissemination/test_standby_link.py
@@ -0,0 +1,32 @@
+"""A follower's second link: kept to the next relay, and gone back to where it is the better one."""
+
+from __future__ import annotations
+
+from linenbridge.distribution.changes import Position
+from linenbridge.distribution.messages import (
+    Follow,
+)  # fmt: skip
+from tests.distribution.dissemination.played import Gateway
+
+
+def test_it_follows_the_first_relay_and_keeps_a_link_to_the_second():
+    gateway = Gateway([Position("r1", 1, 5)]).following()
+    gateway.run(1)
+    assert gateway.core.relay == gateway.order[0]
+    assert gateway.order[1] in gateway.dialled
+    follow = gateway.last(Follow).message
+    assert (follow.positions, follow.rate, follow.regions) == ([Position("r1", 1, 5)], 14_000, ["r1"])
+
+
+def test_it_goes_back_to_a_better_relay_after_a_while():
+    gateway = Gateway().following()
+    best = gateway.core.relay
+    gateway.core.on_link(gateway.now, best, False)
+    gateway.run(1)
+    assert gateway.core.relay != best
+    left = 0
+    while gateway.core.relay != best and left < 90:
+        gateway.take(gateway.batch(0, 0))
+        gateway.run(1)
+        left += 1
+    assert 20 <= left <= 45
