--- a/linenbridge/distribution/dissemination/acceptance.py
+++ b/linenbridge/distribution/dissemination/acceptance.py
@@ -14,8 +14,8 @@
 from linenbridge.distribution.decisions import Apply, ReplaceRange
 from linenbridge.distribution.messages import Batch, Whole, batch_checksum, whole_checksum
 
-RANGE_BYTES_MOST = 16_000_000  # values of one range whose parts are being put together
-PENDING_MOST = 256  # applied changes whose digest is yet to be heard from the host
+MAX_RANGE_BYTES = 16_000_000  # values of one range whose parts are being put together
+MAX_PENDING_DIGESTS = 256  # applied changes whose digest is yet to be heard from the host
 
 _encode = msgspec.msgpack.Encoder().encode
 
@@ -23,28 +23,28 @@
 class Verdict(Enum):
     """What becomes of a message."""
 
-    TAKEN = "taken"
+    ACCEPTED = "accepted"
     HEARTBEAT = "heartbeat"
-    PASSED_OVER = "passed over"
+    IGNORED = "ignored"
     GAP = "gap"
-    SPOILT = "spoilt"
+    MALFORMED = "malformed"
 
 
-def spoilt(message: Batch | Whole) -> str:
+def defect(message: Batch | Whole) -> str:
     """What is wrong with the bytes of a message; empty: nothing."""
-    return batch_spoilt(message) if isinstance(message, Batch) else whole_spoilt(message)
+    return batch_defect(message) if isinstance(message, Batch) else range_defect(message)
 
 
-def batch_spoilt(batch: Batch) -> str:
+def batch_defect(batch: Batch) -> str:
     """What is wrong with the bytes of a batch; empty: nothing."""
     if batch.checksum != batch_checksum(batch.region, batch.after, batch.upto, _encode(batch.changes)):
         return "the list's checksum"
     if batch.after > batch.upto.sequence:
         return "the end lies before the beginning"
-    return _changes_spoilt(batch.region, batch.changes) or _order_spoilt(batch)
+    return _changes_defect(batch.region, batch.changes) or _order_defect(batch)
 
 
-def _order_spoilt(batch: Batch) -> str:
+def _order_defect(batch: Batch) -> str:
     last = batch.after
     for change in batch.changes:
         if not last < change.sequence <= batch.upto.sequence or change.epoch > batch.upto.epoch:
@@ -53,20 +53,22 @@
     return ""
 
 
-def whole_spoilt(whole: Whole) -> str:
+def range_defect(snapshot: Whole) -> str:
     """What is wrong with the bytes of a part of a range; empty: nothing."""
-    encoded = _encode(whole.changes)
-    expected = whole_checksum(whole.region, whole.upto, whole.range, whole.part, whole.last, encoded)
-    if whole.checksum != expected:
+    encoded = _encode(snapshot.changes)
+    expected = whole_checksum(
+        snapshot.region, snapshot.upto, snapshot.range, snapshot.part, snapshot.last, encoded
+    )
+    if snapshot.checksum != expected:
         return "the list's checksum"
-    if not 0 <= whole.range < RANGES:
+    if not 0 <= snapshot.range < RANGES:
         return "the range's number"
-    if any(range_of(change.kind, change.name) != whole.range for change in whole.changes):
+    if any(range_of(change.kind, change.name) != snapshot.range for change in snapshot.changes):
         return "a change of another range"
-    return _changes_spoilt(whole.region, whole.changes)
+    return _changes_defect(snapshot.region, snapshot.changes)
 
 
-def _changes_spoilt(region: str, changes: list[Change]) -> str:
+def _changes_defect(region: str, changes: list[Change]) -> str:
     for change in changes:
         if change.region != region:
             return "a change of another region"
@@ -76,15 +78,15 @@
 
 
 class Acceptance:
-    """One region at a follower. `taken` is the position up to which changes were given to the host, `applied`
+    """One region at a follower. `accepted` is the position up to which changes were given to the host, `applied`
     the one up to which the host has them in force; `digest` is the host's there, where it is known."""
 
     def __init__(self, region: str, version: Version = START) -> None:
         self.region = region
-        self.taken = self.applied = version
+        self.accepted = self.applied = version
         self.digest: int | None = None
-        self.confirmed = False  # a relay has told the digest at `taken`
-        self.differs = False  # the host's digest is not the relay's at the same position
+        self.confirmed = False  # a relay has told the digest at `accepted`
+        self.digest_differs = False  # the host's digest is not the relay's at the same position
         self.behind_horizon = False
         self.transferring_at: int | None = None  # when ranges were asked for or last came
         self._expected: dict[Version, int] = {}
@@ -95,38 +97,38 @@
 
     @property
     def needs_ranges(self) -> bool:
-        return self.differs or self.behind_horizon
+        return self.digest_differs or self.behind_horizon
 
     def on_new_session(self) -> None:
         """Nothing of an earlier session goes on; digests are compared anew."""
         self.transferring_at = None
-        self.confirmed = self.differs = self.behind_horizon = False
+        self.confirmed = self.digest_differs = self.behind_horizon = False
         self._drop_parts()
 
     def judge(self, message: Batch | Whole) -> Verdict:
         """What becomes of a message of this region; only a heartbeat and a first part change anything."""
-        if spoilt(message):
-            return Verdict.SPOILT
-        return self._judge_batch(message) if isinstance(message, Batch) else self._judge_part(message)
+        if defect(message):
+            return Verdict.MALFORMED
+        return self._judge_batch(message) if isinstance(message, Batch) else self._judge_snapshot(message)
 
     # ---- batches ---------------------------------------------------------------------------------------
 
     def _judge_batch(self, batch: Batch) -> Verdict:
-        if batch.after > self.taken.sequence:
+        if batch.after > self.accepted.sequence:
             return Verdict.GAP
-        self.behind_horizon = batch.horizon > self.taken.sequence
-        if batch.upto == self.taken and not batch.changes:
-            tells = batch.digest is not None and not self.confirmed
-            return Verdict.TAKEN if tells else Verdict.HEARTBEAT
-        if batch.upto <= self.taken:
-            return Verdict.PASSED_OVER
-        return Verdict.PASSED_OVER if self.behind_horizon else Verdict.TAKEN
-
-    def take(self, batch: Batch) -> Apply:
+        self.behind_horizon = batch.horizon > self.accepted.sequence
+        if batch.upto == self.accepted and not batch.changes:
+            has_new_digest = batch.digest is not None and not self.confirmed
+            return Verdict.ACCEPTED if has_new_digest else Verdict.HEARTBEAT
+        if batch.upto <= self.accepted:
+            return Verdict.IGNORED
+        return Verdict.IGNORED if self.behind_horizon else Verdict.ACCEPTED
+
+    def accept(self, batch: Batch) -> Apply:
         """What the host is to apply of a batch that was judged to be taken; nothing but the digest of a
         heartbeat that is the first to tell it."""
-        changes = [change for change in batch.changes if change.version > self.taken]
-        self.taken = batch.upto
+        changes = [change for change in batch.changes if change.version > self.accepted]
+        self.accepted = batch.upto
         self.confirmed = batch.digest is not None
         if batch.digest is not None:
             self._expect(batch.upto, batch.digest)
@@ -136,51 +138,54 @@
         """A heartbeat at the relay's head tells the digest again; whether it was compared."""
         if batch.digest is None or self.applied != batch.upto or self.digest is None:
             return False
-        self.differs = self.digest != batch.digest
+        self.digest_differs = self.digest != batch.digest
         return True
 
     def _expect(self, upto: Version, digest: int) -> None:
         self._expected[upto] = digest
-        if len(self._expected) > PENDING_MOST:
+        if len(self._expected) > MAX_PENDING_DIGESTS:
             del self._expected[next(iter(self._expected))]
 
     # ---- ranges ----------------------------------------------------------------------------------------
 
-    def _judge_part(self, whole: Whole) -> Verdict:
-        if whole.upto < self.taken or self.transferring_at is None:
-            return Verdict.PASSED_OVER
-        if whole.part == 0:
+    def _judge_snapshot(self, snapshot: Whole) -> Verdict:
+        if snapshot.upto < self.accepted or self.transferring_at is None:
+            return Verdict.IGNORED
+        if snapshot.part == 0:
             self._drop_parts()
-            self._range = whole.range
-        if whole.range != self._range or whole.part != self._next_part:
+            self._range = snapshot.range
+        if snapshot.range != self._range or snapshot.part != self._next_part:
             return Verdict.GAP
-        return Verdict.TAKEN
+        return Verdict.ACCEPTED
 
-    def take_whole(self, now: int, whole: Whole) -> ReplaceRange | None:
+    def accept_snapshot(self, now: int, snapshot: Whole) -> ReplaceRange | None:
         """The complete range, once its last part is here."""
         self.transferring_at = now
         self._next_part += 1
-        self._parts += whole.changes
-        self._bytes += sum(len(change.value) for change in whole.changes)
-        if not whole.last:
+        self._parts += snapshot.changes
+        self._bytes += sum(len(change.value) for change in snapshot.changes)
+        if not snapshot.last:
             return None
         replace = ReplaceRange(
-            self.region, whole.upto, whole.range, self._parts, whole.final, whole.horizon
+            self.region, snapshot.upto, snapshot.range, self._parts, snapshot.final, snapshot.horizon
         )  # fmt: skip
         self._drop_parts()
-        if whole.final:
-            self.taken = whole.upto
+        if snapshot.final:
+            self.accepted = snapshot.upto
             self.transferring_at = None
-            self.confirmed = self.differs = self.behind_horizon = False
+            self.confirmed = self.digest_differs = self.behind_horizon = False
         return replace
 
     @property
     def too_large(self) -> bool:
         """A range that is put together has outgrown all reason."""
-        return self._bytes > RANGE_BYTES_MOST
+        return self._bytes > MAX_RANGE_BYTES
 
     def _drop_parts(self) -> None:
-        self._parts, self._bytes, self._range, self._next_part = [], 0, -1, 0
+        self._parts = []
+        self._bytes = 0
+        self._range = -1
+        self._next_part = 0
 
     # ---- the host --------------------------------------------------------------------------------------
 
@@ -188,24 +193,25 @@
         """The host has a batch or range in force, and its table's digest is this; None: it cannot be compared
         now. A range that is not the last one of its transfer leaves the position where it is. Whether the
         digest was compared with the relay's."""
-        if self.taken < upto or upto < self.applied:
+        if self.accepted < upto or upto < self.applied:
             return False
-        self.applied, self.digest = upto, digest
+        self.applied = upto
+        self.digest = digest
         expected = self._expected.pop(upto, None)
         self._expected = {version: each for version, each in self._expected.items() if version > upto}
         if expected is None or digest is None:
             return False
-        self.differs = expected != digest
+        self.digest_differs = expected != digest
         return True
 
 
 class Acceptances:
     """The rules of all regions of one follower. Without `regions` it takes all that its relays send, but no
-    more than `unknown_regions`."""
+    more than `max_unknown_regions`."""
 
-    def __init__(self, regions: list[str], positions: list[Position], unknown_regions: int) -> None:
+    def __init__(self, regions: list[str], positions: list[Position], max_unknown_regions: int) -> None:
         self._wanted = frozenset(regions)
-        self._unknown_regions = unknown_regions
+        self._unknown_regions = max_unknown_regions
         self._by_region = {region: Acceptance(region) for region in regions}
         for position in positions:
             if self.of_region(position.region) is not None:
@@ -233,10 +239,10 @@
             for region, each in self._by_region.items()
         ]
 
-    def taken(self) -> list[Position]:
+    def accepted(self) -> list[Position]:
         """The positions up to which changes were given to the host."""
         return [
-            Position(region, each.taken.epoch, each.taken.sequence)
+            Position(region, each.accepted.epoch, each.accepted.sequence)
             for region, each in self._by_region.items()
         ]
 
--- a/linenbridge/distribution/dissemination/compacted_log.py
+++ b/linenbridge/distribution/dissemination/compacted_log.py
@@ -19,8 +19,8 @@
     RANGES, START, Change, Version, added, range_of, removed,
 )  # fmt: skip
 
-TOMBSTONES_MOST = 65_536  # in one region's table; about five days of replaced instances
-_HOLES_LEAST = 1_024  # below this many, places of superseded changes are not worth a compaction
+MAX_TOMBSTONES = 65_536  # in one region's table; about five days of replaced instances
+_MIN_HOLES = 1_024  # below this many, places of superseded changes are not worth a compaction
 _DIGEST_BYTES = 8
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -51,16 +51,16 @@
 
 class Table:
     """All keys of one region, at `head` unless `replacing`: then ranges of a newer state are being taken.
-    `settled`: it is known to be what the log makes of its keys at `head`. A part of a compacted log leads to
+    `consistent`: it is known to be what the log makes of its keys at `head`. A part of a compacted log leads to
     a state that never was, since keys that changed again behind it are still missing or older."""
 
-    def __init__(self, region: str, tombstones_most: int = TOMBSTONES_MOST) -> None:
+    def __init__(self, region: str, max_tombstones: int = MAX_TOMBSTONES) -> None:
         self.region = region
         self.head = START
         self.horizon = 0
         self.replacing = False
-        self.settled = False
-        self._tombstones_most = tombstones_most
+        self.consistent = False
+        self._max_tombstones = max_tombstones
         self._ranges: list[dict[str, bytes]] = [{} for _ in range(RANGES)]
         self._digests = [0] * RANGES
         self._digest = 0
@@ -119,13 +119,14 @@
     def _store(self, change: Change) -> str | None:
         """Put a change in the place of an older one of its key; the key, or None where the change is not
         newer."""
-        index, key = range_of(change.kind, change.name), _key(change.kind, change.name)
-        kept = self._ranges[index].get(key)
-        if kept is not None:
-            older = _decode(kept)
+        index = range_of(change.kind, change.name)
+        key = _key(change.kind, change.name)
+        stored = self._ranges[index].get(key)
+        if stored is not None:
+            older = _decode(stored)
             if older.version >= change.version:
                 return None
-            self._forget(index, key, older)
+            self._remove(index, key, older)
         self._ranges[index][key] = _encode(change)
         self._digests[index] = added(self._digests[index], change)
         self._digest = added(self._digest, change)
@@ -133,7 +134,7 @@
         self._tombstones_live += not change.value
         return key
 
-    def _forget(self, index: int, key: str, change: Change) -> None:
+    def _remove(self, index: int, key: str, change: Change) -> None:
         """Take a change out of its range and leave a hole in the order."""
         del self._ranges[index][key]
         self._digests[index] = removed(self._digests[index], change)
@@ -165,12 +166,12 @@
         if self.replacing:
             return
         holes = len(self._sequences) - self._live
-        if holes > _HOLES_LEAST and holes * 2 > len(self._sequences):
+        if holes > _MIN_HOLES and holes * 2 > len(self._sequences):
             self._compact()
-        while self._tombstones_live > self._tombstones_most:
-            self._let_go(self._tombstones.popleft())
+        while self._tombstones_live > self._max_tombstones:
+            self._drop_tombstone(self._tombstones.popleft())
 
-    def _let_go(self, sequence: int) -> None:
+    def _drop_tombstone(self, sequence: int) -> None:
         """Drop the oldest tombstone, if its key was not written again since."""
         place = self._find(sequence)
         key = None if place is None else self._keys[place]
@@ -179,13 +180,13 @@
         kind, name = _parts(key)
         change = self.newest(kind, name)
         if change is not None and not change.value:
-            self._forget(range_of(kind, name), key, change)
+            self._remove(range_of(kind, name), key, change)
             self.horizon = max(self.horizon, sequence)
 
     def _compact(self) -> None:
-        kept = [place for place, key in enumerate(self._keys) if key is not None]
-        self._sequences = [self._sequences[place] for place in kept]
-        self._keys = [self._keys[place] for place in kept]
+        stored = [place for place, key in enumerate(self._keys) if key is not None]
+        self._sequences = [self._sequences[place] for place in stored]
+        self._keys = [self._keys[place] for place in stored]
         self._tombstones = deque(
             sequence for sequence in self._tombstones if self._find(sequence) is not None
         )
@@ -193,18 +194,18 @@
     # ---- whole ranges ----------------------------------------------------------------------------------
 
     def replace(
-        self, index: int, upto: Version, changes: list[Change], final: bool, horizon: int = 0
+        self, index: int, upto: Version, changes: list[Change], *, final: bool, horizon: int = 0
     ) -> None:
         """Put in the complete content of one range: keys at versions up to `upto` that are not named are
         gone, newer ones stay. With `final` the table is at `upto`. `horizon` is that of the table that the
         range comes from; a key that is not named was deleted there, with a tombstone let go."""
         self.replacing = True
         named = {_key(change.kind, change.name) for change in changes}
-        gone = [key for key in self._ranges[index] if key not in named]
-        for key in gone:
+        removed_keys = [key for key in self._ranges[index] if key not in named]
+        for key in removed_keys:
             change = _decode(self._ranges[index][key])
             if change.version <= upto:
-                self._forget(index, key, change)
+                self._remove(index, key, change)
         for change in changes:
             self._store(change)
         self.horizon = max(self.horizon, horizon)
@@ -221,8 +222,8 @@
         self._tidy()
 
     def _places(self) -> Iterator[_Place]:
-        for kept in self._ranges:
-            for key, encoded in kept.items():
+        for stored in self._ranges:
+            for key, encoded in stored.items():
                 change = _decode(encoded)
                 yield _Place(change.sequence, key, not change.value)
 
@@ -237,13 +238,13 @@
                 kind, name = _parts(key)
                 yield Entry(self._sequences[place], self._ranges[range_of(kind, name)][key])
 
-    def page(self, after: int, bytes_most: int) -> Page:
-        """What lies behind a sequence, as much as `bytes_most` holds but one change at least."""
+    def page(self, after: int, max_bytes: int) -> Page:
+        """What lies behind a sequence, as much as `max_bytes` holds but one change at least."""
         encoded: list[bytes] = []
         size = 0
         for entry in self.since(after):
             size += len(entry.encoded)
-            if encoded and size > bytes_most:
+            if encoded and size > max_bytes:
                 return Page(_decode(encoded[-1]).version, encoded)
             encoded.append(entry.encoded)
         return Page(self.head, encoded)
@@ -258,7 +259,7 @@
 
 
 def _key(kind: int, name: str) -> str:
-    """One string for a key: kept for each, it takes half of what a tuple would."""
+    """One string for a key: stored for each, it takes half of what a tuple would."""
     return f"{kind}/{name}"
 
 
--- a/linenbridge/distribution/dissemination/counters.py
+++ b/linenbridge/distribution/dissemination/counters.py
@@ -17,7 +17,7 @@
     heartbeats: int = 0
     bytes: int = 0  # of encoded changes
     encoded: int = 0  # batches that were encoded; the others were shared
-    refused: int = 0
+    rejected: int = 0
     silent: int = 0
     malformed: int = 0
 
@@ -29,11 +29,11 @@
     batches: int = 0
     changes: int = 0
     ranges: int = 0
-    passed_over: int = 0
+    ignored: int = 0
     gaps: int = 0
-    spoilt: int = 0
-    differed: int = 0
-    refused: int = 0
-    silences: int = 0
+    malformed: int = 0
+    digest_mismatches: int = 0
+    rejected: int = 0
+    silent: int = 0
     lost: int = 0
     sessions: int = 0
--- a/linenbridge/distribution/dissemination/digest_repair.py
+++ b/linenbridge/distribution/dissemination/digest_repair.py
@@ -13,7 +13,7 @@
 
     def __init__(self) -> None:
         self._repaired: set[str] = set()  # regions whose ranges were taken anew from the relay now followed
-        self._differed: dict[str, str] = {}  # by region, the relay whose digest was another one first
+        self._first_mismatch: dict[str, str] = {}  # by region, the relay whose digest was another one first
 
     def on_new_relay(self) -> None:
         """Another relay is followed."""
@@ -25,13 +25,13 @@
 
     def on_equal(self, region: str) -> None:
         """The digests are the same."""
-        self._differed.pop(region, None)
+        self._first_mismatch.pop(region, None)
 
     def may_repair(self, region: str, relay: str, alone: bool) -> bool:
         """Whether ranges are to be taken from this relay; else another relay is to be taken, and this one is
         remembered. `alone`: there is no other relay."""
-        elsewhere = self._differed.get(region, relay) != relay
+        elsewhere = self._first_mismatch.get(region, relay) != relay
         if region not in self._repaired and (alone or elsewhere):
             return True
-        self._differed[region] = relay
+        self._first_mismatch[region] = relay
         return False
--- a/linenbridge/distribution/dissemination/encoded_lists.py
+++ b/linenbridge/distribution/dissemination/encoded_lists.py
@@ -17,12 +17,12 @@
     return _encode([Raw(each) for each in encoded])
 
 
-def split(encoded: list[bytes], bytes_most: int) -> list[list[bytes]]:
-    """A list in parts of at most `bytes_most` bytes, one member at least; an empty list is one empty part."""
+def split(encoded: list[bytes], max_bytes: int) -> list[list[bytes]]:
+    """A list in parts of at most `max_bytes` bytes, one member at least; an empty list is one empty part."""
     parts: list[list[bytes]] = [[]]
     size = 0
     for each in encoded:
-        if parts[-1] and size + len(each) > bytes_most:
+        if parts[-1] and size + len(each) > max_bytes:
             parts.append([])
             size = 0
         parts[-1].append(each)
--- a/linenbridge/distribution/dissemination/feed.py
+++ b/linenbridge/distribution/dissemination/feed.py
@@ -18,7 +18,11 @@
 from linenbridge.distribution.dissemination.message_builder import MessageBuilder
 from linenbridge.distribution.dissemination.page_cache import PageCache
 from linenbridge.distribution.dissemination.progress_reports import ProgressReports, heads
-from linenbridge.distribution.dissemination.range_transfer import DIGEST_BYTES, Transfer, differing_ranges
+from linenbridge.distribution.dissemination.range_transfer import (
+    DIGEST_BYTES,
+    RangeTransfer,
+    differing_ranges,
+)
 from linenbridge.distribution.dissemination.sessions import Cursor, Session
 from linenbridge.distribution.dissemination.settings import FeedSettings
 from linenbridge.distribution.errors import RelayBehind, RelayFull, SilentFollower
@@ -46,7 +50,7 @@
         self.region = region
         self.settings = settings
         self.counters = FeedCounters()
-        self.tables = {each: Table(each, settings.tombstones_most) for each in regions}
+        self.tables = {each: Table(each, settings.max_tombstones) for each in regions}
         self.sessions: dict[str, Session] = {}
         self._reports = ProgressReports(name, region, self.tables, self.sessions, settings, now)
         self._pages = PageCache(self.tables, self.counters)
@@ -56,7 +60,7 @@
         self._known_regions = frozenset(regions)
         self._random = random
         self._started_at = now
-        self._out: deque[Decision] = deque()
+        self._decisions: deque[Decision] = deque()
         self._turned_at = now
         self._next_turn = now + settings.heartbeat
 
@@ -80,46 +84,48 @@
 
     # ---- changes ---------------------------------------------------------------------------------------
 
-    def on_committed(self, now: int, region: str, changes: list[Change], settled: int = 0) -> None:
+    def on_committed(self, now: int, region: str, changes: list[Change], compacted_to: int = 0) -> None:
         """The own region's changes that a majority has, in order, up to a state that the log had. Deletions
-        up to `settled` may be missing: the replica has let them go."""
+        up to `compacted_to` may be missing: the replica has let them go."""
         if changes:
             table = self.tables[region]
-            table.apply(changes[-1].version, changes, horizon=settled)
-            table.settled = True
-            self._moved(now, region)
+            table.apply(changes[-1].version, changes, horizon=compacted_to)
+            table.consistent = True
+            self._on_head_moved(now, region)
 
     def on_apply(self, now: int, apply: Apply) -> int:
         """Another region's changes, by the relay's follower; the digest is for `Follower.on_applied`."""
         table = self.tables[apply.region]
         table.apply(apply.upto, apply.changes, apply.horizon)
-        table.settled = apply.digest == table.digest
-        self._moved(now, apply.region)
+        table.consistent = apply.digest == table.digest
+        self._on_head_moved(now, apply.region)
         return table.digest
 
     def on_range(self, now: int, replace: ReplaceRange) -> int:
         """A whole range of another region. Its followers wait until the last one is here."""
         table = self.tables[replace.region]
-        table.replace(replace.range, replace.upto, replace.changes, replace.final, replace.horizon)
-        table.settled = False
+        table.replace(
+            replace.range, replace.upto, replace.changes, final=replace.final, horizon=replace.horizon
+        )
+        table.consistent = False
         if replace.final:
-            self._moved(now, replace.region)
+            self._on_head_moved(now, replace.region)
         return table.digest
 
-    def _moved(self, now: int, region: str) -> None:
+    def _on_head_moved(self, now: int, region: str) -> None:
         self._reports.on_head(now, region)
         self._pages.drop(region)
-        self._wake_by(max(now, self._turned_at + self.settings.gather))
+        self._wake_by(max(now, self._turned_at + self.settings.batch_interval))
 
     # ---- followers -------------------------------------------------------------------------------------
 
     def on_follow(self, now: int, follow: Follow) -> None:
         """A new follower, or one that begins anew."""
         if self._is_full_for(follow.follower):
-            self._refuse(follow.follower, follow.session, RelayFull.code)
+            self._reject(follow.follower, follow.session, RelayFull.code)
             return
-        if self._behind(now, follow):
-            self._refuse(follow.follower, follow.session, RelayBehind.code)
+        if self._is_behind(now, follow):
+            self._reject(follow.follower, follow.session, RelayBehind.code)
             return
         session = Session(follow, self._regions, self.settings.window, now)
         self.sessions[follow.follower] = session
@@ -133,11 +139,11 @@
         if follower in self.sessions or follower in self._relays:
             return False
         gateways = sum(name not in self._relays for name in self.sessions)
-        return gateways >= self.settings.followers_most
+        return gateways >= self.settings.max_followers
 
-    def _behind(self, now: int, follow: Follow) -> bool:
+    def _is_behind(self, now: int, follow: Follow) -> bool:
         """After a start, a relay may not have caught up with the other regions."""
-        if now - self._started_at > self.settings.starting:
+        if now - self._started_at > self.settings.catch_up_time:
             return False
         return any(
             position.sequence > self.tables[position.region].head.sequence
@@ -145,13 +151,13 @@
             if position.region in self.tables
         )
 
-    def _refuse(self, follower: str, session: int, code: str) -> None:
-        after = self.settings.refuse_for
+    def _reject(self, follower: str, session: int, code: str) -> None:
+        after = self.settings.rejection_wait
         after += self._random.randrange(after // 2 + 1)
-        self.counters.refused += 1
-        self._out.append(Send(follower, Refused(session, code, after)))
+        self.counters.rejected += 1
+        self._decisions.append(Send(follower, Refused(session, code, after)))
         fields: dict[str, object] = {"follower": follower, "code": code}
-        self._out.append(Event("distribution.refused_follower", fields))
+        self._decisions.append(Event("distribution.follower_rejected", fields))
 
     def on_progress(self, now: int, progress: Progress) -> None:
         """A follower's heartbeat and acknowledgement."""
@@ -159,7 +165,7 @@
         if session is None or session.number != progress.session:
             self._on_progress_elsewhere(now, progress)
             return
-        session.heard_at = now
+        session.received_at = now
         session.window.acknowledge(progress.received)
         session.progress.take(progress, self._known_regions)
         self._reports.due = True
@@ -170,22 +176,24 @@
             self.on_lost(now, progress.follower)  # the end of its older link may be yet to be noticed
             self._reports.departed.elsewhere(progress.follower, now)
         elif progress.follower not in self.sessions:
-            self._out.append(Send(progress.follower, Refused(progress.session, SilentFollower.code, 0)))
+            self._decisions.append(Send(progress.follower, Refused(progress.session, SilentFollower.code, 0)))
 
     def on_digests(self, now: int, follower: str, digests: Digests) -> None:
         """A follower asks for the ranges that differ from its own, or for all of them."""
         session = self.sessions.get(follower)
-        cursor = session and session.cursors.get(digests.region)
-        if session is None or cursor is None or session.number != digests.session:
+        if session is None or session.number != digests.session:
+            return
+        cursor = session.cursors.get(digests.region)
+        if cursor is None:
             return
-        session.heard_at = now
+        session.received_at = now
         table = self.tables[digests.region]
-        if table.replacing or not table.settled or table.head < digests.at:
+        if table.replacing or not table.consistent or table.head < digests.at:
             return  # the follower asks again
         if digests.first or not digests.last or len(digests.digests) not in (0, RANGES * DIGEST_BYTES):
             self.counters.malformed += 1
             return
-        cursor.transfer = Transfer(
+        cursor.transfer = RangeTransfer(
             table.head, deque(differing_ranges(table.range_digests(), digests.digests))
         )
         self._wake_by(now)
@@ -210,28 +218,28 @@
         self._next_turn = min(self._next_turn, at)
 
     def next_decision(self, now: int) -> Decision | None:
-        if not self._out and now >= self._next_turn:
+        if not self._decisions and now >= self._next_turn:
             self._turn(now)
-        return self._out.popleft() if self._out else None
+        return self._decisions.popleft() if self._decisions else None
 
     def _turn(self, now: int) -> None:
         """Send every follower what it may be sent now."""
         self._turned_at = now
         waiting = False
         for session in list(self.sessions.values()):
-            if now - session.heard_at > self.settings.silent:
-                self._let_go(now, session)
+            if now - session.received_at > self.settings.follower_timeout:
+                self._time_out(now, session)
                 continue
             waiting = self._serve(session, now) or waiting
             quiet = now - session.sent_at >= self.settings.heartbeat
             if quiet and session.cursors and session.window.open_for_heartbeats:
                 self._heartbeat(session, session.turn(), now)
-        self._out.extend(self._reports.turn(now))
-        self._next_turn = now + (self.settings.gather if waiting else self.settings.heartbeat // 2)
+        self._decisions.extend(self._reports.turn(now))
+        self._next_turn = now + (self.settings.batch_interval if waiting else self.settings.heartbeat // 2)
 
-    def _let_go(self, now: int, session: Session) -> None:
+    def _time_out(self, now: int, session: Session) -> None:
         self.counters.silent += 1
-        self._refuse(session.follower, session.number, SilentFollower.code)
+        self._reject(session.follower, session.number, SilentFollower.code)
         self.on_lost(now, session.follower)
 
     def _serve(self, session: Session, now: int) -> bool:
@@ -252,7 +260,7 @@
 
     def _send(self, session: Session, message: EncodedBatch | EncodedWhole, now: int) -> None:
         session.on_sent(message, now)
-        self._out.append(Send(session.follower, message))
+        self._decisions.append(Send(session.follower, message))
 
     def _heartbeat(self, session: Session, cursor: Cursor, now: int) -> None:
         self.counters.heartbeats += 1
--- a/linenbridge/distribution/dissemination/flow_control.py
+++ b/linenbridge/distribution/dissemination/flow_control.py
@@ -11,7 +11,7 @@
 SECOND = 1_000_000
 MESSAGE_OVERHEAD = 96  # bytes of a message beside its changes: its fields, the link's framing, the headers
 BUCKET_PARTS = 4  # a bucket holds a quarter of a second's bytes, a page of changes no more than that
-PAGE_MOST = 48_000  # bytes of changes in one message, unless a single one is larger
+MAX_PAGE_BYTES = 48_000  # bytes of changes in one message, unless a single one is larger
 
 
 class TokenBucket:
@@ -37,28 +37,28 @@
             self._tokens -= size * SECOND
 
     @property
-    def page_most(self) -> int:
+    def max_page_bytes(self) -> int:
         """Bytes of changes that one message holds."""
-        return min(PAGE_MOST, max(1, self.rate // BUCKET_PARTS)) if self.rate else PAGE_MOST
+        return min(MAX_PAGE_BYTES, max(1, self.rate // BUCKET_PARTS)) if self.rate else MAX_PAGE_BYTES
 
 
 class Window:
-    """Bytes sent and not acknowledged, at most `most` and one message."""
+    """Bytes sent and not acknowledged, at most `max_bytes` and one message."""
 
-    def __init__(self, most: int) -> None:
-        self._most = most
+    def __init__(self, max_bytes: int) -> None:
+        self._max_bytes = max_bytes
         self._sizes: deque[int] = deque()
         self.outstanding = 0  # bytes
         self.acknowledged = 0  # messages
 
     @property
     def open(self) -> bool:
-        return self.outstanding < self._most
+        return self.outstanding < self._max_bytes
 
     @property
     def open_for_heartbeats(self) -> bool:
         """A follower that is slow to apply is still to know that its relay lives."""
-        return self.outstanding < 2 * self._most
+        return self.outstanding < 2 * self._max_bytes
 
     def sent(self, size: int) -> None:
         self._sizes.append(size)
--- a/linenbridge/distribution/dissemination/follower.py
+++ b/linenbridge/distribution/dissemination/follower.py
@@ -13,18 +13,18 @@
 
 from linenbridge.distribution.changes import Position, Version
 from linenbridge.distribution.decisions import Decision, Event, Send
-from linenbridge.distribution.dissemination.acceptance import Acceptance, Acceptances, Verdict, spoilt
+from linenbridge.distribution.dissemination.acceptance import Acceptance, Acceptances, Verdict, defect
 from linenbridge.distribution.dissemination.counters import FollowerCounters
 from linenbridge.distribution.dissemination.digest_repair import DigestRepair
 from linenbridge.distribution.dissemination.relay_links import LeftRelays, RelayLinks
-from linenbridge.distribution.dissemination.relay_selection import RelayOrder, RelayPlace
+from linenbridge.distribution.dissemination.relay_selection import RelayOrder, RelayLocation
 from linenbridge.distribution.dissemination.settings import SECOND, FollowerSettings
-from linenbridge.distribution.dissemination.spare_link import SpareLink
+from linenbridge.distribution.dissemination.standby_link import StandbyLink
 from linenbridge.distribution.messages import Batch, Digests, Follow, Progress, Refused, Summary, Whole
 
-SESSION_MOST = 1 << 53
-GAPS_MOST = 3  # at one relay, one after another; then another relay is taken
-REFUSED_MOST = 60 * SECOND  # for which a relay that refuses is left alone, whatever it says
+MAX_SESSION = 1 << 53
+MAX_GAPS = 3  # at one relay, one after another; then another relay is taken
+MAX_REJECTION_WAIT = 60 * SECOND  # for which a relay that refuses is left alone, whatever it says
 
 
 class Follower:
@@ -36,7 +36,7 @@
         self,
         name: str,
         home_region: str,
-        relays: list[RelayPlace],
+        relays: list[RelayLocation],
         regions: list[str],
         positions: list[Position],
         settings: FollowerSettings,
@@ -52,24 +52,24 @@
         self._regions = list(regions)
         self._random = random
         self._range_digests = range_digests
-        self._acceptances = Acceptances(regions, positions, settings.unknown_regions)
-        self._out: deque[Decision] = deque()
+        self._acceptances = Acceptances(regions, positions, settings.max_unknown_regions)
+        self._decisions: deque[Decision] = deque()
         self._order = RelayOrder(name, home_region, relays, random)
-        self._links = RelayLinks(self._out)
-        self._spare = SpareLink(self._order, self._links, settings, now)
-        self._left = LeftRelays([relay.name for relay in relays if relay.region == home_region])
+        self._links = RelayLinks(self._decisions)
+        self._standby = StandbyLink(self._order, self._links, settings, now)
+        self._left_relays = LeftRelays([relay.name for relay in relays if relay.region == home_region])
         self._repair = DigestRepair()
-        self._session = self._random.randrange(1, SESSION_MOST)
+        self._session = self._random.randrange(1, MAX_SESSION)
         self._messages = 0  # of the session
-        self._unanswered = 0  # of the session's messages, those that the host has yet to put in force
-        self._unanswered_before = 0  # the same of earlier sessions
+        self._unapplied = 0  # of the session's messages, those that the host has yet to put in force
+        self._unapplied_before = 0  # the same of earlier sessions
         self._gaps = 0
         self._begin_at = now + self._jitter()
         self._deadline: int | None = None  # for the link, then for the next word
         self._followed_at = now
         self._progress_at = now
         self._progress_due = False
-        self._told_at = now
+        self._notified_at = now
         self._below: dict[str, Summary] = {}
 
     # ---- what is known ---------------------------------------------------------------------------------
@@ -83,28 +83,28 @@
 
     # ---- links -----------------------------------------------------------------------------------------
 
-    def on_link(self, now: int, relay: str, up: bool) -> None:
+    def on_link(self, now: int, relay: str, *, connected: bool) -> None:
         """A link to a relay is up, or down."""
         if relay not in self._order:
             return
-        if up:
-            self._links.up[relay] = now
-            self._say_elsewhere(relay)
+        if connected:
+            self._links.connected_at[relay] = now
+            self._notify_elsewhere(relay)
         else:
-            self._links.up.pop(relay, None)
+            self._links.connected_at.pop(relay, None)
         if relay != self.relay:
             return
-        if up:
+        if connected:
             self._follow(now)
         elif self.following:
             self.counters.lost += 1
             self._leave(now, "lost")
 
-    def _say_elsewhere(self, relay: str) -> None:
+    def _notify_elsewhere(self, relay: str) -> None:
         """Tell a relay that this follower lives and follows another one."""
-        if self.following and relay != self.relay and relay in self._links.up:
-            self._out.append(Send(relay, Progress(self.name, 0, [], [])))
-            self._left.discard(relay)
+        if self.following and relay != self.relay and relay in self._links.connected_at:
+            self._decisions.append(Send(relay, Progress(self.name, 0, [], [])))
+            self._left_relays.discard(relay)
 
     # ---- one relay after another -----------------------------------------------------------------------
 
@@ -114,7 +114,7 @@
         if not usable:
             self._begin_at = max(now + 1, self._order.next_usable_at()) + self._jitter()
             return
-        linked = [relay for relay in usable if relay in self._links.up]
+        linked = [relay for relay in usable if relay in self._links.connected_at]
         self._take(now, (linked or usable)[0])
 
     def _take(self, now: int, relay: str) -> None:
@@ -122,35 +122,35 @@
         self.following = False
         self._repair.on_new_relay()
         self._gaps = 0
-        self._spare.release(relay)
-        self._deadline = now + self.settings.connect
-        self._links.dial(relay)
-        if relay in self._links.up:
+        self._standby.release(relay)
+        self._deadline = now + self.settings.connect_timeout
+        self._links.connect(relay)
+        if relay in self._links.connected_at:
             self._follow(now)
 
     def _follow(self, now: int) -> None:
         """Begin a session at the relay, from where this follower is."""
-        self._session = self._session % SESSION_MOST + 1
+        self._session = self._session % MAX_SESSION + 1
         self._messages = 0
-        self._unanswered_before += self._unanswered
-        self._unanswered = 0
+        self._unapplied_before += self._unapplied
+        self._unapplied = 0
         self._acceptances.on_new_session()
         self.counters.sessions += 1
-        self._deadline = now + self.settings.silence
+        self._deadline = now + self.settings.relay_timeout
         self._followed_at = now
         follow = Follow(
-            self.name, self._session, self._acceptances.taken(), self.settings.rate, self._regions
+            self.name, self._session, self._acceptances.accepted(), self.settings.rate, self._regions
         )
-        self._out.append(Send(self.relay, follow))
+        self._decisions.append(Send(self.relay, follow))
 
-    def _leave(self, now: int, reason: str, at_least: int = 0) -> None:
+    def _leave(self, now: int, reason: str, min_wait: int = 0) -> None:
         """Go on at another relay, at a time of this follower's own."""
         relay = self.relay
-        self._out.append(Event("distribution.left", {"relay": relay, "reason": reason}))
-        self._order.failed(now, relay, at_least)
-        self._links.hang_up(relay)
+        self._decisions.append(Event("distribution.left", {"relay": relay, "reason": reason}))
+        self._order.on_failed(now, relay, min_wait)
+        self._links.disconnect(relay)
         if self.following:
-            self._left.add(relay)
+            self._left_relays.add(relay)
         self.relay = ""
         self.following = False
         self._deadline = None
@@ -158,24 +158,24 @@
 
     def _on_served(self, now: int) -> None:
         """The relay has sent something of this session."""
-        self._deadline = now + self.settings.silence
+        self._deadline = now + self.settings.relay_timeout
         if not self.following:
             self.following = True
-            self._left.discard(self.relay)
+            self._left_relays.discard(self.relay)
             self._progress_due = True
-            self._out.append(Event("distribution.following", {"relay": self.relay}))
-            for relay in [relay for relay in self._links.up if relay != self.relay]:
-                self._say_elsewhere(relay)
-        elif now - self._followed_at >= self.settings.served:
-            self._order.served(self.relay)
+            self._decisions.append(Event("distribution.following", {"relay": self.relay}))
+            for relay in [relay for relay in self._links.connected_at if relay != self.relay]:
+                self._notify_elsewhere(relay)
+        elif now - self._followed_at >= self.settings.backoff_reset_after:
+            self._order.on_served(self.relay)
 
-    def _return(self, now: int) -> None:
+    def _fail_back(self, now: int) -> None:
         """Go back to the better relay that the second link goes to."""
         left = self.relay
-        self._links.hang_up(left)
-        self._left.add(left)
-        self._out.append(Event("distribution.left", {"relay": left, "reason": "returned"}))
-        self._take(now, self._spare.relay)
+        self._links.disconnect(left)
+        self._left_relays.add(left)
+        self._decisions.append(Event("distribution.left", {"relay": left, "reason": "returned"}))
+        self._take(now, self._standby.relay)
 
     # ---- messages of the relay -------------------------------------------------------------------------
 
@@ -183,7 +183,7 @@
         """Whether a message is the next one of this session. Older and repeated ones are passed over; one
         that is too new shows that others were lost."""
         if relay != self.relay or session != self._session or number <= self._messages:
-            self.counters.passed_over += 1
+            self.counters.ignored += 1
             return False
         return True
 
@@ -191,21 +191,21 @@
         """Changes of one region, or a heartbeat."""
         self._on_content(now, relay, batch)
 
-    def on_whole(self, now: int, relay: str, whole: Whole) -> None:
+    def on_range_snapshot(self, now: int, relay: str, snapshot: Whole) -> None:
         """A part of a range that was asked for."""
-        self._on_content(now, relay, whole)
+        self._on_content(now, relay, snapshot)
 
     def _on_content(self, now: int, relay: str, message: Batch | Whole) -> None:
         if not self._is_current(relay, message.session, message.number):
             return
         acceptance = self._acceptances.of_region(message.region)
         if acceptance is None:
-            self.counters.passed_over += 1
+            self.counters.ignored += 1
             return
         skipped = message.number != self._messages + 1
         verdict = acceptance.judge(message)
-        if verdict is Verdict.SPOILT:
-            self._on_spoilt(now, relay, message.region, spoilt(message))
+        if verdict is Verdict.MALFORMED:
+            self._on_malformed(now, relay, message.region, defect(message))
         elif skipped or verdict is Verdict.GAP:
             self._on_gap(now)
         else:
@@ -214,70 +214,72 @@
             if isinstance(message, Batch):
                 self._on_judged_batch(now, acceptance, message, verdict)
             else:
-                self._on_judged_part(now, relay, acceptance, message, verdict)
+                self._on_judged_snapshot(now, relay, acceptance, message, verdict)
 
     def _on_judged_batch(self, now: int, acceptance: Acceptance, batch: Batch, verdict: Verdict) -> None:
-        if verdict is Verdict.TAKEN:
+        if verdict is Verdict.ACCEPTED:
             self.counters.batches += 1
             self.counters.changes += len(batch.changes)
-            self._unanswered += 1
-            self._out.append(acceptance.take(batch))
+            self._unapplied += 1
+            self._decisions.append(acceptance.accept(batch))
             return
         self._progress_due = True
         compared = False
         if verdict is Verdict.HEARTBEAT:
             compared = acceptance.compare(batch)
         else:
-            self.counters.passed_over += 1
+            self.counters.ignored += 1
         self._check(now, acceptance, compared)
 
-    def _on_judged_part(
-        self, now: int, relay: str, acceptance: Acceptance, whole: Whole, verdict: Verdict
+    def _on_judged_snapshot(
+        self, now: int, relay: str, acceptance: Acceptance, snapshot: Whole, verdict: Verdict
     ) -> None:
         self._progress_due = True
-        if verdict is not Verdict.TAKEN:
-            self.counters.passed_over += 1
+        if verdict is not Verdict.ACCEPTED:
+            self.counters.ignored += 1
             return
-        replace = acceptance.take_whole(now, whole)
+        replace = acceptance.accept_snapshot(now, snapshot)
         if acceptance.too_large:
-            self._on_spoilt(now, relay, whole.region, "a range of more bytes than any")
+            self._on_malformed(now, relay, snapshot.region, "a range of more bytes than any")
         elif replace is not None:
             self.counters.ranges += 1
-            self._unanswered += 1
+            self._unapplied += 1
             if replace.final:
-                self._repair.on_repaired(whole.region)
-            self._out.append(replace)
+                self._repair.on_repaired(snapshot.region)
+            self._decisions.append(replace)
 
-    def on_refused(self, now: int, relay: str, refused: Refused) -> None:
+    def on_rejected(self, now: int, relay: str, rejection: Refused) -> None:
         """The relay does not serve this follower, or no longer."""
-        if relay == self.relay and refused.session == self._session:
-            self.counters.refused += 1
-            self._leave(now, refused.code, min(refused.after, REFUSED_MOST))
+        if relay == self.relay and rejection.session == self._session:
+            self.counters.rejected += 1
+            self._leave(now, rejection.code, min(rejection.after, MAX_REJECTION_WAIT))
 
     def _on_gap(self, now: int) -> None:
         """Something was lost: begin a session anew from where this follower is."""
         self.counters.gaps += 1
         self._gaps += 1
-        if self._gaps > GAPS_MOST:
+        if self._gaps > MAX_GAPS:
             self._leave(now, "gaps")
         else:
             self._follow(now)
 
-    def _on_spoilt(self, now: int, relay: str, region: str, what: str) -> None:
+    def _on_malformed(self, now: int, relay: str, region: str, what: str) -> None:
         """Nothing more is taken from a relay that sends other bytes than were published."""
-        self.counters.spoilt += 1
-        self._out.append(Event("distribution.spoilt", {"relay": relay, "region": region, "what": what}))
-        self._leave(now, "spoilt", self.settings.spoilt)
+        self.counters.malformed += 1
+        self._decisions.append(
+            Event("distribution.malformed", {"relay": relay, "region": region, "what": what})
+        )
+        self._leave(now, "malformed", self.settings.malformed_backoff)
 
     # ---- the host --------------------------------------------------------------------------------------
 
     def on_applied(self, now: int, region: str, upto: Version, digest: int | None) -> None:
-        """The host has an `Apply` or `ReplaceRange` in force; `digest` is that of its whole table there, None
+        """The host has an `Apply` or `ReplaceRange` in force; `digest` is that of its snapshot table there, None
         where it is not to be compared."""
-        if self._unanswered_before:
-            self._unanswered_before -= 1
-        elif self._unanswered:
-            self._unanswered -= 1
+        if self._unapplied_before:
+            self._unapplied_before -= 1
+        elif self._unapplied:
+            self._unapplied -= 1
         self._progress_due = True
         acceptance = self._acceptances[region]
         compared = acceptance.on_applied(upto, digest)
@@ -292,39 +294,39 @@
 
     def _check(self, now: int, acceptance: Acceptance, compared: bool) -> None:
         """Ask for ranges where the digest differs or the relay's changes do not reach back far enough."""
-        if compared and not acceptance.differs:
+        if compared and not acceptance.digest_differs:
             self._repair.on_equal(acceptance.region)
         if not acceptance.needs_ranges or not self.following:
             return
-        asked = acceptance.transferring_at
-        if asked is not None and now - asked < self.settings.ranges:
+        requested_at = acceptance.transferring_at
+        if requested_at is not None and now - requested_at < self.settings.range_timeout:
             return
-        if acceptance.differs and not self._is_to_repair(now, acceptance):
+        if acceptance.digest_differs and not self._should_repair(now, acceptance):
             return
-        self._ask_ranges(now, acceptance)
+        self._request_ranges(now, acceptance)
 
-    def _is_to_repair(self, now: int, acceptance: Acceptance) -> bool:
+    def _should_repair(self, now: int, acceptance: Acceptance) -> bool:
         """Whether ranges are to be taken from this relay, whose digest differs; it is left where another one
         is to be compared first."""
         region = acceptance.region
         relay = self.relay
-        alone = not any(other != relay for other in self._links.up)
-        if alone and len(self._order.names) > 1 and now - self._followed_at < self.settings.ranges:
+        alone = not any(other != relay for other in self._links.connected_at)
+        if alone and len(self._order.names) > 1 and now - self._followed_at < self.settings.range_timeout:
             return False  # the second link may be on its way
-        self.counters.differed += 1
-        self._out.append(Event("distribution.digest_differs", {"relay": relay, "region": region}))
+        self.counters.digest_mismatches += 1
+        self._decisions.append(Event("distribution.digest_differs", {"relay": relay, "region": region}))
         if self._repair.may_repair(region, relay, alone):
             return True
-        self._leave(now, "digest", self.settings.spoilt)
+        self._leave(now, "digest", self.settings.malformed_backoff)
         return False
 
-    def _ask_ranges(self, now: int, acceptance: Acceptance) -> None:
+    def _request_ranges(self, now: int, acceptance: Acceptance) -> None:
         acceptance.transferring_at = now
         digests = self._range_digests(acceptance.region) if self._range_digests else b""
         request = Digests(
-            self._session, acceptance.region, acceptance.taken, first=0, digests=digests, last=True
+            self._session, acceptance.region, acceptance.accepted, first=0, digests=digests, last=True
         )
-        self._out.append(Send(self.relay, request))
+        self._decisions.append(Send(self.relay, request))
 
     # ---- decisions -------------------------------------------------------------------------------------
 
@@ -335,15 +337,15 @@
             return self._deadline
         times = [self._progress_at + self.settings.heartbeat]
         if self._progress_due:
-            times.append(self._progress_at + self.settings.progress)
+            times.append(self._progress_at + self.settings.progress_interval)
         if self._deadline is not None:
             times.append(self._deadline)
         return min(times)
 
     def next_decision(self, now: int) -> Decision | None:
-        if not self._out:
+        if not self._decisions:
             self._turn(now)
-        return self._out.popleft() if self._out else None
+        return self._decisions.popleft() if self._decisions else None
 
     def _turn(self, now: int) -> None:
         if not self.relay:
@@ -351,33 +353,33 @@
                 self._begin(now)
             return
         if self._deadline is not None and now >= self._deadline:
-            linked = self.relay in self._links.up
-            self.counters.silences += linked
+            linked = self.relay in self._links.connected_at
+            self.counters.silent += linked
             self._leave(now, "silent" if linked else "no link")
             return
-        self._say_progress(now)
+        self._report_progress(now)
         if self.following:
-            self._spare.update(now, self.relay)
-            if self._spare.better_than(now, self.relay, self._followed_at, self._session):
-                self._return(now)
+            self._standby.update(now, self.relay)
+            if self._standby.better_than(now, self.relay, self._followed_at, self._session):
+                self._fail_back(now)
 
-    def _say_progress(self, now: int) -> None:
-        wait = self.settings.progress if self._progress_due else self.settings.heartbeat
+    def _report_progress(self, now: int) -> None:
+        wait = self.settings.progress_interval if self._progress_due else self.settings.heartbeat
         if not self.following or now - self._progress_at < wait:
             return
         self._progress_at = now
         self._progress_due = False
-        done = self._messages - self._unanswered
+        done = self._messages - self._unapplied
         below = list(self._below.values())
         progress = Progress(self.name, self._session, self.positions(), below, done)
-        self._out.append(Send(self.relay, progress))
-        if now - self._told_at >= self.settings.heartbeat:
-            self._told_at = now
-            self._tell_left()
+        self._decisions.append(Send(self.relay, progress))
+        if now - self._notified_at >= self.settings.heartbeat:
+            self._notified_at = now
+            self._notify_left_relays()
 
-    def _tell_left(self) -> None:
+    def _notify_left_relays(self) -> None:
         """Once a heartbeat: let those go that have been told, and dial the next one that has not."""
-        self._links.hang_up_others({self.relay, self._spare.relay, *self._left})
-        relay = self._left.next()
+        self._links.disconnect_others({self.relay, self._standby.relay, *self._left_relays})
+        relay = self._left_relays.next()
         if relay is not None:
-            self._links.dial(relay)
+            self._links.connect(relay)
--- a/linenbridge/distribution/dissemination/message_builder.py
+++ b/linenbridge/distribution/dissemination/message_builder.py
@@ -12,7 +12,7 @@
 from linenbridge.distribution.dissemination.counters import FeedCounters
 from linenbridge.distribution.dissemination.encoded_lists import EMPTY_LIST
 from linenbridge.distribution.dissemination.page_cache import PageCache
-from linenbridge.distribution.dissemination.range_transfer import Transfer
+from linenbridge.distribution.dissemination.range_transfer import RangeTransfer
 from linenbridge.distribution.dissemination.sessions import Cursor, Session
 from linenbridge.distribution.messages import EncodedBatch, EncodedWhole, batch_checksum, whole_checksum
 
@@ -35,7 +35,7 @@
         if cursor.transfer is not None:
             return True
         if cursor.version == table.head or cursor.version.sequence < self._horizon(cursor):
-            return table.settled and cursor.told != table.head
+            return table.consistent and cursor.reported_head != table.head
         return cursor.version < table.head
 
     def next_message(self, session: Session, cursor: Cursor) -> EncodedBatch | EncodedWhole:
@@ -55,8 +55,8 @@
         version = cursor.version
         digest = None
         horizon = 0
-        if table.settled and cursor.transfer is None:
-            cursor.told = table.head
+        if table.consistent and cursor.transfer is None:
+            cursor.reported_head = table.head
             digest = table.digest if version == table.head else None
             horizon = self._horizon(cursor)
         return EncodedBatch(
@@ -75,15 +75,15 @@
         """A follower behind this sequence needs ranges. One whose position is in no history that leads to
         the head (the region began anew, all its disks lost) needs them too."""
         table = self._tables[cursor.region]
-        apart = cursor.version.epoch < table.head.epoch and cursor.version.sequence >= table.head.sequence
-        return cursor.version.sequence + 1 if apart else table.horizon
+        diverged = cursor.version.epoch < table.head.epoch and cursor.version.sequence >= table.head.sequence
+        return cursor.version.sequence + 1 if diverged else table.horizon
 
     def _batch(self, session: Session, cursor: Cursor) -> EncodedBatch:
         after = cursor.version.sequence
-        page = self._pages.page(cursor.region, after, session.bucket.page_most)
+        page = self._pages.page(cursor.region, after, session.bucket.max_page_bytes)
         cursor.version = page.upto
         if page.digest is not None:
-            cursor.told = page.upto
+            cursor.reported_head = page.upto
         self._counters.batches += 1
         return EncodedBatch(
             session=session.number,
@@ -97,9 +97,9 @@
             number=session.messages + 1,
         )
 
-    def _range_part(self, session: Session, cursor: Cursor, transfer: Transfer) -> EncodedWhole:
+    def _range_part(self, session: Session, cursor: Cursor, transfer: RangeTransfer) -> EncodedWhole:
         table = self._tables[cursor.region]
-        part = transfer.next_part(table, session.bucket.page_most)
+        part = transfer.next_part(table, session.bucket.max_page_bytes)
         if part.final:
             cursor.version = transfer.upto
             cursor.transfer = None
--- a/linenbridge/distribution/dissemination/page_cache.py
+++ b/linenbridge/distribution/dissemination/page_cache.py
@@ -17,7 +17,7 @@
 from linenbridge.distribution.dissemination.encoded_lists import joined
 from linenbridge.distribution.messages import batch_checksum
 
-PAGES_MOST = 64  # batches that are kept, of all regions
+MAX_PAGES = 64  # batches that are kept, of all regions
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 
     region: str
     after: int
-    bytes_most: int
+    max_bytes: int
 
 
 class PageCache:
@@ -47,13 +47,13 @@
         self._counters = counters
         self._pages: dict[_Position, SharedPage] = {}
 
-    def page(self, region: str, after: int, bytes_most: int) -> SharedPage:
-        """The page behind a sequence, of at most `bytes_most` bytes of changes, one change at least."""
-        position = _Position(region, after, bytes_most)
+    def page(self, region: str, after: int, max_bytes: int) -> SharedPage:
+        """The page behind a sequence, of at most `max_bytes` bytes of changes, one change at least."""
+        position = _Position(region, after, max_bytes)
         page = self._pages.get(position)
         if page is None:
             page = self._encode(position)
-            if len(self._pages) >= PAGES_MOST:
+            if len(self._pages) >= MAX_PAGES:
                 del self._pages[next(iter(self._pages))]
             self._pages[position] = page
         return page
@@ -65,9 +65,9 @@
 
     def _encode(self, position: _Position) -> SharedPage:
         table = self._tables[position.region]
-        page = table.page(position.after, position.bytes_most)
+        page = table.page(position.after, position.max_bytes)
         encoded = joined(page.encoded)
-        digest = table.digest if table.settled and page.upto == table.head else None
+        digest = table.digest if table.consistent and page.upto == table.head else None
         self._counters.encoded += 1
         checksum = batch_checksum(position.region, position.after, page.upto, encoded)
         return SharedPage(page.upto, Raw(encoded), checksum, digest)
--- a/linenbridge/distribution/dissemination/progress.py
+++ b/linenbridge/distribution/dissemination/progress.py
@@ -15,15 +15,16 @@
 
 from linenbridge.distribution.messages import Progress, Summary
 
-MILLISECOND, SECOND = 1_000, 1_000_000
+MILLISECOND = 1_000  # microseconds
+SECOND = 1_000_000  # microseconds
 LAG_BUCKETS = 24  # bucket n: less than 2**n ms; the last one: that and all above
-SLOWEST_MOST = 8  # names in one summary
-UNREACHED_MOST = 32  # names in one summary
-DEPARTED_MOST = 2_048  # lost followers that a relay remembers; the oldest go first
-HEADS_MOST = 4_096  # times of heads that lags are counted from
+MAX_SLOWEST = 8  # names in one summary
+MAX_UNREACHED = 32  # names in one summary
+MAX_DEPARTED = 2_048  # lost followers that a relay remembers; the oldest go first
+MAX_HEADS = 4_096  # times of heads that lags are counted from
 GRACE = 3 * SECOND  # a lost follower counts with its last position for so long
 GRACE_ELSEWHERE = SECOND  # the same once it says that it follows another relay, whose sums are on their way
-GONE_AFTER = 3_600 * SECOND  # then a lost follower is taken as gone for good
+EXPIRE_AFTER = 3_600 * SECOND  # then a lost follower is taken as gone for good
 
 
 class Heads:
@@ -36,9 +37,9 @@
     def on_head(self, sequence: int, now: int) -> None:
         self._sequences.append(sequence)
         self._times.append(now)
-        if len(self._sequences) > 2 * HEADS_MOST:
-            del self._sequences[:HEADS_MOST]
-            del self._times[:HEADS_MOST]
+        if len(self._sequences) > 2 * MAX_HEADS:
+            del self._sequences[:MAX_HEADS]
+            del self._times[:MAX_HEADS]
 
     def lag(self, sequence: int, now: int) -> int:
         """Microseconds since the first change that a position lacks came; 0 where it lacks none."""
@@ -87,7 +88,7 @@
     def add(self, progress: FollowerProgress, now: int) -> None:
         self._lost.pop(progress.name, None)
         self._lost[progress.name] = _Lost(progress, now)
-        if len(self._lost) > DEPARTED_MOST:
+        if len(self._lost) > MAX_DEPARTED:
             del self._lost[next(iter(self._lost))]
 
     def returned(self, name: str) -> None:
@@ -98,7 +99,8 @@
         """It follows another relay, which counts it."""
         lost = self._lost.get(name)
         if lost is not None and not lost.elsewhere:
-            lost.elsewhere, lost.since = True, now
+            lost.elsewhere = True
+            lost.since = now
 
     def forget(self, now: int) -> None:
         """Let go who is counted elsewhere or gone for good."""
@@ -107,7 +109,7 @@
             del self._lost[name]
 
     def _done(self, lost: _Lost, now: int) -> bool:
-        return now - lost.since > (GRACE_ELSEWHERE if lost.elsewhere else GONE_AFTER)
+        return now - lost.since > (GRACE_ELSEWHERE if lost.elsewhere else EXPIRE_AFTER)
 
     def counted(self, region: str, now: int) -> list[FollowerProgress]:
         """Those that followed this region and still count with their last position."""
@@ -131,13 +133,14 @@
     return min((lag // MILLISECOND).bit_length(), LAG_BUCKETS - 1)
 
 
-def add_up(
+def summarize(
     region: str, head: int, heads: Heads, followers: Iterable[FollowerProgress], departed: Departed, now: int
 ) -> Summary:
     """The sums of one region at a relay whose head is `head`. Names are a bounded choice, numbers exact."""
     counted = [*followers, *departed.counted(region, now)]
     lost = departed.unreached(region, now)
-    count, least = 0, head
+    count = 0
+    lowest = head
     lag = [0] * LAG_BUCKETS
     unreached = [progress.name for progress in lost]
     unreached_count = sum(progress.followers(region) for progress in lost)
@@ -148,20 +151,20 @@
         bucket = bucket_of(heads.lag(position, now))
         lag[bucket] += 1
         count += progress.followers(region)
-        least = min(least, position)
+        lowest = min(lowest, position)
         if position < head:
             slowest.append((position, progress.name))
         if below is not None:
-            least = min(least, below.least)
-            _add_histogram(lag, below.lag, bucket)
-            slowest += [(below.least, name) for name in below.slowest[:SLOWEST_MOST] if below.least < head]
-            unreached += below.unreached[:UNREACHED_MOST]
+            lowest = min(lowest, below.least)
+            _add_lag_histogram(lag, below.lag, bucket)
+            slowest += [(below.least, name) for name in below.slowest[:MAX_SLOWEST] if below.least < head]
+            unreached += below.unreached[:MAX_UNREACHED]
             unreached_count += below.unreached_count
-    names = [name for _, name in sorted(slowest)[:SLOWEST_MOST]]
-    return Summary(region, count, least, names, unreached[:UNREACHED_MOST], unreached_count, lag)
+    names = [name for _, name in sorted(slowest)[:MAX_SLOWEST]]
+    return Summary(region, count, lowest, names, unreached[:MAX_UNREACHED], unreached_count, lag)
 
 
-def _add_histogram(lag: list[int], below: list[int], own: int) -> None:
-    """Whoever is below a follower lags by at least as much as the follower itself."""
+def _add_lag_histogram(lag: list[int], below: list[int], own: int) -> None:
+    """Whoever is below a follower lags by at lowest as much as the follower itself."""
     for bucket, number in enumerate(below[:LAG_BUCKETS]):
         lag[max(bucket, own)] += number
--- a/linenbridge/distribution/dissemination/progress_reports.py
+++ b/linenbridge/distribution/dissemination/progress_reports.py
@@ -10,7 +10,7 @@
 from linenbridge.distribution.changes import Position
 from linenbridge.distribution.decisions import Decision, Send, SumsBelow
 from linenbridge.distribution.dissemination.compacted_log import Table
-from linenbridge.distribution.dissemination.progress import Departed, FollowerProgress, Heads, add_up
+from linenbridge.distribution.dissemination.progress import Departed, FollowerProgress, Heads, summarize
 from linenbridge.distribution.dissemination.sessions import Session
 from linenbridge.distribution.dissemination.settings import FeedSettings
 from linenbridge.distribution.messages import Progress, Summary
@@ -63,7 +63,7 @@
     @property
     def next_at(self) -> int:
         """When the next report may leave while something changes."""
-        return self._reported_at + self._settings.report
+        return self._reported_at + self._settings.report_interval
 
     def summaries(self, now: int) -> list[Summary]:
         """The sums of all regions."""
@@ -72,7 +72,7 @@
     def _summary(self, region: str, now: int) -> Summary:
         head = self._tables[region].head.sequence
         followers = [session.progress for session in self._sessions.values() if region in session.cursors]
-        return add_up(region, head, self._heads[region], followers, self.departed, now)
+        return summarize(region, head, self._heads[region], followers, self.departed, now)
 
     def turn(self, now: int) -> list[Decision]:
         """The reports that are due; lost followers that are gone for good are forgotten now and then."""
@@ -80,7 +80,7 @@
             self.departed.forget(now)
             self._forgot_at = now
         since = now - self._reported_at
-        if since < (self._settings.report if self.due else self._settings.heartbeat):
+        if since < (self._settings.report_interval if self.due else self._settings.heartbeat):
             return []
         self._reported_at = now
         self.due = False
--- a/linenbridge/distribution/dissemination/range_transfer.py
+++ b/linenbridge/distribution/dissemination/range_transfer.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TransferPart:
+class RangeTransferPart:
     """One message's share of a range, encoded. `last` of its range, `final` of the transfer."""
 
     index: int
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True)
-class Transfer:
+class RangeTransfer:
     """Whole ranges on their way to a follower. `parts` are those left of `index`, each a list of encoded
     changes; `ranges` are those after it."""
 
@@ -38,15 +38,15 @@
     part: int = 0
     parts: deque[list[bytes]] = field(default_factory=deque)
 
-    def next_part(self, table: Table, bytes_most: int) -> TransferPart:
-        """The next part, of at most `bytes_most` bytes of changes, one change at least."""
+    def next_part(self, table: Table, max_bytes: int) -> RangeTransferPart:
+        """The next part, of at most `max_bytes` bytes of changes, one change at least."""
         if not self.parts:
             self.index = self.ranges.popleft()
             self.part = 0
-            self.parts = deque(split(table.encoded_range(self.index), bytes_most))
+            self.parts = deque(split(table.encoded_range(self.index), max_bytes))
         changes = joined(self.parts.popleft())
         last = not self.parts
-        part = TransferPart(self.index, self.part, last, last and not self.ranges, changes)
+        part = RangeTransferPart(self.index, self.part, last, last and not self.ranges, changes)
         self.part += 1
         return part
 
--- a/linenbridge/distribution/dissemination/relay_links.py
+++ b/linenbridge/distribution/dissemination/relay_links.py
@@ -10,41 +10,43 @@
 
 from linenbridge.distribution.decisions import Decision, Dial, HangUp
 
-LEFT_MOST = 8  # relays that are yet to be told that they were left, maybe by an earlier process of this name
+MAX_LEFT_RELAYS = (
+    8  # relays that are yet to be told that they were left, maybe by an earlier process of this name
+)
 
 
 class RelayLinks:
-    """Links by relay. `up` are those that are up, and since when."""
+    """Links by relay. `connected_at` has those that are up, and since when."""
 
     def __init__(self, decisions: deque[Decision]) -> None:
-        self.up: dict[str, int] = {}
-        self._dialled: set[str] = set()
+        self.connected_at: dict[str, int] = {}
+        self._wanted: set[str] = set()
         self._decisions = decisions
 
-    def dial(self, relay: str) -> None:
+    def connect(self, relay: str) -> None:
         """Want a link to this relay."""
-        if relay not in self._dialled:
-            self._dialled.add(relay)
+        if relay not in self._wanted:
+            self._wanted.add(relay)
             self._decisions.append(Dial(relay))
 
-    def hang_up(self, relay: str) -> None:
+    def disconnect(self, relay: str) -> None:
         """Let the link to this relay go."""
-        self.up.pop(relay, None)
-        if relay in self._dialled:
-            self._dialled.discard(relay)
+        self.connected_at.pop(relay, None)
+        if relay in self._wanted:
+            self._wanted.discard(relay)
             self._decisions.append(HangUp(relay))
 
-    def hang_up_others(self, wanted: Container[str]) -> None:
+    def disconnect_others(self, wanted: Container[str]) -> None:
         """Let all links go but these."""
-        for relay in [relay for relay in self._dialled if relay not in wanted]:
-            self.hang_up(relay)
+        for relay in [relay for relay in self._wanted if relay not in wanted]:
+            self.disconnect(relay)
 
 
 class LeftRelays:
     """Relays that are yet to be told that another one is followed, in the order in which they are tried."""
 
     def __init__(self, relays: list[str]) -> None:
-        self._relays = dict.fromkeys(relays[:LEFT_MOST])
+        self._relays = dict.fromkeys(relays[:MAX_LEFT_RELAYS])
 
     def __iter__(self):
         return iter(self._relays)
@@ -52,7 +54,7 @@
     def add(self, relay: str) -> None:
         """It was followed until now; the oldest goes where there are too many."""
         self._relays[relay] = None
-        if len(self._relays) > LEFT_MOST:
+        if len(self._relays) > MAX_LEFT_RELAYS:
             del self._relays[next(iter(self._relays))]
 
     def discard(self, relay: str) -> None:
--- a/linenbridge/distribution/dissemination/sessions.py
+++ b/linenbridge/distribution/dissemination/sessions.py
@@ -12,34 +12,35 @@
 from linenbridge.distribution.changes import START, Version
 from linenbridge.distribution.dissemination.flow_control import MESSAGE_OVERHEAD, TokenBucket, Window
 from linenbridge.distribution.dissemination.progress import FollowerProgress
-from linenbridge.distribution.dissemination.range_transfer import Transfer
+from linenbridge.distribution.dissemination.range_transfer import RangeTransfer
 from linenbridge.distribution.messages import EncodedBatch, EncodedWhole, Follow
 
 
 @dataclass(slots=True)
 class Cursor:
-    """What a follower has been sent of one region. `told` is the head at which it was last told the digest,
+    """What a follower has been sent of one region. `reported_head` is the head at which it was last told the digest,
     or that it is behind the horizon."""
 
     region: str
     version: Version = START
-    transfer: Transfer | None = None
-    told: Version | None = None
+    transfer: RangeTransfer | None = None
+    reported_head: Version | None = None
 
 
 class Session:
     """One follower between its `Follow` and its loss."""
 
     def __init__(self, follow: Follow, regions: list[str], window: int, now: int) -> None:
-        self.follower, self.number = follow.follower, follow.session
+        self.follower = follow.follower
+        self.number = follow.session
         known = {position.region: position.version for position in follow.positions}
         wanted = [region for region in regions if not follow.regions or region in follow.regions]
         self.cursors = {region: Cursor(region, known.get(region, START)) for region in wanted}
         self.bucket = TokenBucket(max(0, follow.rate), now)
-        self.window = Window(max(window, 2 * self.bucket.page_most))
+        self.window = Window(max(window, 2 * self.bucket.max_page_bytes))
         self.progress = FollowerProgress(follow.follower)
         self.progress.positions = {region: cursor.version.sequence for region, cursor in self.cursors.items()}
-        self.heard_at = now
+        self.received_at = now
         self.sent_at = now
         self.messages = 0  # sent in this session
         self._order = deque(wanted)
--- a/linenbridge/distribution/dissemination/spare_link.py
+++ b/linenbridge/distribution/dissemination/standby_link.py
@@ -11,7 +11,7 @@
 from linenbridge.distribution.dissemination.settings import FollowerSettings
 
 
-class SpareLink:
+class StandbyLink:
     """`relay` is the one that the second link goes to, or is dialled for; empty: none."""
 
     def __init__(self, order: RelayOrder, links: RelayLinks, settings: FollowerSettings, now: int) -> None:
@@ -28,28 +28,28 @@
 
     def update(self, now: int, followed: str) -> None:
         """Keep a link to the best relay beside the one that is followed."""
-        if self.relay and self.relay not in self._links.up and now >= self._deadline:
+        if self.relay and self.relay not in self._links.connected_at and now >= self._deadline:
             failed = self.relay
             self.relay = ""
-            self._order.failed(now, failed)
-            self._links.hang_up(failed)
+            self._order.on_failed(now, failed)
+            self._links.disconnect(failed)
         usable = self._order.usable(now, without=followed)
         best = usable[0] if usable else ""
-        if best and best != self.relay and (not self.relay or self._order.better(best, self.relay)):
+        if best and best != self.relay and (not self.relay or self._order.prefers(best, self.relay)):
             self._change(now, best)
 
     def _change(self, now: int, relay: str) -> None:
         if self.relay:
-            self._links.hang_up(self.relay)
+            self._links.disconnect(self.relay)
         self.relay = relay
-        self._deadline = now + 2 * self._settings.connect
-        self._links.dial(relay)
+        self._deadline = now + 2 * self._settings.connect_timeout
+        self._links.connect(relay)
 
     def better_than(self, now: int, followed: str, followed_at: int, session: int) -> bool:
         """Whether the second link is to a better relay than the one that is followed, and has lasted. How long
         is another time for each session: followers do not all go back at once."""
-        up_at = self._links.up.get(self.relay)
-        if up_at is None or not self._order.better(self.relay, followed):
+        connected_at = self._links.connected_at.get(self.relay)
+        if connected_at is None or not self._order.prefers(self.relay, followed):
             return False
-        after = self._settings.return_after
-        return now - max(up_at, followed_at) >= after + session % (after + 1)
+        after = self._settings.failback_after
+        return now - max(connected_at, followed_at) >= after + session % (after + 1)
--- a/linenbridge/distribution/hosting/follower_settings.py
+++ b/linenbridge/distribution/hosting/follower_settings.py
@@ -9,17 +9,17 @@
 from linenbridge.distribution.dissemination.follower import Follower
 from linenbridge.distribution.dissemination.settings import FollowerSettings
 from linenbridge.distribution.messages import Batch, Refused, Whole
-from linenbridge.distribution.dissemination.relay_selection import RelayPlace
+from linenbridge.distribution.dissemination.relay_selection import RelayLocation
 
 
 def follower_settings(settings: DistributionSettings, rate: int) -> FollowerSettings:
     """`rate` in bytes a second; 0: no bound."""
-    return FollowerSettings(rate=rate, silence=settings.silence, heartbeat=settings.heartbeat)
+    return FollowerSettings(rate=rate, relay_timeout=settings.silence, heartbeat=settings.heartbeat)
 
 
-def relay_places(settings: DistributionSettings, regions: list[str]) -> list[RelayPlace]:
+def relay_places(settings: DistributionSettings, regions: list[str]) -> list[RelayLocation]:
     """The relays of these regions."""
-    return [RelayPlace(relay, region) for region in regions for relay in settings.regions[region].relays]
+    return [RelayLocation(relay, region) for region in regions for relay in settings.regions[region].relays]
 
 
 def relay_names(settings: DistributionSettings) -> frozenset[str]:
@@ -33,6 +33,6 @@
         case Batch():
             follower.on_batch(now, relay, message)
         case Whole():
-            follower.on_whole(now, relay, message)
+            follower.on_range_snapshot(now, relay, message)
         case Refused():
-            follower.on_refused(now, relay, message)
+            follower.on_rejected(now, relay, message)
--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -72,7 +72,7 @@
         self.carrier.turn()
 
     def _link_changed(self, far: str, up: bool) -> None:
-        self.follower.on_link(clock.now(), far, up)
+        self.follower.on_link(clock.now(), far, connected=up)
         self.carrier.turn()
 
     # ---- decisions ---------------------------------------------------------------------------------------
@@ -152,12 +152,12 @@
             "sessions": counters.sessions,
             "batches": counters.batches,
             "ranges": counters.ranges,
-            "passed_over": counters.passed_over,
+            "passed_over": counters.ignored,
             "gaps": counters.gaps,
-            "spoilt": counters.spoilt,
-            "digests_differed": counters.differed,
+            "spoilt": counters.malformed,
+            "digests_differed": counters.digest_mismatches,
             "relays_lost": counters.lost,
-            "relays_silent": counters.silences,
+            "relays_silent": counters.silent,
             "changes_taken": view.counts["taken"],
             "changes_refused": view.counts["refused"],
             "keys_refused": len(view.refused()),
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -133,7 +133,7 @@
     def _upstream_changed(self, far: str, up: bool) -> None:
         follower = self.followers.get(self.region_of[far])
         if follower is not None:
-            follower.on_link(clock.now(), far, up)
+            follower.on_link(clock.now(), far, connected=up)
             self.carrier.turn()
 
     # ---- decisions ---------------------------------------------------------------------------------------
@@ -202,7 +202,7 @@
             "batches_encoded": counters.encoded,
             "ranges": counters.ranges,
             "bytes": counters.bytes,
-            "refused_followers": counters.refused,
+            "refused_followers": counters.rejected,
             "silent_followers": counters.silent,
         }
 
@@ -225,6 +225,6 @@
 
 def _feed_settings(settings: DistributionSettings) -> FeedSettings:
     return FeedSettings(
-        gather=settings.gather, heartbeat=settings.heartbeat,
-        silent=settings.silence + HEARTBEATS_BEYOND * settings.heartbeat, followers_most=settings.followers,
+        batch_interval=settings.gather, heartbeat=settings.heartbeat,
+        follower_timeout=settings.silence + HEARTBEATS_BEYOND * settings.heartbeat, max_followers=settings.followers,
     )  # fmt: skip
