--- a/linenbridge/distribution/dissemination/acceptance.py
+++ b/linenbridge/distribution/dissemination/acceptance.py
@@ -1,7 +1,7 @@
-"""A follower's rules for what it takes of a region: what follows on, what is passed over, what is spoilt.
+"""A follower's rules for the content of one region: what is accepted, what is ignored, what is malformed.
 
-Decides without I/O. Batches are taken in order only; what lies behind the position is passed over; a message
-whose bytes are not those that were sent is spoilt, and nothing of it is taken.
+Decides without I/O. Batches are accepted in order only; a batch or range behind the position is ignored; a
+message whose bytes fail a check is malformed, and nothing of it is accepted.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from linenbridge.distribution.decisions import Apply, ReplaceRange
 from linenbridge.distribution.messages import Batch, Whole, batch_checksum, whole_checksum
 
-MAX_RANGE_BYTES = 16_000_000  # values of one range whose parts are being put together
-MAX_PENDING_DIGESTS = 256  # applied changes whose digest is yet to be heard from the host
+MAX_RANGE_BYTES = 16_000_000  # of the values of one range whose parts are being joined
+MAX_PENDING_DIGESTS = 256  # positions whose digest the host has yet to report
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class Verdict(Enum):
-    """What becomes of a message."""
+    """What a follower does with a message."""
 
     ACCEPTED = "accepted"
     HEARTBEAT = "heartbeat"
@@ -31,12 +31,12 @@
 
 
 def defect(message: Batch | Whole) -> str:
-    """What is wrong with the bytes of a message; empty: nothing."""
+    """The first check that the bytes of a message fail; empty if they pass all."""
     return batch_defect(message) if isinstance(message, Batch) else range_defect(message)
 
 
 def batch_defect(batch: Batch) -> str:
-    """What is wrong with the bytes of a batch; empty: nothing."""
+    """The first check that the bytes of a batch fail; empty if they pass all."""
     if batch.checksum != batch_checksum(batch.region, batch.after, batch.upto, _encode(batch.changes)):
         return "the list's checksum"
     if batch.after > batch.upto.sequence:
@@ -54,7 +54,7 @@
 
 
 def range_defect(snapshot: Whole) -> str:
-    """What is wrong with the bytes of a part of a range; empty: nothing."""
+    """The first check that the bytes of a part of a range fail; empty if they pass all."""
     encoded = _encode(snapshot.changes)
     expected = whole_checksum(
         snapshot.region, snapshot.upto, snapshot.range, snapshot.part, snapshot.last, encoded
@@ -78,17 +78,20 @@
 
 
 class Acceptance:
-    """One region at a follower. `accepted` is the position up to which changes were given to the host, `applied`
-    the one up to which the host has them in force; `digest` is the host's there, where it is known."""
+    """State of one region at a follower.
+
+    `accepted` is the position up to which changes were handed to the host, `applied` the position up to which
+    the host has them in force, `digest` the host's digest at `applied` where it is known.
+    """
 
     def __init__(self, region: str, version: Version = START) -> None:
         self.region = region
         self.accepted = self.applied = version
         self.digest: int | None = None
-        self.confirmed = False  # a relay has told the digest at `accepted`
+        self.confirmed = False  # a relay has sent its digest at `accepted`
         self.digest_differs = False  # the host's digest is not the relay's at the same position
         self.behind_horizon = False
-        self.transferring_at: int | None = None  # when ranges were asked for or last came
+        self.transferring_at: int | None = None  # when ranges were requested or last arrived, microseconds
         self._expected: dict[Version, int] = {}
         self._parts: list[Change] = []
         self._bytes = 0
@@ -97,16 +100,19 @@
 
     @property
     def needs_ranges(self) -> bool:
+        """Whether the follower has to request ranges, because changes alone do not lead to the relay's
+        state."""
         return self.digest_differs or self.behind_horizon
 
     def on_new_session(self) -> None:
-        """Nothing of an earlier session goes on; digests are compared anew."""
+        """Reset what belongs to a session: transfers end, digests are compared again."""
         self.transferring_at = None
         self.confirmed = self.digest_differs = self.behind_horizon = False
         self._drop_parts()
 
     def judge(self, message: Batch | Whole) -> Verdict:
-        """What becomes of a message of this region; only a heartbeat and a first part change anything."""
+        """Decide what to do with a message of this region. Records the relay's horizon and the first part of
+        a range; all else changes in `accept` and `accept_snapshot`."""
         if defect(message):
             return Verdict.MALFORMED
         return self._judge_batch(message) if isinstance(message, Batch) else self._judge_snapshot(message)
@@ -125,8 +131,8 @@
         return Verdict.IGNORED if self.behind_horizon else Verdict.ACCEPTED
 
     def accept(self, batch: Batch) -> Apply:
-        """What the host is to apply of a batch that was judged to be taken; nothing but the digest of a
-        heartbeat that is the first to tell it."""
+        """What the host has to apply of an accepted batch. The first heartbeat with a digest has no changes:
+        the host only reports its own digest."""
         changes = [change for change in batch.changes if change.version > self.accepted]
         self.accepted = batch.upto
         self.confirmed = batch.digest is not None
@@ -135,7 +141,8 @@
         return Apply(self.region, batch.upto, changes, batch.digest, batch.horizon)
 
     def compare(self, batch: Batch) -> bool:
-        """A heartbeat at the relay's head tells the digest again; whether it was compared."""
+        """Compare the digest of a heartbeat with the host's. Returns whether both are known at one
+        position."""
         if batch.digest is None or self.applied != batch.upto or self.digest is None:
             return False
         self.digest_differs = self.digest != batch.digest
@@ -159,7 +166,7 @@
         return Verdict.ACCEPTED
 
     def accept_snapshot(self, now: int, snapshot: Whole) -> ReplaceRange | None:
-        """The complete range, once its last part is here."""
+        """Add a part; returns the complete range with its last part. `now` is in microseconds."""
         self.transferring_at = now
         self._next_part += 1
         self._parts += snapshot.changes
@@ -168,7 +175,7 @@
             return None
         replace = ReplaceRange(
             self.region, snapshot.upto, snapshot.range, self._parts, snapshot.final, snapshot.horizon
-        )  # fmt: skip
+        )
         self._drop_parts()
         if snapshot.final:
             self.accepted = snapshot.upto
@@ -178,7 +185,7 @@
 
     @property
     def too_large(self) -> bool:
-        """A range that is put together has outgrown all reason."""
+        """Whether the range that is being joined exceeds MAX_RANGE_BYTES."""
         return self._bytes > MAX_RANGE_BYTES
 
     def _drop_parts(self) -> None:
@@ -190,8 +197,8 @@
     # ---- the host --------------------------------------------------------------------------------------
 
     def on_applied(self, upto: Version, digest: int | None) -> bool:
-        """The host has a batch or range in force, and its table's digest is this; None: it cannot be compared
-        now. A range that is not the last one of its transfer leaves the position where it is. Whether the
+        """The host has a batch or range in force. `digest` is its digest there, None if it cannot be
+        compared. A range that does not end its transfer does not move the position. Returns whether the
         digest was compared with the relay's."""
         if self.accepted < upto or upto < self.applied:
             return False
@@ -206,12 +213,15 @@
 
 
 class Acceptances:
-    """The rules of all regions of one follower. Without `regions` it takes all that its relays send, but no
-    more than `max_unknown_regions`."""
+    """State of all regions of one follower.
+
+    With an empty `regions` the follower accepts every region that its relays send, up to
+    `max_unknown_regions`.
+    """
 
     def __init__(self, regions: list[str], positions: list[Position], max_unknown_regions: int) -> None:
         self._wanted = frozenset(regions)
-        self._unknown_regions = max_unknown_regions
+        self._max_unknown_regions = max_unknown_regions
         self._by_region = {region: Acceptance(region) for region in regions}
         for position in positions:
             if self.of_region(position.region) is not None:
@@ -224,9 +234,9 @@
         return self._by_region[region]
 
     def of_region(self, region: str) -> Acceptance | None:
-        """A region's rules; None where the follower takes nothing of this region."""
+        """The state of a region; None if the follower accepts nothing of it."""
         if region not in self._by_region:
-            bounded = len(self._by_region) >= self._unknown_regions
+            bounded = len(self._by_region) >= self._max_unknown_regions
             if bounded or (self._wanted and region not in self._wanted):
                 return None
             self._by_region[region] = Acceptance(region)
@@ -240,13 +250,13 @@
         ]
 
     def accepted(self) -> list[Position]:
-        """The positions up to which changes were given to the host."""
+        """The positions up to which changes were handed to the host."""
         return [
             Position(region, each.accepted.epoch, each.accepted.sequence)
             for region, each in self._by_region.items()
         ]
 
     def on_new_session(self) -> None:
-        """Nothing of an earlier session goes on."""
+        """Reset what belongs to a session, in every region."""
         for acceptance in self._by_region.values():
             acceptance.on_new_session()
--- a/linenbridge/distribution/dissemination/compacted_log.py
+++ b/linenbridge/distribution/dissemination/compacted_log.py
@@ -1,9 +1,9 @@
-"""A relay's table of one region: the newest change of each key, in order of sequence and by range.
+"""A relay's compacted log of one region: the newest change of each key, in order of sequence and by range.
 
-Keeps state without I/O. It is a compacted log: a key that changes again loses its older place, a deleted
-key stays as a tombstone until there are too many of them. `horizon` is the highest sequence of a tombstone
-let go: a follower behind it cannot learn of that deletion from the changes, and takes whole ranges instead.
-Changes are held encoded, as they go over the wire: one encoding serves all followers.
+Keeps state without I/O. A key that changes again loses its older entry; a deleted key stays as a tombstone
+until there are too many of them. The horizon is the highest sequence of a dropped tombstone: a follower
+behind it cannot learn of that deletion from the changes and requests ranges instead. Changes are stored as
+they are encoded on the wire, so that one encoding serves all followers.
 """
 
 from __future__ import annotations
@@ -16,18 +16,24 @@
 import msgspec
 
 from linenbridge.distribution.changes import (
-    RANGES, START, Change, Version, added, range_of, removed,
-)  # fmt: skip
-
-MAX_TOMBSTONES = 65_536  # in one region's table; about five days of replaced instances
-_MIN_HOLES = 1_024  # below this many, places of superseded changes are not worth a compaction
-_DIGEST_BYTES = 8
+    RANGES,
+    START,
+    Change,
+    Version,
+    added,
+    range_of,
+    removed,
+)
+
+MAX_TOMBSTONES = 65_536  # of one region; about five days of replaced instances
+_MIN_HOLES = 1_024  # entries of superseded changes; fewer are not worth a compaction
+_DIGEST_BYTES = 8  # of one range
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Change).decode
 
 
-class _Place(NamedTuple):
+class _OrderedKey(NamedTuple):
     """One key in the order of the log."""
 
     sequence: int
@@ -36,23 +42,26 @@
 
 
 class Entry(NamedTuple):
-    """One encoded change and its place in the log."""
+    """One encoded change and its sequence."""
 
     sequence: int
     encoded: bytes
 
 
 class Page(NamedTuple):
-    """Encoded changes that lie behind a sequence, complete up to `upto`."""
+    """Encoded changes behind a sequence, complete up to `upto`."""
 
     upto: Version
     encoded: list[bytes]
 
 
 class Table:
-    """All keys of one region, at `head` unless `replacing`: then ranges of a newer state are being taken.
-    `consistent`: it is known to be what the log makes of its keys at `head`. A part of a compacted log leads to
-    a state that never was, since keys that changed again behind it are still missing or older."""
+    """All keys of one region at `head`.
+
+    While `replacing`, ranges of a newer state are being stored and the keys are at no single version.
+    `consistent` says that the keys are known to be those of the region's log at `head`. A part of a compacted
+    log leads to a state that never existed: keys that changed again behind it are still missing or older.
+    """
 
     def __init__(self, region: str, max_tombstones: int = MAX_TOMBSTONES) -> None:
         self.region = region
@@ -71,16 +80,17 @@
         self._tombstones_live = 0
 
     def __len__(self) -> int:
-        """Keys, deleted ones that are still remembered among them."""
+        """The number of keys, tombstones among them."""
         return self._live
 
     @property
     def digest(self) -> int:
-        """Of the whole table, as `changes.digest_of` has it."""
+        """The digest of all keys: the sum of their `changes.digest_of`."""
         return self._digest
 
     @property
     def tombstones(self) -> int:
+        """The number of tombstones."""
         return self._tombstones_live
 
     def range_digests(self) -> bytes:
@@ -95,8 +105,8 @@
     # ---- changes in order ------------------------------------------------------------------------------
 
     def apply(self, upto: Version, changes: Iterable[Change], horizon: int = 0) -> None:
-        """Take all changes behind the head, up to `upto`, in order. Older ones are passed over. `horizon` is
-        that of the table that they come from."""
+        """Apply changes in order and move the head to `upto`. Changes that are not newer than the head are
+        ignored. `horizon` is that of the log that the changes come from."""
         for change in changes:
             if change.version > self.head:
                 self._append(change)
@@ -117,8 +127,7 @@
             self._tombstones.append(change.sequence)
 
     def _store(self, change: Change) -> str | None:
-        """Put a change in the place of an older one of its key; the key, or None where the change is not
-        newer."""
+        """Replace an older change of the same key. Returns the key, or None if the change is not newer."""
         index = range_of(change.kind, change.name)
         key = _key(change.kind, change.name)
         stored = self._ranges[index].get(key)
@@ -135,24 +144,24 @@
         return key
 
     def _remove(self, index: int, key: str, change: Change) -> None:
-        """Take a change out of its range and leave a hole in the order."""
+        """Remove a change from its range and leave a hole in the order."""
         del self._ranges[index][key]
         self._digests[index] = removed(self._digests[index], change)
         self._digest = removed(self._digest, change)
         self._live -= 1
         self._tombstones_live -= not change.value
-        place = self._find(change.sequence)
+        place = self._index_of(change.sequence)
         if place is not None and self._keys[place] == key:
             self._keys[place] = None
 
-    def _find(self, sequence: int) -> int | None:
+    def _index_of(self, sequence: int) -> int | None:
         place = bisect_left(self._sequences, sequence)
         found = place < len(self._sequences) and self._sequences[place] == sequence
         return place if found else None
 
     def _insert(self, change: Change, key: str) -> None:
-        """The place of a change that is not newer than all others: rare, so that the move of what is behind
-        it is affordable."""
+        """Insert a change that is not newer than all others. This is rare, so moving the entries behind it is
+        affordable."""
         place = bisect_left(self._sequences, change.sequence)
         if place < len(self._sequences) and self._sequences[place] == change.sequence:
             self._keys[place] = key
@@ -172,12 +181,12 @@
             self._drop_tombstone(self._tombstones.popleft())
 
     def _drop_tombstone(self, sequence: int) -> None:
-        """Drop the oldest tombstone, if its key was not written again since."""
-        place = self._find(sequence)
+        """Drop a tombstone unless its key was written again since."""
+        place = self._index_of(sequence)
         key = None if place is None else self._keys[place]
         if key is None:
             return
-        kind, name = _parts(key)
+        kind, name = _kind_and_name(key)
         change = self.newest(kind, name)
         if change is not None and not change.value:
             self._remove(range_of(kind, name), key, change)
@@ -188,7 +197,7 @@
         self._sequences = [self._sequences[place] for place in stored]
         self._keys = [self._keys[place] for place in stored]
         self._tombstones = deque(
-            sequence for sequence in self._tombstones if self._find(sequence) is not None
+            sequence for sequence in self._tombstones if self._index_of(sequence) is not None
         )
 
     # ---- whole ranges ----------------------------------------------------------------------------------
@@ -196,9 +205,9 @@
     def replace(
         self, index: int, upto: Version, changes: list[Change], *, final: bool, horizon: int = 0
     ) -> None:
-        """Put in the complete content of one range: keys at versions up to `upto` that are not named are
-        gone, newer ones stay. With `final` the table is at `upto`. `horizon` is that of the table that the
-        range comes from; a key that is not named was deleted there, with a tombstone let go."""
+        """Store the complete content of one range: keys at versions up to `upto` that `changes` does not name
+        are removed, newer ones stay. With `final` the head moves to `upto`. `horizon` is that of the log that
+        the range comes from: a key that is not named was deleted there and its tombstone dropped."""
         self.replacing = True
         named = {_key(change.kind, change.name) for change in changes}
         removed_keys = [key for key in self._ranges[index] if key not in named]
@@ -215,31 +224,31 @@
     def _finish(self, upto: Version) -> None:
         self.head = max(self.head, upto)
         self.replacing = False
-        order = sorted(self._places())
+        order = sorted(self._ordered_keys())
         self._sequences = [place.sequence for place in order]
         self._keys = [place.key for place in order]
         self._tombstones = deque(place.sequence for place in order if place.deleted)
         self._tidy()
 
-    def _places(self) -> Iterator[_Place]:
+    def _ordered_keys(self) -> Iterator[_OrderedKey]:
         for stored in self._ranges:
             for key, encoded in stored.items():
                 change = _decode(encoded)
-                yield _Place(change.sequence, key, not change.value)
+                yield _OrderedKey(change.sequence, key, not change.value)
 
     # ---- what followers are sent -----------------------------------------------------------------------
 
     def since(self, sequence: int) -> Iterator[Entry]:
-        """The newest change of each key that changed behind a sequence, in order. Not while `replacing`, nor
-        across a change of the table."""
+        """The newest change of each key that changed behind a sequence, in order. The iterator is invalid
+        while `replacing` and after any change of the log."""
         for place in range(bisect_right(self._sequences, sequence), len(self._sequences)):
             key = self._keys[place]
             if key is not None:
-                kind, name = _parts(key)
+                kind, name = _kind_and_name(key)
                 yield Entry(self._sequences[place], self._ranges[range_of(kind, name)][key])
 
     def page(self, after: int, max_bytes: int) -> Page:
-        """What lies behind a sequence, as much as `max_bytes` holds but one change at least."""
+        """The changes behind a sequence, up to `max_bytes` encoded bytes, at least one change."""
         encoded: list[bytes] = []
         size = 0
         for entry in self.since(after):
@@ -250,19 +259,20 @@
         return Page(self.head, encoded)
 
     def range(self, index: int) -> list[Change]:
-        """All keys of one range, tombstones among them."""
+        """All changes of one range, tombstones among them."""
         return [_decode(encoded) for encoded in self._ranges[index].values()]
 
     def encoded_range(self, index: int) -> list[bytes]:
-        """The same, as it goes over the wire."""
+        """All changes of one range, encoded."""
         return list(self._ranges[index].values())
 
 
 def _key(kind: int, name: str) -> str:
-    """One string for a key: stored for each, it takes half of what a tuple would."""
+    """One string for a key: it takes half the memory of a tuple."""
     return f"{kind}/{name}"
 
 
-def _parts(key: str) -> tuple[int, str]:
+def _kind_and_name(key: str) -> tuple[int, str]:
+    """The key of `_key` as `changes.Change.key` has it."""
     kind, _, name = key.partition("/")
     return int(kind), name
--- a/linenbridge/distribution/dissemination/counters.py
+++ b/linenbridge/distribution/dissemination/counters.py
@@ -1,6 +1,6 @@
-"""What a feed and a follower count since their start, for the counters' line and for tests.
+"""Counters of a feed and of a follower since their start.
 
-Owns the names of the counters. The cores write them, hosts read them.
+Owns the names of the counters. The cores increment them; hosts log them.
 """
 
 from __future__ import annotations
@@ -10,7 +10,8 @@
 
 @dataclass(slots=True)
 class FeedCounters:
-    """Counters of a relay's feed."""
+    """Counters of a relay's feed; `malformed` counts `Digests` messages, `rejected` rejections of followers,
+    `silent` followers that timed out."""
 
     batches: int = 0
     ranges: int = 0
@@ -24,7 +25,12 @@
 
 @dataclass(slots=True)
 class FollowerCounters:
-    """Counters of a follower."""
+    """Counters of a follower.
+
+    `ignored` counts stale, repeated and foreign messages, `gaps` messages that do not follow on, `malformed`
+    messages that fail a check, `digest_mismatches` digests that differ from the relay's, `rejected`
+    rejections by relays, `silent` relays that timed out, `lost` links to the followed relay that broke.
+    """
 
     batches: int = 0
     changes: int = 0
--- a/linenbridge/distribution/dissemination/encoded_lists.py
+++ b/linenbridge/distribution/dissemination/encoded_lists.py
@@ -1,6 +1,6 @@
-"""Lists of changes that are encoded already: joined into one encoding, and split into messages.
+"""Lists of encoded changes: joined into one encoding, and split into messages.
 
-Owns the form of such a list on the wire, which is that of a list of `Change`.
+Owns the form of such a list on the wire, which is msgpack's encoding of a list of `Change`.
 """
 
 from __future__ import annotations
@@ -13,12 +13,13 @@
 
 
 def joined(encoded: list[bytes]) -> bytes:
-    """The encoding of a list, of the encodings of its members."""
+    """The encoding of a list, from the encodings of its members."""
     return _encode([Raw(each) for each in encoded])
 
 
 def split(encoded: list[bytes], max_bytes: int) -> list[list[bytes]]:
-    """A list in parts of at most `max_bytes` bytes, one member at least; an empty list is one empty part."""
+    """Split a list into parts of at most `max_bytes` bytes, or one member. An empty list is one empty
+    part."""
     parts: list[list[bytes]] = [[]]
     size = 0
     for each in encoded:
--- a/linenbridge/distribution/dissemination/feed.py
+++ b/linenbridge/distribution/dissemination/feed.py
@@ -1,9 +1,9 @@
-"""A relay's feed: hands committed changes of all regions on to followers, each at its own pace.
+"""A relay's feed: sends committed changes of all regions to followers, each at its own rate.
 
-Decides without I/O. Changes are gathered for a short time, then each follower is sent what lies behind its
-cursor: the newest change of each key. Followers at the same position share one encoded batch. What a follower
-has not acknowledged is bounded by a window, its bytes a second by its own rate. A follower behind a table's
-horizon, or with another digest, asks for ranges by `Digests` and gets those that differ.
+Decides without I/O. Changes are batched for a short time; then each follower is sent what lies behind its
+cursor: the newest change of each key. Followers at the same position share one encoded batch. A window bounds
+the unacknowledged bytes of a follower, its rate the bytes a second. A follower behind the horizon of a log,
+or with another digest, requests ranges by `Digests` and is sent those that differ.
 """
 
 from __future__ import annotations
@@ -27,14 +27,23 @@
 from linenbridge.distribution.dissemination.settings import FeedSettings
 from linenbridge.distribution.errors import RelayBehind, RelayFull, SilentFollower
 from linenbridge.distribution.messages import (
-    Digests, EncodedBatch, EncodedWhole, Follow, Progress, Refused, Summary,
-)  # fmt: skip
+    Digests,
+    EncodedBatch,
+    EncodedWhole,
+    Follow,
+    Progress,
+    Refused,
+    Summary,
+)
 
 
 class Feed:
-    """`name` is the relay's, `region` its own, `regions` all of them. `relays` are the names of all relays:
-    as followers they are never refused as too many, since their whole region hangs on them. A host pulls
-    `next_decision` and wakes the feed at `wake_at`."""
+    """The feed of the relay `name` of `region`; `regions` are all regions.
+
+    `relays` are the names of all relays: they do not count towards `max_followers` and are never rejected as
+    too many, since a whole region depends on each. Times are in microseconds. A host calls the `on_...`
+    inputs, pulls `next_decision` until it is None, and calls it again at `wake_at`.
+    """
 
     def __init__(
         self,
@@ -64,29 +73,29 @@
         self._turned_at = now
         self._next_turn = now + settings.heartbeat
 
-    # ---- what is known ---------------------------------------------------------------------------------
+    # ---- state -----------------------------------------------------------------------------------------
 
     def positions(self) -> list[Position]:
-        """The heads of all tables."""
+        """The heads of all regions' logs."""
         return heads(self.tables)
 
     def digest(self, region: str) -> int:
+        """The digest of a region's log."""
         return self.tables[region].digest
 
     def range_digests(self, region: str) -> bytes:
-        """Of all ranges of a region's table, 8 bytes each."""
+        """The digests of all ranges of a region's log, 8 bytes each."""
         return self.tables[region].range_digests()
 
     def summaries(self, now: int) -> list[Summary]:
-        """The sums of all regions, for a look from outside; `SumsBelow` and the report tell them by
-        themselves."""
+        """The summaries of all regions, for monitoring; reports are sent without a call."""
         return self._reports.summaries(now)
 
     # ---- changes ---------------------------------------------------------------------------------------
 
     def on_committed(self, now: int, region: str, changes: list[Change], compacted_to: int = 0) -> None:
-        """The own region's changes that a majority has, in order, up to a state that the log had. Deletions
-        up to `compacted_to` may be missing: the replica has let them go."""
+        """Changes of the own region that a majority of its relays has on disk, in order, up to a state that
+        the log had. Deletions up to `compacted_to` may be missing: the replica has dropped them."""
         if changes:
             table = self.tables[region]
             table.apply(changes[-1].version, changes, horizon=compacted_to)
@@ -94,7 +103,8 @@
             self._on_head_moved(now, region)
 
     def on_apply(self, now: int, apply: Apply) -> int:
-        """Another region's changes, by the relay's follower; the digest is for `Follower.on_applied`."""
+        """Changes of another region, from the relay's follower. Returns the digest for
+        `Follower.on_applied`."""
         table = self.tables[apply.region]
         table.apply(apply.upto, apply.changes, apply.horizon)
         table.consistent = apply.digest == table.digest
@@ -102,7 +112,8 @@
         return table.digest
 
     def on_range(self, now: int, replace: ReplaceRange) -> int:
-        """A whole range of another region. Its followers wait until the last one is here."""
+        """A complete range of another region, whose followers wait until the final one has arrived. Returns
+        the digest for `Follower.on_applied`."""
         table = self.tables[replace.region]
         table.replace(
             replace.range, replace.upto, replace.changes, final=replace.final, horizon=replace.horizon
@@ -120,7 +131,7 @@
     # ---- followers -------------------------------------------------------------------------------------
 
     def on_follow(self, now: int, follow: Follow) -> None:
-        """A new follower, or one that begins anew."""
+        """A follower begins a session."""
         if self._is_full_for(follow.follower):
             self._reject(follow.follower, follow.session, RelayFull.code)
             return
@@ -142,7 +153,7 @@
         return gateways >= self.settings.max_followers
 
     def _is_behind(self, now: int, follow: Follow) -> bool:
-        """After a start, a relay may not have caught up with the other regions."""
+        """Whether a follower is ahead of this relay, which has started and not yet caught up."""
         if now - self._started_at > self.settings.catch_up_time:
             return False
         return any(
@@ -167,19 +178,19 @@
             return
         session.received_at = now
         session.window.acknowledge(progress.received)
-        session.progress.take(progress, self._known_regions)
+        session.progress.update(progress, self._known_regions)
         self._reports.due = True
         self._wake_by(max(now, self._reports.next_at))
 
     def _on_progress_elsewhere(self, now: int, progress: Progress) -> None:
         if not progress.session:
-            self.on_lost(now, progress.follower)  # the end of its older link may be yet to be noticed
+            self.on_lost(now, progress.follower)  # the old link may not be known to be down yet
             self._reports.departed.elsewhere(progress.follower, now)
         elif progress.follower not in self.sessions:
             self._decisions.append(Send(progress.follower, Refused(progress.session, SilentFollower.code, 0)))
 
     def on_digests(self, now: int, follower: str, digests: Digests) -> None:
-        """A follower asks for the ranges that differ from its own, or for all of them."""
+        """A follower requests the ranges that differ from its own, or all of them."""
         session = self.sessions.get(follower)
         if session is None or session.number != digests.session:
             return
@@ -189,7 +200,7 @@
         session.received_at = now
         table = self.tables[digests.region]
         if table.replacing or not table.consistent or table.head < digests.at:
-            return  # the follower asks again
+            return  # the follower repeats the request
         if digests.first or not digests.last or len(digests.digests) not in (0, RANGES * DIGEST_BYTES):
             self.counters.malformed += 1
             return
@@ -205,25 +216,27 @@
             self._reports.on_departed(now, session.progress)
 
     def on_publisher(self, now: int, publisher: str) -> None:
-        """Who publishes in the own region now, as the replica sees it; empty: nobody. It is told the sums."""
+        """The publisher of the own region according to the replica; empty: none. Reports are sent to it."""
         if self._reports.on_publisher(publisher):
             self._wake_by(now)
 
     # ---- decisions -------------------------------------------------------------------------------------
 
     def wake_at(self) -> int:
+        """When `next_decision` has to be called again at the latest."""
         return self._next_turn
 
     def _wake_by(self, at: int) -> None:
         self._next_turn = min(self._next_turn, at)
 
     def next_decision(self, now: int) -> Decision | None:
+        """The next decision for the host to carry out, None if there is none now."""
         if not self._decisions and now >= self._next_turn:
             self._turn(now)
         return self._decisions.popleft() if self._decisions else None
 
     def _turn(self, now: int) -> None:
-        """Send every follower what it may be sent now."""
+        """Send every follower what its flow control allows now, then the reports."""
         self._turned_at = now
         waiting = False
         for session in list(self.sessions.values()):
@@ -233,7 +246,7 @@
             waiting = self._serve(session, now) or waiting
             quiet = now - session.sent_at >= self.settings.heartbeat
             if quiet and session.cursors and session.window.open_for_heartbeats:
-                self._heartbeat(session, session.turn(), now)
+                self._heartbeat(session, session.next_region(), now)
         self._decisions.extend(self._reports.turn(now))
         self._next_turn = now + (self.settings.batch_interval if waiting else self.settings.heartbeat // 2)
 
@@ -243,8 +256,8 @@
         self.on_lost(now, session.follower)
 
     def _serve(self, session: Session, now: int) -> bool:
-        """Messages as the window and the rate allow; whether more is waiting. Regions take turns, so that a
-        long catch-up of one does not hold up the others."""
+        """Send messages as the window and the rate allow. Returns whether more is waiting. Regions take
+        turns, so that a long catch-up of one does not delay the others."""
         waiting = deque(cursor for cursor in session.cursors.values() if self._builder.has_more(cursor))
         waiting.rotate(-session.messages)
         while waiting:
--- a/linenbridge/distribution/dissemination/follower.py
+++ b/linenbridge/distribution/dissemination/follower.py
@@ -1,8 +1,8 @@
-"""A follower of relays: a gateway, or a relay that follows another region.
+"""A follower of relays: part of a gateway, or of a relay that follows another region.
 
-Decides without I/O. It follows one relay and keeps a link to a second. When the relay is lost, silent, full,
-or sends what is spoilt, it goes on at the next in its order from where it is. What it takes of a relay's
-messages is ruled by `acceptance.py`.
+Decides without I/O. It follows one relay and has a standby link to a second. If the relay is lost, silent or
+full, or sends a malformed message, it follows the next one in its order from its position. `acceptance.py`
+has the rules for what it accepts.
 """
 
 from __future__ import annotations
@@ -17,20 +17,27 @@
 from linenbridge.distribution.dissemination.counters import FollowerCounters
 from linenbridge.distribution.dissemination.digest_repair import DigestRepair
 from linenbridge.distribution.dissemination.relay_links import LeftRelays, RelayLinks
-from linenbridge.distribution.dissemination.relay_selection import RelayOrder, RelayLocation
+from linenbridge.distribution.dissemination.relay_selection import RelayLocation, RelayOrder
 from linenbridge.distribution.dissemination.settings import SECOND, FollowerSettings
 from linenbridge.distribution.dissemination.standby_link import StandbyLink
 from linenbridge.distribution.messages import Batch, Digests, Follow, Progress, Refused, Summary, Whole
 
-MAX_SESSION = 1 << 53
-MAX_GAPS = 3  # at one relay, one after another; then another relay is taken
-MAX_REJECTION_WAIT = 60 * SECOND  # for which a relay that refuses is left alone, whatever it says
+MAX_SESSION = 1 << 53  # a number of a session that every decoder has exactly
+MAX_GAPS = 3  # in a row at one relay; then another is followed
+MAX_REJECTION_WAIT = (
+    60 * SECOND
+)  # before a relay that rejected this follower is tried again, whatever it requests
 
 
 class Follower:
-    """`name` is the follower's own, unique and the same after a restart. `regions` are those that it wants,
-    none: all. `range_digests` gives a region's range digests of the host's tables, 8 bytes each: with it, a
-    catch-up behind the relay's horizon costs what differs; without it, everything."""
+    """A follower `name`, which is unique and the same after a restart.
+
+    `regions` are those that it follows, empty: all. `positions` are those of the host's tables.
+    `range_digests` returns the digests of a region's ranges in the host's tables, 8 bytes each: with it a
+    catch-up behind the relay's horizon transfers the ranges that differ, without it all. `relay` is the relay
+    that is followed or tried, empty: none. Times are in microseconds. A host calls the `on_...` inputs, pulls
+    `next_decision` until it is None, and calls it again at `wake_at`.
+    """
 
     def __init__(
         self,
@@ -47,7 +54,7 @@
         self.name = name
         self.settings = settings
         self.counters = FollowerCounters()
-        self.relay = ""  # the one that is followed or tried
+        self.relay = ""
         self.following = False
         self._regions = list(regions)
         self._random = random
@@ -61,21 +68,21 @@
         self._repair = DigestRepair()
         self._session = self._random.randrange(1, MAX_SESSION)
         self._messages = 0  # of the session
-        self._unapplied = 0  # of the session's messages, those that the host has yet to put in force
-        self._unapplied_before = 0  # the same of earlier sessions
+        self._unapplied = 0  # messages of the session that the host has yet to put in force
+        self._unapplied_before = 0  # messages of earlier sessions, likewise
         self._gaps = 0
         self._begin_at = now + self._jitter()
-        self._deadline: int | None = None  # for the link, then for the next word
+        self._deadline: int | None = None  # for the link to connect, then for the next message
         self._followed_at = now
         self._progress_at = now
         self._progress_due = False
         self._notified_at = now
         self._below: dict[str, Summary] = {}
 
-    # ---- what is known ---------------------------------------------------------------------------------
+    # ---- state -----------------------------------------------------------------------------------------
 
     def positions(self) -> list[Position]:
-        """What the host has in force."""
+        """The positions that the host has in force."""
         return self._acceptances.applied()
 
     def _jitter(self) -> int:
@@ -84,7 +91,7 @@
     # ---- links -----------------------------------------------------------------------------------------
 
     def on_link(self, now: int, relay: str, *, connected: bool) -> None:
-        """A link to a relay is up, or down."""
+        """A link to a relay is connected or lost."""
         if relay not in self._order:
             return
         if connected:
@@ -101,15 +108,15 @@
             self._leave(now, "lost")
 
     def _notify_elsewhere(self, relay: str) -> None:
-        """Tell a relay that this follower lives and follows another one."""
+        """Notify a relay that this follower follows another one."""
         if self.following and relay != self.relay and relay in self._links.connected_at:
             self._decisions.append(Send(relay, Progress(self.name, 0, [], [])))
             self._left_relays.discard(relay)
 
-    # ---- one relay after another -----------------------------------------------------------------------
+    # ---- the followed relay ----------------------------------------------------------------------------
 
     def _begin(self, now: int) -> None:
-        """Take the first relay that is not left alone, one with a link before all others."""
+        """Follow the first usable relay, a connected one before all others."""
         usable = self._order.next_to_try(now)
         if not usable:
             self._begin_at = max(now + 1, self._order.next_usable_at()) + self._jitter()
@@ -129,7 +136,7 @@
             self._follow(now)
 
     def _follow(self, now: int) -> None:
-        """Begin a session at the relay, from where this follower is."""
+        """Begin a session at the relay, at this follower's position."""
         self._session = self._session % MAX_SESSION + 1
         self._messages = 0
         self._unapplied_before += self._unapplied
@@ -144,7 +151,7 @@
         self._decisions.append(Send(self.relay, follow))
 
     def _leave(self, now: int, reason: str, min_wait: int = 0) -> None:
-        """Go on at another relay, at a time of this follower's own."""
+        """Leave the relay; another one is followed after a random delay."""
         relay = self.relay
         self._decisions.append(Event("distribution.left", {"relay": relay, "reason": reason}))
         self._order.on_failed(now, relay, min_wait)
@@ -157,7 +164,7 @@
         self._begin_at = now + self._jitter()
 
     def _on_served(self, now: int) -> None:
-        """The relay has sent something of this session."""
+        """The relay has sent a message of this session."""
         self._deadline = now + self.settings.relay_timeout
         if not self.following:
             self.following = True
@@ -170,18 +177,18 @@
             self._order.on_served(self.relay)
 
     def _fail_back(self, now: int) -> None:
-        """Go back to the better relay that the second link goes to."""
+        """Follow the better relay that the standby link goes to."""
         left = self.relay
         self._links.disconnect(left)
         self._left_relays.add(left)
         self._decisions.append(Event("distribution.left", {"relay": left, "reason": "returned"}))
         self._take(now, self._standby.relay)
 
-    # ---- messages of the relay -------------------------------------------------------------------------
+    # ---- messages from the relay ------------------------------------------------------------------------
 
     def _is_current(self, relay: str, session: int, number: int) -> bool:
-        """Whether a message is the next one of this session. Older and repeated ones are passed over; one
-        that is too new shows that others were lost."""
+        """Whether a message is new in this session. Older and repeated messages are ignored; one that is too
+        new shows that others were lost."""
         if relay != self.relay or session != self._session or number <= self._messages:
             self.counters.ignored += 1
             return False
@@ -192,7 +199,7 @@
         self._on_content(now, relay, batch)
 
     def on_range_snapshot(self, now: int, relay: str, snapshot: Whole) -> None:
-        """A part of a range that was asked for."""
+        """A part of a requested range."""
         self._on_content(now, relay, snapshot)
 
     def _on_content(self, now: int, relay: str, message: Batch | Whole) -> None:
@@ -249,13 +256,13 @@
             self._decisions.append(replace)
 
     def on_rejected(self, now: int, relay: str, rejection: Refused) -> None:
-        """The relay does not serve this follower, or no longer."""
+        """The relay rejects this follower, or ends its session."""
         if relay == self.relay and rejection.session == self._session:
             self.counters.rejected += 1
             self._leave(now, rejection.code, min(rejection.after, MAX_REJECTION_WAIT))
 
     def _on_gap(self, now: int) -> None:
-        """Something was lost: begin a session anew from where this follower is."""
+        """A message was lost: begin another session; after several in a row leave the relay."""
         self.counters.gaps += 1
         self._gaps += 1
         if self._gaps > MAX_GAPS:
@@ -264,7 +271,7 @@
             self._follow(now)
 
     def _on_malformed(self, now: int, relay: str, region: str, what: str) -> None:
-        """Nothing more is taken from a relay that sends other bytes than were published."""
+        """Leave a relay that sent other bytes than were published."""
         self.counters.malformed += 1
         self._decisions.append(
             Event("distribution.malformed", {"relay": relay, "region": region, "what": what})
@@ -274,8 +281,8 @@
     # ---- the host --------------------------------------------------------------------------------------
 
     def on_applied(self, now: int, region: str, upto: Version, digest: int | None) -> None:
-        """The host has an `Apply` or `ReplaceRange` in force; `digest` is that of its snapshot table there, None
-        where it is not to be compared."""
+        """The host has an `Apply` or `ReplaceRange` in force; `digest` is that of its tables of the region
+        there, None if it cannot be compared."""
         if self._unapplied_before:
             self._unapplied_before -= 1
         elif self._unapplied:
@@ -285,15 +292,15 @@
         compared = acceptance.on_applied(upto, digest)
         self._check(now, acceptance, compared)
 
-    def on_progress_below(self, now: int, summaries: list[Summary]) -> None:
-        """A relay's sums over its own followers, for those regions that it follows here."""
+    def on_progress_below(self, now: int, summaries: list[Summary]) -> None:  # noqa: ARG002  # inputs have the time first
+        """A relay's summaries of its own followers; those of the regions followed here are passed on."""
         for summary in summaries:
             if summary.region in self._acceptances and self._below.get(summary.region) != summary:
                 self._below[summary.region] = summary
                 self._progress_due = True
 
     def _check(self, now: int, acceptance: Acceptance, compared: bool) -> None:
-        """Ask for ranges where the digest differs or the relay's changes do not reach back far enough."""
+        """Request ranges if the digest differs or the position is behind the relay's horizon."""
         if compared and not acceptance.digest_differs:
             self._repair.on_equal(acceptance.region)
         if not acceptance.needs_ranges or not self.following:
@@ -306,16 +313,16 @@
         self._request_ranges(now, acceptance)
 
     def _should_repair(self, now: int, acceptance: Acceptance) -> bool:
-        """Whether ranges are to be taken from this relay, whose digest differs; it is left where another one
-        is to be compared first."""
+        """Whether to request ranges from this relay, whose digest differs. Leaves the relay if another one's
+        digest has to be compared first."""
         region = acceptance.region
         relay = self.relay
         alone = not any(other != relay for other in self._links.connected_at)
         if alone and len(self._order.names) > 1 and now - self._followed_at < self.settings.range_timeout:
-            return False  # the second link may be on its way
+            return False  # the standby link may be connecting
         self.counters.digest_mismatches += 1
         self._decisions.append(Event("distribution.digest_differs", {"relay": relay, "region": region}))
-        if self._repair.may_repair(region, relay, alone):
+        if self._repair.may_repair(region, relay, alone=alone):
             return True
         self._leave(now, "digest", self.settings.malformed_backoff)
         return False
@@ -331,6 +338,7 @@
     # ---- decisions -------------------------------------------------------------------------------------
 
     def wake_at(self) -> int:
+        """When `next_decision` has to be called again at the latest."""
         if not self.relay:
             return self._begin_at
         if not self.following and self._deadline is not None:
@@ -343,6 +351,7 @@
         return min(times)
 
     def next_decision(self, now: int) -> Decision | None:
+        """The next decision for the host to carry out, None if there is none now."""
         if not self._decisions:
             self._turn(now)
         return self._decisions.popleft() if self._decisions else None
@@ -378,7 +387,7 @@
             self._notify_left_relays()
 
     def _notify_left_relays(self) -> None:
-        """Once a heartbeat: let those go that have been told, and dial the next one that has not."""
+        """Once a heartbeat: close links that are not needed, and connect to the next relay to be notified."""
         self._links.disconnect_others({self.relay, self._standby.relay, *self._left_relays})
         relay = self._left_relays.next()
         if relay is not None:
--- a/linenbridge/distribution/dissemination/message_builder.py
+++ b/linenbridge/distribution/dissemination/message_builder.py
@@ -1,7 +1,7 @@
-"""What a feed sends a follower next: a batch, a part of a range, or an empty batch.
+"""The next message of a feed to a follower: a batch, a part of a range, or an empty batch.
 
-Owns the choice and the messages' content, read from the tables. When a message may leave is the session's
-bucket and window.
+Owns the selection and the content of the messages. Whether a message may be sent now is up to the session's
+flow control.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class MessageBuilder:
-    """Messages to followers from the tables of all regions. Each call moves the cursor that it is given."""
+    """Builds messages from the logs of all regions. Each call moves the cursor that it is given."""
 
     def __init__(self, tables: dict[str, Table], pages: PageCache, counters: FeedCounters) -> None:
         self._tables = tables
@@ -39,18 +39,18 @@
         return cursor.version < table.head
 
     def next_message(self, session: Session, cursor: Cursor) -> EncodedBatch | EncodedWhole:
-        """The message that `has_more` has found to be waiting."""
+        """The waiting message; call it only if `has_more`."""
         if cursor.transfer is not None:
             return self._range_part(session, cursor, cursor.transfer)
         if cursor.version == self._tables[cursor.region].head:
             return self.empty_batch(session, cursor)
         if cursor.version.sequence < self._horizon(cursor):
-            return self.empty_batch(session, cursor)  # the follower asks for ranges
+            return self.empty_batch(session, cursor)  # the follower requests ranges
         return self._batch(session, cursor)
 
     def empty_batch(self, session: Session, cursor: Cursor) -> EncodedBatch:
-        """At the follower's cursor, with the digest where that is the head. Of a table that is not settled,
-        neither the digest nor the horizon is told: ranges could not be asked for yet."""
+        """A batch without changes at the cursor, with the digest if that is the head. It has neither digest
+        nor horizon if the log is not consistent: ranges cannot be requested yet."""
         table = self._tables[cursor.region]
         version = cursor.version
         digest = None
@@ -72,8 +72,8 @@
         )
 
     def _horizon(self, cursor: Cursor) -> int:
-        """A follower behind this sequence needs ranges. One whose position is in no history that leads to
-        the head (the region began anew, all its disks lost) needs them too."""
+        """The sequence behind which a follower needs ranges. A follower whose position is in no history that
+        leads to the head (the region lost all its disks and started again) needs them too."""
         table = self._tables[cursor.region]
         diverged = cursor.version.epoch < table.head.epoch and cursor.version.sequence >= table.head.sequence
         return cursor.version.sequence + 1 if diverged else table.horizon
--- a/linenbridge/distribution/dissemination/page_cache.py
+++ b/linenbridge/distribution/dissemination/page_cache.py
@@ -1,7 +1,7 @@
-"""Encoded batches that followers at the same position share.
+"""Cache of encoded batches that followers at the same position share.
 
-Owns the cache: a batch is encoded once for all followers at a position that take messages of the same size,
-and dropped when the table changes.
+A batch is encoded once for all followers at a position whose messages have the same maximum size, and dropped
+when the log changes.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from linenbridge.distribution.dissemination.encoded_lists import joined
 from linenbridge.distribution.messages import batch_checksum
 
-MAX_PAGES = 64  # batches that are kept, of all regions
+MAX_PAGES = 64  # cached batches of all regions
 
 
 @dataclass(frozen=True, slots=True)
 class SharedPage:
-    """The changes behind a position up to `upto`, with `batch_checksum`. `digest` is the table's where `upto`
-    is its head and the digest is known."""
+    """Encoded changes behind a position up to `upto`, with their `batch_checksum`. `digest` is the log's if
+    `upto` is its head and the log is consistent."""
 
     upto: Version
     changes: Raw
@@ -32,7 +32,7 @@
 
 
 class _Position(NamedTuple):
-    """What followers share a page by."""
+    """The key of a page."""
 
     region: str
     after: int
@@ -40,7 +40,7 @@
 
 
 class PageCache:
-    """Pages of all regions' tables; the oldest go first."""
+    """Pages of all regions; beyond MAX_PAGES the oldest is dropped."""
 
     def __init__(self, tables: dict[str, Table], counters: FeedCounters) -> None:
         self._tables = tables
@@ -59,7 +59,7 @@
         return page
 
     def drop(self, region: str) -> None:
-        """Forget the pages of a region whose table has changed."""
+        """Drop the pages of a region whose log has changed."""
         for position in [position for position in self._pages if position.region == region]:
             del self._pages[position]
 
--- a/linenbridge/distribution/dissemination/progress.py
+++ b/linenbridge/distribution/dissemination/progress.py
@@ -1,10 +1,10 @@
-"""How far all below a relay are, added up along the tree: who is in force, who lags, who is not reached.
+"""Progress of a relay's subtree, summed up along the tree: positions in force, lag, unreached followers.
 
-Keeps state without I/O. A relay adds up its own followers and what those that are relays say of theirs. Each
-gateway follows one relay and is counted there alone. A follower that a relay loses counts with its last
-position for a while; then it is named as unreached until it turns up here or says that it follows another
-relay. A follower that no living relay has ever seen is known to nobody and therefore not named; one that has
-been away for a long time is taken as gone for good.
+Keeps state without I/O. A relay sums up its own followers and the summaries of those that are relays. Each
+gateway follows one relay and is counted there alone. A lost follower counts with its last position for a
+grace period; then it is named as unreached until it returns or reports that it follows another relay. A
+follower that no running relay has ever seen is unknown and therefore not named; a lost follower expires after
+an hour.
 """
 
 from __future__ import annotations
@@ -17,24 +17,25 @@
 
 MILLISECOND = 1_000  # microseconds
 SECOND = 1_000_000  # microseconds
-LAG_BUCKETS = 24  # bucket n: less than 2**n ms; the last one: that and all above
+LAG_BUCKETS = 24  # bucket n: less than 2**n ms; the last one has all above as well
 MAX_SLOWEST = 8  # names in one summary
 MAX_UNREACHED = 32  # names in one summary
-MAX_DEPARTED = 2_048  # lost followers that a relay remembers; the oldest go first
-MAX_HEADS = 4_096  # times of heads that lags are counted from
-GRACE = 3 * SECOND  # a lost follower counts with its last position for so long
-GRACE_ELSEWHERE = SECOND  # the same once it says that it follows another relay, whose sums are on their way
-EXPIRE_AFTER = 3_600 * SECOND  # then a lost follower is taken as gone for good
+MAX_DEPARTED = 2_048  # lost followers that a relay remembers; beyond that the oldest is dropped
+MAX_HEADS = 4_096  # moves of a head that lags are computed from
+GRACE = 3 * SECOND  # for which a lost follower counts with its last position
+GRACE_ELSEWHERE = SECOND  # the same once it follows another relay, until that one's summaries arrive
+EXPIRE_AFTER = 3_600 * SECOND  # after which a lost follower is forgotten
 
 
 class Heads:
-    """When a region's head moved, so that a position's lag in time is known."""
+    """When a region's head moved, to compute the lag of a position in time."""
 
     def __init__(self) -> None:
         self._sequences: list[int] = []
         self._times: list[int] = []
 
     def on_head(self, sequence: int, now: int) -> None:
+        """The head has moved to a sequence."""
         self._sequences.append(sequence)
         self._times.append(now)
         if len(self._sequences) > 2 * MAX_HEADS:
@@ -42,20 +43,22 @@
             del self._times[:MAX_HEADS]
 
     def lag(self, sequence: int, now: int) -> int:
-        """Microseconds since the first change that a position lacks came; 0 where it lacks none."""
+        """Microseconds since the first change that a position lacks was committed; 0 if it lacks none."""
         place = bisect_right(self._sequences, sequence)
         return now - self._times[place] if place < len(self._times) else 0
 
 
 @dataclass(slots=True)
 class FollowerProgress:
-    """What one direct follower last said. `below` is by region, of those that follow it."""
+    """The last reported progress of one direct follower. `below` has the summaries of its own followers by
+    region."""
 
     name: str
     positions: dict[str, int] = field(default_factory=dict)
     below: dict[str, Summary] = field(default_factory=dict)
 
-    def take(self, progress: Progress, regions: frozenset[str]) -> None:
+    def update(self, progress: Progress, regions: frozenset[str]) -> None:
+        """Record a report; regions that are not among `regions` are ignored."""
         for position in progress.positions[: len(regions)]:
             if position.region in regions:
                 self.positions[position.region] = position.sequence
@@ -64,7 +67,7 @@
                 self.below[summary.region] = summary
 
     def followers(self, region: str) -> int:
-        """It and all below it."""
+        """The number of followers: this one and its own."""
         below = self.below.get(region)
         return 1 + (below.followers if below else 0)
 
@@ -77,7 +80,7 @@
 
 
 class Departed:
-    """Followers that this relay has lost, by name, in the order of their loss."""
+    """Followers that this relay has lost, by name, in the order of their loss. Times are in microseconds."""
 
     def __init__(self) -> None:
         self._lost: dict[str, _Lost] = {}
@@ -86,24 +89,25 @@
         return len(self._lost)
 
     def add(self, progress: FollowerProgress, now: int) -> None:
+        """A follower was lost."""
         self._lost.pop(progress.name, None)
         self._lost[progress.name] = _Lost(progress, now)
         if len(self._lost) > MAX_DEPARTED:
             del self._lost[next(iter(self._lost))]
 
     def returned(self, name: str) -> None:
-        """It follows this relay again."""
+        """A follower follows this relay again."""
         self._lost.pop(name, None)
 
     def elsewhere(self, name: str, now: int) -> None:
-        """It follows another relay, which counts it."""
+        """A follower reports that it follows another relay, which counts it."""
         lost = self._lost.get(name)
         if lost is not None and not lost.elsewhere:
             lost.elsewhere = True
             lost.since = now
 
     def forget(self, now: int) -> None:
-        """Let go who is counted elsewhere or gone for good."""
+        """Forget followers that another relay counts, and expired ones."""
         done = [name for name, lost in self._lost.items() if self._done(lost, now)]
         for name in done:
             del self._lost[name]
@@ -112,7 +116,7 @@
         return now - lost.since > (GRACE_ELSEWHERE if lost.elsewhere else EXPIRE_AFTER)
 
     def counted(self, region: str, now: int) -> list[FollowerProgress]:
-        """Those that followed this region and still count with their last position."""
+        """Lost followers of a region that still count with their last position."""
         return [
             lost.progress
             for lost in self._lost.values()
@@ -120,7 +124,7 @@
         ]
 
     def unreached(self, region: str, now: int) -> list[FollowerProgress]:
-        """Those that followed this region and are followed up nowhere that this relay knows of."""
+        """Lost followers of a region that follow no other relay as far as known."""
         return [
             lost.progress
             for lost in self._lost.values()
@@ -129,14 +133,14 @@
 
 
 def bucket_of(lag: int) -> int:
-    """The bucket of the histogram for a lag in microseconds."""
+    """The histogram's bucket of a lag in microseconds."""
     return min((lag // MILLISECOND).bit_length(), LAG_BUCKETS - 1)
 
 
 def summarize(
     region: str, head: int, heads: Heads, followers: Iterable[FollowerProgress], departed: Departed, now: int
 ) -> Summary:
-    """The sums of one region at a relay whose head is `head`. Names are a bounded choice, numbers exact."""
+    """The summary of one region at a relay whose head is `head`. Names are bounded, numbers exact."""
     counted = [*followers, *departed.counted(region, now)]
     lost = departed.unreached(region, now)
     count = 0
@@ -165,6 +169,6 @@
 
 
 def _add_lag_histogram(lag: list[int], below: list[int], own: int) -> None:
-    """Whoever is below a follower lags by at lowest as much as the follower itself."""
+    """Add a follower's own followers, which lag by at least as much as itself."""
     for bucket, number in enumerate(below[:LAG_BUCKETS]):
         lag[max(bucket, own)] += number
--- a/linenbridge/distribution/dissemination/progress_reports.py
+++ b/linenbridge/distribution/dissemination/progress_reports.py
@@ -1,8 +1,7 @@
-"""A relay's reports of how far all below it are, and when they are due.
+"""A relay's reports of the progress of its subtree, and when they are due.
 
-Owns the timing of the reports and what the sums are made from: the times of the heads, the followers' last
-words and those that were lost. The own region's sums go to its publisher, the others' to the relays that are
-followed there.
+Owns the timing of the reports and their input: when the heads moved, and the followers that were lost. The
+summary of the own region goes to its publisher, those of other regions to the relays that are followed there.
 """
 
 from __future__ import annotations
@@ -19,8 +18,8 @@
 
 
 class ProgressReports:
-    """Reports of the relay `name` of `region`, over `sessions`. `due`: something has changed since the last
-    one."""
+    """Reports of the relay `name` of `region` over its `sessions`. `due`: something has changed since the
+    last report."""
 
     def __init__(
         self,
@@ -44,11 +43,11 @@
         self._forgot_at = now
 
     def on_head(self, now: int, region: str) -> None:
-        """A region's table has moved."""
+        """The head of a region has moved."""
         self._heads[region].on_head(self._tables[region].head.sequence, now)
 
     def on_publisher(self, publisher: str) -> bool:
-        """Who publishes in the own region now; whether that is another one than before."""
+        """Set the publisher of the own region; empty: none. Returns whether it has changed."""
         if publisher == self._publisher:
             return False
         self._publisher = publisher
@@ -62,11 +61,11 @@
 
     @property
     def next_at(self) -> int:
-        """When the next report may leave while something changes."""
+        """When the next report is due while something changes, microseconds."""
         return self._reported_at + self._settings.report_interval
 
     def summaries(self, now: int) -> list[Summary]:
-        """The sums of all regions."""
+        """The summaries of all regions."""
         return [self._summary(region, now) for region in self._tables]
 
     def _summary(self, region: str, now: int) -> Summary:
@@ -75,7 +74,7 @@
         return summarize(region, head, self._heads[region], followers, self.departed, now)
 
     def turn(self, now: int) -> list[Decision]:
-        """The reports that are due; lost followers that are gone for good are forgotten now and then."""
+        """The reports that are due now. Expired lost followers are forgotten once a heartbeat."""
         if now - self._forgot_at >= self._settings.heartbeat:
             self.departed.forget(now)
             self._forgot_at = now
@@ -99,5 +98,5 @@
 
 
 def heads(tables: dict[str, Table]) -> list[Position]:
-    """How far all tables are."""
+    """The heads of all logs."""
     return [Position(region, table.head.epoch, table.head.sequence) for region, table in tables.items()]
--- a/linenbridge/distribution/dissemination/range_transfer.py
+++ b/linenbridge/distribution/dissemination/range_transfer.py
@@ -1,7 +1,7 @@
-"""Whole ranges on their way to one follower: which ones differ, and what is left to send.
+"""Transfer of complete ranges to one follower: which ranges differ, and what is left to send.
 
-Keeps state without I/O. What a range holds is read when its first part is sent: it may be newer than the state
-that the transfer leads to.
+Keeps state without I/O. The content of a range is read when its first part is sent: it may be newer than the
+version that the transfer leads to.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RangeTransferPart:
-    """One message's share of a range, encoded. `last` of its range, `final` of the transfer."""
+    """The content of one message: `last` of its range, `final` of the transfer."""
 
     index: int
     part: int
@@ -29,8 +29,11 @@
 
 @dataclass(slots=True)
 class RangeTransfer:
-    """Whole ranges on their way to a follower. `parts` are those left of `index`, each a list of encoded
-    changes; `ranges` are those after it."""
+    """Ranges that are being sent to a follower, which is at `upto` after the last one.
+
+    `parts` are those left of the range `index`, each a list of encoded changes; `ranges` are the ranges after
+    it.
+    """
 
     upto: Version
     ranges: deque[int]
@@ -39,7 +42,7 @@
     parts: deque[list[bytes]] = field(default_factory=deque)
 
     def next_part(self, table: Table, max_bytes: int) -> RangeTransferPart:
-        """The next part, of at most `max_bytes` bytes of changes, one change at least."""
+        """The next part: at most `max_bytes` encoded bytes, at least one change unless the range is empty."""
         if not self.parts:
             self.index = self.ranges.popleft()
             self.part = 0
@@ -52,8 +55,8 @@
 
 
 def differing_ranges(own: bytes, others: bytes) -> list[int]:
-    """The ranges whose digests differ; all of them where there is nothing to compare with. One at least: its
-    last part tells the follower that the transfer is complete."""
+    """The ranges whose digests differ, all of them if `others` is empty. At least one, since its last part
+    ends the transfer for the follower."""
     if not others:
         return list(range(RANGES))
     places = [slice(index * DIGEST_BYTES, (index + 1) * DIGEST_BYTES) for index in range(RANGES)]
--- a/linenbridge/distribution/dissemination/relay_selection.py
+++ b/linenbridge/distribution/dissemination/relay_selection.py
@@ -1,8 +1,8 @@
-"""Which relay a follower takes next: an order of its own, and back-off from those that failed it.
+"""Selection of relays: each follower's own order of relays, and a backoff for those that failed.
 
-Decides without I/O. The order is by rendezvous hashing: each follower ranks its region's relays by a hash
-over both names, so that followers spread evenly, and those of a lost relay spread over all others. Relays of
-other regions come after all of its own.
+Decides without I/O. The order is by rendezvous hashing (Thaler and Ravishankar, 1998): each follower ranks
+its region's relays by a hash over both names, so that followers spread evenly and those of a lost relay
+spread over all others. Relays of other regions come after all of the own one.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def rank_relays(follower: str, home_region: str, relays: list[RelayLocation]) -> list[str]:
-    """The relays in the follower's order, the first the best."""
+    """The names of the relays in the follower's order, the best one first."""
 
     def rank(relay: RelayLocation) -> tuple[bool, bytes]:
         score = blake2b(f"{follower}/{relay.name}".encode(), digest_size=8).digest()
@@ -42,8 +42,11 @@
 
 
 class RelayOrder:
-    """The follower's order and who is left alone until when. A back-off doubles with each failure in a row,
-    with up to half of it more by chance."""
+    """A follower's order of relays and their backoff.
+
+    A backoff doubles with each failure in a row, up to MAX_BACKOFF, plus a random part of up to half of it.
+    Times are in microseconds.
+    """
 
     def __init__(self, follower: str, home_region: str, relays: list[RelayLocation], random: Random) -> None:
         self.names = rank_relays(follower, home_region, relays)
@@ -54,10 +57,11 @@
         return relay in self._backoff_by_relay
 
     def prefers(self, relay: str, other: str) -> bool:
+        """Whether a relay comes before another in the order."""
         return self.names.index(relay) < self.names.index(other)
 
     def on_failed(self, now: int, relay: str, min_wait: int = 0) -> None:
-        """Leave a relay alone for its back-off, or `min_wait` microseconds."""
+        """A relay failed: it is not usable for its backoff, and for `min_wait` at least."""
         backoff = self._backoff_by_relay[relay]
         wait = min(MIN_BACKOFF << backoff.failures, MAX_BACKOFF)
         wait = max(min_wait, wait + self._random.randrange(wait // 2))
@@ -65,17 +69,17 @@
         backoff.until = now + wait
 
     def on_served(self, relay: str) -> None:
-        """It has served for a while: the next failure counts as the first."""
+        """A relay has served for a while: its next failure counts as the first."""
         self._backoff_by_relay[relay] = _Backoff()
 
     def usable(self, now: int, without: str = "") -> list[str]:
-        """Those that are not left alone now, in order."""
+        """The relays whose backoff is over, in order."""
         return [name for name in self.names if name != without and self._backoff_by_relay[name].until <= now]
 
     def next_to_try(self, now: int) -> list[str]:
-        """The same, those that failed least in a row first: all are tried before one is tried again."""
+        """The usable relays, fewest failures in a row first: all are tried before one is tried again."""
         return sorted(self.usable(now), key=lambda name: self._backoff_by_relay[name].failures)
 
     def next_usable_at(self) -> int:
-        """When the first relay is usable again."""
+        """When the first relay is usable."""
         return min(backoff.until for backoff in self._backoff_by_relay.values())
--- a/linenbridge/distribution/dissemination/sessions.py
+++ b/linenbridge/distribution/dissemination/sessions.py
@@ -1,7 +1,7 @@
-"""One follower at a relay: where it is in each region, what it may be sent, and when it was last heard.
+"""A relay's state of one follower: its position in each region, its flow control and its last progress.
 
-Keeps state without I/O. A follower costs a cursor for each region, a window of unacknowledged bytes, and
-while ranges are transferred one range.
+Keeps state without I/O. A follower costs a cursor for each region, a window of unacknowledged bytes and,
+during a transfer, one range.
 """
 
 from __future__ import annotations
@@ -18,8 +18,10 @@
 
 @dataclass(slots=True)
 class Cursor:
-    """What a follower has been sent of one region. `reported_head` is the head at which it was last told the digest,
-    or that it is behind the horizon."""
+    """Position up to which a follower has been sent one region.
+
+    `reported_head` is the head at which the follower was last sent the digest or the horizon.
+    """
 
     region: str
     version: Version = START
@@ -28,7 +30,7 @@
 
 
 class Session:
-    """One follower between its `Follow` and its loss."""
+    """One follower from its `Follow` until it is lost. Times are in microseconds."""
 
     def __init__(self, follow: Follow, regions: list[str], window: int, now: int) -> None:
         self.follower = follow.follower
@@ -46,16 +48,18 @@
         self._order = deque(wanted)
 
     def may_send(self, now: int) -> bool:
+        """Whether the window and the rate allow a message."""
         return self.window.open and self.bucket.ready(now)
 
     def on_sent(self, message: EncodedBatch | EncodedWhole, now: int) -> None:
+        """Account for a message."""
         size = len(bytes(message.changes)) + MESSAGE_OVERHEAD
         self.messages += 1
         self.window.sent(size)
         self.bucket.take(size)
         self.sent_at = now
 
-    def turn(self) -> Cursor:
-        """The regions take turns with their heartbeats."""
+    def next_region(self) -> Cursor:
+        """The region whose turn it is for a heartbeat."""
         self._order.rotate(-1)
         return self.cursors[self._order[-1]]
--- a/linenbridge/distribution/dissemination/standby_link.py
+++ b/linenbridge/distribution/dissemination/standby_link.py
@@ -1,7 +1,7 @@
-"""The second link of a follower: to the best relay beside the one that is followed.
+"""The standby link of a follower: to the best relay beside the one that is followed.
 
-Decides without I/O which relay that is, and when a better relay has been linked for long enough to be gone
-back to.
+Decides without I/O which relay that is, and when a better relay has been connected for long enough to be
+followed again.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class StandbyLink:
-    """`relay` is the one that the second link goes to, or is dialled for; empty: none."""
+    """The standby link. `relay` is the one that it goes to, connected or not; empty: none."""
 
     def __init__(self, order: RelayOrder, links: RelayLinks, settings: FollowerSettings, now: int) -> None:
         self.relay = ""
@@ -22,12 +22,12 @@
         self._deadline = now
 
     def release(self, relay: str) -> None:
-        """The link is another one's now."""
+        """The link to this relay is now that of the followed relay."""
         if self.relay == relay:
             self.relay = ""
 
     def update(self, now: int, followed: str) -> None:
-        """Keep a link to the best relay beside the one that is followed."""
+        """Move the link to the best usable relay; one that did not connect in time has failed."""
         if self.relay and self.relay not in self._links.connected_at and now >= self._deadline:
             failed = self.relay
             self.relay = ""
@@ -46,8 +46,8 @@
         self._links.connect(relay)
 
     def better_than(self, now: int, followed: str, followed_at: int, session: int) -> bool:
-        """Whether the second link is to a better relay than the one that is followed, and has lasted. How long
-        is another time for each session: followers do not all go back at once."""
+        """Whether the link is to a better relay than the followed one and has been connected for long enough.
+        The time depends on the session's number, so that followers do not all return at once."""
         connected_at = self._links.connected_at.get(self.relay)
         if connected_at is None or not self._order.prefers(self.relay, followed):
             return False
--- a/tests/distribution/dissemination/harness.py
+++ b/tests/distribution/dissemination/harness.py
@@ -20,7 +20,7 @@
     Whole,
     batch_checksum,
     whole_checksum,
-)  # fmt: skip
+)
 
 SECOND = 1_000_000
 HOME_RELAYS = [RelayLocation(f"near{n}", "r1") for n in range(4)]
--- a/tests/distribution/dissemination/simulation/checker.py
+++ b/tests/distribution/dissemination/simulation/checker.py
@@ -28,6 +28,8 @@
 
 
 class Breach(NamedTuple):
+    """A rule that was broken, and where."""
+
     rule: str
     where: str
 
--- a/tests/distribution/dissemination/simulation/corruption.py
+++ b/tests/distribution/dissemination/simulation/corruption.py
@@ -25,7 +25,7 @@
         self.deferred: list[Batch | Whole] = []
         self.done = 0
 
-    def __call__(self, sender: str, to: str, message):
+    def __call__(self, sender: str, to: str, message):  # noqa: ARG002  # as the world calls it
         if sender != self.relay or not isinstance(message, Batch | Whole):
             return [message]
         self.earlier.append(message)
@@ -47,7 +47,7 @@
     def shortened(self, message):
         return [msgspec.structs.replace(message, changes=message.changes[:-1])]
 
-    def lost(self, message):
+    def lost(self, message):  # noqa: ARG002  # as the others
         return []
 
     def reordered(self, message):
--- a/tests/distribution/dissemination/simulation/gateway_tables.py
+++ b/tests/distribution/dissemination/simulation/gateway_tables.py
@@ -12,7 +12,7 @@
     digest_of,
     range_of,
     removed,
-)  # fmt: skip
+)
 
 
 @dataclass(frozen=True)
--- a/tests/distribution/dissemination/simulation/test_planted_breaches.py
+++ b/tests/distribution/dissemination/simulation/test_planted_breaches.py
@@ -25,7 +25,7 @@
 def test_a_planted_breach_of_the_summaries_is_caught():
     world = calm_world()
     assert breaches_of_summaries(world) == []
-    at, relay, progress = world.reports[-1]
+    at, _, progress = world.reports[-1]
     too_much = msgspec.structs.replace(progress.below[0], least=progress.below[0].least + 1)
     for other in {name for _, name, each in world.reports if each.below[0].region == too_much.region}:
         world.reports.append((at, other, msgspec.structs.replace(progress, below=[too_much])))
@@ -43,7 +43,7 @@
     written = {(change.region, change.kind, change.name) for change in published(world) if not change.value}
     undeleted = next(
         row for row in world.record if row.region and (row.region, row.kind, row.name) not in written
-    )  # fmt: skip
+    )
     world.record.append(replace(undeleted, version=None, value=b""))
     assert rules(breaches(world)) == {"gone without a deletion", "not the newest of all keys"}
     world.record.pop()
--- a/tests/distribution/dissemination/simulation/world.py
+++ b/tests/distribution/dissemination/simulation/world.py
@@ -25,7 +25,7 @@
     Version,
     range_of,
     sealed,
-)  # fmt: skip
+)
 from linenbridge.distribution.decisions import Apply, Dial, Event, HangUp, ReplaceRange, Send, SumsBelow
 from linenbridge.distribution.dissemination.feed import Feed
 from linenbridge.distribution.dissemination.follower import Follower
@@ -108,9 +108,16 @@
             if other != region:
                 upstream = [location for location in self.locations if location.region == other]
                 follower = Follower(
-                    name, other, upstream, [other], [], self._relay_settings(), self._random(), self.now,
+                    name,
+                    other,
+                    upstream,
+                    [other],
+                    [],
+                    self._relay_settings(),
+                    self._random(),
+                    self.now,
                     feed.range_digests,
-                )  # fmt: skip
+                )
                 self.followers[f"{name}:{other}"] = follower
                 self.pump(f"{name}:{other}")
         self._commit(name)
@@ -132,9 +139,16 @@
         tables = self.tables[name]
         positions = [Position(each, at.epoch, at.sequence) for each, at in tables.at.items()]
         self.followers[name] = Follower(
-            name, region, self.locations, self.regions, positions, self.shape.follower, self._random(), self.now,
+            name,
+            region,
+            self.locations,
+            self.regions,
+            positions,
+            self.shape.follower,
+            self._random(),
+            self.now,
             tables.range_digests,
-        )  # fmt: skip
+        )
         self.pump(name)
 
     def _clear_store(self, name: str) -> None:
@@ -237,7 +251,7 @@
         del self.links[pair]
         core, relay = pair
         self._input(core, self._on_link, core, relay, False)
-        self._input(relay, self._on_lost, relay, core.partition(":")[0], core)
+        self._input(relay, self._on_lost, relay, core.partition(":")[0])
         if pair in self.wanted:
             self.at(self.now + self.random.randrange(100 * MS, 500 * MS), self._connect, core, relay)
 
@@ -250,7 +264,7 @@
         self.followers[core].on_link(self.now, relay, connected=connected)
         self.pump(core)
 
-    def _on_lost(self, relay: str, follower: str, core: str) -> None:
+    def _on_lost(self, relay: str, follower: str) -> None:
         self.feeds[relay].on_lost(self.now, follower)
         self.pump(relay)
 
--- a/tests/distribution/dissemination/test_acceptance.py
+++ b/tests/distribution/dissemination/test_acceptance.py
@@ -13,15 +13,14 @@
     Digests,
     Follow,
     batch_checksum,
-)  # fmt: skip
+)
 from tests.distribution.dissemination.harness import SETTINGS, FollowerHarness
 
 SECOND = 1_000_000
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def test_batches_are_accepted_in_order_and_acknowledged_once_applied():
-    gateway = FollowerHarness().following()
+def test_batches_are_accepted_in_order_and_acknowledged_once_applied(gateway):
     gateway.take(gateway.batch(0, 2, "ab"))
     gateway.run(0.3)
     assert gateway.progress().received == 1
@@ -32,8 +31,7 @@
     assert [change.name for change in gateway.applied[0].changes] == ["a", "b"]
 
 
-def test_a_gap_restarts_the_session_at_the_position_and_repeated_gaps_leave_the_relay():
-    gateway = FollowerHarness().following()
+def test_a_gap_restarts_the_session_at_the_position_and_repeated_gaps_leave_the_relay(gateway):
     gateway.take(gateway.batch(0, 2, "ab"))
     session = gateway.session
     relay = gateway.core.relay
@@ -48,8 +46,7 @@
     assert gateway.core.counters.gaps == 4
 
 
-def test_repeated_older_and_foreign_messages_are_ignored():
-    gateway = FollowerHarness().following()
+def test_repeated_older_and_foreign_messages_are_ignored(gateway):
     first = gateway.batch(0, 2, "ab")
     gateway.take(first)
     gateway.take(first)
@@ -90,14 +87,13 @@
 
 
 @pytest.mark.parametrize("corrupt", [changed_value, reordered, beyond_its_end, shortened, of_another_region])
-def test_a_malformed_batch_is_rejected_counted_and_logged_and_its_relay_is_left(corrupt):
-    gateway = FollowerHarness().following()
+def test_a_malformed_batch_is_rejected_counted_and_logged_and_its_relay_is_left(gateway, corrupt):
     relay = gateway.core.relay
     gateway.take(corrupt(gateway.batch(0, 2, "ab")))
     assert gateway.applied == []
     assert gateway.core.counters.malformed == 1
-    spoilt = next(event for event in gateway.events if event.name == "distribution.malformed")
-    assert spoilt.fields["relay"] == relay
+    event = next(each for each in gateway.events if each.name == "distribution.malformed")
+    assert event.fields["relay"] == relay
     gateway.run(1)
     assert gateway.core.relay != relay
 
--- a/tests/distribution/dissemination/test_compacted_log.py
+++ b/tests/distribution/dissemination/test_compacted_log.py
@@ -15,7 +15,7 @@
     digest_of,
     range_of,
     sealed,
-)  # fmt: skip
+)
 from linenbridge.distribution.dissemination import compacted_log as module
 from linenbridge.distribution.dissemination.compacted_log import Table
 
@@ -130,7 +130,7 @@
     table = Table(REGION)
     for n in range(1, 500):
         table.apply(Version(1, n), [sealed(REGION, Version(1, n), 2, f"t{n % 5}", b"v")])
-        assert len(table._sequences) <= 2 * len(table) + 4
+        assert len(table._sequences) <= 2 * len(table) + 4  # noqa: SLF001  # memory
 
 
 def test_pages_hold_what_fits_and_reach_the_head():
--- a/tests/distribution/dissemination/test_digest_repair.py
+++ b/tests/distribution/dissemination/test_digest_repair.py
@@ -5,7 +5,7 @@
 from linenbridge.distribution.changes import Kind, Position, Version, range_of
 from linenbridge.distribution.messages import (
     Digests,
-)  # fmt: skip
+)
 from tests.distribution.dissemination.harness import FollowerHarness
 
 
@@ -14,8 +14,7 @@
     gateway.answer(digest=8)
 
 
-def test_a_digest_that_differs_at_two_relays_is_repaired_and_if_it_differs_again_the_relay_is_left():
-    gateway = FollowerHarness().following()
+def test_a_digest_that_differs_at_two_relays_is_repaired_and_if_it_differs_again_the_relay_is_left(gateway):
     first = gateway.core.relay
     gateway.run(0.5)
     differing(gateway)
@@ -38,8 +37,7 @@
     assert [event.fields["reason"] for event in left] == ["digest", "digest"]
 
 
-def test_no_ranges_are_requested_when_the_second_relay_agrees():
-    gateway = FollowerHarness().following()
+def test_no_ranges_are_requested_when_the_second_relay_agrees(gateway):
     gateway.run(0.5)
     differing(gateway)
     gateway.run(0.5)
@@ -63,8 +61,7 @@
     assert (request.to, request.message.at) == (gateway.order[0], Version(1, 3))
 
 
-def test_an_equal_or_absent_digest_requests_no_ranges():
-    gateway = FollowerHarness().following()
+def test_an_equal_or_absent_digest_requests_no_ranges(gateway):
     gateway.take(gateway.batch(0, 2, "ab", digest=7))
     gateway.answer(digest=7)
     gateway.take(gateway.batch(2, 2, digest=7))
--- a/tests/distribution/dissemination/test_feed.py
+++ b/tests/distribution/dissemination/test_feed.py
@@ -16,8 +16,7 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
-def test_changes_are_batched_and_batches_are_contiguous():
-    relay = FeedHarness()
+def test_changes_are_batched_and_batches_are_contiguous(relay):
     relay.follow("g1")
     relay.run(1.3)
     for _ in range(10):
@@ -32,8 +31,7 @@
     assert numbers == list(range(1, len(numbers) + 1))
 
 
-def test_followers_at_the_same_position_share_one_encoding():
-    relay = FeedHarness()
+def test_followers_at_the_same_position_share_one_encoding(relay):
     for n in range(100):
         relay.follow(f"g{n}")
     relay.run(0.5)
@@ -87,8 +85,7 @@
     assert [event.fields["follower"] for event in relay.events] == ["g3"]
 
 
-def test_a_relay_that_has_just_started_rejects_followers_that_are_ahead():
-    relay = FeedHarness()
+def test_a_relay_that_has_just_started_rejects_followers_that_are_ahead(relay):
     relay.follow("ahead", sequence=7)
     assert relay.sent["ahead"][0].code == "relay_behind"
     relay.now += SETTINGS.catch_up_time + 1
@@ -96,15 +93,13 @@
     assert "ahead" in relay.feed.sessions, "after a while it is the best there is"
 
 
-def test_a_forgotten_follower_is_rejected():
-    relay = FeedHarness()
+def test_a_forgotten_follower_is_rejected(relay):
     relay.feed.on_progress(0, Progress("g1", 5, [], [], 0))
     relay.pull()
     assert relay.sent["g1"] == [Refused(5, "silent", 0)]
 
 
-def test_a_single_large_change_goes_alone_and_a_page_fits_into_a_message():
-    relay = FeedHarness()
+def test_a_single_large_change_goes_alone_and_a_page_fits_into_a_message(relay):
     relay.commit(3, size=47_000)
     relay.commit(900, size=100)
     relay.follow("g1")
@@ -114,8 +109,7 @@
     assert relay.batches("g1")[-1].upto.sequence == 903
 
 
-def test_heartbeats_have_the_digest_at_the_head():
-    relay = FeedHarness()
+def test_heartbeats_have_the_digest_at_the_head(relay):
     relay.commit(5)
     relay.follow("g1", sequence=5)
     relay.run(3.2)
@@ -124,8 +118,7 @@
     assert all(beat.digest == relay.feed.digest("r1") and not beat.changes for beat in beats)
 
 
-def test_the_publisher_is_sent_summaries_on_change_and_each_second():
-    relay = FeedHarness()
+def test_the_publisher_is_sent_summaries_on_change_and_each_second(relay):
     relay.feed.on_publisher(0, "publisher")
     relay.follow("g1")
     relay.commit(3)
@@ -143,8 +136,7 @@
     assert len(relay.sent["publisher"]) == count
 
 
-def test_a_follower_of_no_known_region_costs_nothing():
-    relay = FeedHarness()
+def test_a_follower_of_no_known_region_costs_nothing(relay):
     relay.feed.on_follow(0, Follow("g1", 1, [Position("r9", 4, 4)], 0, ["r9"]))
     relay.commit(5)
     relay.run(2)
--- a/tests/distribution/dissemination/test_follower.py
+++ b/tests/distribution/dissemination/test_follower.py
@@ -7,14 +7,13 @@
     Follow,
     Progress,
     Refused,
-)  # fmt: skip
-from tests.distribution.dissemination.harness import REMOTE_RELAYS, HOME_RELAYS, FollowerHarness
+)
+from tests.distribution.dissemination.harness import HOME_RELAYS, REMOTE_RELAYS, FollowerHarness
 
 SECOND = 1_000_000
 
 
-def test_a_lost_relay_is_replaced_by_the_standby_within_the_jitter():
-    gateway = FollowerHarness().following()
+def test_a_lost_relay_is_replaced_by_the_standby_within_the_jitter(gateway):
     gateway.run(2)
     lost = gateway.core.relay
     began = gateway.now
@@ -26,8 +25,7 @@
     assert gateway.core.counters.lost == 1
 
 
-def test_a_silent_relay_is_left_and_notified_later():
-    gateway = FollowerHarness().following()
+def test_a_silent_relay_is_left_and_notified_later(gateway):
     silent = gateway.core.relay
     gateway.run(3)
     assert gateway.core.relay == gateway.order[1]
@@ -62,8 +60,7 @@
     assert gateway.dialled.count(full) <= 2, "to follow it, and to say that another one is followed"
 
 
-def test_progress_is_reported_each_second_and_soon_after_a_change():
-    gateway = FollowerHarness().following()
+def test_progress_is_reported_each_second_and_soon_after_a_change(gateway):
     for _ in range(5):
         gateway.run(1)
         gateway.take(gateway.batch(0, 0))
--- a/tests/distribution/dissemination/test_progress.py
+++ b/tests/distribution/dissemination/test_progress.py
@@ -6,20 +6,20 @@
 
 from linenbridge.distribution.changes import Position
 from linenbridge.distribution.dissemination.progress import (
-    MAX_DEPARTED,
     EXPIRE_AFTER,
     GRACE,
     GRACE_ELSEWHERE,
-    MAX_HEADS,
     LAG_BUCKETS,
+    MAX_DEPARTED,
+    MAX_HEADS,
     MAX_SLOWEST,
     MAX_UNREACHED,
     Departed,
     FollowerProgress,
     Heads,
-    summarize,
     bucket_of,
-)  # fmt: skip
+    summarize,
+)
 from linenbridge.distribution.messages import Progress, Summary
 
 SECOND = 1_000_000
@@ -29,7 +29,7 @@
 def follower(name: str, sequence: int, below: Summary | None = None) -> FollowerProgress:
     progress = FollowerProgress(name)
     position = Position("r1", 1, sequence)
-    progress.take(Progress(name, 1, [position], [below] if below else []), REGIONS)
+    progress.update(Progress(name, 1, [position], [below] if below else []), REGIONS)
     return progress
 
 
@@ -57,7 +57,7 @@
     assert [marks.lag(sequence, 1_000) for sequence in (4, 5, 6, 8, 9, 10)] == [900, 800, 700, 700, 0, 0]
     for sequence in range(10, 3 * MAX_HEADS):
         marks.on_head(sequence, sequence)
-    assert len(marks._sequences) <= 2 * MAX_HEADS
+    assert len(marks._sequences) <= 2 * MAX_HEADS  # noqa: SLF001  # memory
 
 
 def test_gateways_and_relays_below_are_added_up():
--- a/tests/distribution/dissemination/test_range_transfer.py
+++ b/tests/distribution/dissemination/test_range_transfer.py
@@ -32,9 +32,8 @@
     assert relay.feed.sessions["g1"].window.outstanding == 0
 
 
-def test_deletions_that_the_replica_has_dropped_are_behind_the_horizon():
+def test_deletions_that_the_replica_has_dropped_are_behind_the_horizon(relay):
     """After a relay's start its log lacks them: a follower from before them would keep the deleted keys."""
-    relay = FeedHarness()
     change = sealed("r1", Version(1, 40), Kind.TENANT, "t", b"1")
     relay.feed.on_committed(0, "r1", [change], compacted_to=30)
     relay.now = SETTINGS.catch_up_time + 1
@@ -46,8 +45,7 @@
     assert [batch.upto.sequence for batch in relay.batches("after")] == [40]
 
 
-def test_only_ranges_that_differ_are_transferred_and_at_minimum_one():
-    relay = FeedHarness()
+def test_only_ranges_that_differ_are_transferred_and_at_minimum_one(relay):
     relay.commit(50)
     relay.follow("g1", sequence=50)
     own = bytearray(relay.feed.range_digests("r1"))
@@ -64,8 +62,7 @@
 @pytest.mark.parametrize(
     ("first", "digests", "last"), [(1, b"", True), (0, b"12345678", True), (0, b"", False)]
 )
-def test_malformed_digests_are_counted_and_cost_nothing(first, digests, last):
-    relay = FeedHarness()
+def test_malformed_digests_are_counted_and_cost_nothing(relay, first, digests, last):
     relay.commit(5)
     relay.follow("g1", sequence=5)
     relay.feed.on_digests(0, "g1", Digests(1, "r1", Version(1, 5), first, digests, last))
@@ -74,8 +71,7 @@
     assert not any(isinstance(each, Whole) for each in relay.sent["g1"])
 
 
-def test_a_log_in_the_middle_of_a_catch_up_has_no_digest_and_transfers_nothing():
-    relay = FeedHarness()
+def test_a_log_in_the_middle_of_a_catch_up_has_no_digest_and_transfers_nothing(relay):
     change = sealed("r2", Version(1, 3), Kind.TENANT, "t", b"1")
     relay.feed.on_apply(0, Apply("r2", change.version, [change], None))
     relay.feed.on_follow(0, Follow("g1", 1, [Position("r2", 1, 3)], 0, ["r2"]))
@@ -92,9 +88,8 @@
     assert not any(isinstance(each, Whole) for each in relay.sent["g1"])
 
 
-def test_followers_of_a_region_that_lost_all_disks_need_ranges():
+def test_followers_of_a_region_that_lost_all_disks_need_ranges(relay):
     """All disks of the region were lost: its log starts again, under a newer epoch."""
-    relay = FeedHarness()
     change = sealed("r1", Version(9, 1), Kind.TENANT, "t", b"new")
     relay.feed.on_committed(0, "r1", [change])
     relay.now = SETTINGS.catch_up_time + 1
--- a/tests/distribution/dissemination/test_relay_selection.py
+++ b/tests/distribution/dissemination/test_relay_selection.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from linenbridge.distribution.dissemination.relay_selection import RelayOrder, rank_relays
-from tests.distribution.dissemination.harness import REMOTE_RELAYS, HOME_RELAYS
+from tests.distribution.dissemination.harness import HOME_RELAYS, REMOTE_RELAYS
 
 SECOND = 1_000_000
 
--- a/tests/distribution/dissemination/test_standby_link.py
+++ b/tests/distribution/dissemination/test_standby_link.py
@@ -5,7 +5,7 @@
 from linenbridge.distribution.changes import Position
 from linenbridge.distribution.messages import (
     Follow,
-)  # fmt: skip
+)
 from tests.distribution.dissemination.harness import FollowerHarness
 
 
@@ -18,8 +18,7 @@
     assert (follow.positions, follow.rate, follow.regions) == ([Position("r1", 1, 5)], 14_000, ["r1"])
 
 
-def test_a_better_relay_is_returned_to_after_a_delay():
-    gateway = FollowerHarness().following()
+def test_a_better_relay_is_returned_to_after_a_delay(gateway):
     best = gateway.core.relay
     gateway.core.on_link(gateway.now, best, connected=False)
     gateway.run(1)
