--- /dev/null
+++ b/linenbridge/distribution/dissemination/page_cache.py
@@ -0,0 +1,73 @@
+"""Cache of encoded batches that followers at the same position share.
+
+A batch is encoded once for all followers at a position whose messages have the same maximum size, and dropped
+when the log changes.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from msgspec import Raw
+
+from linenbridge.distribution.changes import Version
+from linenbridge.distribution.dissemination.compacted_log import Table
+from linenbridge.distribution.dissemination.counters import FeedCounters
+from linenbridge.distribution.dissemination.encoded_lists import joined
+from linenbridge.distribution.messages import batch_checksum
+
+MAX_PAGES = 64  # cached batches of all regions
+
+
+@dataclass(frozen=True, slots=True)
+class SharedPage:
+    """Encoded changes behind a position up to `upto`, with their `batch_checksum`. `digest` is the log's if
+    `upto` is its head and the log is consistent."""
+
+    upto: Version
+    changes: Raw
+    checksum: int
+    digest: int | None
+
+
+class _Position(NamedTuple):
+    """The key of a page."""
+
+    region: str
+    after: int
+    max_bytes: int
+
+
+class PageCache:
+    """Pages of all regions; beyond MAX_PAGES the oldest is dropped."""
+
+    def __init__(self, tables: dict[str, Table], counters: FeedCounters) -> None:
+        self._tables = tables
+        self._counters = counters
+        self._pages: dict[_Position, SharedPage] = {}
+
+    def page(self, region: str, after: int, max_bytes: int) -> SharedPage:
+        """The page behind a sequence, of at most `max_bytes` bytes of changes, one change at least."""
+        position = _Position(region, after, max_bytes)
+        page = self._pages.get(position)
+        if page is None:
+            page = self._encode(position)
+            if len(self._pages) >= MAX_PAGES:
+                del self._pages[next(iter(self._pages))]
+            self._pages[position] = page
+        return page
+
+    def drop(self, region: str) -> None:
+        """Drop the pages of a region whose log has changed."""
+        for position in [position for position in self._pages if position.region == region]:
+            del self._pages[position]
+
+    def _encode(self, position: _Position) -> SharedPage:
+        table = self._tables[position.region]
+        page = table.page(position.after, position.max_bytes)
+        encoded = joined(page.encoded)
+        digest = table.digest if table.consistent and page.upto == table.head else None
+        self._counters.encoded += 1
+        checksum = batch_checksum(position.region, position.after, page.upto, encoded)
+        return SharedPage(page.upto, Raw(encoded), checksum, digest)
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -16,7 +16,8 @@
     Apply, Committed, Decision, Dial, Event, HangUp, Keep, ReplaceRange, Send, SumsBelow,
 )  # fmt: skip
 from linenbridge.distribution.errors import RelayStoreError
-from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
+from linenbridge.distribution.dissemination.feed import Feed
+from linenbridge.distribution.dissemination.settings import FeedSettings
 from linenbridge.distribution.dissemination.follower import Follower
 from linenbridge.distribution.hosting.core_driver import Carrier, Core
 from linenbridge.distribution.hosting.follower_settings import (
@@ -132,7 +133,7 @@
     def _upstream_changed(self, far: str, up: bool) -> None:
         follower = self.followers.get(self.region_of[far])
         if follower is not None:
-            follower.on_link(clock.now(), far, up)
+            follower.on_link(clock.now(), far, connected=up)
             self.carrier.turn()
 
     # ---- decisions ---------------------------------------------------------------------------------------
@@ -201,7 +202,7 @@
             "batches_encoded": counters.encoded,
             "ranges": counters.ranges,
             "bytes": counters.bytes,
-            "refused_followers": counters.refused,
+            "refused_followers": counters.rejected,
             "silent_followers": counters.silent,
         }
 
@@ -224,6 +225,6 @@
 
 def _feed_settings(settings: DistributionSettings) -> FeedSettings:
     return FeedSettings(
-        gather=settings.gather, heartbeat=settings.heartbeat,
-        silent=settings.silence + HEARTBEATS_BEYOND * settings.heartbeat, followers_most=settings.followers,
+        batch_interval=settings.gather, heartbeat=settings.heartbeat,
+        follower_timeout=settings.silence + HEARTBEATS_BEYOND * settings.heartbeat, max_followers=settings.followers,
     )  # fmt: skip
