--- /dev/null
+++ b/tests/compatibility/leases/test_decisions.py
@@ -0,0 +1,83 @@
+"""Acceptors and proposers of simulated fleets decide as at the base, message by message and row by row."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Iterator
+from contextlib import contextmanager
+from hashlib import sha256
+from unittest.mock import patch
+
+import msgspec
+import pytest
+
+from linenbridge.fleet.leases.acceptor import Acceptor
+from linenbridge.fleet.leases.proposer import Proposer
+from tests.compatibility.leases.conftest import base_file
+from tests.fleet.explore.leases import LeaseWorld, Scenario
+from tests.fleet.explore.schedules import GROWS
+from tests.fleet.explore.search import wander
+from tests.fleet.sim.world import Fleet, Shape
+
+BASE = base_file("decisions.json")
+QUORUM_FAULTS = ("quorum", "quorum", "part", "lost", "late", "blank", "stopped", "older")
+WALKS = {
+    "two places": (
+        Scenario(14, ticks=60, places=2, faults=(*Scenario.faults, "part", "mend", "older")),
+        0.06,
+    ),
+    "three changes of the quorum": (Scenario(22, ticks=50, faults=QUORUM_FAULTS, quorums=GROWS), 0.12),
+}
+WALKS_EACH = 40
+
+
+def plain(core: Acceptor | Proposer, decision: tuple) -> list:
+    """A decision in the form of the base, without the texts of the log."""
+    kind = decision[0]
+    if kind == "log":
+        return [kind]
+    if kind == "say":
+        return [kind, decision[1], msgspec.msgpack.encode(decision[2]).hex()]
+    if kind == "keep":
+        _, rows, to, message = decision
+        sent = "" if message is None else msgspec.msgpack.encode(message).hex()
+        return [kind, [list(row) for row in rows], to, sent, sorted(core.facts().items())]
+    return list(decision)
+
+
+@contextmanager
+def recorded() -> Iterator[dict]:
+    """Digest and number of all decisions of all cores, complete when the context ends."""
+    digest = sha256()
+    found = {"decisions": 0}
+
+    def recording(kind: type) -> object:
+        original = kind.next_decision
+
+        def next_decision(core: Acceptor | Proposer, now: int) -> object:
+            decision = original(core, now)
+            if decision is not None:
+                found["decisions"] += 1
+                digest.update(json.dumps([now, core.name, plain(core, decision)]).encode() + b"\n")
+            return decision
+
+        return patch.object(kind, "next_decision", next_decision)
+
+    with recording(Acceptor), recording(Proposer):
+        yield found
+    found["digest"] = digest.hexdigest()
+
+
+@pytest.mark.parametrize("seed", BASE["fleets"])
+def test_a_simulated_fleet_decides_as_at_the_base(seed):
+    with recorded() as found:
+        lines = Fleet(Shape(), int(seed)).play()
+    assert {**found, "lines": len(lines)} == BASE["fleets"][seed]
+
+
+@pytest.mark.parametrize("name", BASE["walks"])
+def test_acceptors_and_proposers_in_a_walk_with_faults_decide_as_at_the_base(name):
+    scenario, odds = WALKS[name]
+    with recorded() as found:
+        walked = wander(lambda: LeaseWorld(scenario), WALKS_EACH, seed=1, odds=odds)
+    assert {**found, "states": walked.states, "breach": walked.breach} == BASE["walks"][name]
--- /dev/null
+++ b/tests/compatibility/leases/test_store.py
@@ -0,0 +1,87 @@
+"""An acceptor's files of the base are opened, give back what was in them, and go on being written."""
+
+from __future__ import annotations
+
+import shutil
+from contextlib import closing
+from pathlib import Path
+
+import apsw
+import pytest
+
+from linenbridge.fleet.leases.acceptor import Kept
+from linenbridge.fleet.leases.messages import PlaceRecord
+from linenbridge.fleet.store.acceptor_records import Promises
+
+FOLDER = Path(__file__).parent
+SWEEP_0 = PlaceRecord("sweep", 0, 7, "g1#1", 0, 0)
+SWEEP_0_LATER = PlaceRecord("sweep", 0, 8, "g2#2", 7, 0)
+SWEEP_1 = PlaceRecord("sweep", 1, 5, "g2#1", 5, 0)
+OTHER = PlaceRecord("räume", 63, 2**40, "g3#5f3a", 0, 0)
+LONGEST = 10_000_000
+CONTENT = {
+    "closed.db": Kept(True, 3, 13, LONGEST, (OTHER, SWEEP_0_LATER, SWEEP_1)),
+    "killed.db": Kept(True, 3, 12, LONGEST, (OTHER, SWEEP_0, SWEEP_1)),
+}
+
+
+@pytest.fixture
+def base_store(tmp_path):
+    """Copies a store of the base, with its write-ahead log if there is one, and returns the copy's path."""
+
+    def copy(name: str) -> str:
+        for path in FOLDER.glob(f"{name}*"):
+            shutil.copy(path, tmp_path / path.name)
+        return str(tmp_path / name)
+
+    return copy
+
+
+def tables(path: str) -> dict[str, list[tuple]]:
+    """All rows of a store, the form's number and the tables' definitions, as SQLite holds them."""
+    with closing(apsw.Connection(path)) as connection:
+        return {
+            "form": connection.execute("pragma user_version").fetchall(),
+            "tables": connection.execute("select name, sql from sqlite_master order by name").fetchall(),
+            "place": connection.execute("select * from place order by task, place").fetchall(),
+            "fact": connection.execute("select * from fact order by name").fetchall(),
+        }
+
+
+@pytest.mark.parametrize("name", CONTENT)
+def test_a_store_of_the_base_gives_back_its_content(base_store, name):
+    with closing(Promises(base_store(name), "g1")) as store:
+        assert store.read() == CONTENT[name]
+
+
+@pytest.mark.parametrize("name", CONTENT)
+def test_a_store_of_the_base_goes_on_being_written(base_store, name):
+    path = base_store(name)
+    with closing(Promises(path, "g1")) as store:
+        store.read()
+        store.keep([("sweep", 1, 6, "g4#1", 5)], {"stamp": 14, "settled": 4})
+
+    with closing(Promises(path, "g1")) as store:
+        found = store.read()
+
+    *before, _ = CONTENT[name].places
+    after = (*before, PlaceRecord("sweep", 1, 6, "g4#1", 5, 0))
+    assert found == CONTENT[name]._replace(stamp=14, settled=4, places=after)
+
+
+def test_a_new_store_with_the_same_records_has_the_same_tables_and_rows_as_that_of_the_base(
+    base_store, tmp_path
+):
+    facts = {"remembers": 1, "settled": 3, "stamp": 13, "longest": LONGEST}
+    with closing(Promises(str(tmp_path / "new.db"), "g1")) as store:
+        store.read()
+        store.keep(
+            [
+                ("sweep", 0, 8, "g2#2", 7),
+                ("sweep", 1, 5, "g2#1", 5),
+                ("räume", 63, 2**40, "g3#5f3a", 0),
+            ],
+            facts,
+        )
+
+    assert tables(str(tmp_path / "new.db")) == tables(base_store("closed.db"))
