--- a/linenbridge/errors.py
+++ b/linenbridge/errors.py
@@ -44,7 +44,7 @@
         return f"{self.where}: {self.what}; {self.do}"
 
 
-class Refusal(FleetError):
+class Rejection(FleetError):
     """A reason for which a request is refused; `code` is sent over the wire."""
 
     code: ClassVar[str] = ""
--- a/linenbridge/fleet/configuration.py
+++ b/linenbridge/fleet/configuration.py
@@ -15,7 +15,7 @@
 from linenbridge.fleet.freezes.configuration import windows
 from linenbridge.fleet.freezes.windows import Window
 from linenbridge.fleet.leases.quorum import Quorum
-from linenbridge.fleet.leases.timing import Pace
+from linenbridge.fleet.leases.timing import LeaseTiming
 from linenbridge.net.discovery import host_port
 
 ACCEPTORS = (3, 7)
@@ -46,7 +46,7 @@
     listen: tuple[str, int]
     store: str
     trusted: bool
-    pace: Pace
+    timing: LeaseTiming
     members: dict[str, tuple[str, int]]
     quorum: Quorum
     first_term: int
@@ -56,7 +56,7 @@
 
     def is_acceptor(self) -> bool:
         """Whether this member is one of the acceptors."""
-        return self.member in self.quorum.everyone()
+        return self.member in self.quorum.all_acceptors()
 
 
 def fleet(configuration: Configuration) -> FleetTold | None:
@@ -105,8 +105,8 @@
     return FleetTold(
         said["member"], host_port(said["listen"].replace("[", "").replace("]", "")),
         configuration.beside(said["store"]),
-        said["store-never-goes-back"] in ("true", "1"), Pace(lease, longest, apart, beat), members, quorum,
-        first_term, tuple(errands), within, windows(configuration.beside(said["freezes"])),
+        said["store-never-goes-back"] in ("true", "1"), LeaseTiming(lease, longest, apart, beat), members,
+        quorum, first_term, tuple(errands), within, windows(configuration.beside(said["freezes"])),
     )  # fmt: skip
 
 
--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -22,7 +22,7 @@
 from linenbridge.fleet.leases.acceptor import Acceptor
 from linenbridge.fleet.leases.messages import LeaseReply, LeaseRequest, RecoveryReply, RecoveryRequest
 from linenbridge.fleet.leases.proposer import Proposer
-from linenbridge.fleet.store.acceptor_records import promises
+from linenbridge.fleet.store.acceptor_records import open_records
 from linenbridge.logging.event_log import Log
 
 GOODBYE = 0.25  # seconds for the last words of a member that leaves
@@ -40,7 +40,7 @@
         self.told, self.reactor, self.log, self.tasks_changed = told, reactor, log, tasks_changed
         self.name, self.life = f"{told.member}#{life:x}", life
         now = clock.now()
-        self.proposer = Proposer(self.name, told.quorum, told.pace, life, now)
+        self.proposer = Proposer(self.name, told.quorum, told.timing, life, now)
         self.acceptor: Acceptor | None = None
         self.proposers: dict[str, str] = {}  # by proposer, the link that it was last heard on
         self.disk = self.pool = self.timer = self.leaving = None
@@ -52,7 +52,7 @@
         self._dial()
         for errand in told.errands:
             if errand.task != RESTARTS:
-                self.proposer.stand_for(now, errand.task, errand.places)
+                self.proposer.request_lease(now, errand.task, errand.places)
         self.freezes = Freezes(told.windows, reactor, log, held)
         self.errands = Errands(self.name, told.errands, reactor, log, self.holds)
         acceptor = told.is_acceptor()
@@ -64,15 +64,15 @@
         nothing."""
         told, broken, kept = self.told, "", None
         try:
-            self.disk = promises(told.store, told.member)
+            self.disk = open_records(told.store, told.member)
             kept = self.disk.read()
         except FleetError as error:
             broken = str(error)
             self.log.event("store.failed", **error.fields())
-            kept = promises("", told.member).read()
+            kept = open_records("", told.member).read()
         number = Random(life).getrandbits(52)
         self.acceptor = Acceptor(
-            told.member, told.quorum, told.pace, kept, now, told.first_term, told.trusted, number
+            told.member, told.quorum, told.timing, kept, now, told.first_term, told.trusted, number
         )
         if broken:
             self.acceptor.on_store_failed(now, broken)
@@ -80,7 +80,7 @@
         self.pool.start()
 
     def _dial(self) -> None:
-        for acceptor in self.told.quorum.everyone():
+        for acceptor in self.told.quorum.all_acceptors():
             if acceptor != self.told.member:
                 self.links.dial(acceptor, self.told.members[acceptor])
 
@@ -100,7 +100,7 @@
             if message.acceptor == far:
                 acceptor.on_recovery_request(now, message)
         elif acceptor is not None and isinstance(message, RecoveryReply) and message.acceptor == far:
-            acceptor.on_stamp(now, far, message.stamp)
+            acceptor.on_revision(now, far, message.revision)
             acceptor.on_recovery_reply(now, message)
         self.turn()
 
@@ -147,7 +147,7 @@
                 self._go()
 
     def _keep(self, rows: list[tuple], to: str, message: Any) -> None:
-        done = deferToThreadPool(self.reactor, self.pool, self.disk.keep, rows, self.acceptor.facts())
+        done = deferToThreadPool(self.reactor, self.pool, self.disk.write, rows, self.acceptor.facts())
         done.addCallbacks(lambda _: message is not None and self._say(to, message), self._not_kept)
 
     def _not_kept(self, failure: Any) -> None:
@@ -159,7 +159,7 @@
     def holds(self, task: str) -> tuple[int, int] | None:
         """Term and place under which this member may act on the task at this moment, or None."""
         term = self.proposer.may_act(clock.now(), task)
-        return None if term is None else (term, self.proposer.holds[task].place)
+        return None if term is None else (term, self.proposer.leases[task].slot)
 
     def take_up(self, told: FleetTold) -> None:
         """New settings: the quorum, addresses and windows count at once, all else from the next start."""
@@ -171,7 +171,7 @@
         elif told.is_acceptor():
             self._start_acceptor(now, self.life)
         self.links.known = frozenset(told.members)
-        acceptors = told.quorum.everyone()
+        acceptors = told.quorum.all_acceptors()
         for former in [name for name in self.links.dialled if name not in acceptors]:
             self.links.drop(former)
         self._dial()
@@ -187,7 +187,7 @@
         if not turns:
             self._go()
             return
-        self.proposer.stand_for(clock.now(), RESTARTS, turns[0].places)
+        self.proposer.request_lease(clock.now(), RESTARTS, turns[0].places)
         self.reactor.callLater(self.told.restarts_within / 1e6, self._go)
         self.turn()
 
@@ -199,9 +199,9 @@
         self.errands.close()
         self.freezes.close()
         now = clock.now()
-        for task in list(self.proposer.holds):
+        for task in list(self.proposer.leases):
             if task != RESTARTS:
-                self.proposer.leave(now, task)
+                self.proposer.release_lease(now, task)
         self.turn()
         self.reactor.callLater(GOODBYE, self._close, gone)
 
@@ -216,7 +216,7 @@
 
     def facts(self) -> dict[str, int]:
         """Figures for the line of counters."""
-        held = sum(self.holds(task) is not None for task in self.proposer.holds)
+        held = sum(self.holds(task) is not None for task in self.proposer.leases)
         return {
             "links": len(self.links.to),
             "held": held,
--- a/linenbridge/fleet/leases/acceptor.py
+++ b/linenbridge/fleet/leases/acceptor.py
@@ -26,60 +26,78 @@
     LeaseTooLong,
     OlderTerm,
     OtherGeneration,
-    Refusal,
+    Rejection,
     StoreUnusable,
-)  # fmt: skip
-from linenbridge.fleet.leases.granted_leases import Guards, Key
+)
+from linenbridge.fleet.leases.granted_leases import GrantedLeases, SlotKey
 from linenbridge.fleet.leases.messages import (
     Acquire,
     Granted,
     LeaseReply,
     LeaseRequest,
-    PlaceRecord,
+    SlotRecord,
     RecoveryReply,
     RecoveryRequest,
     Rejected,
     Relinquish,
     StatusQuery,
     TaskStatus,
-)  # fmt: skip
+)
 from linenbridge.fleet.leases.queues import Queues
 from linenbridge.fleet.leases.quorum import Quorum
-from linenbridge.fleet.leases.recovery import Returning
-from linenbridge.fleet.leases.timing import Pace, heard_left, patience
+from linenbridge.fleet.leases.recovery import Recovery
+from linenbridge.fleet.leases.timing import LeaseTiming, remaining_with_drift, queue_timeout
 
 KEEP, SAY, LOG = "keep", "say", "log"
-TASKS_MOST, PLACES_MOST, NAME_MOST = 1_000, 64, 64  # what one round may hold, and each of its names
-TASKS_HEARD_MOST = 10_000  # tasks that one acceptor ever hears of
+MAX_TASKS_PER_REQUEST = 1_000
+MAX_SLOTS = 64  # of one task
+MAX_NAME_LENGTH = 64  # characters
+MAX_KNOWN_TASKS = 10_000  # that one acceptor keeps state for
 
 
-class Kept(NamedTuple):
+class StoredState(NamedTuple):
     """What an acceptor's store held when the process started."""
 
-    remembers: bool = False  # whether there was a store with the quorum's founding in it
-    settled: int = 0  # the newest generation that this acceptor has settled in
-    stamp: int = 0  # counts all that was ever kept
-    longest: int = 0  # the longest lease that was ever to be waited for
-    places: tuple[PlaceRecord, ...] = ()
+    has_records: bool = False  # whether there was a store with the quorum's founding in it
+    confirmed_generation: int = 0  # the newest generation that this acceptor has settled in
+    revision: int = 0  # counts all that was ever kept
+    max_lease: int = 0  # the longest lease that was ever to be waited for
+    records: tuple[SlotRecord, ...] = ()
 
 
 class Acceptor:
-    """The acceptor `name` of `quorum`. `kept` is the content of its store. `trusted` says that the store
-    can't have been restored from an older copy, so that nothing is waited for after a restart. `life`
+    """The acceptor `name` of `quorum`. `stored` is the content of its store. `trusted` says that the store
+    can't have been restored from an older copy, so that nothing is waited for after a restart. `incarnation`
     differs for each start of the process."""
 
     def __init__(
-        self, name: str, quorum: Quorum, pace: Pace, kept: Kept, now: int, first_term: int = 1,
-        trusted: bool = False, life: int = 1,
-    ) -> None:  # fmt: skip
-        self.name, self.quorum, self.pace, self.first_term = name, quorum, pace, first_term
-        self.guards, self.queues, self.out = Guards(), Queues(), deque[tuple]()
-        for place in kept.places:
-            self.guards.merge(place, now)
-        self.stamp, self.broken = kept.stamp, ""
-        wait = pace._replace(longest=max(pace.longest, kept.longest))
-        self.returning = Returning(name, quorum, wait, kept.remembers, kept.settled, now, life, trusted)
-        self.heard: dict[str, int] = {}  # the newest stamp of each other acceptor
+        self,
+        name: str,
+        quorum: Quorum,
+        timing: LeaseTiming,
+        stored: StoredState,
+        now: int,
+        first_term: int = 1,
+        trusted: bool = False,
+        incarnation: int = 1,
+    ) -> None:
+        self.name, self.quorum, self.timing, self.first_term = name, quorum, timing, first_term
+        self.granted_leases, self.queues, self.decisions = GrantedLeases(), Queues(), deque[tuple]()
+        for record in stored.records:
+            self.granted_leases.merge(record, now)
+        self.revision, self.store_error = stored.revision, ""
+        timing_with_stored = timing._replace(max_lease=max(timing.max_lease, stored.max_lease))
+        self.recovery = Recovery(
+            name,
+            quorum,
+            timing_with_stored,
+            stored.has_records,
+            stored.confirmed_generation,
+            now,
+            incarnation,
+            trusted,
+        )
+        self.revisions: dict[str, int] = {}  # the newest revision of each other acceptor
 
     # ---- inputs ------------------------------------------------------------------------------------
 
@@ -87,150 +105,169 @@
         """A proposer's request. It is answered as a whole, after the changes that it makes are stored."""
         if not self._well_formed(message):
             return
-        if message.stamp > self.stamp:
-            self._went_back(now, message.proposer, message.stamp)
-        code = self._aside(message)
-        granted, rejected, statuses, rows = list[Granted](), list[Rejected](), list[TaskStatus](), list[Key]()
+        if message.revision > self.revision:
+            self._on_store_restored(now, message.proposer, message.revision)
+        code = self._rejection_code(message)
+        granted, rejected, statuses, rows = (
+            list[Granted](),
+            list[Rejected](),
+            list[TaskStatus](),
+            list[SlotKey](),
+        )
         if not code:
             for relinquish in message.relinquishes:
                 self._relinquish(message.proposer, relinquish, rows)
             for query in message.queries:
-                self.queues.of(query.task).hear(now, message.proposer, query.ticket, patience(self.pace))
+                self.queues.for_task(query.task).on_request(
+                    now, message.proposer, query.queue_position, queue_timeout(self.timing)
+                )
             for acquire in message.acquires:
                 self._acquire(now, message.proposer, acquire, granted, rejected, rows)
             statuses = [self._status(now, message.proposer, query) for query in message.queries]
-        answer = LeaseReply(
+        reply = LeaseReply(
             message.number,
             self.name,
             self.quorum.generation,
-            self.stamp + len(rows),
+            self.revision + len(rows),
             code,
             granted,
             rejected,
             statuses,
         )
-        self._answer(now, message.proposer, answer, rows)
+        self._reply(now, message.proposer, reply, rows)
 
     def on_recovery_request(self, now: int, message: RecoveryRequest) -> None:
         """Another acceptor asks for this one's records; it is answered even while this one recovers
         itself. If this one's store was restored from an older copy it does not answer, as its records
         would pass for complete."""
-        self.returning.meets(message.acceptor, message.generation)
-        if self.returning.doubted or self.broken:
+        self.recovery.on_recovery_request(message.acceptor, message.generation)
+        if self.recovery.store_restored or self.store_error:
             return
-        back, places = self.returning, self.guards.rows(now)
+        recovery, records = self.recovery, self.granted_leases.records(now)
         reply = RecoveryReply(
-            message.number, self.name, back.number, back.founded_with.get(message.acceptor, 0),
-            self.quorum.generation, back.settled, back.remembers, self.heard.get(message.acceptor, 0),
-            places, self.queues.newest(),
-        )  # fmt: skip
-        self.out.append((SAY, message.acceptor, reply))
+            message.number,
+            self.name,
+            recovery.number,
+            recovery.founded_with.get(message.acceptor, 0),
+            self.quorum.generation,
+            recovery.confirmed_generation,
+            recovery.has_records,
+            self.revisions.get(message.acceptor, 0),
+            records,
+            self.queues.newest_positions(),
+        )
+        self.decisions.append((SAY, message.acceptor, reply))
 
     def on_recovery_reply(self, now: int, message: RecoveryReply) -> None:
-        """Another acceptor's records. They are merged while this one recovers; a newer stamp of this
+        """Another acceptor's records. They are merged while this one recovers; a newer revision of this
         acceptor's own store is noticed at any time."""
-        if message.stamp > self.stamp:
-            self._went_back(now, message.acceptor, message.stamp)
-        if not self.returning.accepts(message):
+        if message.revision > self.revision:
+            self._on_store_restored(now, message.acceptor, message.revision)
+        if not self.recovery.accept_reply(message):
             return
-        rows = list[Key]()
-        for place in message.places:
-            if self.guards.merge(place, now + heard_left(self.pace, place.left)):
-                rows.append((place.task, place.place))
-        for task, ticket in message.tickets.items():
-            self.queues.meet(task, ticket)
+        rows = list[SlotKey]()
+        for record in message.records:
+            if self.granted_leases.merge(record, now + remaining_with_drift(self.timing, record.remaining)):
+                rows.append((record.task, record.slot))
+        for task, position in message.newest_queue_positions.items():
+            self.queues.on_other_acceptor(task, position)
         if rows:
-            self._keep(now, rows, "", None)
+            self._persist(now, rows, "", None)
 
-    def on_stamp(self, now: int, acceptor: str, stamp: int) -> None:
+    def on_revision(self, now: int, acceptor: str, revision: int) -> None:
         """How many records another acceptor says that it has stored."""
-        self.heard[acceptor] = max(stamp, self.heard.get(acceptor, 0))
+        self.revisions[acceptor] = max(revision, self.revisions.get(acceptor, 0))
 
     def on_quorum(self, now: int, quorum: Quorum) -> None:
         """New settings. Nothing is granted until majorities of both lists are known to have them."""
         if quorum.generation <= self.quorum.generation:
             return
         self.quorum = quorum
-        self.returning.moves(now, quorum)
-        self.out.append(
+        self.recovery.on_quorum(now, quorum)
+        self.decisions.append(
             (
                 LOG,
                 "council.moves",
                 {
                     "generation": quorum.generation,
-                    "acceptors": list(quorum.now),
-                    "seats": list(quorum.now),
+                    "acceptors": list(quorum.acceptors),
+                    "seats": list(quorum.acceptors),
                 },
             )
         )
 
     def on_store_failed(self, now: int, why: str) -> None:
         """A write failed: this acceptor grants nothing until the process is restarted."""
-        if not self.broken:
-            self.broken = why
+        if not self.store_error:
+            self.store_error = why
             self._log("store.failed", StoreUnusable(why, self.name))
 
     # ---- decisions ---------------------------------------------------------------------------------
 
     def next_decision(self, now: int) -> tuple | None:
         """The next decision to carry out, or None."""
-        if not self.out and not self.broken:
-            self._come_back(now)
-        return self.out.popleft() if self.out else None
+        if not self.decisions and not self.store_error:
+            self._advance_recovery(now)
+        return self.decisions.popleft() if self.decisions else None
 
     def wake_at(self) -> int | None:
         """When this acceptor has something to do without an input, in microseconds; only while it
         recovers."""
-        return None if self.broken else self.returning.wake_at()
+        return None if self.store_error else self.recovery.wake_at()
 
     def grants(self) -> bool:
         """Whether this acceptor answers requests at present."""
-        return not self.broken and self.returning.done
+        return not self.store_error and self.recovery.done
 
-    def _come_back(self, now: int) -> None:
-        for other, message in self.returning.asks(now):
-            self.out.append((SAY, other, message))
-        if (grounds := self.returning.returned(now)) is not None:
-            self._keep(now, [], "", None)
+    def _advance_recovery(self, now: int) -> None:
+        for other, message in self.recovery.requests(now):
+            self.decisions.append((SAY, other, message))
+        if (grounds := self.recovery.complete(now)) is not None:
+            self._persist(now, [], "", None)
             fields = {
                 "grounds": grounds,
                 "generation": self.quorum.generation,
-                "places": len(self.guards.term),
+                "places": len(self.granted_leases.terms),
             }
-            self.out.append((LOG, "seat.returned", fields))
-        for error in self.returning.notes(now):
+            self.decisions.append((LOG, "seat.returned", fields))
+        for error in self.recovery.errors_to_report(now):
             self._log("seat.aside", error)
 
     def _log(self, name: str, error: FleetError) -> None:
-        self.out.append((LOG, name, error.fields()))
+        self.decisions.append((LOG, name, error.fields()))
 
     def _well_formed(self, message: LeaseRequest) -> bool:
-        sizes = max(len(message.acquires), len(message.relinquishes), len(message.queries)) <= TASKS_MOST
+        sizes = (
+            max(len(message.acquires), len(message.relinquishes), len(message.queries))
+            <= MAX_TASKS_PER_REQUEST
+        )
         rows = (*message.acquires, *message.relinquishes, *message.queries)
-        names = len(message.proposer) <= NAME_MOST and all(len(row.task) <= NAME_MOST for row in rows)
-        places = all(0 <= row.place < PLACES_MOST for row in (*message.acquires, *message.relinquishes))
-        queries = all(1 <= query.places <= PLACES_MOST for query in message.queries)
-        known = self.queues.rows
-        room = (
-            len(known) + len(rows) <= TASKS_HEARD_MOST
-            or len(known.keys() | {row.task for row in rows}) <= TASKS_HEARD_MOST
+        names = len(message.proposer) <= MAX_NAME_LENGTH and all(
+            len(row.task) <= MAX_NAME_LENGTH for row in rows
+        )
+        slots = all(0 <= row.slot < MAX_SLOTS for row in (*message.acquires, *message.relinquishes))
+        queries = all(1 <= query.slots <= MAX_SLOTS for query in message.queries)
+        known = self.queues.by_task
+        capacity = (
+            len(known) + len(rows) <= MAX_KNOWN_TASKS
+            or len(known.keys() | {row.task for row in rows}) <= MAX_KNOWN_TASKS
         )
-        return sizes and names and places and queries and room
+        return sizes and names and slots and queries and capacity
 
-    def _aside(self, message: LeaseRequest) -> str:
-        if self.broken or not self.returning.done:
+    def _rejection_code(self, message: LeaseRequest) -> str:
+        if self.store_error or not self.recovery.done:
             return AcceptorAside.code
         return OtherGeneration.code if message.generation != self.quorum.generation else ""
 
-    def _went_back(self, now: int, by: str, stamp: int) -> None:
-        """Somebody has seen a newer stamp than this store holds: it was restored from an older copy."""
-        if self.returning.doubt(now, by, self.stamp, stamp):
-            self.stamp = stamp
+    def _on_store_restored(self, now: int, reporter: str, revision: int) -> None:
+        """Somebody has seen a newer revision than this store holds: it was restored from an older copy."""
+        if self.recovery.on_store_restored(now, reporter, self.revision, revision):
+            self.revision = revision
 
-    def _relinquish(self, proposer: str, relinquish: Relinquish, rows: list[Key]) -> None:
-        self.queues.leave(relinquish.task, proposer)
-        if self.guards.give_back((relinquish.task, relinquish.place), relinquish.term, proposer):
-            rows.append((relinquish.task, relinquish.place))
+    def _relinquish(self, proposer: str, relinquish: Relinquish, rows: list[SlotKey]) -> None:
+        self.queues.remove(relinquish.task, proposer)
+        if self.granted_leases.relinquish((relinquish.task, relinquish.slot), relinquish.term, proposer):
+            rows.append((relinquish.task, relinquish.slot))
 
     def _acquire(
         self,
@@ -239,72 +276,86 @@
         acquire: Acquire,
         granted: list[Granted],
         rejected: list[Rejected],
-        rows: list[Key],
+        rows: list[SlotKey],
     ) -> None:
-        key = (acquire.task, acquire.place)
-        if (rejection := self._refusal(now, proposer, acquire)) is not None:
-            newest = max(self.guards.newest(key), self.first_term - 1)
-            rejected.append(Rejected(acquire.task, acquire.place, acquire.term, rejection.code, newest))
+        key = (acquire.task, acquire.slot)
+        if (rejection := self._rejection(now, proposer, acquire)) is not None:
+            newest_term = max(self.granted_leases.newest_term(key), self.first_term - 1)
+            rejected.append(Rejected(acquire.task, acquire.slot, acquire.term, rejection.code, newest_term))
             return
-        if self.guards.grant(key, acquire.term, proposer, now + acquire.length):
+        if self.granted_leases.grant(key, acquire.term, proposer, now + acquire.duration):
             rows.append(key)
-        self.queues.leave(acquire.task, proposer)
-        granted.append(Granted(acquire.task, acquire.place, acquire.term))
+        self.queues.remove(acquire.task, proposer)
+        granted.append(Granted(acquire.task, acquire.slot, acquire.term))
 
-    def _refusal(self, now: int, proposer: str, acquire: Acquire) -> type[Refusal] | None:
+    def _rejection(self, now: int, proposer: str, acquire: Acquire) -> type[Rejection] | None:
         """The rule by which places are granted: the reason for a refusal, or None where the place is
         granted."""
-        guards, key = self.guards, (acquire.task, acquire.place)
-        if not 0 < acquire.length <= self.pace.longest:
+        granted_leases, key = self.granted_leases, (acquire.task, acquire.slot)
+        if not 0 < acquire.duration <= self.timing.max_lease:
             return LeaseTooLong
-        own, left = guards.holder.get(key) == proposer, guards.left(key, now)
-        if left and not own:
+        own, remaining = granted_leases.holders.get(key) == proposer, granted_leases.remaining(key, now)
+        if remaining and not own:
             return HeldByAnother
-        same = own and acquire.term == guards.term.get(key, 0) > guards.closed.get(key, 0)
-        if not same and acquire.term <= max(guards.newest(key), self.first_term - 1):
+        same = own and acquire.term == granted_leases.terms.get(
+            key, 0
+        ) > granted_leases.relinquished_terms.get(key, 0)
+        if not same and acquire.term <= max(granted_leases.newest_term(key), self.first_term - 1):
             return OlderTerm
-        renews = same or (own and left)
+        renews = same or (own and remaining)
         if renews:
             return None
-        ahead = self.queues.of(acquire.task).ahead(now, proposer, patience(self.pace))
+        ahead = self.queues.for_task(acquire.task).members_ahead(now, proposer, queue_timeout(self.timing))
         return BehindOthers if ahead >= self._free(now, acquire) else None
 
     def _free(self, now: int, acquire: Acquire) -> int:
         """How many places of the task that are known here are free, counting the requested one."""
-        known = {place for task, place in self.guards.term if task == acquire.task} | {acquire.place}
-        return sum(not self.guards.left((acquire.task, place), now) for place in known)
+        known = {slot for task, slot in self.granted_leases.terms if task == acquire.task} | {acquire.slot}
+        return sum(not self.granted_leases.remaining((acquire.task, slot), now) for slot in known)
 
     def _status(self, now: int, proposer: str, query: StatusQuery) -> TaskStatus:
-        keys = [(query.task, place) for place in range(query.places)]
-        guards, least = self.guards, self.first_term - 1
-        left = [guards.left(key, now) for key in keys]
+        keys = [(query.task, slot) for slot in range(query.slots)]
+        granted_leases, min_term = self.granted_leases, self.first_term - 1
+        remaining = [granted_leases.remaining(key, now) for key in keys]
         return TaskStatus(
-            query.task, self.queues.of(query.task).newest,
-            self.queues.of(query.task).ahead(now, proposer, patience(self.pace)),
-            [max(guards.newest(key), least) for key in keys], left,
-            [guards.holder.get(key, "") if time else "" for key, time in zip(keys, left, strict=True)],
-        )  # fmt: skip
+            query.task,
+            self.queues.for_task(query.task).newest_position,
+            self.queues.for_task(query.task).members_ahead(now, proposer, queue_timeout(self.timing)),
+            [max(granted_leases.newest_term(key), min_term) for key in keys],
+            remaining,
+            [
+                granted_leases.holders.get(key, "") if time else ""
+                for key, time in zip(keys, remaining, strict=True)
+            ],
+        )
 
-    def _answer(self, now: int, to: str, message: LeaseReply, rows: list[Key]) -> None:
+    def _reply(self, now: int, to: str, message: LeaseReply, rows: list[SlotKey]) -> None:
         if rows:
-            self._keep(now, rows, to, message)
+            self._persist(now, rows, to, message)
         else:
-            self.out.append((SAY, to, message))
+            self.decisions.append((SAY, to, message))
 
-    def _keep(self, now: int, keys: list[Key], to: str, message: LeaseReply | None) -> None:
-        """Store the present state of `keys`, then send the message. The stamp counts the stored rows."""
-        guards = self.guards
-        self.stamp += len(keys)
+    def _persist(self, now: int, keys: list[SlotKey], to: str, message: LeaseReply | None) -> None:
+        """Store the present state of `keys`, then send the message. The revision counts the stored rows."""
+        granted_leases = self.granted_leases
+        self.revision += len(keys)
         rows = [
-            (*key, guards.term.get(key, 0), guards.holder.get(key, ""), guards.closed.get(key, 0))
+            (
+                *key,
+                granted_leases.terms.get(key, 0),
+                granted_leases.holders.get(key, ""),
+                granted_leases.relinquished_terms.get(key, 0),
+            )
             for key in keys
         ]
-        self.out.append((KEEP, rows, to, message))
+        self.decisions.append((KEEP, rows, to, message))
 
     def facts(self) -> dict[str, int]:
-        """What is stored beside the places: see `Kept`."""
-        back = self.returning
+        """What is stored beside the places: see `StoredState`."""
+        recovery = self.recovery
         return {
-            "remembers": int(back.remembers), "settled": back.settled, "stamp": self.stamp,
-            "longest": back.pace.longest,
-        }  # fmt: skip
+            "remembers": int(recovery.has_records),
+            "settled": recovery.confirmed_generation,
+            "stamp": self.revision,
+            "longest": recovery.timing.max_lease,
+        }
--- a/linenbridge/fleet/leases/granted_leases.py
+++ b/linenbridge/fleet/leases/granted_leases.py
@@ -5,70 +5,70 @@
 
 from __future__ import annotations
 
-from linenbridge.fleet.leases.messages import PlaceRecord
+from linenbridge.fleet.leases.messages import SlotRecord
 
-Key = tuple[str, int]  # task and place
+SlotKey = tuple[str, int]  # task and place
 
 
-class Guards:
+class GrantedLeases:
     """Parallel tables by (task, place). Times are microseconds of this acceptor's clock."""
 
     def __init__(self) -> None:
-        self.term: dict[Key, int] = {}
-        self.holder: dict[Key, str] = {}
-        self.closed: dict[Key, int] = {}
-        self.until: dict[Key, int] = {}
+        self.terms: dict[SlotKey, int] = {}
+        self.holders: dict[SlotKey, str] = {}
+        self.relinquished_terms: dict[SlotKey, int] = {}
+        self.expires_at: dict[SlotKey, int] = {}
 
-    def newest(self, key: Key) -> int:
+    def newest_term(self, key: SlotKey) -> int:
         """The newest term known of a place, 0 if none."""
-        return max(self.term.get(key, 0), self.closed.get(key, 0))
+        return max(self.terms.get(key, 0), self.relinquished_terms.get(key, 0))
 
-    def left(self, key: Key, now: int) -> int:
+    def remaining(self, key: SlotKey, now: int) -> int:
         """Microseconds until the lease of a place ends, 0 if it is free."""
-        if self.term.get(key, 0) <= self.closed.get(key, 0):
+        if self.terms.get(key, 0) <= self.relinquished_terms.get(key, 0):
             return 0
-        return max(0, self.until.get(key, 0) - now)
+        return max(0, self.expires_at.get(key, 0) - now)
 
-    def grant(self, key: Key, term: int, holder: str, until: int) -> bool:
+    def grant(self, key: SlotKey, term: int, holder: str, expires_at: int) -> bool:
         """Record a lease. Returns whether the change must be stored."""
-        changed = (self.term.get(key), self.holder.get(key)) != (term, holder)
-        self.term[key], self.holder[key] = term, holder
-        self.until[key] = max(until, self.until.get(key, 0)) if not changed else until
+        changed = (self.terms.get(key), self.holders.get(key)) != (term, holder)
+        self.terms[key], self.holders[key] = term, holder
+        self.expires_at[key] = max(expires_at, self.expires_at.get(key, 0)) if not changed else expires_at
         return changed
 
-    def give_back(self, key: Key, term: int, holder: str) -> bool:
+    def relinquish(self, key: SlotKey, term: int, holder: str) -> bool:
         """The holder gives the place back; its term is closed for good. Returns whether the change must
         be stored."""
-        if self.holder.get(key) != holder or self.term.get(key, 0) > term:
+        if self.holders.get(key) != holder or self.terms.get(key, 0) > term:
             return False
-        if self.closed.get(key, 0) >= self.term.get(key, 0):
+        if self.relinquished_terms.get(key, 0) >= self.terms.get(key, 0):
             return False
-        self.closed[key] = self.term[key]
+        self.relinquished_terms[key] = self.terms[key]
         return True
 
-    def merge(self, place: PlaceRecord, until: int) -> bool:
+    def merge(self, record: SlotRecord, expires_at: int) -> bool:
         """Merge another acceptor's record: the newer term counts, for equal terms the later end. Returns
         whether the change must be stored."""
-        key = (place.task, place.place)
-        changed = place.closed > self.closed.get(key, 0)
-        self.closed[key] = max(place.closed, self.closed.get(key, 0))
-        if place.term > self.term.get(key, 0):
-            self.term[key], self.holder[key], self.until[key] = place.term, place.holder, until
+        key = (record.task, record.slot)
+        changed = record.relinquished_term > self.relinquished_terms.get(key, 0)
+        self.relinquished_terms[key] = max(record.relinquished_term, self.relinquished_terms.get(key, 0))
+        if record.term > self.terms.get(key, 0):
+            self.terms[key], self.holders[key], self.expires_at[key] = record.term, record.holder, expires_at
             return True
-        if place.term == self.term.get(key, 0) and place.holder == self.holder.get(key):
-            self.until[key] = max(until, self.until.get(key, 0))
+        if record.term == self.terms.get(key, 0) and record.holder == self.holders.get(key):
+            self.expires_at[key] = max(expires_at, self.expires_at.get(key, 0))
         return changed
 
-    def rows(self, now: int) -> list[PlaceRecord]:
+    def records(self, now: int) -> list[SlotRecord]:
         """The records of all places, sorted by key."""
-        keys = sorted(set(self.term) | set(self.closed))
+        keys = sorted(set(self.terms) | set(self.relinquished_terms))
         return [
-            PlaceRecord(
+            SlotRecord(
                 *key,
-                self.term.get(key, 0),
-                self.holder.get(key, ""),
-                self.closed.get(key, 0),
-                self.left(key, now),
+                self.terms.get(key, 0),
+                self.holders.get(key, ""),
+                self.relinquished_terms.get(key, 0),
+                self.remaining(key, now),
             )
             for key in keys
         ]
--- a/linenbridge/fleet/leases/lease_state.py
+++ b/linenbridge/fleet/leases/lease_state.py
@@ -7,80 +7,91 @@
 
 from linenbridge.fleet.leases.errors import HeldByAnother
 from linenbridge.fleet.leases.messages import Rejected, TaskStatus
-from linenbridge.fleet.leases.quorum import Quorum, supported_until
-from linenbridge.fleet.leases.timing import Pace, acts_until
+from linenbridge.fleet.leases.quorum import Quorum, majority_sent_at
+from linenbridge.fleet.leases.timing import LeaseTiming, lease_expiry
 
-WAITING, TAKING, HOLDING, LEAVING = "waiting", "taking", "holding", "leaving"
+WAITING, ACQUIRING, HELD, RELEASING = "waiting", "acquiring", "held", "releasing"
 
 
-class Hold:
-    """`term` is the term held, `asked_term` the one requested. `support` maps each acceptor that granted
+class LeaseState:
+    """`term` is the term held, `requested_term` the one requested. `grants` maps each acceptor that granted
     to the term and the time of the request that it answered."""
 
-    def __init__(self, task: str, places: int, now: int) -> None:
-        self.task, self.places, self.ticket = task, places, 0
-        self.state, self.from_at = WAITING, now
-        self.place, self.term, self.asked_term, self.newest = 0, 0, 0, 0
-        self.support: dict[str, tuple[int, int]] = {}
-        self.against: set[str] = set()
-        self.given: tuple[int, int] | None = None  # place and term that are not wanted any more
-        self.kept = 0  # until when a quorum before the present one keeps the place
+    def __init__(self, task: str, slots: int, now: int) -> None:
+        self.task, self.slots, self.queue_position = task, slots, 0
+        self.phase, self.next_phase_at = WAITING, now
+        self.slot, self.term, self.requested_term, self.newest_term = 0, 0, 0, 0
+        self.grants: dict[str, tuple[int, int]] = {}
+        self.rejected_by: set[str] = set()
+        self.to_relinquish: tuple[int, int] | None = None  # place and term that are not wanted any more
+        self.carryover_until = 0  # until when a quorum before the present one keeps the place
 
-    def yes(self, acceptor: str, term: int, asked: int) -> None:
+    def on_granted(self, acceptor: str, term: int, sent_at: int) -> None:
         """An acceptor has granted the term, in answer to a request sent at `asked`."""
-        self.support[acceptor] = max(self.support.get(acceptor, (0, 0)), (term, asked))
+        self.grants[acceptor] = max(self.grants.get(acceptor, (0, 0)), (term, sent_at))
 
-    def rejected(self, acceptor: str, rejection: Rejected) -> None:
+    def on_rejected(self, acceptor: str, rejection: Rejected) -> None:
         """An acceptor has refused the request."""
-        if (rejection.place, rejection.term) == (self.place, self.asked_term):
-            if self.state == TAKING:
-                self.against.add(acceptor)
+        if (rejection.slot, rejection.term) == (self.slot, self.requested_term):
+            if self.phase == ACQUIRING:
+                self.rejected_by.add(acceptor)
             if rejection.code != HeldByAnother.code:
-                self.newest = max(self.newest, rejection.newest)
+                self.newest_term = max(self.newest_term, rejection.newest_term)
 
-    def until(self, quorum: Quorum, pace: Pace, term: int | None = None) -> int | None:
+    def expires_at(self, quorum: Quorum, timing: LeaseTiming, term: int | None = None) -> int | None:
         """When the lease ends on this member's clock; None if no majority supports the term. An acceptor
         that has granted this member a newer term counts as well, as it keeps the place just the same."""
-        least = self.term if term is None else term
-        asked = {acceptor: at for acceptor, (given, at) in self.support.items() if given >= least}
-        since = supported_until(quorum, asked)
-        until = self.kept if least == self.term else 0
-        return max(until, acts_until(pace, since)) if since is not None else until or None
-
-    def fits(self, row: TaskStatus) -> bool:
+        min_term = self.term if term is None else term
+        sent_at = {
+            acceptor: at for acceptor, (granted_term, at) in self.grants.items() if granted_term >= min_term
+        }
+        since = majority_sent_at(quorum, sent_at)
+        until = self.carryover_until if min_term == self.term else 0
+        return max(until, lease_expiry(timing, since)) if since is not None else until or None
+
+    def matches(self, status: TaskStatus) -> bool:
         """Whether an acceptor's status has as many places as this member's settings."""
-        return row.task == self.task and len(row.terms) == len(row.left) == self.places
+        return status.task == self.task and len(status.terms) == len(status.remaining) == self.slots
 
     def next_term(self) -> int:
         """The term of the next renewal: a newer one if an acceptor knows a newer term of this place."""
-        return self.asked_term if self.newest <= self.asked_term else self.newest + 1
+        return self.requested_term if self.newest_term <= self.requested_term else self.newest_term + 1
 
-    def choose(self, rows: list[TaskStatus], free: list[int], give_up: int) -> bool:
+    def choose_slot(self, statuses: list[TaskStatus], free: list[int], abandon_at: int) -> bool:
         """Request the free place that falls to this member by its position in the queue. Returns whether
         there is one."""
-        position = max(row.position for row in rows)
-        if position >= len(free):
+        members_ahead = max(status.members_ahead for status in statuses)
+        if members_ahead >= len(free):
             return False
-        self.place = free[position]
-        terms = [row.terms[self.place] for row in rows]
-        self.asked_term = 1 + max([self.newest, self.asked_term, *terms])
-        self.state, self.given, self.support, self.against, self.kept = TAKING, None, {}, set(), 0
-        self.from_at = give_up
+        self.slot = free[members_ahead]
+        terms = [status.terms[self.slot] for status in statuses]
+        self.requested_term = 1 + max([self.newest_term, self.requested_term, *terms])
+        self.phase, self.to_relinquish, self.grants, self.rejected_by, self.carryover_until = (
+            ACQUIRING,
+            None,
+            {},
+            set(),
+            0,
+        )
+        self.next_phase_at = abandon_at
         return True
 
-    def free_in(self, rows: list[TaskStatus]) -> int | None:
+    def next_free_in(self, statuses: list[TaskStatus]) -> int | None:
         """Microseconds until a place is free at most acceptors; None if no lease ends."""
-        ends = [sorted(row.left[place] for row in rows)[len(rows) // 2] for place in range(self.places)]
-        soon = [end for end in ends if end > 0]
-        return min(soon, default=None)
-
-    def wait_again(self, at: int) -> None:
+        ends = [
+            sorted(status.remaining[slot] for status in statuses)[len(statuses) // 2]
+            for slot in range(self.slots)
+        ]
+        future = [end for end in ends if end > 0]
+        return min(future, default=None)
+
+    def restart_waiting(self, at: int) -> None:
         """Start over: grants that acceptors may have made meanwhile are given back."""
-        self.given = (self.place, max(self.term, self.asked_term))
-        self.state, self.from_at, self.support, self.kept = WAITING, at, {}, 0
+        self.to_relinquish = (self.slot, max(self.term, self.requested_term))
+        self.phase, self.next_phase_at, self.grants, self.carryover_until = WAITING, at, {}, 0
 
-    def leave(self, until: int) -> None:
+    def release(self, until: int) -> None:
         """Give the place back and stop requesting it; the answer is awaited until `until`."""
-        if self.asked_term:
-            self.given = (self.place, max(self.term, self.asked_term))
-        self.state, self.from_at, self.support = LEAVING, until, {}
+        if self.requested_term:
+            self.to_relinquish = (self.slot, max(self.term, self.requested_term))
+        self.phase, self.next_phase_at, self.grants = RELEASING, until, {}
--- a/linenbridge/fleet/leases/messages.py
+++ b/linenbridge/fleet/leases/messages.py
@@ -14,16 +14,16 @@
     """Request for a lease of one place, for `length` microseconds, under a term."""
 
     task: str
-    place: int
+    slot: int
     term: int
-    length: int
+    duration: int
 
 
 class Relinquish(Struct, array_like=True, frozen=True):
     """The sender gives up a place, and every request for it, up to and including a term."""
 
     task: str
-    place: int
+    slot: int
     term: int
 
 
@@ -31,18 +31,18 @@
     """Request for the status of a task. `ticket` is the sender's position in the queue (0: none yet)."""
 
     task: str
-    places: int
-    ticket: int
+    slots: int
+    queue_position: int
 
 
 class LeaseRequest(Struct, array_like=True, frozen=True, tag="round"):
-    """One proposer's request for all of its tasks, the same to every acceptor. `stamp` is the newest
-    stamp that it has seen of the acceptor that it is sent to."""
+    """One proposer's request for all of its tasks, the same to every acceptor. `revision` is the newest
+    revision that it has seen of the acceptor that it is sent to."""
 
     number: int
     proposer: str
     generation: int
-    stamp: int
+    revision: int
     acquires: list[Acquire]
     relinquishes: list[Relinquish]
     queries: list[StatusQuery]
@@ -52,7 +52,7 @@
     """A lease that an acceptor has granted or renewed."""
 
     task: str
-    place: int
+    slot: int
     term: int
 
 
@@ -60,10 +60,10 @@
     """A lease that an acceptor has refused: the reason, and the newest term it knows of the place."""
 
     task: str
-    place: int
+    slot: int
     term: int
     code: str
-    newest: int
+    newest_term: int
 
 
 class TaskStatus(Struct, array_like=True, frozen=True):
@@ -71,10 +71,10 @@
     each place the newest term, the time left of another member's lease, and its holder."""
 
     task: str
-    ticket: int
-    position: int
+    newest_queue_position: int
+    members_ahead: int
     terms: list[int]
-    left: list[int]
+    remaining: list[int]
     holders: list[str]
 
 
@@ -85,7 +85,7 @@
     number: int
     acceptor: str
     generation: int
-    stamp: int
+    revision: int
     code: str
     granted: list[Granted]
     rejected: list[Rejected]
@@ -100,33 +100,34 @@
     generation: int
 
 
-class PlaceRecord(Struct, array_like=True, frozen=True):
+class SlotRecord(Struct, array_like=True, frozen=True):
     """An acceptor's record of one place: newest term and its holder, the last term given back, the time
     left."""
 
     task: str
-    place: int
+    slot: int
     term: int
     holder: str
-    closed: int
-    left: int
+    relinquished_term: int
+    remaining: int
 
 
 class RecoveryReply(Struct, array_like=True, frozen=True, tag="table"):
-    """All records of an acceptor. `own` is the number of its own recovery. `blank` is the number of the
+    """All records of an acceptor. `recovery` is the number of its own recovery. `founding_recovery`
+    is the number of the
     asking acceptor's recovery in which the sender saw it without records when it founded the quorum (0:
-    it did not). `stamp` is the newest stamp that the sender has seen of the asking acceptor."""
+    it did not). `revision` is the newest revision that the sender has seen of the asking acceptor."""
 
     number: int
     acceptor: str
-    own: int
-    blank: int
+    recovery: int
+    founding_recovery: int
     generation: int
-    settled: int
-    remembers: bool
-    stamp: int
-    places: list[PlaceRecord]
-    tickets: dict[str, int]
+    confirmed_generation: int
+    has_records: bool
+    revision: int
+    records: list[SlotRecord]
+    newest_queue_positions: dict[str, int]
 
 
 Message = LeaseRequest | LeaseReply | RecoveryRequest | RecoveryReply
--- a/linenbridge/fleet/leases/proposer.py
+++ b/linenbridge/fleet/leases/proposer.py
@@ -7,8 +7,8 @@
 Decisions, as plain tuples:
 
     (SAY, acceptor, message)   send a message to an acceptor
-    (HELD, task, place, term)  this member holds a place from now on
-    (LOST, task, place, term)  it does not any more: the lease ended, or was given back
+    (ACQUIRED, task, slot, term)  this member holds a place from now on
+    (LOST, task, slot, term)  it does not any more: the lease ended, or was given back
     (LOG, name, fields)        one line of the log
 """
 
@@ -18,7 +18,7 @@
 from random import Random
 
 from linenbridge.fleet.leases.errors import OtherGeneration, QuorumLost
-from linenbridge.fleet.leases.lease_state import HOLDING, LEAVING, TAKING, WAITING, Hold
+from linenbridge.fleet.leases.lease_state import HELD, RELEASING, ACQUIRING, WAITING, LeaseState
 from linenbridge.fleet.leases.messages import (
     Acquire,
     LeaseReply,
@@ -27,227 +27,250 @@
     StatusQuery,
     TaskStatus,
 )
-from linenbridge.fleet.leases.quorum import Quorum, carries, hopeless
-from linenbridge.fleet.leases.timing import Pace
+from linenbridge.fleet.leases.quorum import Quorum, has_majority, majority_impossible
+from linenbridge.fleet.leases.timing import LeaseTiming
 
-SAY, HELD, LOST, LOG = "say", "held", "lost", "log"
-LOST_AFTER = 3  # beats without a majority's answer before a line says so
-SOON = 20  # parts of a beat after which one that lost a round asks again at the earliest
-ROUNDS_KEPT = 64
+SAY, ACQUIRED, LOST, LOG = "say", "held", "lost", "log"
+QUORUM_LOST_AFTER = 3  # beats without a majority's answer before a line says so
+RETRY_FRACTION = 20  # parts of a beat after which one that lost a round asks again at the earliest
+MAX_OPEN_REQUESTS = 64
 
 
 class Proposer:
     """`name` differs for each start of the process: a restarted process does not hold what it held
     before."""
 
-    def __init__(self, name: str, quorum: Quorum, pace: Pace, seed: int, now: int) -> None:
-        self.name, self.quorum, self.pace, self.random = name, quorum, pace, Random(seed)
-        self.holds: dict[str, Hold] = {}
-        self.out = deque[tuple]()
-        self.number, self.beat_at = 0, now
-        self.sent: dict[int, int] = {}  # when each round of late was sent
-        self.answers: dict[int, dict[str, LeaseReply]] = {}  # to those rounds, by acceptor
-        self.heard_at, self.lost_said = now + pace.longest, False  # acceptors may stand aside after a start
-        self.stamps: dict[str, int] = {}  # the newest that each acceptor was heard to have kept
-        self.told_generation = 0
+    def __init__(self, name: str, quorum: Quorum, timing: LeaseTiming, seed: int, now: int) -> None:
+        self.name, self.quorum, self.timing, self.random = name, quorum, timing, Random(seed)
+        self.leases: dict[str, LeaseState] = {}
+        self.decisions = deque[tuple]()
+        self.request_number, self.next_request_at = 0, now
+        self.sent_at: dict[int, int] = {}  # when each round of late was sent
+        self.replies: dict[int, dict[str, LeaseReply]] = {}  # to those rounds, by acceptor
+        self.majority_at, self.quorum_loss_reported = (
+            now + timing.max_lease,
+            False,
+        )  # acceptors may stand aside after a start
+        self.revisions: dict[str, int] = {}  # the newest that each acceptor was heard to have kept
+        self.reported_generation = 0
 
     # ---- inputs ------------------------------------------------------------------------------------
 
-    def stand_for(self, now: int, task: str, places: int = 1) -> None:
+    def request_lease(self, now: int, task: str, slots: int = 1) -> None:
         """Request a place of that task from now on."""
-        if task not in self.holds or self.holds[task].state == LEAVING:
-            self.holds[task] = Hold(task, places, now)
-            self.beat_at = min(self.beat_at, now)
+        if task not in self.leases or self.leases[task].phase == RELEASING:
+            self.leases[task] = LeaseState(task, slots, now)
+            self.next_request_at = min(self.next_request_at, now)
 
-    def leave(self, now: int, task: str) -> None:
+    def release_lease(self, now: int, task: str) -> None:
         """Give the task back, or stop requesting it."""
-        if (hold := self.holds.get(task)) is None or hold.state == LEAVING:
+        if (lease := self.leases.get(task)) is None or lease.phase == RELEASING:
             return
-        if hold.state == HOLDING:
-            self.out.append((LOST, task, hold.place, hold.term))
-        hold.leave(now + self.pace.beat)
-        self.beat_at = now
+        if lease.phase == HELD:
+            self.decisions.append((LOST, task, lease.slot, lease.term))
+        lease.release(now + self.timing.heartbeat)
+        self.next_request_at = now
 
     def on_quorum(self, now: int, quorum: Quorum) -> None:
         """New settings. A lease stays held for as long as the earlier acceptors granted it."""
         if quorum.generation > self.quorum.generation:
-            for hold in self.holds.values():
-                if hold.state == HOLDING:
-                    hold.kept = hold.until(self.quorum, self.pace) or 0
-            self.quorum, self.beat_at = quorum, now
+            for lease in self.leases.values():
+                if lease.phase == HELD:
+                    lease.carryover_until = lease.expires_at(self.quorum, self.timing) or 0
+            self.quorum, self.next_request_at = quorum, now
 
     def on_reply(self, now: int, message: LeaseReply) -> None:
         """An acceptor's answer to a request; a late or repeated one changes nothing."""
-        asked = self.sent.get(message.number)
-        if asked is None or message.acceptor not in self.quorum.everyone():
+        sent_at = self.sent_at.get(message.number)
+        if sent_at is None or message.acceptor not in self.quorum.all_acceptors():
             return
-        self.stamps[message.acceptor] = max(message.stamp, self.stamps.get(message.acceptor, 0))
-        answers = self.answers[message.number]
+        self.revisions[message.acceptor] = max(message.revision, self.revisions.get(message.acceptor, 0))
+        replies = self.replies[message.number]
         if message.code == OtherGeneration.code:
             self._other_generation(message)
-        if message.code == OtherGeneration.code or message.acceptor in answers:
+        if message.code == OtherGeneration.code or message.acceptor in replies:
             return
-        answers[message.acceptor] = message
+        replies[message.acceptor] = message
         for granted in message.granted:
-            if (hold := self.holds.get(granted.task)) is not None:
-                self._on_granted(now, hold, message.acceptor, granted.place, granted.term, asked)
+            if (lease := self.leases.get(granted.task)) is not None:
+                self._on_granted(now, lease, message.acceptor, granted.slot, granted.term, sent_at)
         for rejection in message.rejected:
-            if (hold := self.holds.get(rejection.task)) is not None:
-                hold.rejected(message.acceptor, rejection)
-        if carries(self.quorum, [acceptor for acceptor, reply in answers.items() if not reply.code]):
-            self.heard_at, self.lost_said = now, False
-            if message.number == self.number:
-                self._on_statuses(now, [reply for reply in answers.values() if not reply.code])
+            if (lease := self.leases.get(rejection.task)) is not None:
+                lease.on_rejected(message.acceptor, rejection)
+        if has_majority(self.quorum, [acceptor for acceptor, reply in replies.items() if not reply.code]):
+            self.majority_at, self.quorum_loss_reported = now, False
+            if message.number == self.request_number:
+                self._on_statuses(now, [reply for reply in replies.values() if not reply.code])
 
     # ---- what the host asks at each act ------------------------------------------------------------
 
     def may_act(self, now: int, task: str) -> int | None:
         """The term under which this member may act on the task at this moment; None if it may not."""
-        hold = self.holds.get(task)
-        if hold is None or hold.state != HOLDING:
+        lease = self.leases.get(task)
+        if lease is None or lease.phase != HELD:
             return None
-        until = hold.until(self.quorum, self.pace)
-        return hold.term if until is not None and now < until else None
+        until = lease.expires_at(self.quorum, self.timing)
+        return lease.term if until is not None and now < until else None
 
-    def holds_until(self, task: str) -> int | None:
+    def lease_expires_at(self, task: str) -> int | None:
         """When the lease of the task ends, on this member's clock; None if it holds none."""
-        hold = self.holds.get(task)
-        return hold.until(self.quorum, self.pace) if hold is not None and hold.state == HOLDING else None
+        lease = self.leases.get(task)
+        return (
+            lease.expires_at(self.quorum, self.timing) if lease is not None and lease.phase == HELD else None
+        )
 
     # ---- decisions ---------------------------------------------------------------------------------
 
     def next_decision(self, now: int) -> tuple | None:
         """The next decision to carry out, or None."""
-        if not self.out:
+        if not self.decisions:
             self._expire(now)
-            if now >= self.beat_at:
+            if now >= self.next_request_at:
                 self._request(now)
-        return self.out.popleft() if self.out else None
+        return self.decisions.popleft() if self.decisions else None
 
     def wake_at(self) -> int | None:
         """When this member has something to do without an input, in microseconds; None without tasks."""
-        ends = [until for task in self.holds if (until := self.holds_until(task)) is not None]
-        return min([self.beat_at, *ends]) if self.holds else None
+        ends = [until for task in self.leases if (until := self.lease_expires_at(task)) is not None]
+        return min([self.next_request_at, *ends]) if self.leases else None
 
     # ---- what is known becomes what is held --------------------------------------------------------
 
-    def _on_granted(self, now: int, hold: Hold, acceptor: str, place: int, term: int, asked: int) -> None:
-        if hold.state not in (TAKING, HOLDING) or (place, term) != (hold.place, hold.asked_term):
+    def _on_granted(
+        self, now: int, lease: LeaseState, acceptor: str, slot: int, term: int, sent_at: int
+    ) -> None:
+        if lease.phase not in (ACQUIRING, HELD) or (slot, term) != (lease.slot, lease.requested_term):
             return
-        hold.yes(acceptor, term, asked)
-        until = hold.until(self.quorum, self.pace, term)
-        if until is None or now >= until or term == hold.term:
+        lease.on_granted(acceptor, term, sent_at)
+        until = lease.expires_at(self.quorum, self.timing, term)
+        if until is None or now >= until or term == lease.term:
             return
-        raised, hold.term = hold.state == HOLDING, term
-        if not raised:
-            hold.state = HOLDING
-            self.out.append((HELD, hold.task, place, term))
-        self.out.append(
-            (LOG, "lease.held", {"task": hold.task, "place": place, "term": term, "raised": raised})
+        renewed, lease.term = lease.phase == HELD, term
+        if not renewed:
+            lease.phase = HELD
+            self.decisions.append((ACQUIRED, lease.task, slot, term))
+        self.decisions.append(
+            (LOG, "lease.held", {"task": lease.task, "place": slot, "term": term, "raised": renewed})
         )
 
-    def _on_statuses(self, now: int, answers: list[LeaseReply]) -> None:
+    def _on_statuses(self, now: int, replies: list[LeaseReply]) -> None:
         """A majority has answered with the status of tasks: take a ticket, or request a free place."""
         by_task: dict[str, list[TaskStatus]] = {}
-        for reply in answers:
-            for row in reply.statuses:
-                if row.task in self.holds and self.holds[row.task].fits(row):
-                    by_task.setdefault(row.task, []).append(row)
+        for reply in replies:
+            for status in reply.statuses:
+                if status.task in self.leases and self.leases[status.task].matches(status):
+                    by_task.setdefault(status.task, []).append(status)
         acquires = list[Acquire]()
-        for task, rows in by_task.items():
-            hold = self.holds.get(task)
-            if hold is None or hold.state != WAITING:
+        for task, statuses in by_task.items():
+            lease = self.leases.get(task)
+            if lease is None or lease.phase != WAITING:
                 continue
-            if not hold.ticket:
-                hold.ticket = 1 + max(row.ticket for row in rows)
-                self.beat_at = now
+            if not lease.queue_position:
+                lease.queue_position = 1 + max(status.newest_queue_position for status in statuses)
+                self.next_request_at = now
                 continue
-            free = self._free_at_majority(answers, hold) if now >= hold.from_at else []
-            if hold.choose(rows, free, now + self.pace.beat):
-                acquires.append(Acquire(task, hold.place, hold.asked_term, self.pace.length))
-            elif (soon := hold.free_in(rows)) is not None:
-                self.beat_at = min(self.beat_at, now + soon + self.pace.beat // SOON)
+            free = self._free_at_majority(replies, lease) if now >= lease.next_phase_at else []
+            if lease.choose_slot(statuses, free, now + self.timing.heartbeat):
+                acquires.append(Acquire(task, lease.slot, lease.requested_term, self.timing.lease))
+            elif (free_in := lease.next_free_in(statuses)) is not None:
+                self.next_request_at = min(
+                    self.next_request_at, now + free_in + self.timing.heartbeat // RETRY_FRACTION
+                )
         if acquires:
             self._send(now, acquires, [], [])
-            self.beat_at = min(self.beat_at, now + self.pace.beat)
+            self.next_request_at = min(self.next_request_at, now + self.timing.heartbeat)
 
     def _other_generation(self, message: LeaseReply) -> None:
-        if message.generation > self.quorum.generation and message.generation > self.told_generation:
-            self.told_generation = message.generation
+        if message.generation > self.quorum.generation and message.generation > self.reported_generation:
+            self.reported_generation = message.generation
             what = f"the acceptor is at {message.generation}, this member at {self.quorum.generation}"
-            self.out.append((LOG, "council.newer", OtherGeneration(what, message.acceptor).fields()))
+            self.decisions.append((LOG, "council.newer", OtherGeneration(what, message.acceptor).fields()))
 
-    def _free_at_majority(self, answers: list[LeaseReply], hold: Hold) -> list[int]:
+    def _free_at_majority(self, replies: list[LeaseReply], lease: LeaseState) -> list[int]:
         """The places that are free at a majority of the acceptors."""
         free = []
-        for place in range(hold.places):
+        for slot in range(lease.slots):
             acceptors = [
-                reply.acceptor for reply in answers for row in reply.statuses
-                if hold.fits(row) and not row.left[place]
-            ]  # fmt: skip
-            if carries(self.quorum, acceptors):
-                free.append(place)
+                reply.acceptor
+                for reply in replies
+                for status in reply.statuses
+                if lease.matches(status) and not status.remaining[slot]
+            ]
+            if has_majority(self.quorum, acceptors):
+                free.append(slot)
         return free
 
     def _expire(self, now: int) -> None:
-        for task, hold in list(self.holds.items()):
-            if hold.state == HOLDING:
-                until = hold.until(self.quorum, self.pace)
+        for task, lease in list(self.leases.items()):
+            if lease.phase == HELD:
+                until = lease.expires_at(self.quorum, self.timing)
                 if until is None or now >= until:
-                    self.out.append((LOST, task, hold.place, hold.term))
+                    self.decisions.append((LOST, task, lease.slot, lease.term))
                     fields = {
                         "task": task,
-                        "place": hold.place,
-                        "term": hold.term,
+                        "place": lease.slot,
+                        "term": lease.term,
                         "late": now - (until or now),
                     }
-                    self.out.append((LOG, "lease.lost", fields))
-                    hold.wait_again(now)
-                    self.beat_at = now
-            elif hold.state == TAKING and (now >= hold.from_at or hopeless(self.quorum, hold.against)):
-                hold.wait_again(now + int(self.random.uniform(1, SOON) * self.pace.beat / SOON))
-                self.beat_at = min(self.beat_at, hold.from_at)
-            elif hold.state == LEAVING and now >= hold.from_at:
-                del self.holds[task]
-        if self.holds and not self.lost_said and now - self.heard_at > LOST_AFTER * self.pace.beat:
-            self.lost_said = True
-            last = self.answers.get(self.number, {})
+                    self.decisions.append((LOG, "lease.lost", fields))
+                    lease.restart_waiting(now)
+                    self.next_request_at = now
+            elif lease.phase == ACQUIRING and (
+                now >= lease.next_phase_at or majority_impossible(self.quorum, lease.rejected_by)
+            ):
+                lease.restart_waiting(
+                    now + int(self.random.uniform(1, RETRY_FRACTION) * self.timing.heartbeat / RETRY_FRACTION)
+                )
+                self.next_request_at = min(self.next_request_at, lease.next_phase_at)
+            elif lease.phase == RELEASING and now >= lease.next_phase_at:
+                del self.leases[task]
+        if (
+            self.leases
+            and not self.quorum_loss_reported
+            and now - self.majority_at > QUORUM_LOST_AFTER * self.timing.heartbeat
+        ):
+            self.quorum_loss_reported = True
+            last = self.replies.get(self.request_number, {})
             granting = sorted(acceptor for acceptor, reply in last.items() if not reply.code)
-            error = QuorumLost(f"of {list(self.quorum.now)} only {granting} grant", self.name)
-            self.out.append((LOG, "council.lost", error.fields()))
+            error = QuorumLost(f"of {list(self.quorum.acceptors)} only {granting} grant", self.name)
+            self.decisions.append((LOG, "council.lost", error.fields()))
 
     def _request(self, now: int) -> None:
         """One request for all tasks, the same to every acceptor, however many tasks there are."""
-        heard = now - self.heard_at <= LOST_AFTER * self.pace.beat
+        has_majority_recently = now - self.majority_at <= QUORUM_LOST_AFTER * self.timing.heartbeat
         acquires, relinquishes, queries = list[Acquire](), list[Relinquish](), list[StatusQuery]()
-        for task, hold in self.holds.items():
-            if hold.state == HOLDING:
-                hold.asked_term = hold.next_term()
-                acquires.append(Acquire(task, hold.place, hold.asked_term, self.pace.length))
-            elif hold.state == WAITING:
+        for task, lease in self.leases.items():
+            if lease.phase == HELD:
+                lease.requested_term = lease.next_term()
+                acquires.append(Acquire(task, lease.slot, lease.requested_term, self.timing.lease))
+            elif lease.phase == WAITING:
                 # One that hears no majority keeps nobody from his turn.
-                queries.append(StatusQuery(task, hold.places, hold.ticket if heard else 0))
-            elif hold.state == TAKING:
-                acquires.append(Acquire(task, hold.place, hold.asked_term, self.pace.length))
-            if (given := hold.given) is not None:
-                relinquishes.append(Relinquish(task, *given))
-        self.beat_at = now + int(self.pace.beat * self.random.uniform(0.9, 1.0))
+                queries.append(
+                    StatusQuery(task, lease.slots, lease.queue_position if has_majority_recently else 0)
+                )
+            elif lease.phase == ACQUIRING:
+                acquires.append(Acquire(task, lease.slot, lease.requested_term, self.timing.lease))
+            if (slot_and_term := lease.to_relinquish) is not None:
+                relinquishes.append(Relinquish(task, *slot_and_term))
+        self.next_request_at = now + int(self.timing.heartbeat * self.random.uniform(0.9, 1.0))
         if acquires or relinquishes or queries:
             self._send(now, acquires, relinquishes, queries)
 
     def _send(
         self, now: int, acquires: list[Acquire], relinquishes: list[Relinquish], queries: list[StatusQuery]
     ) -> None:
-        self.number += 1
-        self.sent[self.number], self.answers[self.number] = now, {}
-        for old in [number for number in self.sent if number <= self.number - ROUNDS_KEPT]:
-            del self.sent[old], self.answers[old]
-        for acceptor in self.quorum.everyone():
-            stamp, generation = self.stamps.get(acceptor, 0), self.quorum.generation
-            self.out.append(
+        self.request_number += 1
+        self.sent_at[self.request_number], self.replies[self.request_number] = now, {}
+        for old in [number for number in self.sent_at if number <= self.request_number - MAX_OPEN_REQUESTS]:
+            del self.sent_at[old], self.replies[old]
+        for acceptor in self.quorum.all_acceptors():
+            revision, generation = self.revisions.get(acceptor, 0), self.quorum.generation
+            self.decisions.append(
                 (
                     SAY,
                     acceptor,
-                    LeaseRequest(self.number, self.name, generation, stamp, acquires, relinquishes, queries),
+                    LeaseRequest(
+                        self.request_number, self.name, generation, revision, acquires, relinquishes, queries
+                    ),
                 )
             )
--- a/linenbridge/fleet/leases/quorum.py
+++ b/linenbridge/fleet/leases/quorum.py
@@ -11,20 +11,22 @@
 
 
 class Quorum(NamedTuple):
-    """The acceptors by name, in order. `before` is the list of the earlier generation; it differs by one
+    """The acceptors by name, in order. `previous` is the list of the earlier generation; it differs by one
     name at most."""
 
     generation: int
-    now: tuple[str, ...]
-    before: tuple[str, ...]
+    acceptors: tuple[str, ...]
+    previous: tuple[str, ...]
 
-    def everyone(self) -> tuple[str, ...]:
+    def all_acceptors(self) -> tuple[str, ...]:
         """All acceptors of both lists, without repetitions."""
-        return self.now + tuple(acceptor for acceptor in self.before if acceptor not in self.now)
+        return self.acceptors + tuple(
+            acceptor for acceptor in self.previous if acceptor not in self.acceptors
+        )
 
-    def changes(self) -> bool:
+    def is_changing(self) -> bool:
         """Whether the quorum is changing from one list to the other."""
-        return self.now != self.before
+        return self.acceptors != self.previous
 
 
 def majority(acceptors: Collection[str]) -> int:
@@ -32,31 +34,35 @@
     return len(acceptors) // 2 + 1
 
 
-def carries(quorum: Quorum, answered: Collection[str]) -> bool:
+def has_majority(quorum: Quorum, answered: Collection[str]) -> bool:
     """Whether those that answered are a majority of both lists."""
-    parts = (quorum.now, quorum.before)
-    return all(sum(acceptor in answered for acceptor in part) >= majority(part) for part in parts)
+    lists = (quorum.acceptors, quorum.previous)
+    return all(
+        sum(acceptor in answered for acceptor in acceptors) >= majority(acceptors) for acceptors in lists
+    )
 
 
-def hopeless(quorum: Quorum, against: Collection[str]) -> bool:
+def majority_impossible(quorum: Quorum, rejected_by: Collection[str]) -> bool:
     """Whether no majority is left without those that have refused."""
-    return not carries(quorum, [acceptor for acceptor in quorum.everyone() if acceptor not in against])
+    return not has_majority(
+        quorum, [acceptor for acceptor in quorum.all_acceptors() if acceptor not in rejected_by]
+    )
 
 
-def enough_to_return(quorum: Quorum, acceptor: str, remembering: Collection[str]) -> bool:
-    """Whether every majority that this acceptor was part of has another member among `remembering`: then
+def enough_for_recovery(quorum: Quorum, acceptor: str, with_records: Collection[str]) -> bool:
+    """Whether every majority that this acceptor was part of has another member among `with_records`: then
     whatever it may have lost is among their records."""
-    others = sum(other in remembering for other in quorum.now if other != acceptor)
-    return others > len(quorum.now) - majority(quorum.now)
+    others = sum(other in with_records for other in quorum.acceptors if other != acceptor)
+    return others > len(quorum.acceptors) - majority(quorum.acceptors)
 
 
-def supported_until(quorum: Quorum, sent: dict[str, int]) -> int | None:
+def majority_sent_at(quorum: Quorum, sent_at: dict[str, int]) -> int | None:
     """The latest time such that a majority has granted a request sent then or later; None if no majority
-    has granted one. `sent` maps each acceptor to the latest such time."""
+    has granted one. `sent_at` maps each acceptor to the latest such time."""
     found = []
-    for part in (quorum.now, quorum.before):
-        times = sorted((sent[acceptor] for acceptor in part if acceptor in sent), reverse=True)
-        if len(times) < majority(part):
+    for acceptors in (quorum.acceptors, quorum.previous):
+        times = sorted((sent_at[acceptor] for acceptor in acceptors if acceptor in sent_at), reverse=True)
+        if len(times) < majority(acceptors):
             return None
-        found.append(times[majority(part) - 1])
+        found.append(times[majority(acceptors) - 1])
     return min(found)
--- a/linenbridge/fleet/leases/timing.py
+++ b/linenbridge/fleet/leases/timing.py
@@ -8,35 +8,36 @@
 
 from typing import NamedTuple
 
-PARTS = 1_000_000  # `apart` is in millionths
+PPM = 1_000_000  # clock drift is in millionths
 
 
-class Pace(NamedTuple):
-    """The durations in the settings, in microseconds. `apart` bounds the drift between two clocks, in
+class LeaseTiming(NamedTuple):
+    """The durations in the settings, in microseconds. `clock_drift_ppm`
+    bounds the drift between two clocks, in
     millionths."""
 
-    length: int  # of a lease, on the acceptor's clock, from its accepting
-    longest: int  # what no member's settings may exceed
-    apart: int
-    beat: int  # between two rounds of asking
+    lease: int  # of a lease, on the acceptor's clock, from its accepting
+    max_lease: int  # what no member's settings may exceed
+    clock_drift_ppm: int
+    heartbeat: int  # between two rounds of asking
 
 
-def acts_until(pace: Pace, asked: int) -> int:
+def lease_expiry(timing: LeaseTiming, sent_at: int) -> int:
     """When a lease ends on the holder's clock, counted from when the request was sent, with the drift
     taken off."""
-    return asked + pace.length - -(-pace.length * pace.apart // PARTS)
+    return sent_at + timing.lease - -(-timing.lease * timing.clock_drift_ppm // PPM)
 
 
-def stands_aside(pace: Pace) -> int:
+def restart_wait(timing: LeaseTiming) -> int:
     """How long an acceptor that may have lost records waits: the longest lease plus the drift."""
-    return pace.longest + -(-pace.longest * pace.apart // PARTS)
+    return timing.max_lease + -(-timing.max_lease * timing.clock_drift_ppm // PPM)
 
 
-def heard_left(pace: Pace, left: int) -> int:
+def remaining_with_drift(timing: LeaseTiming, remaining: int) -> int:
     """The time left of a lease by another acceptor's word, plus the drift of this one's clock."""
-    return left + -(-left * pace.apart // PARTS)
+    return remaining + -(-remaining * timing.clock_drift_ppm // PPM)
 
 
-def patience(pace: Pace) -> int:
+def queue_timeout(timing: LeaseTiming) -> int:
     """How long a waiting member keeps its position without sending a request."""
-    return 3 * pace.beat
+    return 3 * timing.heartbeat
--- a/tests/compatibility/leases/test_messages.py
+++ b/tests/compatibility/leases/test_messages.py
@@ -13,7 +13,7 @@
     LeaseReply,
     LeaseRequest,
     Message,
-    PlaceRecord,
+    SlotRecord,
     RecoveryReply,
     RecoveryRequest,
     Rejected,
@@ -30,34 +30,39 @@
         number=70_000,
         proposer="g1#5f3a",
         generation=3,
-        stamp=4_294_967_296,
+        revision=4_294_967_296,
         acquires=[
-            Acquire(task="sweep", place=1, term=12, length=10_000_000),
-            Acquire(task="räume", place=0, term=2, length=1),
+            Acquire(task="sweep", slot=1, term=12, duration=10_000_000),
+            Acquire(task="räume", slot=0, term=2, duration=1),
         ],
-        relinquishes=[Relinquish(task="sweep", place=0, term=11)],
+        relinquishes=[Relinquish(task="sweep", slot=0, term=11)],
         queries=[
-            StatusQuery(task="index", places=64, ticket=0),
-            StatusQuery(task="sweep", places=2, ticket=9),
+            StatusQuery(task="index", slots=64, queue_position=0),
+            StatusQuery(task="sweep", slots=2, queue_position=9),
         ],
     ),
     "empty request": LeaseRequest(
-        number=1, proposer="g1#1", generation=1, stamp=0, acquires=[], relinquishes=[], queries=[]
+        number=1, proposer="g1#1", generation=1, revision=0, acquires=[], relinquishes=[], queries=[]
     ),
     "reply": LeaseReply(
         number=70_000,
         acceptor="g2",
         generation=3,
-        stamp=129,
+        revision=129,
         code="",
-        granted=[Granted(task="sweep", place=1, term=12)],
+        granted=[Granted(task="sweep", slot=1, term=12)],
         rejected=[
-            Rejected(task="räume", place=0, term=2, code="held", newest=7),
-            Rejected(task="index", place=3, term=1, code="older", newest=2**40),
+            Rejected(task="räume", slot=0, term=2, code="held", newest_term=7),
+            Rejected(task="index", slot=3, term=1, code="older", newest_term=2**40),
         ],
         statuses=[
             TaskStatus(
-                task="index", ticket=8, position=2, terms=[0, 4], left=[0, 9_999_999], holders=["", "g3#1"]
+                task="index",
+                newest_queue_position=8,
+                members_ahead=2,
+                terms=[0, 4],
+                remaining=[0, 9_999_999],
+                holders=["", "g3#1"],
             )
         ],
     ),
@@ -65,7 +70,7 @@
         number=2,
         acceptor="g2",
         generation=4,
-        stamp=0,
+        revision=0,
         code="generation",
         granted=[],
         rejected=[],
@@ -75,29 +80,31 @@
     "recovery reply": RecoveryReply(
         number=2**52 - 1,
         acceptor="g2",
-        own=17,
-        blank=2**51,
+        recovery=17,
+        founding_recovery=2**51,
         generation=4,
-        settled=3,
-        remembers=True,
-        stamp=130,
-        places=[
-            PlaceRecord(task="sweep", place=1, term=12, holder="g1#5f3a", closed=11, left=9_000_000),
-            PlaceRecord(task="sweep", place=2, term=0, holder="", closed=5, left=0),
+        confirmed_generation=3,
+        has_records=True,
+        revision=130,
+        records=[
+            SlotRecord(
+                task="sweep", slot=1, term=12, holder="g1#5f3a", relinquished_term=11, remaining=9_000_000
+            ),
+            SlotRecord(task="sweep", slot=2, term=0, holder="", relinquished_term=5, remaining=0),
         ],
-        tickets={"index": 8, "sweep": 9},
+        newest_queue_positions={"index": 8, "sweep": 9},
     ),
     "empty recovery reply": RecoveryReply(
         number=1,
         acceptor="g3",
-        own=2,
-        blank=0,
+        recovery=2,
+        founding_recovery=0,
         generation=1,
-        settled=0,
-        remembers=False,
-        stamp=0,
-        places=[],
-        tickets={},
+        confirmed_generation=0,
+        has_records=False,
+        revision=0,
+        records=[],
+        newest_queue_positions={},
     ),
 }
 
--- a/tests/fleet/explore/leases.py
+++ b/tests/fleet/explore/leases.py
@@ -11,20 +11,20 @@
 
 from dataclasses import dataclass
 
-from linenbridge.fleet.leases.acceptor import Acceptor, Kept
+from linenbridge.fleet.leases.acceptor import Acceptor, StoredState
 from linenbridge.fleet.leases.messages import (
     LeaseReply,
     LeaseRequest,
-    PlaceRecord,
+    SlotRecord,
     RecoveryReply,
     RecoveryRequest,
 )
 from linenbridge.fleet.leases.proposer import Proposer
 from linenbridge.fleet.leases.quorum import Quorum
-from linenbridge.fleet.leases.timing import Pace
+from linenbridge.fleet.leases.timing import LeaseTiming
 
 FAST, SLOW = 5, 4  # units of a process's clock in one tick of true time: a fifth apart, as the pace says
-PACE = Pace(length=40, longest=40, apart=200_000, beat=10)
+TIMING = LeaseTiming(lease=40, max_lease=40, clock_drift_ppm=200_000, heartbeat=10)
 LATE, STOPPED, BEHIND = (1, 4, 10), (3, 12), 4
 THREE = ("a", "b", "c")
 
@@ -59,13 +59,15 @@
     def __init__(self, scenario: Scenario) -> None:
         self.scenario, self.left, self.tick, self.lives = scenario, scenario.deviations, 0, 1
         first = scenario.quorums[0]
-        self.rates = {name: FAST for name in first.everyone()} | {name: SLOW for name in scenario.proposers}
+        self.rates = {name: FAST for name in first.all_acceptors()} | {
+            name: SLOW for name in scenario.proposers
+        }
         self.rates |= dict(scenario.rates)
         self.now_of = dict.fromkeys(self.rates, 1_000)
-        self.disks: dict[str, list[Kept]] = {}
+        self.disks: dict[str, list[StoredState]] = {}
         self.cores: dict[str, Acceptor | Proposer] = {}
-        for name in first.everyone():
-            kept = Kept(True, first.generation, 0, PACE.longest, ())
+        for name in first.all_acceptors():
+            kept = StoredState(True, first.generation, 0, TIMING.max_lease, ())
             self.disks[name] = [kept]
             self.cores[name] = self._acceptor(name, first, kept, trusted=True)
         for n, name in enumerate(scenario.proposers):
@@ -81,17 +83,17 @@
             self._pump(name)
         self._run()
 
-    def _acceptor(self, name: str, quorum: Quorum, kept: Kept, trusted: bool) -> Acceptor:
+    def _acceptor(self, name: str, quorum: Quorum, kept: StoredState, trusted: bool) -> Acceptor:
         self.lives += 1_000
         return self.scenario.acceptor_kind(
-            name, quorum, PACE, kept, self.now_of.get(name, 1_000), trusted=trusted, life=self.lives
+            name, quorum, TIMING, kept, self.now_of.get(name, 1_000), trusted=trusted, incarnation=self.lives
         )
 
     def _proposer(self, name: str, quorum: Quorum, most: bool) -> Proposer:
         self.lives += 1_000
-        proposer = self.scenario.proposer_kind(f"{name}#{self.lives}", quorum, PACE, 0, self.now_of[name])
+        proposer = self.scenario.proposer_kind(f"{name}#{self.lives}", quorum, TIMING, 0, self.now_of[name])
         proposer.random = Even(most)
-        proposer.stand_for(self.now_of[name], "task", self.scenario.places)
+        proposer.request_lease(self.now_of[name], "task", self.scenario.places)
         return proposer
 
     # ---- what the search asks ----------------------------------------------------------------------
@@ -120,8 +122,10 @@
         if "stopped" in faults:
             found += [
                 f"stopped {n} {name} at {self.tick}"
-                for name in (*acceptors, *proposers) if name not in self.stopped for n in STOPPED
-            ]  # fmt: skip
+                for name in (*acceptors, *proposers)
+                if name not in self.stopped
+                for n in STOPPED
+            ]
         if "cut" in faults:
             kinds = [
                 (kind, name) for name in (*acceptors, *proposers) for kind in ("cut", "deaf", "mute", "slow")
@@ -160,7 +164,7 @@
         elif kind == "quorum":
             self._quorum(words[0])
         elif kind == "leave":
-            self.cores[words[0]].leave(self.now_of[words[0]], "task")
+            self.cores[words[0]].release_lease(self.now_of[words[0]], "task")
             self._pump(words[0])
         elif kind == "anew":
             proposer = self.cores[words[0]]
@@ -185,7 +189,7 @@
 
     def _restart(self, name: str, kind: str) -> None:
         history = self.disks[name]
-        kept = {"kept": history[-1], "blank": Kept(), "older": history[0]}[kind]
+        kept = {"kept": history[-1], "blank": StoredState(), "older": history[0]}[kind]
         if kind != "kept":
             history[:] = [kept]
         self.cores[name] = self._acceptor(name, self.cores[name].quorum, kept, trusted=False)
@@ -194,12 +198,12 @@
     def _quorum(self, name: str) -> None:
         self.at_quorum[name] += 1
         quorum = self.scenario.quorums[self.at_quorum[name]]
-        for acceptor in quorum.everyone():
+        for acceptor in quorum.all_acceptors():
             if acceptor not in self.cores:
                 self.rates.setdefault(acceptor, FAST)
                 self.now_of[acceptor] = 1_000
-                self.disks[acceptor] = [Kept()]
-                self.cores[acceptor] = self._acceptor(acceptor, quorum, Kept(), trusted=False)
+                self.disks[acceptor] = [StoredState()]
+                self.cores[acceptor] = self._acceptor(acceptor, quorum, StoredState(), trusted=False)
                 self.at_quorum[acceptor] = self.at_quorum[name]
                 self._pump(acceptor)
         self.cores[name].on_quorum(self.now_of[name], quorum)
@@ -260,16 +264,19 @@
 
     def _keep(self, name: str, acceptor: Acceptor, rows: list[tuple]) -> None:
         before = self.disks[name][-1]
-        places = {(place.task, place.place): place for place in before.places}
+        places = {(place.task, place.slot): place for place in before.records}
         for task, place, term, holder, closed in rows:
-            places[task, place] = PlaceRecord(task, place, term, holder, closed, 0)
+            places[task, place] = SlotRecord(task, place, term, holder, closed, 0)
         facts = acceptor.facts()
         self.disks[name].append(
-            Kept(
-                bool(facts["remembers"]), facts["settled"], facts["stamp"], facts["longest"],
+            StoredState(
+                bool(facts["remembers"]),
+                facts["settled"],
+                facts["stamp"],
+                facts["longest"],
                 tuple(places[key] for key in sorted(places)),
             )
-        )  # fmt: skip
+        )
         del self.disks[name][1:-1]
 
     def _check(self) -> None:
@@ -279,7 +286,7 @@
             if isinstance(core, Proposer) and name not in self.stopped:
                 term = core.may_act(self.now_of[name], "task")
                 if term is not None:
-                    acting.append((name, core.holds["task"].place, term))
+                    acting.append((name, core.leases["task"].slot, term))
         by_place: dict[int, list[tuple[str, int]]] = {}
         for name, place, term in acting:
             by_place.setdefault(place, []).append((name, term))
--- a/tests/fleet/explore/mutants.py
+++ b/tests/fleet/explore/mutants.py
@@ -17,8 +17,8 @@
     """The holder counts its lease from when an acceptor answered, not from when it asked."""
     granted = proposer.Proposer._on_granted
 
-    def late(self, now, held, name, place, term, asked):
-        return granted(self, now, held, name, place, term, now)
+    def late(self, now, lease, acceptor, slot, term, sent_at):
+        return granted(self, now, lease, acceptor, slot, term, now)
 
     with patch.object(proposer.Proposer, "_on_granted", late):
         yield
@@ -27,7 +27,7 @@
 @contextmanager
 def forgets_the_clocks() -> Iterator[None]:
     """The holder trusts its clock to run as fast as the acceptors'."""
-    with patch.object(lease_state, "acts_until", lambda pace, asked: asked + pace.length):
+    with patch.object(lease_state, "lease_expiry", lambda timing, sent_at: sent_at + timing.lease):
         yield
 
 
@@ -36,8 +36,8 @@
     """The holder takes it that it still holds what it held."""
 
     def may_act(self, now, task):
-        held = self.holds.get(task)
-        return held.term if held is not None and held.state == lease_state.HOLDING else None
+        held = self.leases.get(task)
+        return held.term if held is not None and held.phase == lease_state.HELD else None
 
     with patch.object(proposer.Proposer, "may_act", may_act):
         yield
@@ -53,35 +53,38 @@
 @contextmanager
 def grants_what_is_held() -> Iterator[None]:
     """The acceptor does not keep a place for its holder."""
-    with patch.object(granted_leases.Guards, "left", lambda self, key, now: 0):
+    with patch.object(granted_leases.GrantedLeases, "remaining", lambda self, key, now: 0):
         yield
 
 
 @contextmanager
 def grants_any_term() -> Iterator[None]:
     """The acceptor grants terms that are not newer than what it knows."""
-    plain = acceptor.Acceptor._refusal
+    plain = acceptor.Acceptor._rejection
 
     def lax(self, now, name, take):
         found = plain(self, now, name, take)
         return None if found is errors.OlderTerm else found
 
-    choose = lease_state.Hold.choose
+    choose = lease_state.LeaseState.choose_slot
 
-    def first(self, rows, free, give_up):
-        found = choose(self, rows, free, give_up)
+    def first(self, statuses, free, abandon_at):
+        found = choose(self, statuses, free, abandon_at)
         if found:
-            self.asked_term = 1
+            self.requested_term = 1
         return found
 
-    with patch.object(acceptor.Acceptor, "_refusal", lax), patch.object(lease_state.Hold, "choose", first):
+    with (
+        patch.object(acceptor.Acceptor, "_rejection", lax),
+        patch.object(lease_state.LeaseState, "choose_slot", first),
+    ):
         yield
 
 
 @contextmanager
 def does_not_stand_aside() -> Iterator[None]:
     """An acceptor that starts anew does not let the longest lease run out."""
-    with patch.object(recovery, "stands_aside", lambda pace: 0):
+    with patch.object(recovery, "restart_wait", lambda timing: 0):
         yield
 
 
@@ -89,8 +92,8 @@
 def returns_alone() -> Iterator[None]:
     """An acceptor that starts anew hears nobody, and grants at once."""
     with (
-        patch.object(recovery, "stands_aside", lambda pace: 0),
-        patch.object(recovery.Returning, "_grounds", lambda self: "recalled"),
+        patch.object(recovery, "restart_wait", lambda timing: 0),
+        patch.object(recovery.Recovery, "_grounds", lambda self: "recalled"),
     ):
         yield
 
@@ -98,7 +101,7 @@
 @contextmanager
 def learns_no_terms() -> Iterator[None]:
     """An acceptor that comes back takes in nothing of what the others remember."""
-    with patch.object(granted_leases.Guards, "merge", lambda self, place, until: False):
+    with patch.object(granted_leases.GrantedLeases, "merge", lambda self, record, expires_at: False):
         yield
 
 
@@ -106,10 +109,10 @@
 def moves_without_settling() -> Iterator[None]:
     """An acceptor grants under a new quorum at once, without hearing the old one."""
 
-    def moves(self, now, quorum):
-        self.quorum, self.settled = quorum, quorum.generation
+    def on_quorum(self, now, quorum):
+        self.quorum, self.confirmed_generation = quorum, quorum.generation
 
-    with patch.object(recovery.Returning, "moves", moves):
+    with patch.object(recovery.Recovery, "on_quorum", on_quorum):
         yield
 
 
@@ -117,18 +120,26 @@
 def answers_any_generation() -> Iterator[None]:
     """An acceptor grants to proposers that count by another quorum."""
 
-    def aside(self, word):
-        return errors.AcceptorAside.code if self.broken or not self.returning.done else ""
+    def rejection_code(self, message):
+        return errors.AcceptorAside.code if self.store_error or not self.recovery.done else ""
 
-    with patch.object(acceptor.Acceptor, "_aside", aside):
+    with patch.object(acceptor.Acceptor, "_rejection_code", rejection_code):
         yield
 
 
 MUTANTS = {
     mutant.__name__: mutant
     for mutant in (
-        counts_from_the_answer, forgets_the_clocks, acts_without_a_look_at_the_clock, half_is_enough,
-        grants_what_is_held, grants_any_term, does_not_stand_aside, returns_alone, learns_no_terms,
-        moves_without_settling, answers_any_generation,
+        counts_from_the_answer,
+        forgets_the_clocks,
+        acts_without_a_look_at_the_clock,
+        half_is_enough,
+        grants_what_is_held,
+        grants_any_term,
+        does_not_stand_aside,
+        returns_alone,
+        learns_no_terms,
+        moves_without_settling,
+        answers_any_generation,
     )
-}  # fmt: skip
+}
--- a/tests/fleet/explore/schedules.py
+++ b/tests/fleet/explore/schedules.py
@@ -38,23 +38,31 @@
 # x holds by c, d and e of five; a and b are told of the quorum of two that comes three changes later.
 QUORUM_SKIPS = (
     Scenario(
-        ticks=12, faults=(*Scenario.faults, "quorum"),
+        ticks=12,
+        faults=(*Scenario.faults, "quorum"),
         quorums=(Quorum(1, FIVE, FIVE), Quorum(4, ("a", "b"), THREE)),
     ),
     [*["lost LeaseRequest x>a", "lost LeaseRequest x>b"] * 3, "quorum a", "quorum b", "quorum y"],
-)  # fmt: skip
+)
 # The acceptors have gone from three to six, one by one; x still counts by the three.
 OLD_COUNT = (
     Scenario(ticks=70, faults=(*Scenario.faults, "part", "mend", "quorum"), quorums=GROWS),
     [
-        "cut x at 0", "cut y at 0",
+        "cut x at 0",
+        "cut y at 0",
         *[f"quorum {acceptor} at 1" for acceptor in "abc"],
         *[f"quorum {acceptor} at 16" for acceptor in "abcd"],
         *[f"quorum {acceptor} at 30" for acceptor in "abcde"],
-        "quorum y", "quorum y", "quorum y",
-        "part x c at 46", "part y a at 46", "part y b at 46", "mend x at 46", "mend y at 46",
+        "quorum y",
+        "quorum y",
+        "quorum y",
+        "part x c at 46",
+        "part y a at 46",
+        "part y b at 46",
+        "mend x at 46",
+        "mend y at 46",
     ],
-)  # fmt: skip
+)
 # x hears late, then is heard no more: its last yes is old by then.
 HEARS_LATE = (
     Scenario(ticks=30, faults=(*Scenario.faults, "part")),
--- a/tests/fleet/sim/world.py
+++ b/tests/fleet/sim/world.py
@@ -11,17 +11,17 @@
 from random import Random
 from typing import NamedTuple
 
-from linenbridge.fleet.leases.acceptor import Acceptor, Kept
+from linenbridge.fleet.leases.acceptor import Acceptor, StoredState
 from linenbridge.fleet.leases.messages import (
     LeaseReply,
     LeaseRequest,
-    PlaceRecord,
+    SlotRecord,
     RecoveryReply,
     RecoveryRequest,
 )
 from linenbridge.fleet.leases.proposer import Proposer
 from linenbridge.fleet.leases.quorum import Quorum
-from linenbridge.fleet.leases.timing import Pace
+from linenbridge.fleet.leases.timing import LeaseTiming
 from tests.fleet.procs.standin_resource import Act
 
 MS, SECOND = 1_000, 1_000_000
@@ -37,7 +37,7 @@
     seconds: int = 40
     faults: int = 12
     apart: float = 0.01
-    pace: Pace = Pace(4 * SECOND, 4 * SECOND, 10_100, 800 * MS)
+    timing: LeaseTiming = LeaseTiming(4 * SECOND, 4 * SECOND, 10_100, 800 * MS)
 
 
 class Fleet:
@@ -49,7 +49,7 @@
         half = shape.apart / 2
         self.rates = {name: self.dice.uniform(1 - half, 1 + half) for name in self.names}
         self.lives, self.cores, self.wakes = 0, dict[str, Proposer | Acceptor](), dict[str, int]()
-        self.disks = {acceptor: Kept() for acceptor in self.acceptors}
+        self.disks = {acceptor: StoredState() for acceptor in self.acceptors}
         self.down, self.cut = set[str](), dict[str, str]()
         self.queue: list[tuple[int, int, tuple]] = []
         self.acts, self.newest, self.calls = list[Act](), dict[tuple[str, int], int](), Counter()
@@ -102,13 +102,13 @@
     def _start(self, name: str) -> None:
         self.lives += 1
         self.down.discard(name)
-        now, pace = self.clock(name), self.shape.pace
-        proposer = self.cores[name] = Proposer(f"{name}#{self.lives}", self.quorum, pace, self.lives, now)
+        now, timing = self.clock(name), self.shape.timing
+        proposer = self.cores[name] = Proposer(f"{name}#{self.lives}", self.quorum, timing, self.lives, now)
         for task in range(self.shape.tasks):
-            proposer.stand_for(now, f"task-{task}")
+            proposer.request_lease(now, f"task-{task}")
         if name in self.acceptors:
             self.cores[f"acceptor {name}"] = Acceptor(
-                name, self.quorum, pace, self.disks[name], now, life=self.lives << 20
+                name, self.quorum, timing, self.disks[name], now, incarnation=self.lives << 20
             )
             self._pump(f"acceptor {name}")
         self._pump(name)
@@ -134,12 +134,12 @@
                 self._at(at, ("wake", core_name))
 
     def _keep(self, name: str, acceptor: Acceptor, rows: list[tuple]) -> None:
-        places = {(place.task, place.place): place for place in self.disks[name].places}
+        places = {(place.task, place.slot): place for place in self.disks[name].records}
         for task, place, term, holder, closed in rows:
-            places[task, place] = PlaceRecord(task, place, term, holder, closed, 0)
+            places[task, place] = SlotRecord(task, place, term, holder, closed, 0)
         facts = acceptor.facts()
         known = tuple(places[key] for key in sorted(places))
-        self.disks[name] = Kept(
+        self.disks[name] = StoredState(
             bool(facts["remembers"]), facts["settled"], facts["stamp"], facts["longest"], known
         )
 
@@ -192,14 +192,14 @@
         elif kind == "leave":
             proposer = self.cores.get(name)
             if proposer is not None and name not in self.down:
-                for task in list(proposer.holds):
-                    proposer.leave(self.clock(name), task)
+                for task in list(proposer.leases):
+                    proposer.release_lease(self.clock(name), task)
                 self._pump(name)
         else:
             # No two acceptors forget within what one needs to come back: that is past the quorum's bound.
             blank = kind == "blank" and self.now >= self.gone
             if blank:
-                self.gone, self.disks[name] = self.now + 15 * SECOND, Kept()
+                self.gone, self.disks[name] = self.now + 15 * SECOND, StoredState()
             self.cores.pop(name, None)
             self.cores.pop(f"acceptor {name}", None)
             self._at(self.now + self.dice.randrange(3 * SECOND), ("up", name))
@@ -212,10 +212,10 @@
             return
         if name not in self.down:
             now = self.clock(name)
-            for task, hold in proposer.holds.items():
+            for task, lease in proposer.leases.items():
                 term = proposer.may_act(now, task)
                 if term is not None:
-                    key = (task, hold.place)
+                    key = (task, lease.slot)
                     taken = term >= self.newest.get(key, 0)
                     self.newest[key] = max(term, self.newest.get(key, 0))
                     self.acts.append(Act(self.now / SECOND, *key, term, life, taken))
--- a/tests/fleet/test_configuration.py
+++ b/tests/fleet/test_configuration.py
@@ -25,7 +25,7 @@
 
 def test_a_plain_element_gets_the_schemas_defaults():
     found = fleet(parse(told(), "x.xml"))
-    assert found.pace == (10_000_000, 10_000_000, 10_000, 2_000_000) and found.is_acceptor()
+    assert found.timing == (10_000_000, 10_000_000, 10_000, 2_000_000) and found.is_acceptor()
     assert found.quorum == Quorum(1, ("g1", "g2", "g3"), ("g1", "g2", "g3"))
     assert found.members["g4"] == ("127.0.0.1", 7104) and not found.errands
 
--- a/tests/fleet/test_errors.py
+++ b/tests/fleet/test_errors.py
@@ -10,7 +10,7 @@
 
 import linenbridge.distribution
 import linenbridge.fleet
-from linenbridge.errors import FleetError, Refusal, kinds
+from linenbridge.errors import FleetError, Rejection, kinds
 from linenbridge.fleet.leases.errors import QuorumLost
 
 DOCS = Path(__file__).parents[2] / "docs"
@@ -21,7 +21,7 @@
 for package in (linenbridge.fleet, linenbridge.distribution):
     for module in pkgutil.walk_packages(package.__path__, f"{package.__name__}."):
         importlib.import_module(module.name)
-BASES = {"Refusal", "LeaseError", "PlaceError"}
+BASES = {"Rejection", "LeaseError", "PlaceError"}
 
 
 @pytest.mark.parametrize(
@@ -35,7 +35,7 @@
 
 
 def test_each_refusal_has_a_code_of_its_own():
-    codes = [kind.code for kind in kinds(Refusal)]
+    codes = [kind.code for kind in kinds(Rejection)]
     assert len(codes) > 4 and len(set(codes)) == len(codes) and all(codes)
 
 
--- a/tests/scale/measure/leases.py
+++ b/tests/scale/measure/leases.py
@@ -102,7 +102,7 @@
         "time": fleet.nanoseconds / 1000 / counted,
         "in": fleet.bytes_in / counted,
         "out": fleet.bytes_out / counted,
-        "held": deep_bytes((acceptor.guards, acceptor.queues, acceptor.heard)),
+        "held": deep_bytes((acceptor.granted_leases, acceptor.queues, acceptor.revisions)),
         "member": fleet.member_nanoseconds / 1000 / counted,
     }
 
