--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -20,6 +20,15 @@
 from linenbridge.fleet.hosting.freezes import Freezes
 from linenbridge.peering.connections import Links, later
 from linenbridge.fleet.leases.acceptor import Acceptor
+from linenbridge.fleet.leases.decisions import (
+    AcceptorDecision,
+    LeaseAcquired,
+    LeaseLost,
+    LogEvent,
+    Persist,
+    ProposerDecision,
+    Send,
+)
 from linenbridge.fleet.leases.messages import LeaseReply, LeaseRequest, RecoveryReply, RecoveryRequest
 from linenbridge.fleet.leases.proposer import Proposer
 from linenbridge.fleet.store.acceptor_records import open_records
@@ -64,18 +73,25 @@
         nothing."""
         told, broken, kept = self.told, "", None
         try:
-            self.disk = open_records(told.store, told.member)
+            self.disk = open_records(told.store)
             kept = self.disk.read()
         except FleetError as error:
             broken = str(error)
             self.log.event("store.failed", **error.fields())
-            kept = open_records("", told.member).read()
+            kept = open_records("").read()
         number = Random(life).getrandbits(52)
         self.acceptor = Acceptor(
-            told.member, told.quorum, told.timing, kept, now, told.first_term, told.trusted, number
+            told.member,
+            told.quorum,
+            told.timing,
+            kept,
+            now,
+            first_term=told.first_term,
+            trusted=told.trusted,
+            incarnation=number,
         )
         if broken:
-            self.acceptor.on_store_failed(now, broken)
+            self.acceptor.on_store_failed(broken)
         self.pool = ThreadPool(1, 1, "promises")
         self.pool.start()
 
@@ -100,7 +116,7 @@
             if message.acceptor == far:
                 acceptor.on_recovery_request(now, message)
         elif acceptor is not None and isinstance(message, RecoveryReply) and message.acceptor == far:
-            acceptor.on_revision(now, far, message.revision)
+            acceptor.on_revision(far, message.revision)
             acceptor.on_recovery_reply(now, message)
         self.turn()
 
@@ -131,27 +147,35 @@
         if at is not None:
             self.timer = self.reactor.callLater(max(0.001, (at - now) / 1e6), self.turn)
 
-    def _carry_out(self, decision: tuple) -> None:
-        kind = decision[0]
-        if kind == "say":
-            self._say(decision[1], decision[2])
-        elif kind == "keep":
-            self._keep(decision[1], decision[2], decision[3])
-        elif kind == "log":
-            self.log.event(decision[1], **decision[2])
-        else:
-            _, task, place, term = decision
-            self.log.event(f"task.{kind}", task=task, place=place, term=term)
-            later(self.reactor, self.tasks_changed, task)
-            if kind == "held" and task == RESTARTS and self.leaving is not None:
-                self._go()
-
-    def _keep(self, rows: list[tuple], to: str, message: Any) -> None:
-        done = deferToThreadPool(self.reactor, self.pool, self.disk.write, rows, self.acceptor.facts())
-        done.addCallbacks(lambda _: message is not None and self._say(to, message), self._not_kept)
+    def _carry_out(self, decision: ProposerDecision | AcceptorDecision) -> None:
+        match decision:
+            case Send(to, message):
+                self._say(to, message)
+            case Persist():
+                self._persist(decision)
+            case LogEvent(name, fields):
+                self.log.event(name, **fields)
+            case LeaseAcquired(task, slot, term):
+                self.log.event("task.held", task=task, place=slot, term=term)
+                later(self.reactor, self.tasks_changed, task)
+                if task == RESTARTS and self.leaving is not None:
+                    self._go()
+            case LeaseLost(task, slot, term):
+                self.log.event("task.lost", task=task, place=slot, term=term)
+                later(self.reactor, self.tasks_changed, task)
+
+    def _persist(self, decision: Persist) -> None:
+        """Write to the store, then send the message that waits for it."""
+        records = decision.records
+        done = deferToThreadPool(self.reactor, self.pool, self.disk.write, records, self.acceptor.facts())
+        done.addCallbacks(self._persisted, self._not_kept, callbackArgs=(decision.then,))
+
+    def _persisted(self, _: None, then: Send | None) -> None:
+        if then is not None:
+            self._say(then.to, then.message)
 
     def _not_kept(self, failure: Any) -> None:
-        self.acceptor.on_store_failed(clock.now(), failure.getErrorMessage())
+        self.acceptor.on_store_failed(failure.getErrorMessage())
         self.turn()
 
     # ---- what others ask ---------------------------------------------------------------------------
--- a/linenbridge/fleet/leases/__init__.py
+++ b/linenbridge/fleet/leases/__init__.py
@@ -1,6 +1,8 @@
-"""Leases: each task has a number of places, and each place is held by one member at a time.
+"""Leases: each task has a number of slots, and each slot is held by one member at a time.
 
-`acceptor` grants leases, `proposer` requests and holds them, `returning` decides when an acceptor may
-grant again after a restart or a change of the quorum, `quorum` counts majorities, `messages` holds the
-message types. These modules do no I/O; they are run by `linenbridge.fleet.hosting`.
+`acceptor` grants leases, with `granted_leases` and `queues` as its tables; `proposer` requests and holds
+them, one `lease_state` a task; `recovery` decides when an acceptor may grant again after a restart or a
+change of the quorum; `quorum` counts majorities; `messages` holds the types on the wire, `decisions` those
+for the host, and `stored_state` those in the store. These modules do no I/O; `linenbridge.fleet.hosting` runs
+them.
 """
--- a/linenbridge/fleet/leases/errors.py
+++ b/linenbridge/fleet/leases/errors.py
@@ -1,6 +1,6 @@
-"""Errors of leases, and the reasons for which acceptors refuse a request.
+"""Errors of leases, and the reasons for which acceptors reject a request.
 
-Types only. It must never decide when one of them applies.
+Types only; the cores decide when one of them applies.
 """
 
 from __future__ import annotations
@@ -13,14 +13,14 @@
 
 
 class HeldByAnother(Rejection):
-    """The place is leased to another member."""
+    """The slot is leased to another member."""
 
     code = "held"
     advice = "nothing to do: the place is free again when its holder leaves or its lease runs out"
 
 
 class BehindOthers(Rejection):
-    """Members with lower tickets wait for the task."""
+    """Members with lower positions in the queue wait for the task."""
 
     code = "behind"
     advice = "nothing to do: members that asked earlier come first"
@@ -34,7 +34,7 @@
 
 
 class LeaseTooLong(Rejection):
-    """The requested length is above the acceptor's `longest`."""
+    """The requested duration is above the acceptor's `longest`."""
 
     code = "too-long"
     advice = "set the same `lease` in the settings of all members"
@@ -58,7 +58,7 @@
 
 
 class QuorumLost(LeaseError):
-    """No majority of the acceptors answers: nothing is granted."""
+    """No majority of the acceptors replies: nothing is granted."""
 
     formerly = "CouncilLost"
     advice = (
--- a/linenbridge/fleet/leases/granted_leases.py
+++ b/linenbridge/fleet/leases/granted_leases.py
@@ -1,74 +1,118 @@
-"""What one acceptor has granted: for each place the newest term, its holder, and when the lease ends.
+"""What one acceptor has granted: for each slot the newest term, its holder, and when the lease ends.
 
-Keeps state without I/O. It must never forget a term, nor shorten a lease unless its holder gives it back.
+Keeps state without I/O. A term is never forgotten, and a lease is never shortened unless its holder gives it
+back.
 """
 
 from __future__ import annotations
 
+from collections.abc import Iterable
+from dataclasses import dataclass
+from typing import NamedTuple
+
 from linenbridge.fleet.leases.messages import SlotRecord
 
-SlotKey = tuple[str, int]  # task and place
+
+class SlotKey(NamedTuple):
+    """One slot of a task."""
+
+    task: str
+    slot: int
+
+
+@dataclass(slots=True)
+class GrantedLease:
+    """What an acceptor knows of one slot; `expires_at` is in microseconds of the acceptor's clock."""
+
+    term: int = 0
+    holder: str = ""
+    relinquished_term: int = 0
+    expires_at: int = 0
+
+    def newest_term(self) -> int:
+        """Return the newest term that is known of the slot, 0 if none."""
+        return max(self.term, self.relinquished_term)
+
+    def is_open(self) -> bool:
+        """Return whether the newest term was granted and not given back; its lease may have expired."""
+        return self.term > self.relinquished_term
+
+
+UNKNOWN_SLOT = GrantedLease()  # read only
 
 
 class GrantedLeases:
-    """Parallel tables by (task, place). Times are microseconds of this acceptor's clock."""
+    """The leases by slot."""
 
     def __init__(self) -> None:
-        self.terms: dict[SlotKey, int] = {}
-        self.holders: dict[SlotKey, str] = {}
-        self.relinquished_terms: dict[SlotKey, int] = {}
-        self.expires_at: dict[SlotKey, int] = {}
+        """Start without leases."""
+        self._by_slot: dict[SlotKey, GrantedLease] = {}
 
-    def newest_term(self, key: SlotKey) -> int:
-        """The newest term known of a place, 0 if none."""
-        return max(self.terms.get(key, 0), self.relinquished_terms.get(key, 0))
+    def lease(self, key: SlotKey) -> GrantedLease:
+        """Return what is known of a slot; the caller does not change it."""
+        return self._by_slot.get(key, UNKNOWN_SLOT)
+
+    def slots_of(self, task: str) -> set[int]:
+        """Return the slots of a task that were ever granted."""
+        return {key.slot for key, lease in self._by_slot.items() if lease.term and key.task == task}
+
+    def count(self) -> int:
+        """Return how many slots were ever granted."""
+        return sum(lease.term > 0 for lease in self._by_slot.values())
 
     def remaining(self, key: SlotKey, now: int) -> int:
-        """Microseconds until the lease of a place ends, 0 if it is free."""
-        if self.terms.get(key, 0) <= self.relinquished_terms.get(key, 0):
-            return 0
-        return max(0, self.expires_at.get(key, 0) - now)
+        """Return the microseconds until the lease of a slot ends, 0 if the slot is free."""
+        lease = self.lease(key)
+        return max(0, lease.expires_at - now) if lease.is_open() else 0
 
     def grant(self, key: SlotKey, term: int, holder: str, expires_at: int) -> bool:
-        """Record a lease. Returns whether the change must be stored."""
-        changed = (self.terms.get(key), self.holders.get(key)) != (term, holder)
-        self.terms[key], self.holders[key] = term, holder
-        self.expires_at[key] = max(expires_at, self.expires_at.get(key, 0)) if not changed else expires_at
-        return changed
+        """Record a lease. Return whether the change must be stored."""
+        lease = self._by_slot.setdefault(key, GrantedLease())
+        if (lease.term, lease.holder) == (term, holder):
+            lease.expires_at = max(expires_at, lease.expires_at)
+            return False
+        lease.term = term
+        lease.holder = holder
+        lease.expires_at = expires_at
+        return True
 
     def relinquish(self, key: SlotKey, term: int, holder: str) -> bool:
-        """The holder gives the place back; its term is closed for good. Returns whether the change must
-        be stored."""
-        if self.holders.get(key) != holder or self.terms.get(key, 0) > term:
-            return False
-        if self.relinquished_terms.get(key, 0) >= self.terms.get(key, 0):
+        """End the lease of a holder that gives it back; its term is closed for good.
+
+        Nothing changes if another member holds the slot, or if the holder has a newer term than `term`.
+        Return whether the change must be stored.
+        """
+        lease = self.lease(key)
+        if lease.holder != holder or lease.term > term or not lease.is_open():
             return False
-        self.relinquished_terms[key] = self.terms[key]
+        lease.relinquished_term = lease.term
         return True
 
     def merge(self, record: SlotRecord, expires_at: int) -> bool:
-        """Merge another acceptor's record: the newer term counts, for equal terms the later end. Returns
-        whether the change must be stored."""
-        key = (record.task, record.slot)
-        changed = record.relinquished_term > self.relinquished_terms.get(key, 0)
-        self.relinquished_terms[key] = max(record.relinquished_term, self.relinquished_terms.get(key, 0))
-        if record.term > self.terms.get(key, 0):
-            self.terms[key], self.holders[key], self.expires_at[key] = record.term, record.holder, expires_at
+        """Merge another acceptor's record, or a stored one.
+
+        The newer term counts, for equal terms the later end. Return whether the change must be stored.
+        """
+        lease = self._by_slot.setdefault(SlotKey(record.task, record.slot), GrantedLease())
+        changed = record.relinquished_term > lease.relinquished_term
+        lease.relinquished_term = max(record.relinquished_term, lease.relinquished_term)
+        if record.term > lease.term:
+            lease.term = record.term
+            lease.holder = record.holder
+            lease.expires_at = expires_at
             return True
-        if record.term == self.terms.get(key, 0) and record.holder == self.holders.get(key):
-            self.expires_at[key] = max(expires_at, self.expires_at.get(key, 0))
+        if record.term == lease.term and record.holder == lease.holder:
+            lease.expires_at = max(expires_at, lease.expires_at)
         return changed
 
     def records(self, now: int) -> list[SlotRecord]:
-        """The records of all places, sorted by key."""
-        keys = sorted(set(self.terms) | set(self.relinquished_terms))
-        return [
-            SlotRecord(
-                *key,
-                self.terms.get(key, 0),
-                self.holders.get(key, ""),
-                self.relinquished_terms.get(key, 0),
-                self.remaining(key, now),
-            )
-            for key in keys
-        ]
+        """Return the records of all slots with the time left of each, sorted by task and slot."""
+        return [self._record(key, self.remaining(key, now)) for key in sorted(self._by_slot)]
+
+    def stored_records(self, keys: Iterable[SlotKey]) -> tuple[SlotRecord, ...]:
+        """Return the records of some slots in the form that is stored, without the time left."""
+        return tuple(self._record(key, 0) for key in keys)
+
+    def _record(self, key: SlotKey, remaining: int) -> SlotRecord:
+        lease = self.lease(key)
+        return SlotRecord(key.task, key.slot, lease.term, lease.holder, lease.relinquished_term, remaining)
--- a/linenbridge/fleet/leases/lease_state.py
+++ b/linenbridge/fleet/leases/lease_state.py
@@ -1,97 +1,141 @@
-"""The state of one task at one member: waiting, taking, holding or leaving.
+"""The state of one task's lease at one member: waiting, acquiring, held or releasing.
 
-Decides without I/O. It must never count the answer to an earlier request for a later one.
+Decides without I/O. A reply to an earlier request does not count for a later one.
 """
 
 from __future__ import annotations
 
+from enum import StrEnum
+from typing import NamedTuple
+
 from linenbridge.fleet.leases.errors import HeldByAnother
-from linenbridge.fleet.leases.messages import Rejected, TaskStatus
+from linenbridge.fleet.leases.messages import Acquire, Rejected, Relinquish, TaskStatus
 from linenbridge.fleet.leases.quorum import Quorum, majority_sent_at
 from linenbridge.fleet.leases.timing import LeaseTiming, lease_expiry
 
-WAITING, ACQUIRING, HELD, RELEASING = "waiting", "acquiring", "held", "releasing"
+
+class LeasePhase(StrEnum):
+    """What a member does about a task."""
+
+    WAITING = "waiting"  # in the queue for a free slot
+    ACQUIRING = "acquiring"  # has requested a free slot
+    HELD = "held"  # by a majority; renewed at each heartbeat
+    RELEASING = "releasing"  # has given the slot back
+
+
+class Grant(NamedTuple):
+    """The newest grant of one acceptor: its term, and when the request that it answers was sent."""
+
+    term: int
+    sent_at: int
+
+
+NO_GRANT = Grant(0, 0)
 
 
 class LeaseState:
-    """`term` is the term held, `requested_term` the one requested. `grants` maps each acceptor that granted
-    to the term and the time of the request that it answered."""
+    """One task's lease at one member.
+
+    `term` is the term held and `requested_term` the one requested; `newest_term` is the newest that a
+    rejection has named. Times are microseconds of the member's clock.
+    """
 
     def __init__(self, task: str, slots: int, now: int) -> None:
-        self.task, self.slots, self.queue_position = task, slots, 0
-        self.phase, self.next_phase_at = WAITING, now
-        self.slot, self.term, self.requested_term, self.newest_term = 0, 0, 0, 0
-        self.grants: dict[str, tuple[int, int]] = {}
+        """Wait for one of the task's slots."""
+        self.task = task
+        self.slots = slots  # how many the task has
+        self.queue_position = 0  # 0: none yet
+        self.phase = LeasePhase.WAITING
+        # When waiting: the earliest time of a request for a slot; when acquiring: when the request is
+        # abandoned; when releasing: when the state is dropped.
+        self.next_phase_at = now
+        self.slot = 0
+        self.term = 0
+        self.requested_term = 0
+        self.newest_term = 0
         self.rejected_by: set[str] = set()
-        self.to_relinquish: tuple[int, int] | None = None  # place and term that are not wanted any more
-        self.carryover_until = 0  # until when a quorum before the present one keeps the place
+        self.carryover_until = 0  # until when the acceptors of the previous quorum keep the slot
+        self._grants: dict[str, Grant] = {}  # by acceptor
+        self.pending_relinquish: Relinquish | None = None  # slot and term that are not wanted any more
 
     def on_granted(self, acceptor: str, term: int, sent_at: int) -> None:
-        """An acceptor has granted the term, in answer to a request sent at `asked`."""
-        self.grants[acceptor] = max(self.grants.get(acceptor, (0, 0)), (term, sent_at))
+        """Record that an acceptor has granted the term in reply to a request sent at `sent_at`."""
+        self._grants[acceptor] = max(self._grants.get(acceptor, NO_GRANT), Grant(term, sent_at))
 
     def on_rejected(self, acceptor: str, rejection: Rejected) -> None:
-        """An acceptor has refused the request."""
-        if (rejection.slot, rejection.term) == (self.slot, self.requested_term):
-            if self.phase == ACQUIRING:
-                self.rejected_by.add(acceptor)
-            if rejection.code != HeldByAnother.code:
-                self.newest_term = max(self.newest_term, rejection.newest_term)
+        """Record that an acceptor has rejected the request."""
+        if (rejection.slot, rejection.term) != (self.slot, self.requested_term):
+            return
+        if self.phase is LeasePhase.ACQUIRING:
+            self.rejected_by.add(acceptor)
+        if rejection.code != HeldByAnother.code:
+            self.newest_term = max(self.newest_term, rejection.newest_term)
 
     def expires_at(self, quorum: Quorum, timing: LeaseTiming, term: int | None = None) -> int | None:
-        """When the lease ends on this member's clock; None if no majority supports the term. An acceptor
-        that has granted this member a newer term counts as well, as it keeps the place just the same."""
+        """Return when the lease ends under `term`, by default the term held; None if no majority grants it.
+
+        An acceptor that has granted this member a newer term counts as well, as it keeps the slot just the
+        same.
+        """
         min_term = self.term if term is None else term
-        sent_at = {
-            acceptor: at for acceptor, (granted_term, at) in self.grants.items() if granted_term >= min_term
-        }
-        since = majority_sent_at(quorum, sent_at)
-        until = self.carryover_until if min_term == self.term else 0
-        return max(until, lease_expiry(timing, since)) if since is not None else until or None
+        sent_at = {name: grant.sent_at for name, grant in self._grants.items() if grant.term >= min_term}
+        carryover_until = self.carryover_until if min_term == self.term else 0
+        granted_since = majority_sent_at(quorum, sent_at)
+        if granted_since is None:
+            return carryover_until or None
+        return max(carryover_until, lease_expiry(timing, granted_since))
+
+    def acquire(self, duration: int) -> Acquire:
+        """Return the request for the slot under the requested term, for `duration` microseconds."""
+        return Acquire(self.task, self.slot, self.requested_term, duration)
 
     def matches(self, status: TaskStatus) -> bool:
-        """Whether an acceptor's status has as many places as this member's settings."""
+        """Return whether a status is of this task with as many slots as in this member's settings."""
         return status.task == self.task and len(status.terms) == len(status.remaining) == self.slots
 
     def next_term(self) -> int:
-        """The term of the next renewal: a newer one if an acceptor knows a newer term of this place."""
+        """Return the term of the next renewal: a newer one if an acceptor knows a newer term of the slot."""
         return self.requested_term if self.newest_term <= self.requested_term else self.newest_term + 1
 
     def choose_slot(self, statuses: list[TaskStatus], free: list[int], abandon_at: int) -> bool:
-        """Request the free place that falls to this member by its position in the queue. Returns whether
-        there is one."""
+        """Request the free slot that falls to this member by its place in the queue, until `abandon_at`.
+
+        Return whether there is one.
+        """
         members_ahead = max(status.members_ahead for status in statuses)
         if members_ahead >= len(free):
             return False
         self.slot = free[members_ahead]
         terms = [status.terms[self.slot] for status in statuses]
         self.requested_term = 1 + max([self.newest_term, self.requested_term, *terms])
-        self.phase, self.to_relinquish, self.grants, self.rejected_by, self.carryover_until = (
-            ACQUIRING,
-            None,
-            {},
-            set(),
-            0,
-        )
+        self.phase = LeasePhase.ACQUIRING
         self.next_phase_at = abandon_at
+        self.rejected_by = set()
+        self.carryover_until = 0
+        self._grants = {}
+        self.pending_relinquish = None
         return True
 
     def next_free_in(self, statuses: list[TaskStatus]) -> int | None:
-        """Microseconds until a place is free at most acceptors; None if no lease ends."""
+        """Return the microseconds until a slot is free at most acceptors; None if no lease ends."""
         ends = [
             sorted(status.remaining[slot] for status in statuses)[len(statuses) // 2]
             for slot in range(self.slots)
         ]
-        future = [end for end in ends if end > 0]
-        return min(future, default=None)
+        return min((end for end in ends if end > 0), default=None)
 
     def restart_waiting(self, at: int) -> None:
-        """Start over: grants that acceptors may have made meanwhile are given back."""
-        self.to_relinquish = (self.slot, max(self.term, self.requested_term))
-        self.phase, self.next_phase_at, self.grants, self.carryover_until = WAITING, at, {}, 0
+        """Wait again until `at` or later, and give back grants that acceptors may have made meanwhile."""
+        self.pending_relinquish = Relinquish(self.task, self.slot, max(self.term, self.requested_term))
+        self.phase = LeasePhase.WAITING
+        self.next_phase_at = at
+        self.carryover_until = 0
+        self._grants = {}
 
     def release(self, until: int) -> None:
-        """Give the place back and stop requesting it; the answer is awaited until `until`."""
+        """Give the slot back and stop requesting it; the state is dropped at `until`."""
         if self.requested_term:
-            self.to_relinquish = (self.slot, max(self.term, self.requested_term))
-        self.phase, self.next_phase_at, self.grants = RELEASING, until, {}
+            self.pending_relinquish = Relinquish(self.task, self.slot, max(self.term, self.requested_term))
+        self.phase = LeasePhase.RELEASING
+        self.next_phase_at = until
+        self._grants = {}
--- a/linenbridge/fleet/leases/messages.py
+++ b/linenbridge/fleet/leases/messages.py
@@ -1,7 +1,7 @@
 """The messages between proposers and acceptors, and among acceptors, as typed arrays.
 
-Types only: values are checked against bounds by the receiver. Field order and tags are the wire format;
-the tags are those of earlier versions, so that members of two versions understand each other. Times are
+Types only; the receiver checks values against bounds. Field order and tags are the wire format. The tags are
+those of earlier versions, so that members of two versions understand each other. Durations are in
 microseconds.
 """
 
@@ -11,7 +11,7 @@
 
 
 class Acquire(Struct, array_like=True, frozen=True):
-    """Request for a lease of one place, for `length` microseconds, under a term."""
+    """Request for a lease of one slot, for `duration` microseconds, under a term."""
 
     task: str
     slot: int
@@ -20,7 +20,7 @@
 
 
 class Relinquish(Struct, array_like=True, frozen=True):
-    """The sender gives up a place, and every request for it, up to and including a term."""
+    """The sender gives up a slot, and every request for it, up to and including a term."""
 
     task: str
     slot: int
@@ -28,7 +28,10 @@
 
 
 class StatusQuery(Struct, array_like=True, frozen=True):
-    """Request for the status of a task. `ticket` is the sender's position in the queue (0: none yet)."""
+    """Request for the status of a task with `slots` slots.
+
+    `queue_position` is the sender's number in the queue; 0 if it has none yet.
+    """
 
     task: str
     slots: int
@@ -36,8 +39,10 @@
 
 
 class LeaseRequest(Struct, array_like=True, frozen=True, tag="round"):
-    """One proposer's request for all of its tasks, the same to every acceptor. `revision` is the newest
-    revision that it has seen of the acceptor that it is sent to."""
+    """One proposer's request for all of its tasks, the same to every acceptor but for `revision`.
+
+    `revision` is the newest revision that the proposer has seen of the acceptor that receives the request.
+    """
 
     number: int
     proposer: str
@@ -57,7 +62,10 @@
 
 
 class Rejected(Struct, array_like=True, frozen=True):
-    """A lease that an acceptor has refused: the reason, and the newest term it knows of the place."""
+    """A lease that an acceptor has rejected.
+
+    `code` is the reason (see `errors`), `newest_term` the newest term that the acceptor knows of the slot.
+    """
 
     task: str
     slot: int
@@ -67,8 +75,12 @@
 
 
 class TaskStatus(Struct, array_like=True, frozen=True):
-    """The status of a task at an acceptor: the newest ticket, how many wait before the sender, and for
-    each place the newest term, the time left of another member's lease, and its holder."""
+    """The status of a task at an acceptor.
+
+    `newest_queue_position` is the highest number in the queue so far, `members_ahead` how many members wait
+    before the sender of the query. The lists have one entry a slot: the newest term, the time left of another
+    member's lease (0: free), and the holder of that lease.
+    """
 
     task: str
     newest_queue_position: int
@@ -79,8 +91,11 @@
 
 
 class LeaseReply(Struct, array_like=True, frozen=True, tag="said"):
-    """An acceptor's answer to one request. `code` is the reason if the acceptor refuses the whole
-    request, else empty."""
+    """An acceptor's reply to one request.
+
+    `code` is the reason if the acceptor rejects the request as a whole, else empty. `revision` counts the
+    records that the acceptor has stored.
+    """
 
     number: int
     acceptor: str
@@ -93,7 +108,7 @@
 
 
 class RecoveryRequest(Struct, array_like=True, frozen=True, tag="recall"):
-    """An acceptor that recovers asks another for its records."""
+    """An acceptor that recovers requests the records of another one."""
 
     number: int
     acceptor: str
@@ -101,8 +116,11 @@
 
 
 class SlotRecord(Struct, array_like=True, frozen=True):
-    """An acceptor's record of one place: newest term and its holder, the last term given back, the time
-    left."""
+    """An acceptor's record of one slot.
+
+    It holds the newest term and its holder, the newest term that was relinquished, and the time left of the
+    lease. The time left is not stored: it is 0 in a record that is written to or read from a store.
+    """
 
     task: str
     slot: int
@@ -113,10 +131,12 @@
 
 
 class RecoveryReply(Struct, array_like=True, frozen=True, tag="table"):
-    """All records of an acceptor. `recovery` is the number of its own recovery. `founding_recovery`
-    is the number of the
-    asking acceptor's recovery in which the sender saw it without records when it founded the quorum (0:
-    it did not). `revision` is the newest revision that the sender has seen of the asking acceptor."""
+    """All records of an acceptor.
+
+    `recovery` is the number of the sender's own recovery. `founding_recovery` is the number of the requesting
+    acceptor's recovery in which the sender saw it without records when the sender founded the quorum; 0 if it
+    did not. `revision` is the newest revision that the sender has seen of the requesting acceptor.
+    """
 
     number: int
     acceptor: str
--- a/linenbridge/fleet/leases/proposer.py
+++ b/linenbridge/fleet/leases/proposer.py
@@ -1,15 +1,8 @@
 """One member's side of leases: it requests leases for its tasks and knows until when each one is held.
 
 Decides without I/O. Whether the member may act is answered at each act, by the clock as it is then
-(`may_act`), so a process that was stopped for a while finds out before it acts. A lease must never be
-counted from later than the request was sent, nor by less than a majority of both lists of acceptors.
-
-Decisions, as plain tuples:
-
-    (SAY, acceptor, message)   send a message to an acceptor
-    (ACQUIRED, task, slot, term)  this member holds a place from now on
-    (LOST, task, slot, term)  it does not any more: the lease ended, or was given back
-    (LOG, name, fields)        one line of the log
+(`may_act`), so a process that was paused finds out before it acts. A lease is counted from the moment at
+which the request was sent, and only by a majority of both lists of acceptors.
 """
 
 from __future__ import annotations
@@ -17,8 +10,15 @@
 from collections import deque
 from random import Random
 
+from linenbridge.fleet.leases.decisions import (
+    LeaseAcquired,
+    LeaseLost,
+    LogEvent,
+    ProposerDecision,
+    Send,
+)
 from linenbridge.fleet.leases.errors import OtherGeneration, QuorumLost
-from linenbridge.fleet.leases.lease_state import HELD, RELEASING, ACQUIRING, WAITING, LeaseState
+from linenbridge.fleet.leases.lease_state import LeasePhase, LeaseState
 from linenbridge.fleet.leases.messages import (
     Acquire,
     LeaseReply,
@@ -30,165 +30,177 @@
 from linenbridge.fleet.leases.quorum import Quorum, has_majority, majority_impossible
 from linenbridge.fleet.leases.timing import LeaseTiming
 
-SAY, ACQUIRED, LOST, LOG = "say", "held", "lost", "log"
-QUORUM_LOST_AFTER = 3  # beats without a majority's answer before a line says so
-RETRY_FRACTION = 20  # parts of a beat after which one that lost a round asks again at the earliest
-MAX_OPEN_REQUESTS = 64
+QUORUM_LOST_HEARTBEATS = 3  # without a majority's reply before the log says so
+MIN_RETRY_PARTS = 20  # a request that has failed is repeated after this part of a heartbeat or more
+MIN_HEARTBEAT_PART = 0.9  # of a heartbeat, by chance, so that members don't send at the same time
+MAX_OPEN_REQUESTS = 64  # whose replies still count
 
 
 class Proposer:
-    """`name` differs for each start of the process: a restarted process does not hold what it held
-    before."""
+    """One member's leases. Times are microseconds of the member's clock."""
 
     def __init__(self, name: str, quorum: Quorum, timing: LeaseTiming, seed: int, now: int) -> None:
-        self.name, self.quorum, self.timing, self.random = name, quorum, timing, Random(seed)
-        self.leases: dict[str, LeaseState] = {}
-        self.decisions = deque[tuple]()
-        self.request_number, self.next_request_at = 0, now
-        self.sent_at: dict[int, int] = {}  # when each round of late was sent
-        self.replies: dict[int, dict[str, LeaseReply]] = {}  # to those rounds, by acceptor
-        self.majority_at, self.quorum_loss_reported = (
-            now + timing.max_lease,
-            False,
-        )  # acceptors may stand aside after a start
-        self.revisions: dict[str, int] = {}  # the newest that each acceptor was heard to have kept
-        self.reported_generation = 0
-
-    # ---- inputs ------------------------------------------------------------------------------------
+        """Start without tasks.
+
+        `name` differs for each start of the process: a restarted process does not hold what the earlier one
+        held. `seed` is that of the chance by which requests are spread.
+        """
+        self.name = name
+        self.quorum = quorum
+        self.timing = timing
+        self.random = Random(seed)
+        self.leases: dict[str, LeaseState] = {}  # by task
+        self._decisions = deque[ProposerDecision]()
+        self._request_number = 0
+        self._next_request_at = now
+        self._sent_at: dict[int, int] = {}  # by number, when each recent request was sent
+        self._replies: dict[int, dict[str, LeaseReply]] = {}  # to those requests, by acceptor
+        # The last reply of a majority; acceptors may still recover for the longest lease after a start.
+        self._majority_at = now + timing.max_lease
+        self._quorum_loss_reported = False
+        self._revisions: dict[str, int] = {}  # the newest of each acceptor
+        self._reported_generation = 0
+
+    # ---- inputs ----------------------------------------------------------------------------------------
 
     def request_lease(self, now: int, task: str, slots: int = 1) -> None:
-        """Request a place of that task from now on."""
-        if task not in self.leases or self.leases[task].phase == RELEASING:
+        """Request a lease of one of the task's slots, and renew it, from now on."""
+        if task not in self.leases or self.leases[task].phase is LeasePhase.RELEASING:
             self.leases[task] = LeaseState(task, slots, now)
-            self.next_request_at = min(self.next_request_at, now)
+            self._request_by(now)
 
     def release_lease(self, now: int, task: str) -> None:
-        """Give the task back, or stop requesting it."""
-        if (lease := self.leases.get(task)) is None or lease.phase == RELEASING:
+        """Give the task's lease back, or stop requesting it."""
+        lease = self.leases.get(task)
+        if lease is None or lease.phase is LeasePhase.RELEASING:
             return
-        if lease.phase == HELD:
-            self.decisions.append((LOST, task, lease.slot, lease.term))
+        if lease.phase is LeasePhase.HELD:
+            self._decisions.append(LeaseLost(task, lease.slot, lease.term))
         lease.release(now + self.timing.heartbeat)
-        self.next_request_at = now
+        self._next_request_at = now
 
     def on_quorum(self, now: int, quorum: Quorum) -> None:
-        """New settings. A lease stays held for as long as the earlier acceptors granted it."""
-        if quorum.generation > self.quorum.generation:
-            for lease in self.leases.values():
-                if lease.phase == HELD:
-                    lease.carryover_until = lease.expires_at(self.quorum, self.timing) or 0
-            self.quorum, self.next_request_at = quorum, now
+        """Take over a newer quorum. A lease stays held for as long as the previous acceptors granted it."""
+        if quorum.generation <= self.quorum.generation:
+            return
+        for lease in self.leases.values():
+            if lease.phase is LeasePhase.HELD:
+                lease.carryover_until = lease.expires_at(self.quorum, self.timing) or 0
+        self.quorum = quorum
+        self._next_request_at = now
 
     def on_reply(self, now: int, message: LeaseReply) -> None:
-        """An acceptor's answer to a request; a late or repeated one changes nothing."""
-        sent_at = self.sent_at.get(message.number)
+        """Take in an acceptor's reply; one that is late or repeated changes nothing."""
+        sent_at = self._sent_at.get(message.number)
         if sent_at is None or message.acceptor not in self.quorum.all_acceptors():
             return
-        self.revisions[message.acceptor] = max(message.revision, self.revisions.get(message.acceptor, 0))
-        replies = self.replies[message.number]
+        self._revisions[message.acceptor] = max(message.revision, self._revisions.get(message.acceptor, 0))
+        replies = self._replies[message.number]
         if message.code == OtherGeneration.code:
-            self._other_generation(message)
-        if message.code == OtherGeneration.code or message.acceptor in replies:
+            self._on_other_generation(message)
+            return
+        if message.acceptor in replies:
             return
         replies[message.acceptor] = message
         for granted in message.granted:
-            if (lease := self.leases.get(granted.task)) is not None:
-                self._on_granted(now, lease, message.acceptor, granted.slot, granted.term, sent_at)
+            lease = self.leases.get(granted.task)
+            if lease is not None and (granted.slot, granted.term) == (lease.slot, lease.requested_term):
+                self._on_granted(now, lease, message.acceptor, sent_at)
         for rejection in message.rejected:
-            if (lease := self.leases.get(rejection.task)) is not None:
+            lease = self.leases.get(rejection.task)
+            if lease is not None:
                 lease.on_rejected(message.acceptor, rejection)
-        if has_majority(self.quorum, [acceptor for acceptor, reply in replies.items() if not reply.code]):
-            self.majority_at, self.quorum_loss_reported = now, False
-            if message.number == self.request_number:
-                self._on_statuses(now, [reply for reply in replies.values() if not reply.code])
+        accepted = {acceptor: reply for acceptor, reply in replies.items() if not reply.code}
+        if has_majority(self.quorum, accepted):
+            self._majority_at = now
+            self._quorum_loss_reported = False
+            if message.number == self._request_number:
+                self._on_statuses(now, list(accepted.values()))
 
-    # ---- what the host asks at each act ------------------------------------------------------------
+    # ---- what the host reads at each act ---------------------------------------------------------------
 
     def may_act(self, now: int, task: str) -> int | None:
-        """The term under which this member may act on the task at this moment; None if it may not."""
+        """Return the term under which this member may act on the task at this moment; None if it may not."""
         lease = self.leases.get(task)
-        if lease is None or lease.phase != HELD:
+        if lease is None or lease.phase is not LeasePhase.HELD:
             return None
-        until = lease.expires_at(self.quorum, self.timing)
-        return lease.term if until is not None and now < until else None
+        expires_at = lease.expires_at(self.quorum, self.timing)
+        return lease.term if expires_at is not None and now < expires_at else None
 
     def lease_expires_at(self, task: str) -> int | None:
-        """When the lease of the task ends, on this member's clock; None if it holds none."""
+        """Return when the lease of the task ends; None if this member holds none."""
         lease = self.leases.get(task)
-        return (
-            lease.expires_at(self.quorum, self.timing) if lease is not None and lease.phase == HELD else None
-        )
+        if lease is None or lease.phase is not LeasePhase.HELD:
+            return None
+        return lease.expires_at(self.quorum, self.timing)
 
-    # ---- decisions ---------------------------------------------------------------------------------
+    # ---- decisions -------------------------------------------------------------------------------------
 
-    def next_decision(self, now: int) -> tuple | None:
-        """The next decision to carry out, or None."""
-        if not self.decisions:
-            self._expire(now)
-            if now >= self.next_request_at:
+    def next_decision(self, now: int) -> ProposerDecision | None:
+        """Return the next decision to carry out, or None."""
+        if not self._decisions:
+            self._advance(now)
+            if now >= self._next_request_at:
                 self._request(now)
-        return self.decisions.popleft() if self.decisions else None
+        return self._decisions.popleft() if self._decisions else None
 
     def wake_at(self) -> int | None:
-        """When this member has something to do without an input, in microseconds; None without tasks."""
-        ends = [until for task in self.leases if (until := self.lease_expires_at(task)) is not None]
-        return min([self.next_request_at, *ends]) if self.leases else None
+        """Return when this member has something to do without an input; None without tasks."""
+        if not self.leases:
+            return None
+        ends = [ends_at for task in self.leases if (ends_at := self.lease_expires_at(task)) is not None]
+        return min([self._next_request_at, *ends])
 
-    # ---- what is known becomes what is held --------------------------------------------------------
+    # ---- from replies to leases ------------------------------------------------------------------------
 
-    def _on_granted(
-        self, now: int, lease: LeaseState, acceptor: str, slot: int, term: int, sent_at: int
-    ) -> None:
-        if lease.phase not in (ACQUIRING, HELD) or (slot, term) != (lease.slot, lease.requested_term):
+    def _on_granted(self, now: int, lease: LeaseState, acceptor: str, sent_at: int) -> None:
+        """An acceptor has granted the requested term: the lease is held if a majority has."""
+        if lease.phase not in (LeasePhase.ACQUIRING, LeasePhase.HELD):
             return
+        term = lease.requested_term
         lease.on_granted(acceptor, term, sent_at)
-        until = lease.expires_at(self.quorum, self.timing, term)
-        if until is None or now >= until or term == lease.term:
+        expires_at = lease.expires_at(self.quorum, self.timing, term)
+        if expires_at is None or now >= expires_at or term == lease.term:
             return
-        renewed, lease.term = lease.phase == HELD, term
+        lease.term = term
+        renewed = lease.phase is LeasePhase.HELD
         if not renewed:
-            lease.phase = HELD
-            self.decisions.append((ACQUIRED, lease.task, slot, term))
-        self.decisions.append(
-            (LOG, "lease.held", {"task": lease.task, "place": slot, "term": term, "raised": renewed})
-        )
+            lease.phase = LeasePhase.HELD
+            self._decisions.append(LeaseAcquired(lease.task, lease.slot, term))
+        fields = {"task": lease.task, "place": lease.slot, "term": term, "raised": renewed}
+        self._decisions.append(LogEvent("lease.held", fields))
 
     def _on_statuses(self, now: int, replies: list[LeaseReply]) -> None:
-        """A majority has answered with the status of tasks: take a ticket, or request a free place."""
-        by_task: dict[str, list[TaskStatus]] = {}
-        for reply in replies:
-            for status in reply.statuses:
-                if status.task in self.leases and self.leases[status.task].matches(status):
-                    by_task.setdefault(status.task, []).append(status)
+        """A majority has sent the status of tasks: take a position in the queue, or request a free slot."""
         acquires = list[Acquire]()
-        for task, statuses in by_task.items():
-            lease = self.leases.get(task)
-            if lease is None or lease.phase != WAITING:
-                continue
+        for task, statuses in self._waiting_statuses(replies).items():
+            lease = self.leases[task]
             if not lease.queue_position:
                 lease.queue_position = 1 + max(status.newest_queue_position for status in statuses)
-                self.next_request_at = now
+                self._next_request_at = now
                 continue
             free = self._free_at_majority(replies, lease) if now >= lease.next_phase_at else []
             if lease.choose_slot(statuses, free, now + self.timing.heartbeat):
-                acquires.append(Acquire(task, lease.slot, lease.requested_term, self.timing.lease))
+                acquires.append(lease.acquire(self.timing.lease))
             elif (free_in := lease.next_free_in(statuses)) is not None:
-                self.next_request_at = min(
-                    self.next_request_at, now + free_in + self.timing.heartbeat // RETRY_FRACTION
-                )
+                self._request_by(now + free_in + self.timing.heartbeat // MIN_RETRY_PARTS)
         if acquires:
             self._send(now, acquires, [], [])
-            self.next_request_at = min(self.next_request_at, now + self.timing.heartbeat)
+            self._request_by(now + self.timing.heartbeat)
 
-    def _other_generation(self, message: LeaseReply) -> None:
-        if message.generation > self.quorum.generation and message.generation > self.reported_generation:
-            self.reported_generation = message.generation
-            what = f"the acceptor is at {message.generation}, this member at {self.quorum.generation}"
-            self.decisions.append((LOG, "council.newer", OtherGeneration(what, message.acceptor).fields()))
+    def _waiting_statuses(self, replies: list[LeaseReply]) -> dict[str, list[TaskStatus]]:
+        """Return, by task, the statuses of the tasks for which this member waits."""
+        by_task = dict[str, list[TaskStatus]]()
+        for reply in replies:
+            for status in reply.statuses:
+                lease = self.leases.get(status.task)
+                if lease is not None and lease.phase is LeasePhase.WAITING and lease.matches(status):
+                    by_task.setdefault(status.task, []).append(status)
+        return by_task
 
     def _free_at_majority(self, replies: list[LeaseReply], lease: LeaseState) -> list[int]:
-        """The places that are free at a majority of the acceptors."""
-        free = []
+        """Return the slots that are free at a majority of the acceptors."""
+        free = list[int]()
         for slot in range(lease.slots):
             acceptors = [
                 reply.acceptor
@@ -200,77 +212,95 @@
                 free.append(slot)
         return free
 
-    def _expire(self, now: int) -> None:
+    def _on_other_generation(self, message: LeaseReply) -> None:
+        """An acceptor has another generation of the quorum; a newer one is logged once."""
+        if message.generation > max(self.quorum.generation, self._reported_generation):
+            self._reported_generation = message.generation
+            what = f"the acceptor is at {message.generation}, this member at {self.quorum.generation}"
+            self._log("council.newer", OtherGeneration(what, message.acceptor))
+
+    # ---- time ------------------------------------------------------------------------------------------
+
+    def _advance(self, now: int) -> None:
+        """Expire leases, abandon requests that can't succeed, drop what was released."""
         for task, lease in list(self.leases.items()):
-            if lease.phase == HELD:
-                until = lease.expires_at(self.quorum, self.timing)
-                if until is None or now >= until:
-                    self.decisions.append((LOST, task, lease.slot, lease.term))
-                    fields = {
-                        "task": task,
-                        "place": lease.slot,
-                        "term": lease.term,
-                        "late": now - (until or now),
-                    }
-                    self.decisions.append((LOG, "lease.lost", fields))
-                    lease.restart_waiting(now)
-                    self.next_request_at = now
-            elif lease.phase == ACQUIRING and (
-                now >= lease.next_phase_at or majority_impossible(self.quorum, lease.rejected_by)
-            ):
-                lease.restart_waiting(
-                    now + int(self.random.uniform(1, RETRY_FRACTION) * self.timing.heartbeat / RETRY_FRACTION)
-                )
-                self.next_request_at = min(self.next_request_at, lease.next_phase_at)
-            elif lease.phase == RELEASING and now >= lease.next_phase_at:
+            if lease.phase is LeasePhase.HELD:
+                self._expire(now, lease)
+            elif lease.phase is LeasePhase.ACQUIRING:
+                if now >= lease.next_phase_at or majority_impossible(self.quorum, lease.rejected_by):
+                    parts = self.random.uniform(1, MIN_RETRY_PARTS)
+                    lease.restart_waiting(now + int(parts * self.timing.heartbeat / MIN_RETRY_PARTS))
+                    self._request_by(lease.next_phase_at)
+            elif lease.phase is LeasePhase.RELEASING and now >= lease.next_phase_at:
                 del self.leases[task]
-        if (
-            self.leases
-            and not self.quorum_loss_reported
-            and now - self.majority_at > QUORUM_LOST_AFTER * self.timing.heartbeat
-        ):
-            self.quorum_loss_reported = True
-            last = self.replies.get(self.request_number, {})
-            granting = sorted(acceptor for acceptor, reply in last.items() if not reply.code)
-            error = QuorumLost(f"of {list(self.quorum.acceptors)} only {granting} grant", self.name)
-            self.decisions.append((LOG, "council.lost", error.fields()))
+        self._report_quorum_loss(now)
+
+    def _expire(self, now: int, lease: LeaseState) -> None:
+        expires_at = lease.expires_at(self.quorum, self.timing)
+        if expires_at is not None and now < expires_at:
+            return
+        self._decisions.append(LeaseLost(lease.task, lease.slot, lease.term))
+        late = now - (expires_at or now)
+        fields = {"task": lease.task, "place": lease.slot, "term": lease.term, "late": late}
+        self._decisions.append(LogEvent("lease.lost", fields))
+        lease.restart_waiting(now)
+        self._next_request_at = now
+
+    def _report_quorum_loss(self, now: int) -> None:
+        if not self.leases or self._quorum_loss_reported or self._has_quorum(now):
+            return
+        self._quorum_loss_reported = True
+        replies = self._replies.get(self._request_number, {})
+        granting = sorted(acceptor for acceptor, reply in replies.items() if not reply.code)
+        what = f"of {list(self.quorum.acceptors)} only {granting} grant"
+        self._log("council.lost", QuorumLost(what, self.name))
+
+    def _has_quorum(self, now: int) -> bool:
+        """Return whether a majority has replied lately."""
+        return now - self._majority_at <= QUORUM_LOST_HEARTBEATS * self.timing.heartbeat
+
+    # ---- requests --------------------------------------------------------------------------------------
+
+    def _request_by(self, at: int) -> None:
+        """Send the next request at `at` or earlier."""
+        self._next_request_at = min(self._next_request_at, at)
 
     def _request(self, now: int) -> None:
-        """One request for all tasks, the same to every acceptor, however many tasks there are."""
-        has_majority_recently = now - self.majority_at <= QUORUM_LOST_AFTER * self.timing.heartbeat
-        acquires, relinquishes, queries = list[Acquire](), list[Relinquish](), list[StatusQuery]()
+        """Send one request for all tasks, the same to every acceptor, however many tasks there are."""
+        acquires = list[Acquire]()
+        relinquishes = list[Relinquish]()
+        queries = list[StatusQuery]()
         for task, lease in self.leases.items():
-            if lease.phase == HELD:
+            if lease.phase is LeasePhase.HELD:
                 lease.requested_term = lease.next_term()
-                acquires.append(Acquire(task, lease.slot, lease.requested_term, self.timing.lease))
-            elif lease.phase == WAITING:
-                # One that hears no majority keeps nobody from his turn.
-                queries.append(
-                    StatusQuery(task, lease.slots, lease.queue_position if has_majority_recently else 0)
-                )
-            elif lease.phase == ACQUIRING:
-                acquires.append(Acquire(task, lease.slot, lease.requested_term, self.timing.lease))
-            if (slot_and_term := lease.to_relinquish) is not None:
-                relinquishes.append(Relinquish(task, *slot_and_term))
-        self.next_request_at = now + int(self.timing.heartbeat * self.random.uniform(0.9, 1.0))
+            if lease.phase in (LeasePhase.HELD, LeasePhase.ACQUIRING):
+                acquires.append(lease.acquire(self.timing.lease))
+            elif lease.phase is LeasePhase.WAITING:
+                # A member that reaches no majority must not block a slot that it can't take.
+                position = lease.queue_position if self._has_quorum(now) else 0
+                queries.append(StatusQuery(task, lease.slots, position))
+            if lease.pending_relinquish is not None:
+                relinquishes.append(lease.pending_relinquish)
+        part = self.random.uniform(MIN_HEARTBEAT_PART, 1.0)
+        self._next_request_at = now + int(self.timing.heartbeat * part)
         if acquires or relinquishes or queries:
             self._send(now, acquires, relinquishes, queries)
 
     def _send(
         self, now: int, acquires: list[Acquire], relinquishes: list[Relinquish], queries: list[StatusQuery]
     ) -> None:
-        self.request_number += 1
-        self.sent_at[self.request_number], self.replies[self.request_number] = now, {}
-        for old in [number for number in self.sent_at if number <= self.request_number - MAX_OPEN_REQUESTS]:
-            del self.sent_at[old], self.replies[old]
+        self._request_number += 1
+        number = self._request_number
+        self._sent_at[number] = now
+        self._replies[number] = {}
+        for old in [old for old in self._sent_at if old <= number - MAX_OPEN_REQUESTS]:
+            del self._sent_at[old]
+            del self._replies[old]
         for acceptor in self.quorum.all_acceptors():
-            revision, generation = self.revisions.get(acceptor, 0), self.quorum.generation
-            self.decisions.append(
-                (
-                    SAY,
-                    acceptor,
-                    LeaseRequest(
-                        self.request_number, self.name, generation, revision, acquires, relinquishes, queries
-                    ),
-                )
-            )
+            revision = self._revisions.get(acceptor, 0)
+            generation = self.quorum.generation
+            request = LeaseRequest(number, self.name, generation, revision, acquires, relinquishes, queries)
+            self._decisions.append(Send(acceptor, request))
+
+    def _log(self, name: str, error: OtherGeneration | QuorumLost) -> None:
+        self._decisions.append(LogEvent(name, error.fields()))
--- a/linenbridge/fleet/leases/recovery.py
+++ b/linenbridge/fleet/leases/recovery.py
@@ -1,172 +1,206 @@
-"""When an acceptor may grant again: after a restart, after its store was restored, after a change of the
-quorum.
-
-Decides without I/O. An acceptor that may have lost records first waits for the longest lease, then
-collects the records of enough others that every majority it was part of has a member among them. When the
-quorum changes it waits for majorities of both lists, all with the new settings. An acceptor without
-records must never count as one with records, except when all acceptors report that they have none: then
-the quorum is founded anew.
+"""When an acceptor may grant again: after a restart, after its store was restored from an older copy, after a
+change of the quorum.
+
+Decides without I/O. An acceptor that may have lost records first waits for the longest lease, then collects
+the records of enough others that every majority it was part of has a member among them. When the quorum
+changes it waits for majorities of both lists, all with the new settings. An acceptor without records does not
+count as one with records, unless all acceptors report that they have none: then the quorum is founded anew.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
+from enum import StrEnum
+from typing import NamedTuple
 
 from linenbridge.fleet.leases.errors import DiskWentBack, LeaseError, MemoryLost
 from linenbridge.fleet.leases.messages import RecoveryReply, RecoveryRequest
 from linenbridge.fleet.leases.quorum import Quorum, enough_for_recovery, majority
+from linenbridge.fleet.leases.stored_state import AcceptorFacts
 from linenbridge.fleet.leases.timing import LeaseTiming, restart_wait
 
-REPORT_AFTER = 3  # beats without enough answers before a line says what is missing
+REPORT_AFTER_HEARTBEATS = 3  # without enough replies before the log says what is missing
+REPORT_AGAIN_HEARTBEATS = 30  # between two such lines
+MAX_MISSED_GENERATIONS = 2  # a record of an older one may lack what the last change settled
+
+
+class RecoveryGrounds(StrEnum):
+    """Why an acceptor may grant again; the values stand in the log."""
+
+    FOUNDED = "founded"  # no acceptor has records
+    RECOVERED = "recalled"  # enough others have sent their records
+    RECONFIGURED = "settled"  # majorities of both lists have the new settings
+
+
+class StoreRestored(NamedTuple):
+    """The evidence that a store was restored from an older copy."""
+
+    reporter: str  # who has seen a newer revision
+    own_revision: int
+    reported_revision: int
 
 
 class Recovery:
-    """`done` while the acceptor may grant. `confirmed_generation` is the newest generation of the
-    quorum in which it could."""
+    """The recovery of one acceptor.
+
+    `done` is true while the acceptor may grant, and `confirmed_generation` is the newest generation of the
+    quorum in which it could. `store_restored` is true while the acceptor recovers from a store that was
+    restored from an older copy. Times are microseconds of the acceptor's clock.
+    """
 
     def __init__(
         self,
         acceptor: str,
         quorum: Quorum,
         timing: LeaseTiming,
-        has_records: bool,
-        confirmed_generation: int,
+        facts: AcceptorFacts,
         now: int,
+        *,
         incarnation: int,
         trusted: bool,
     ) -> None:
-        self.acceptor, self.quorum, self.timing, self.number = acceptor, quorum, timing, incarnation
-        self.founded_with: dict[
-            str, int
-        ] = {}  # the others' returns in which they said that they had no memory
-        self.has_records, self.confirmed_generation, self.store_restored = (
-            has_records,
-            confirmed_generation,
-            False,
-        )
-        self.done = self.report_restored = False
-        self._begin(now, records_lost=not (trusted and has_records))
-        if trusted and has_records and confirmed_generation == quorum.generation:
+        """Begin a recovery.
+
+        `facts` are those of the store at the start. A `trusted` store can't have been restored from an older
+        copy, so its acceptor grants at once if the quorum is the one that the store knows. `incarnation`
+        differs for each start of the process.
+        """
+        self.acceptor = acceptor
+        self.quorum = quorum
+        self.timing = timing
+        self.number = incarnation  # of this recovery; replies to another one do not count
+        self.has_records = facts.has_records
+        self.confirmed_generation = facts.confirmed_generation
+        self.store_restored = False
+        # The recovery in which each other acceptor reported no records when this one founded the quorum.
+        self.founded_with: dict[str, int] = {}
+        self._restored: StoreRestored | None = None  # evidence that is still to be logged
+        trusts_store = trusted and facts.has_records
+        self._begin(now, records_lost=not trusts_store)
+        if trusts_store and facts.confirmed_generation == quorum.generation:
             self.done = True
 
-    def _begin(self, now: int, records_lost: bool) -> None:
-        self.done, self.records_lost, self.number = False, records_lost, self.number + 1
-        self.starts_at = now + restart_wait(self.timing) if records_lost else now
-        self.replies: dict[str, RecoveryReply] = {}
-        self.report_at = self.starts_at + REPORT_AFTER * self.timing.heartbeat
-        self.next_request_at = self.starts_at
+    def _begin(self, now: int, *, records_lost: bool) -> None:
+        self.done = False
+        self.number += 1
+        self._records_lost = records_lost
+        self._starts_at = now + restart_wait(self.timing) if records_lost else now
+        self._next_request_at = self._starts_at
+        self._report_at = self._starts_at + REPORT_AFTER_HEARTBEATS * self.timing.heartbeat
+        self._replies: dict[str, RecoveryReply] = {}
+
+    # ---- inputs ----------------------------------------------------------------------------------------
 
     def on_quorum(self, now: int, quorum: Quorum) -> None:
-        """The quorum has changed. A recovery that is under way goes on."""
+        """Take over a changed quorum. A recovery that is under way goes on."""
         self.quorum = quorum
         if self.done:
             self._begin(now, records_lost=False)
-        self.replies = {}
+        self._replies = {}
 
-    def on_store_restored(self, now: int, reporter: str, own_revision: int, reported_revision: int) -> bool:
-        """The store was restored from an older copy: recover as an acceptor without records. Returns
-        True."""
-        first_report = not self.store_restored
-        self.store_restored, self.restored_evidence = True, (reporter, own_revision, reported_revision)
+    def on_store_restored(self, now: int, evidence: StoreRestored) -> None:
+        """Recover as an acceptor without records, as the store was restored from an older copy."""
+        self._restored = None if self.store_restored else evidence
+        self.store_restored = True
         self._begin(now, records_lost=True)
-        self.report_restored = first_report
-        return True
 
     def on_recovery_request(self, acceptor: str, generation: int) -> None:
-        """Another acceptor's recovery request: if it has changed its generation, its earlier reply is
-        void."""
-        if (reply := self.replies.get(acceptor)) is not None and reply.generation != generation:
-            del self.replies[acceptor]
+        """Drop the reply of an acceptor whose request shows that it has changed its generation since."""
+        reply = self._replies.get(acceptor)
+        if reply is not None and reply.generation != generation:
+            del self._replies[acceptor]
 
     def accept_reply(self, message: RecoveryReply) -> bool:
-        """Whether a reply answers this recovery's own request under the same generation; if so it is
-        kept."""
+        """Store a reply to this recovery, under the same generation; return whether it is one."""
         matches = message.number == self.number and message.generation == self.quorum.generation
         if self.done or not matches or message.acceptor not in self.quorum.all_acceptors():
             return False
-        self.replies[message.acceptor] = message
+        self._replies[message.acceptor] = message
         return True
 
+    # ---- outputs ---------------------------------------------------------------------------------------
+
     def requests(self, now: int) -> Iterator[tuple[str, RecoveryRequest]]:
-        """Recovery requests to the other acceptors, once each beat after the waiting time."""
-        if self.done or now < self.next_request_at:
+        """Yield requests to the other acceptors, once each heartbeat after the waiting time."""
+        if self.done or now < self._next_request_at:
             return
-        self.next_request_at = now + self.timing.heartbeat
+        self._next_request_at = now + self.timing.heartbeat
         for other in self.quorum.all_acceptors():
             if other != self.acceptor:
                 yield other, RecoveryRequest(self.number, self.acceptor, self.quorum.generation)
 
-    def complete(self, now: int) -> str | None:
-        """The grounds on which the acceptor may grant from now on (`founded`, `recalled`, `settled`), or
-        None."""
-        if self.done or now < self.starts_at:
+    def complete(self, now: int) -> RecoveryGrounds | None:
+        """End the recovery if there are grounds for it, and return them; None if there are none yet."""
+        if self.done or now < self._starts_at:
             return None
         grounds = self._grounds()
         if grounds is not None:
-            self.done, self.has_records, self.store_restored = True, True, False
+            self.done = True
+            self.has_records = True
+            self.store_restored = False
             self.confirmed_generation = self.quorum.generation
         return grounds
 
-    def _grounds(self) -> str | None:
-        quorum, own = self.quorum, self.acceptor
-        with_records = {
-            acceptor for acceptor, reply in self.replies.items() if self._knows_last_change(reply)
-        }
-        present = {*self.replies, own}
-        trusted = self.has_records and not self.store_restored
+    def wake_at(self) -> int | None:
+        """Return when there is something to do without an input; None when done."""
+        return None if self.done else min(self._next_request_at, self._report_at)
+
+    def errors_to_report(self, now: int) -> Iterator[LeaseError]:
+        """Yield errors for the log: a restored store once, missing replies at intervals."""
+        if self._restored is not None:
+            reporter, own, reported = self._restored
+            self._restored = None
+            yield DiskWentBack(f"{reporter} has heard stamp {reported}, the store holds {own}", self.acceptor)
+        if not self.done and now >= self._report_at:
+            self._report_at = now + REPORT_AGAIN_HEARTBEATS * self.timing.heartbeat
+            found = sorted(name for name, reply in self._replies.items() if reply.has_records)
+            missing = sorted(set(self.quorum.all_acceptors()) - set(self._replies) - {self.acceptor})
+            what = f"with memory: {found or 'none'}; no answer: {missing or 'none'}"
+            yield MemoryLost(what, self.acceptor)
+
+    # ---- grounds ---------------------------------------------------------------------------------------
+
+    def _grounds(self) -> RecoveryGrounds | None:
         if not self.has_records:
-            # Nothing was promised by an acceptor that was there, and blank, when all were: it has nothing to
-            # forget.
-            if any(reply.founding_recovery == self.number for reply in self.replies.values()):
-                if not quorum.is_changing():
-                    return "founded"
-                self.has_records, self.records_lost, self.confirmed_generation = (
-                    True,
-                    False,
-                    quorum.generation - 1,
-                )
-                return self._grounds()
-            if present >= set(quorum.all_acceptors()) and not any(
-                reply.has_records for reply in self.replies.values()
-            ):
-                self.founded_with = {acceptor: reply.recovery for acceptor, reply in self.replies.items()}
-                return "founded"
-        if self.records_lost and not enough_for_recovery(quorum, own, with_records):
+            if any(reply.founding_recovery == self.number for reply in self._replies.values()):
+                # This acceptor was running, without records, when another one founded the quorum, so it has
+                # granted nothing that it could have lost.
+                if not self.quorum.is_changing():
+                    return RecoveryGrounds.FOUNDED
+                self.has_records = True
+                self._records_lost = False
+                self.confirmed_generation = self.quorum.generation - 1
+            elif self._nobody_has_records():
+                self.founded_with = {name: reply.recovery for name, reply in self._replies.items()}
+                return RecoveryGrounds.FOUNDED
+        with_records = {name for name, reply in self._replies.items() if self._has_last_change(reply)}
+        if self._records_lost and not enough_for_recovery(self.quorum, self.acceptor, with_records):
+            return None
+        unconfirmed = self.confirmed_generation != self.quorum.generation
+        if (not self._records_lost or unconfirmed) and not self._majorities_have_settings(with_records):
             return None
-        if not self.records_lost or self.confirmed_generation != quorum.generation:
-            knowing = with_records | (
-                {own} if trusted and self.confirmed_generation >= quorum.generation - 2 else set()
-            )
-            previous_known = sum(acceptor in knowing for acceptor in quorum.previous) >= majority(
-                quorum.previous
-            )
-            if not previous_known or sum(acceptor in present for acceptor in quorum.acceptors) < majority(
-                quorum.acceptors
-            ):
-                return None
-        return "recalled" if self.records_lost else "settled"
-
-    def _knows_last_change(self, reply: RecoveryReply) -> bool:
-        """An acceptor that missed two changes of the quorum does not know what the last one settled."""
-        return reply.has_records and reply.confirmed_generation >= self.quorum.generation - 2
+        return RecoveryGrounds.RECOVERED if self._records_lost else RecoveryGrounds.RECONFIGURED
+
+    def _nobody_has_records(self) -> bool:
+        """Return whether all acceptors have replied, and none has records."""
+        present = {*self._replies, self.acceptor}
+        everyone = present >= set(self.quorum.all_acceptors())
+        return everyone and not any(reply.has_records for reply in self._replies.values())
+
+    def _majorities_have_settings(self, with_records: set[str]) -> bool:
+        """Return whether a majority of each list has the new settings, and the previous one's has records."""
+        knowing = set(with_records)
+        if self.has_records and not self.store_restored and self._is_recent(self.confirmed_generation):
+            knowing.add(self.acceptor)
+        present = {*self._replies, self.acceptor}
+        return all(
+            sum(acceptor in names for acceptor in acceptors) >= majority(acceptors)
+            for acceptors, names in ((self.quorum.previous, knowing), (self.quorum.acceptors, present))
+        )
 
-    def wake_at(self) -> int | None:
-        """When there is something to do without an input, in microseconds; None when done."""
-        return None if self.done else min(self.next_request_at, self.report_at)
+    def _has_last_change(self, reply: RecoveryReply) -> bool:
+        return reply.has_records and self._is_recent(reply.confirmed_generation)
 
-    def errors_to_report(self, now: int) -> Iterator[LeaseError]:
-        """Errors to be logged: a restored store once, missing answers at intervals."""
-        if self.report_restored:
-            self.report_restored = False
-            reporter, own_revision, reported_revision = self.restored_evidence
-            yield DiskWentBack(
-                f"{reporter} has heard stamp {reported_revision}, the store holds {own_revision}",
-                self.acceptor,
-            )
-        if not self.done and now >= self.report_at:
-            self.report_at = now + 10 * REPORT_AFTER * self.timing.heartbeat
-            with_records = sorted(acceptor for acceptor, reply in self.replies.items() if reply.has_records)
-            missing = sorted(set(self.quorum.all_acceptors()) - set(self.replies) - {self.acceptor})
-            yield MemoryLost(
-                f"with memory: {with_records or 'none'}; no answer: {missing or 'none'}", self.acceptor
-            )
+    def _is_recent(self, generation: int) -> bool:
+        """An acceptor that missed more changes of the quorum does not know what the last one settled."""
+        return generation >= self.quorum.generation - MAX_MISSED_GENERATIONS
--- a/linenbridge/fleet/leases/timing.py
+++ b/linenbridge/fleet/leases/timing.py
@@ -1,43 +1,50 @@
-"""Durations of leases: how long a holder may act, how long an acceptor keeps a place from others.
+"""Durations of leases: how long a holder may act, how long an acceptor keeps a slot from other members.
 
-Decides without I/O. Readings of two clocks must never be compared: only durations are, corrected by the
-bound on clock drift.
+Decides without I/O. Readings of two clocks are never compared: only durations are, corrected by the bound on
+clock drift. The rule is that of Gray and Cheriton, "Leases" (1989), section 2.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-PPM = 1_000_000  # clock drift is in millionths
+PARTS_PER_MILLION = 1_000_000
+QUEUE_TIMEOUT_HEARTBEATS = 3
 
 
 class LeaseTiming(NamedTuple):
-    """The durations in the settings, in microseconds. `clock_drift_ppm`
-    bounds the drift between two clocks, in
-    millionths."""
+    """The durations of the settings, in microseconds, and the bound on clock drift."""
 
-    lease: int  # of a lease, on the acceptor's clock, from its accepting
-    max_lease: int  # what no member's settings may exceed
-    clock_drift_ppm: int
-    heartbeat: int  # between two rounds of asking
+    lease: int  # length of a lease on the acceptor's clock, from the moment of the grant
+    max_lease: int  # upper bound of every member's `lease`
+    clock_drift_ppm: int  # the most that two members' clocks drift apart, in millionths
+    heartbeat: int  # between two requests of a proposer
 
 
 def lease_expiry(timing: LeaseTiming, sent_at: int) -> int:
-    """When a lease ends on the holder's clock, counted from when the request was sent, with the drift
-    taken off."""
-    return sent_at + timing.lease - -(-timing.lease * timing.clock_drift_ppm // PPM)
+    """Return when a lease ends on the holder's clock.
+
+    It is counted from the moment at which the holder sent the request, and is shorter than on the acceptor's
+    clock by the drift.
+    """
+    return sent_at + timing.lease - _drift(timing, timing.lease)
 
 
 def restart_wait(timing: LeaseTiming) -> int:
-    """How long an acceptor that may have lost records waits: the longest lease plus the drift."""
-    return timing.max_lease + -(-timing.max_lease * timing.clock_drift_ppm // PPM)
+    """Return how long an acceptor that may have lost records waits: the longest lease plus the drift."""
+    return timing.max_lease + _drift(timing, timing.max_lease)
 
 
 def remaining_with_drift(timing: LeaseTiming, remaining: int) -> int:
-    """The time left of a lease by another acceptor's word, plus the drift of this one's clock."""
-    return remaining + -(-remaining * timing.clock_drift_ppm // PPM)
+    """Return the time left of a lease on this clock, from the time left on another acceptor's clock."""
+    return remaining + _drift(timing, remaining)
 
 
 def queue_timeout(timing: LeaseTiming) -> int:
-    """How long a waiting member keeps its position without sending a request."""
-    return 3 * timing.heartbeat
+    """Return how long a waiting member that sends no request keeps its position in the queue."""
+    return QUEUE_TIMEOUT_HEARTBEATS * timing.heartbeat
+
+
+def _drift(timing: LeaseTiming, duration: int) -> int:
+    """Return the most that two clocks drift apart in a duration, rounded up."""
+    return -(-duration * timing.clock_drift_ppm // PARTS_PER_MILLION)
--- a/linenbridge/fleet/store/acceptor_records.py
+++ b/linenbridge/fleet/store/acceptor_records.py
@@ -1,25 +1,38 @@
 """An acceptor's records on disk, in one file of an embedded store (SQLite by `apsw`), written before it
-answers.
+replies.
 
-Owns the file and every transaction on it; each row carries a checksum. It must never repair or guess:
-what can't be read is reported, and the acceptor recovers as one without records, or does not start
-granting.
+Owns the file and every transaction on it; each row carries a checksum. Nothing is repaired or guessed: what
+can't be read is reported, and the acceptor recovers as one without records, or does not start granting.
+Tables, columns and names of facts are those of earlier versions.
 """
 
 from __future__ import annotations
 
 import os
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
+from contextlib import contextmanager
+from typing import Any, Protocol
 from zlib import crc32
 
 import apsw
 
-from linenbridge.fleet.leases.acceptor import StoredState
 from linenbridge.fleet.leases.errors import StoreTorn, StoreUnusable
 from linenbridge.fleet.leases.messages import SlotRecord
+from linenbridge.fleet.leases.stored_state import AcceptorFacts, StoredState
 
 SCHEMA_VERSION = 1
-UNUSABLE = (
+TABLES = """
+create table if not exists place (
+  task text, place integer, term integer, holder text, closed integer, sum integer,
+  primary key (task, place));
+create table if not exists fact (name text primary key, value integer, sum integer);
+"""
+WRITE_RECORD = "insert or replace into place values (?, ?, ?, ?, ?, ?)"
+WRITE_FACT = "insert or replace into fact values (?, ?, ?)"
+FACT_NAMES = ("remembers", "settled", "stamp", "longest")  # of the fields of AcceptorFacts, in their order
+OPENED = "opened"  # a fact that is written at each start, so that a disk that can't be written is noticed
+# Errors of the disk, the file system and other processes; any other error of SQLite is a damaged file.
+UNUSABLE_ERRORS = (
     apsw.BusyError,
     apsw.LockedError,
     apsw.FullError,
@@ -30,45 +43,48 @@
     apsw.NoMemError,
     OSError,
 )
-TABLES = """
-create table if not exists place (
-  task text, place integer, term integer, holder text, closed integer, sum integer,
-  primary key (task, place));
-create table if not exists fact (name text primary key, value integer, sum integer);
-"""
 
 
-def _checksum(*fields: object) -> int:
-    return crc32("\0".join(str(field) for field in fields).encode())
+class RecordStore(Protocol):
+    """Where an acceptor's records are stored."""
+
+    def read(self) -> StoredState:
+        """Return the content."""
+        ...
+
+    def write(self, records: Iterable[SlotRecord], facts: AcceptorFacts) -> None:
+        """Store records and facts durably."""
+        ...
+
+    def close(self) -> None:
+        """Release the store."""
+        ...
 
 
 class AcceptorRecords:
-    """One acceptor's file. Every call may raise StoreUnusable; `read` may raise StoreTorn too."""
+    """One acceptor's file.
 
-    def __init__(self, path: str, acceptor: str) -> None:
-        self.path, self.acceptor = path, acceptor
-        try:
+    Every call may raise StoreUnusable; opening and reading may raise StoreTorn too.
+    """
+
+    def __init__(self, path: str) -> None:
+        """Open the file for this process alone, or make it."""
+        self.path = path
+        with self._errors():
             self.connection = apsw.Connection(path)
             self.connection.set_busy_timeout(0)
             self._execute("pragma locking_mode=exclusive")
             self._execute("pragma journal_mode=wal")
             self._execute("pragma synchronous=full")
-        except UNUSABLE as error:
-            raise self._unusable(error) from None
-        except apsw.Error as error:
-            raise StoreTorn(f"{type(error).__name__}: {error}", path) from None
-
-    def _execute(self, statement: str, values: Iterable = ()) -> list[tuple]:
-        return list(self.connection.execute(statement, tuple(values)))
-
-    def _unusable(self, error: BaseException) -> StoreUnusable:
-        return StoreUnusable(f"{type(error).__name__}: {error}", self.path)
 
     def read(self) -> StoredState:
-        """The content of the file. A new file is written to once, so that a disk that can't be written is
-        noticed before anything is granted."""
-        try:
-            (version,), *_ = self._execute("pragma user_version")
+        """Return the content of the file.
+
+        The file is written to first, so that a disk that can't be written is noticed before anything is
+        granted.
+        """
+        with self._errors():
+            ((version,),) = self._execute("pragma user_version")
             if version not in (0, SCHEMA_VERSION):
                 raise StoreTorn(f"form {version} instead of {SCHEMA_VERSION}", self.path)
             if self._execute("pragma integrity_check") != [("ok",)]:
@@ -76,68 +92,87 @@
             with self.connection:
                 self._execute(f"pragma user_version={SCHEMA_VERSION}")
                 self.connection.execute(TABLES)
-                self._execute(
-                    "insert or replace into fact values ('opened', 1, ?)", (_checksum("opened", 1),)
-                )
-            facts, records = dict[str, int](), list[SlotRecord]()
-            for name, value, found in self._execute("select name, value, sum from fact order by name"):
-                self._check(found, name, value)
-                facts[name] = value
-            for *row, found in self._execute("select * from place order by task, place"):
-                self._check(found, *row)
-                records.append(SlotRecord(*row, 0))
-        except UNUSABLE as error:
-            raise self._unusable(error) from None
-        except apsw.Error as error:
-            raise StoreTorn(f"{type(error).__name__}: {error}", self.path) from None
-        return StoredState(
-            bool(facts.get("remembers", 0)),
-            facts.get("settled", 0),
-            facts.get("stamp", 0),
-            facts.get("longest", 0),
-            tuple(records),
-        )
-
-    def _check(self, found: int, *fields: object) -> None:
-        if found != _checksum(*fields):
-            raise StoreTorn(f"the row of {fields[0]} is not as it was written", self.path)
+                self._write_fact(OPENED, 1)
+            return StoredState(self._read_facts(), tuple(self._read_records()))
 
-    def write(self, rows: list[tuple], facts: dict[str, int]) -> None:
-        """Store rows and facts durably in one transaction, or raise StoreUnusable: then none of them is
-        stored."""
+    def write(self, records: Iterable[SlotRecord], facts: AcceptorFacts) -> None:
+        """Store records and facts durably in one transaction, or raise StoreUnusable: then none is stored."""
         try:
             with self.connection:
-                for row in rows:
-                    self._execute(
-                        "insert or replace into place values (?, ?, ?, ?, ?, ?)", (*row, _checksum(*row))
-                    )
-                for name, value in facts.items():
-                    statement = "insert or replace into fact values (?, ?, ?)"
-                    self._execute(statement, (name, value, _checksum(name, value)))
-        except (*UNUSABLE, apsw.Error) as error:
-            raise self._unusable(error) from None
+                for record in records:
+                    row = (record.task, record.slot, record.term, record.holder, record.relinquished_term)
+                    self._execute(WRITE_RECORD, (*row, _checksum(*row)))
+                for name, value in zip(FACT_NAMES, facts, strict=True):
+                    self._write_fact(name, int(value))
+        except (*UNUSABLE_ERRORS, apsw.Error) as error:
+            raise self._unusable(error) from error
 
     def close(self) -> None:
+        """Close the file."""
         self.connection.close()
 
+    @contextmanager
+    def _errors(self) -> Iterator[None]:
+        """Turn SQLite's errors into this module's."""
+        try:
+            yield
+        except UNUSABLE_ERRORS as error:
+            raise self._unusable(error) from error
+        except apsw.Error as error:
+            raise StoreTorn(f"{type(error).__name__}: {error}", self.path) from error
+
+    def _unusable(self, error: BaseException) -> StoreUnusable:
+        return StoreUnusable(f"{type(error).__name__}: {error}", self.path)
+
+    def _execute(self, statement: str, values: tuple[Any, ...] = ()) -> list[tuple[Any, ...]]:
+        return list(self.connection.execute(statement, values))
+
+    def _write_fact(self, name: str, value: int) -> None:
+        self._execute(WRITE_FACT, (name, value, _checksum(name, value)))
+
+    def _read_facts(self) -> AcceptorFacts:
+        found = dict[str, int]()
+        for name, value, checksum in self._execute("select name, value, sum from fact order by name"):
+            self._verify(checksum, name, value)
+            found[name] = value
+        has_records, *numbers = (found.get(name, 0) for name in FACT_NAMES)
+        return AcceptorFacts(bool(has_records), *numbers)
+
+    def _read_records(self) -> Iterator[SlotRecord]:
+        for row in self._execute("select * from place order by task, place"):
+            task, slot, term, holder, relinquished_term, checksum = row
+            self._verify(checksum, *row[:-1])
+            yield SlotRecord(task, slot, term, holder, relinquished_term, remaining=0)
+
+    def _verify(self, checksum: int, *fields: object) -> None:
+        if checksum != _checksum(*fields):
+            raise StoreTorn(f"the row of {fields[0]} is not as it was written", self.path)
+
 
 class NoRecords:
     """For an acceptor without a disk: it recovers after each start as one without records."""
 
     def read(self) -> StoredState:
+        """Return no records."""
         return StoredState()
 
-    def write(self, rows: list[tuple], facts: dict[str, int]) -> None:
-        """Nothing is stored."""
+    def write(self, records: Iterable[SlotRecord], facts: AcceptorFacts) -> None:
+        """Store nothing."""
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Release nothing."""
 
 
-def open_records(path: str, acceptor: str) -> AcceptorRecords | NoRecords:
-    """The acceptor's store; NoRecords if `path` is empty."""
+def open_records(path: str) -> RecordStore:
+    """Return the acceptor's store; NoRecords if `path` is empty."""
     if not path:
         return NoRecords()
     folder = os.path.dirname(path)
     if folder and not os.path.isdir(folder):
         raise StoreUnusable(f"no folder {folder}", path)
-    return AcceptorRecords(path, acceptor)
+    return AcceptorRecords(path)
+
+
+def _checksum(*fields: object) -> int:
+    """Return the sum over a row's values as text; records of earlier versions are read by it."""
+    return crc32("\0".join(str(value) for value in fields).encode())
