--- /dev/null
+++ b/tests/compatibility/test_fleet_settings.py
@@ -0,0 +1,57 @@
+"""The element `fleet` of the settings is read to the same values and faults as at commit 4d24a08.
+
+The record is `data/fleet_settings.json`, written by `record_fleet_hosting.py`.
+"""
+
+from __future__ import annotations
+
+from typing import Any
+
+from linenbridge.configuration.read import ConfigurationError, parse
+from linenbridge.fleet.configuration import FleetTold, fleet
+
+
+def values(settings: FleetTold | None) -> dict[str, Any] | None:
+    """The settings in the record's form."""
+    if settings is None:
+        return None
+    quorum = settings.quorum
+    return {
+        "member": settings.member,
+        "listen": list(settings.listen),
+        "store": settings.store,
+        "trusted": settings.trusted,
+        "pace": list(settings.pace),
+        "members": {name: list(address) for name, address in settings.members.items()},
+        "quorum": [quorum.generation, list(quorum.now), list(quorum.before)],
+        "first_term": settings.first_term,
+        "errands": [
+            {
+                "task": errand.task,
+                "places": errand.places,
+                "act": None if errand.act is None else list(errand.act),
+                "every": errand.every,
+            }
+            for errand in settings.errands
+        ],
+        "restarts_within": settings.restarts_within,
+        "windows": list(settings.windows),
+    }
+
+
+def read_settings(text: str) -> tuple[dict[str, Any] | None, str]:
+    """The values of the settings, or the error."""
+    try:
+        return values(fleet(parse(text.encode(), "/etc/fleet/x.xml"))), ""
+    except ConfigurationError as error:
+        return None, str(error)
+
+
+def test_settings_are_read_to_equal_values_or_the_same_faults(record):
+    rows = record("fleet_settings")
+
+    for row in rows:
+        assert read_settings(row["text"]) == (row["values"], row["error"]), row["case"]
+
+    assert len(rows) == 26
+    assert sum(bool(row["error"]) for row in rows) == 16
--- /dev/null
+++ b/tests/compatibility/test_freezes.py
@@ -0,0 +1,106 @@
+"""Files of freezes are read to the same windows as at commit 4d24a08, and decided on at the same times.
+
+The record is `data/freezes.json`, written by `record_fleet_hosting.py`.
+"""
+
+from __future__ import annotations
+
+from datetime import UTC, datetime
+from itertools import islice
+from typing import Any
+
+import pytest
+
+from linenbridge.configuration.read import ConfigurationError
+from linenbridge.fleet.freezes.configuration import windows
+from linenbridge.fleet.freezes.holds import Holds
+from linenbridge.fleet.freezes.windows import Window, occurrences
+
+BEGIN = int(datetime(2026, 12, 8, 2, tzinfo=UTC).timestamp()) * 1_000_000
+HOUR = 3_600_000_000
+MAX_WAKES = 40
+# Log events that have been renamed since, old -> new.
+RENAMED: dict[str, str] = {}
+
+
+def window_values(window: Window) -> dict[str, Any]:
+    """A window in the record's form."""
+    return {
+        "name": window.name,
+        "kind": window.kind,
+        "begin": window.begin.isoformat(),
+        "end": window.end.isoformat(),
+        "zone": window.zone.key,
+        "zones": sorted(window.zones),
+        "every": window.every,
+        "step": window.step,
+        "last": None if window.last is None else window.last.isoformat(),
+        "cancelled": window.cancelled,
+    }
+
+
+def decisions(found: tuple[Window, ...]) -> list[list[Any]]:
+    """What is decided at each wake-up, from an hour before the first window on, in the record's form."""
+    now = BEGIN - HOUR
+    core = Holds(found, now)
+    rows: list[list[Any]] = []
+    for _ in range(MAX_WAKES):
+        while (decision := core.next_decision(now)) is not None:
+            if decision[0] == "hold":
+                rows.append([now, "hold", None if decision[1] is None else sorted(decision[1])])
+            else:
+                rows.append([now, *decision])
+        wake = core.wake_at()
+        if wake is None:
+            break
+        now = max(now + 1, wake)
+    return rows
+
+
+def read_file(folder, text: str) -> tuple[tuple[Window, ...], str]:
+    """The windows of a file of that text, or the error."""
+    path = folder / "freezes.xml"
+    path.write_text(text)
+    try:
+        return windows(str(path)), ""
+    except ConfigurationError as error:
+        return (), str(error).replace(str(folder), "FOLDER")
+
+
+def renamed(rows: list[list[Any]]) -> list[list[Any]]:
+    """Recorded decisions with events under their present names."""
+    return [[RENAMED.get(value, value) if isinstance(value, str) else value for value in row] for row in rows]
+
+
+def test_files_are_read_to_equal_windows_or_the_same_faults(record, tmp_path):
+    rows = record("freezes")
+
+    for row in rows:
+        found, error = read_file(tmp_path, row["text"])
+        assert error == row["error"], row["case"]
+        assert [window_values(window) for window in found] == row["windows"], row["case"]
+
+    assert len(rows) == 22
+    assert sum(bool(row["error"]) for row in rows) == 12
+
+
+def test_windows_come_again_and_are_decided_on_at_the_same_times(record, tmp_path):
+    rows = [row for row in record("freezes") if not row["error"]]
+
+    for row in rows:
+        found, _ = read_file(tmp_path, row["text"])
+        times = [[list(pair) for pair in islice(occurrences(window, BEGIN), 6)] for window in found]
+        assert times == row["occurrences"], row["case"]
+        assert decisions(found) == renamed(row["decisions"]), row["case"]
+
+    assert sum(len(row["decisions"]) for row in rows) > 100
+
+
+def test_no_file_is_no_window():
+    assert windows("") == ()
+
+
+@pytest.mark.parametrize("name", ["none.xml"])
+def test_a_file_that_is_not_there_is_named(tmp_path, name):
+    with pytest.raises(ConfigurationError, match=name):
+        windows(str(tmp_path / name))
--- /dev/null
+++ b/tests/compatibility/test_task_actions.py
@@ -0,0 +1,72 @@
+"""Requests of task actions are the same bytes as at commit 4d24a08, and their answers count the same.
+
+The record is `data/task_actions.json`, written by `record_fleet_hosting.py`.
+"""
+
+from __future__ import annotations
+
+import io
+from typing import Any
+
+from twisted.internet.testing import StringTransport
+
+from linenbridge.fleet.configuration import Errand
+from linenbridge.fleet.hosting.task_actions import Errands
+from linenbridge.logging.event_log import Log
+from tests.compatibility.fleet_fakes import ResolvingReactor, log_rows
+
+LONG_BODY = b"x" * 70_000  # of the answer that announces 90,000 bytes
+# Log events that have been renamed since, old -> new.
+RENAMED: dict[str, str] = {}
+
+
+def play(row: dict[str, Any]) -> dict[str, Any]:
+    """One task's first action, and what comes of the recorded answer to it."""
+    reactor = ResolvingReactor()
+    stream = io.BytesIO()
+    log = Log(stream)
+    may_act = None if row["may_act"] is None else tuple(row["may_act"])
+    task = Errand(row["task"], 1, tuple(row["address"]), row["every"])
+    actions = Errands(row["member"], (task,), reactor, log, lambda _: may_act)
+    reactor.advance(row["every"] / 1e6 - 0.0001)
+    early = len(reactor.tcpClients)
+    reactor.advance(0.0002)
+    found: dict[str, Any] = {"early": early, "connections": len(reactor.tcpClients)}
+    if reactor.tcpClients:
+        host, port, factory = reactor.tcpClients[0][:3]
+        protocol = factory.buildProtocol(None)
+        transport = StringTransport()
+        protocol.makeConnection(transport)
+        reactor.advance(row["every"] / 1e6)
+        found |= {"host": host, "port": port, "sent": transport.value().hex()}
+        found["connections_unanswered"] = len(reactor.tcpClients)
+        if row["answer"]:
+            answer = bytes.fromhex(row["answer"])
+            protocol.dataReceived(answer + (LONG_BODY if b"90000" in answer else b""))
+        else:
+            reactor.advance(3.9)  # after the second in which the next action was due
+            found["counts_before_timeout"] = len(log.counts)
+            reactor.advance(0.2)
+    found["counts"] = {" ".join(names): count for names, count in sorted(log.counts.items())}
+    found["log"] = log_rows(stream.getvalue())
+    actions.close()
+    return found
+
+
+def expected(found: dict[str, Any]) -> dict[str, Any]:
+    """The record with events and counters under their present names."""
+    counts = {}
+    for name, count in found["counts"].items():
+        event, _, rest = name.partition(" ")
+        counts[f"{RENAMED.get(event, event)} {rest}"] = count
+    lines = [line | {"event": RENAMED.get(line["event"], line["event"])} for line in found["log"]]
+    return found | {"counts": counts, "log": lines}
+
+
+def test_requests_and_the_consequences_of_answers_are_the_same(record):
+    rows = record("task_actions")
+
+    for row in rows:
+        assert play(row) == expected(row["found"]), (row["task"], row["answer"][:60])
+
+    assert len(rows) == 9
