--- a/linenbridge/distribution/hosting/change_client.py
+++ b/linenbridge/distribution/hosting/change_client.py
@@ -17,7 +17,7 @@
 from linenbridge.distribution.errors import NotPublisher, PublisherBusy
 from linenbridge.distribution.hosting.link_messages import AUTHOR_TAKES
 from linenbridge.distribution.messages import Publish, Published
-from linenbridge.peering.connections import Links
+from linenbridge.peering.connections import PeerConnections
 from linenbridge.logging.event_log import Log
 
 ASK_AGAIN = 0.3  # seconds before the next candidate is asked
@@ -47,12 +47,12 @@
         self.waits_for = ""  # the candidate that is asked
         self.timer: Any = None
         name = f"author-{os.getpid()}-{secrets.token_hex(4)}"
-        self.links = Links(
+        self.connections = PeerConnections(
             name, frozenset(self.candidates), reactor, log, self._heard, decoder=AUTHOR_TAKES,
-            changed=self._link_changed,
+            on_peer_changed=self._link_changed,
         )  # fmt: skip
         for candidate, address in region.publishers.items():
-            self.links.dial(candidate, address)
+            self.connections.dial(candidate, address)
 
     def _link_changed(self, far: str, up: bool) -> None:
         if up and not self.waits_for:
@@ -66,7 +66,7 @@
 
     def _ask(self, candidate: str) -> None:
         self.waits_for = candidate
-        self.links.say(candidate, self.change)
+        self.connections.send(candidate, self.change)
 
     def _ask_next(self) -> None:
         """The next in turn that has a link, after a while."""
@@ -78,7 +78,7 @@
             return
         place = self.candidates.index(last) + 1
         turn = self.candidates[place:] + self.candidates[:place]
-        linked = [candidate for candidate in turn if candidate in self.links.to]
+        linked = [candidate for candidate in turn if candidate in self.connections.by_peer]
         if linked:
             self._ask(linked[0])
 
@@ -109,4 +109,4 @@
         self.outcome.maybe_kept |= bool(self.waits_for) and not self._is_over()
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        self.links.close()
+        self.connections.close()
--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -31,7 +31,7 @@
 from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
 from linenbridge.distribution.view.view import View
 from linenbridge.peering import clock
-from linenbridge.peering.connections import Links
+from linenbridge.peering.connections import PeerConnections
 from linenbridge.logging.event_log import Log
 
 STORE_EVERY = 1.0  # seconds between two writes of the view's pages
@@ -52,9 +52,9 @@
             list(settings.regions), view.positions(), follower_settings(settings, settings.rate), random,
             clock.now(), view.range_digests,
         )  # fmt: skip
-        self.links = Links(
+        self.connections = PeerConnections(
             settings.name, relay_names(settings), reactor, log, self._heard, decoder=FOLLOWER_TAKES,
-            changed=self._link_changed,
+            on_peer_changed=self._link_changed,
         )  # fmt: skip
         self.pages = None if store is None else StoredPages(reactor, log, view, store)
         self.queue: deque[Apply | ReplaceRange] = deque()
@@ -80,15 +80,15 @@
     def _carry_out(self, core: Core, now: int, decision: Decision) -> None:
         match decision:
             case Send():
-                self.links.say(decision.to, decision.message)
+                self.connections.send(decision.to, decision.message)
             case Apply() | ReplaceRange():
                 self._enqueue(decision)
             case Dial():
                 address = self.settings.relay_address(decision.relay)
                 if address is not None:
-                    self.links.dial(decision.relay, address)
+                    self.connections.dial(decision.relay, address)
             case HangUp():
-                self.links.drop(decision.relay)
+                self.connections.disconnect(decision.relay)
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
@@ -171,7 +171,7 @@
         """In order: links, then turns, then the last pages on disk; `closed()` at the end."""
         self.closed = True
         self.carrier.close()
-        self.links.close()
+        self.connections.close()
         if self.pages is None:
             closed()
         else:
--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -19,7 +19,7 @@
 from linenbridge.distribution.log.publisher import Check, Publisher
 from linenbridge.fleet.configuration import FleetTold
 from linenbridge.peering import clock
-from linenbridge.peering.connections import Links, WellFormedNames
+from linenbridge.peering.connections import PeerConnections, WellFormedNames
 from linenbridge.fleet.hosting.member import Member
 from linenbridge.fleet.hosting.quorum_member import again
 from linenbridge.logging.event_log import Log
@@ -38,11 +38,11 @@
         self.publisher = Publisher(
             settings.region, settings.name, tuple(relays), PublisherPace(), random, check
         )
-        self.authors = Links(
+        self.authors = PeerConnections(
             settings.name, WellFormedNames(), reactor, log, self._heard_author,
-            decoder=PUBLISHER_TAKES_OF_AUTHORS, connections=settings.authors,
+            decoder=PUBLISHER_TAKES_OF_AUTHORS, max_connections=settings.authors,
         )  # fmt: skip
-        self.relays = Links(
+        self.relays = PeerConnections(
             settings.name, frozenset(relays), reactor, log, self._heard_relay, decoder=PUBLISHER_TAKES
         )
         self.carrier = Carrier(reactor, [self.publisher], self._carry_out, self._look_at_lease)
@@ -87,9 +87,9 @@
     def _carry_out(self, core: Core, now: int, decision: Decision) -> None:
         match decision:
             case Send(to, Published() as answer):
-                self.authors.say(to, answer)
+                self.authors.send(to, answer)
             case Send(to, message):
-                self.relays.say(to, message)
+                self.relays.send(to, message)
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
@@ -98,8 +98,8 @@
         publisher = self.publisher
         return {
             **self.member.facts(),
-            "authors": len(self.authors.to),
-            "relays": len(self.relays.to),
+            "authors": len(self.authors.by_peer),
+            "relays": len(self.relays.by_peer),
             "epoch": publisher.epoch,
             "publishing": int(publisher.leading),
             "committed": publisher.log.committed,
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -31,7 +31,7 @@
 from linenbridge.distribution.log.replica import Replica
 from linenbridge.distribution.storage.log_store import RelayLog
 from linenbridge.peering import clock
-from linenbridge.peering.connections import Links, WellFormedNames, later
+from linenbridge.peering.connections import PeerConnections, WellFormedNames, call_soon
 from linenbridge.logging.event_log import Log
 
 SPARE_CONNECTIONS = 64  # for relays of other regions and publishers, beside two for each follower
@@ -64,13 +64,14 @@
             relay: region for region, found in settings.regions.items() for relay in found.relays
         }
         self.writer = GroupWriter[Keep](reactor, self.disk.keep, self._kept, self._not_kept)
-        self.downstream = Links(
+        self.downstream = PeerConnections(
             settings.name, WellFormedNames(), reactor, log, self._heard_downstream, decoder=RELAY_TAKES,
-            connections=2 * settings.followers + SPARE_CONNECTIONS, changed=self._downstream_changed,
+            max_connections=2 * settings.followers + SPARE_CONNECTIONS,
+            on_peer_changed=self._downstream_changed,
         )  # fmt: skip
-        self.upstream = Links(
+        self.upstream = PeerConnections(
             settings.name, relay_names(settings), reactor, log, self._heard_upstream, decoder=FOLLOWER_TAKES,
-            changed=self._upstream_changed,
+            on_peer_changed=self._upstream_changed,
         )  # fmt: skip
         cores = [self.replica, *self.followers.values(), self.feed]
         self.carrier = Carrier(reactor, cores, self._carry_out, after=self._look_at_replica)
@@ -140,8 +141,8 @@
     def _carry_out(self, core: Core, now: int, decision: Decision) -> None:
         match decision:
             case Send():
-                links = self.upstream if isinstance(core, Follower) else self.downstream
-                links.say(decision.to, decision.message)
+                connections = self.upstream if isinstance(core, Follower) else self.downstream
+                connections.send(decision.to, decision.message)
             case Keep():
                 self.writer.put(decision)
             case Committed():
@@ -159,14 +160,14 @@
             case Dial():
                 self.upstream.dial(decision.relay, self._address(decision.relay))
             case HangUp():
-                self.upstream.drop(decision.relay)
+                self.upstream.disconnect(decision.relay)
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
     def _look_at_replica(self) -> None:
         if self.replica.broken and self._broken is not None:
             broken, self._broken = self._broken, None
-            later(self.reactor, broken)
+            call_soon(self.reactor, broken)
 
     def _address(self, relay: str) -> tuple[str, int]:
         return self.settings.regions[self.region_of[relay]].relays[relay]
@@ -176,7 +177,7 @@
         for keep in keeps:
             self.replica.on_kept(now, keep.number)
             for send in keep.then:
-                self.downstream.say(send.to, send.message)
+                self.downstream.send(send.to, send.message)
         self.carrier.turn()
 
     def _not_kept(self, keeps: list[Keep], error: BaseException) -> None:
@@ -192,7 +193,7 @@
         counters = self.feed.counters
         return {
             "followers": len(self.feed.sessions),
-            "links": len(self.downstream.to),
+            "links": len(self.downstream.by_peer),
             "epoch": self.replica.epoch,
             "member": int(self.replica.member),
             "committed": self.replica.log.committed,
--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -18,7 +18,7 @@
 from linenbridge.peering import clock
 from linenbridge.fleet.hosting.task_actions import Errands
 from linenbridge.fleet.hosting.freezes import Freezes
-from linenbridge.peering.connections import Links, later
+from linenbridge.peering.connections import PeerConnections, call_soon
 from linenbridge.fleet.leases.acceptor import Acceptor
 from linenbridge.fleet.leases.messages import LeaseReply, LeaseRequest, RecoveryReply, RecoveryRequest
 from linenbridge.fleet.leases.proposer import Proposer
@@ -47,8 +47,8 @@
         self.gone = False
         if told.is_acceptor():
             self._start_acceptor(now, life)
-        self.links = Links(told.member, frozenset(told.members), reactor, log, self._hear)
-        self.port = reactor.listenTCP(told.listen[1], self.links, interface=told.listen[0])
+        self.connections = PeerConnections(told.member, frozenset(told.members), reactor, log, self._hear)
+        self.port = reactor.listenTCP(told.listen[1], self.connections, interface=told.listen[0])
         self._dial()
         for errand in told.errands:
             if errand.task != RESTARTS:
@@ -82,7 +82,7 @@
     def _dial(self) -> None:
         for acceptor in self.told.quorum.everyone():
             if acceptor != self.told.member:
-                self.links.dial(acceptor, self.told.members[acceptor])
+                self.connections.dial(acceptor, self.told.members[acceptor])
 
     # ---- messages ----------------------------------------------------------------------------------
 
@@ -106,15 +106,17 @@
 
     def _heard_on(self, proposer: str, far: str) -> None:
         """Remember the link to answer a proposer on; entries of closed links are dropped beyond a bound."""
-        if len(self.proposers) > 4 * len(self.links.to) + 64:
-            self.proposers = {name: link for name, link in self.proposers.items() if link in self.links.to}
+        if len(self.proposers) > 4 * len(self.connections.by_peer) + 64:
+            self.proposers = {
+                name: link for name, link in self.proposers.items() if link in self.connections.by_peer
+            }
         self.proposers[proposer] = far
 
     def _say(self, to: str, message: Any) -> None:
         if to in (self.name, self.told.member):
-            later(self.reactor, self._hear, self.told.member, message)
+            call_soon(self.reactor, self._hear, self.told.member, message)
         else:
-            self.links.say(self.proposers.get(to, to), message)
+            self.connections.send(self.proposers.get(to, to), message)
 
     # ---- turns -------------------------------------------------------------------------------------
 
@@ -142,7 +144,7 @@
         else:
             _, task, place, term = decision
             self.log.event(f"task.{kind}", task=task, place=place, term=term)
-            later(self.reactor, self.tasks_changed, task)
+            call_soon(self.reactor, self.tasks_changed, task)
             if kind == "held" and task == RESTARTS and self.leaving is not None:
                 self._go()
 
@@ -170,10 +172,10 @@
             self.acceptor.on_quorum(now, told.quorum)
         elif told.is_acceptor():
             self._start_acceptor(now, self.life)
-        self.links.known = frozenset(told.members)
+        self.connections.peer_names = frozenset(told.members)
         acceptors = told.quorum.everyone()
-        for former in [name for name in self.links.dialled if name not in acceptors]:
-            self.links.drop(former)
+        for former in [name for name in self.connections.dialled if name not in acceptors]:
+            self.connections.disconnect(former)
         self._dial()
         self.freezes.take_up(told.windows)
         self.turn()
@@ -207,7 +209,7 @@
 
     def _close(self, gone: Callable[[], None]) -> None:
         self.port.stopListening()
-        self.links.close()
+        self.connections.close()
         if self.pool is not None:
             self.pool.stop()
         if self.disk is not None:
@@ -218,7 +220,7 @@
         """Figures for the line of counters."""
         held = sum(self.holds(task) is not None for task in self.proposer.holds)
         return {
-            "links": len(self.links.to),
+            "links": len(self.connections.by_peer),
             "held": held,
             "grants": int(bool(self.acceptor and self.acceptor.grants())),
         }
--- a/linenbridge/peering/connections.py
+++ b/linenbridge/peering/connections.py
@@ -1,4 +1,4 @@
-"""Links between processes: messages over Twisted's AMP, one connection from each dialler to each one
+"""Connections between processes: messages over Twisted's AMP, one connection from each dialler to each one
 dialled.
 
 Owns the connections and knows the process at the far end of each. A peer that sends something else costs
@@ -24,31 +24,37 @@
 from linenbridge.fleet.leases.messages import Message
 from linenbridge.logging.event_log import Log
 
-WORD_MOST = 60_000  # AMP's values end at 65,535 bytes
-UNSENT_MOST = 1 << 20  # bytes queued for a peer that reads nothing; beyond them its link is dropped
-CONNECT_WAIT, AGAIN_FROM, AGAIN_MOST = 5.0, 0.1, 2.0
-WELL_FORMED = re.compile(r"[A-Za-z0-9][A-Za-z0-9._\-]{0,62}")  # the schema's type `name`
-ANY = "any"  # stands for all names in the counters where names are not in the settings
+MAX_MESSAGE_BYTES = 60_000  # AMP's values end at 65,535 bytes
+MAX_UNSENT_BYTES = 1 << 20  # bytes queued for a peer that reads nothing; beyond them, no connection
+CONNECT_TIMEOUT = 5.0  # seconds, of a connection attempt and of the wait for a peer's name
+MIN_RECONNECT_DELAY = 0.1  # seconds
+MAX_RECONNECT_DELAY = 2.0  # seconds
+WELL_FORMED_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._\-]{0,62}")  # the schema's type `name`
+ANY_PEER = "any"  # stands for all names in the counters where names are not in the settings
 
 _encode, _decode = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Message)
 
 
-class Meet(amp.Command):
+class Hello(amp.Command):
     """The name of the member at this end, sent once before any message."""
 
+    commandName = b"Meet"  # on the wire
+
     arguments = [(b"name", amp.Unicode())]
     requiresAnswer = False
 
 
-class Say(amp.Command):
+class Deliver(amp.Command):
     """One message of a core."""
 
+    commandName = b"Say"  # on the wire
+
     arguments = [(b"word", amp.String())]
     requiresAnswer = False
 
 
-class Names(Protocol):
-    """Who may name itself at the far end of a link: a set of names, or a rule."""
+class PeerNames(Protocol):
+    """Who may name itself at the far end of a connection: a set of names, or a rule."""
 
     def __contains__(self, name: object, /) -> bool: ...
 
@@ -61,10 +67,12 @@
         self.prefix = prefix
 
     def __contains__(self, name: object, /) -> bool:
-        return isinstance(name, str) and name.startswith(self.prefix) and bool(WELL_FORMED.fullmatch(name))
+        return (
+            isinstance(name, str) and name.startswith(self.prefix) and bool(WELL_FORMED_NAME.fullmatch(name))
+        )
 
 
-class Outbox:
+class SendBuffer:
     """What is written to one connection: no more than a bound waits for a far end that does not read.
 
     Twisted's producer: it is paused while the transport's own buffer is full.
@@ -106,160 +114,168 @@
         self.bytes = 0
 
 
-class Link(amp.AMP):
-    """One connection. `far` is the name of the process at the other end, as it says itself."""
+class PeerConnection(amp.AMP):
+    """One connection. `peer` is the name of the process at the other end, as it says itself."""
 
-    noisy, far, quiet, outbox = False, "", None, None
+    noisy, peer, hello_timer, send_buffer = False, "", None, None
 
-    def __init__(self, links: Links) -> None:
+    def __init__(self, connections: PeerConnections) -> None:
         super().__init__()
-        self.links = links
+        self.connections = connections
 
     def connectionMade(self) -> None:
         super().connectionMade()
         self.transport.setTcpNoDelay(True)
-        self.outbox = Outbox(self.transport, self.links.unsent_most, self._unread)
-        self.callRemote(Meet, name=self.links.name)
-        self.links.open.add(self)
-        self.quiet = self.links.reactor.callLater(CONNECT_WAIT, self.transport.abortConnection)
-
-    @Meet.responder
-    def meet(self, name: str) -> dict:
-        if name not in self.links.known or self.far:
-            self.links.rarely("link.stranger", name[:64])
+        self.send_buffer = SendBuffer(self.transport, self.connections.max_unsent_bytes, self._unread)
+        self.callRemote(Hello, name=self.connections.name)
+        self.connections.open_connections.add(self)
+        self.hello_timer = self.connections.reactor.callLater(CONNECT_TIMEOUT, self.transport.abortConnection)
+
+    @Hello.responder
+    def on_hello(self, name: str) -> dict:
+        if name not in self.connections.peer_names or self.peer:
+            self.connections.rarely("link.stranger", name[:64])
             self.transport.abortConnection()
             return {}
-        self.far = name
-        self.quiet.cancel()
-        self.links.met(self)
+        self.peer = name
+        self.hello_timer.cancel()
+        self.connections.on_connected(self)
         return {}
 
-    @Say.responder
-    def heard(self, word: bytes) -> dict:
+    @Deliver.responder
+    def on_deliver(self, word: bytes) -> dict:
         try:
-            if not self.far:
+            if not self.peer:
                 raise msgspec.ValidationError("a word before the name")
-            decoded = self.links.decoder.decode(word)
+            decoded = self.connections.decoder.decode(word)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
             self._malformed(error)
         else:
-            self.links.hear(self.far, decoded)
+            self.connections.on_message(self.peer, decoded)
         return {}
 
     def unhandledError(self, failure: Any) -> None:
         self._malformed(failure.value)
 
     def _malformed(self, error: BaseException) -> None:
-        self.links.rarely("link.malformed", self.far, error=str(error))
+        self.connections.rarely("link.malformed", self.peer, error=str(error))
         self.transport.abortConnection()
 
     def sendBox(self, box: amp.AmpBox) -> None:
         """Words and AMP's own answers alike."""
-        if self.outbox is not None:
-            self.outbox.write(box.serialize())
+        if self.send_buffer is not None:
+            self.send_buffer.write(box.serialize())
 
     def _unread(self, waited: int) -> None:
-        self.links.rarely("link.unread", self.far, bytes=waited)
+        self.connections.rarely("link.unread", self.peer, bytes=waited)
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Any) -> None:
         super().connectionLost(reason)
-        if self.quiet is not None and self.quiet.active():
-            self.quiet.cancel()
-        self.links.lost(self)
+        if self.hello_timer is not None and self.hello_timer.active():
+            self.hello_timer.cancel()
+        self.connections.on_disconnected(self)
 
 
-class Links(Factory):
-    """All links of one process. `hear(far, message)` is called for each message; `known` are the others'
-    names.
+class PeerConnections(Factory):
+    """All connections of one process. `on_message(peer, message)` is called for each message; `peer_names`
+    are the others' names.
 
-    `decoder` is that of the messages that are understood; `connections` bounds how many stand at once
-    (without it, as many as the names known can have any use for); `changed(far, up)` is told when the
-    first link of a name is met and when its last is lost.
+    `decoder` is that of the messages that are understood; `max_connections` bounds how many stand at once
+    (without it, as many as the names known can have any use for); `on_peer_changed(peer, connected)` is told
+    when the first connection of a name is met and when its last is lost.
     """
 
     noisy = False
 
     def __init__(
-        self, name: str, known: Names, reactor: Any, log: Log, hear: Callable[[str, Any], None], *,
-        decoder: msgspec.msgpack.Decoder = _decode, connections: int | None = None,
-        unsent_most: int = UNSENT_MOST, changed: Callable[[str, bool], None] = lambda far, up: None,
+        self, name: str, peer_names: PeerNames, reactor: Any, log: Log,
+        on_message: Callable[[str, Any], None], *,
+        decoder: msgspec.msgpack.Decoder = _decode, max_connections: int | None = None,
+        max_unsent_bytes: int = MAX_UNSENT_BYTES,
+        on_peer_changed: Callable[[str, bool], None] = lambda peer, connected: None,
     ) -> None:  # fmt: skip
-        if connections is None and not isinstance(known, frozenset):
+        if max_connections is None and not isinstance(peer_names, frozenset):
             raise ValueError("links to names by a rule need a bound on connections")
-        self.name, self.known, self.reactor, self.log, self.hear = name, known, reactor, log, hear
-        self.decoder, self.connections, self.unsent_most = decoder, connections, unsent_most
-        self.changed = changed
-        self.open: set[Link] = set()
-        self.to: dict[str, Link] = {}  # by the far end's name
+        self.name, self.peer_names, self.reactor, self.log, self.on_message = (
+            name,
+            peer_names,
+            reactor,
+            log,
+            on_message,
+        )
+        self.decoder, self.max_connections, self.max_unsent_bytes = decoder, max_connections, max_unsent_bytes
+        self.on_peer_changed = on_peer_changed
+        self.open_connections: set[PeerConnection] = set()
+        self.by_peer: dict[str, PeerConnection] = {}  # by the far end's name
         self.dialled: dict[str, tuple[ClientService, tuple[str, int]]] = {}
 
-    def buildProtocol(self, addr: Any) -> Link | None:
+    def buildProtocol(self, addr: Any) -> PeerConnection | None:
         """Accept a connection, unless as many are open as the bound."""
-        most = 4 * len(self.known) + 16 if self.connections is None else self.connections
-        if len(self.open) >= most:
+        most = 4 * len(self.peer_names) + 16 if self.max_connections is None else self.max_connections
+        if len(self.open_connections) >= most:
             self.log.rarely("link.too_many", "all")
             return None
-        return Link(self)
+        return PeerConnection(self)
 
-    def rarely(self, event: str, far: str, **fields: object) -> None:
+    def rarely(self, event: str, peer: str, **fields: object) -> None:
         """Counted by name only where the settings hold the names: a peer can make up any number of others."""
-        if isinstance(self.known, frozenset):
-            self.log.rarely(event, far, **fields)
+        if isinstance(self.peer_names, frozenset):
+            self.log.rarely(event, peer, **fields)
         else:
-            self.log.rarely(event, ANY, far=far, **fields)
+            self.log.rarely(event, ANY_PEER, far=peer, **fields)
 
-    def dial(self, acceptor: str, address: tuple[str, int]) -> None:
+    def dial(self, peer: str, address: tuple[str, int]) -> None:
         """Keep a connection to a process; after a failure it is opened again with exponential backoff and
         jitter."""
-        if acceptor in self.dialled and self.dialled[acceptor][1] == address:
+        if peer in self.dialled and self.dialled[peer][1] == address:
             return
-        self.drop(acceptor)
-        endpoint = TCP4ClientEndpoint(self.reactor, *address, timeout=CONNECT_WAIT)
-        policy = backoffPolicy(initialDelay=AGAIN_FROM, maxDelay=AGAIN_MOST)
+        self.disconnect(peer)
+        endpoint = TCP4ClientEndpoint(self.reactor, *address, timeout=CONNECT_TIMEOUT)
+        policy = backoffPolicy(initialDelay=MIN_RECONNECT_DELAY, maxDelay=MAX_RECONNECT_DELAY)
         service = ClientService(endpoint, self, retryPolicy=policy, clock=self.reactor)
-        self.dialled[acceptor] = service, address
+        self.dialled[peer] = service, address
         service.startService()
 
-    def drop(self, acceptor: str) -> None:
+    def disconnect(self, peer: str) -> None:
         """Close the connection to an acceptor and don't open it again."""
-        if acceptor in self.dialled:
-            self.dialled.pop(acceptor)[0].stopService()
+        if peer in self.dialled:
+            self.dialled.pop(peer)[0].stopService()
 
-    def met(self, link: Link) -> None:
+    def on_connected(self, connection: PeerConnection) -> None:
         """The far end has named itself: the newest connection of a name is the one that is written to."""
-        first = link.far not in self.to
-        self.to[link.far] = link
-        self.rarely("link.up", link.far)
+        first = connection.peer not in self.by_peer
+        self.by_peer[connection.peer] = connection
+        self.rarely("link.up", connection.peer)
         if first:
-            self.changed(link.far, True)
+            self.on_peer_changed(connection.peer, True)
 
-    def lost(self, link: Link) -> None:
+    def on_disconnected(self, connection: PeerConnection) -> None:
         """A connection has closed."""
-        self.open.discard(link)
-        if self.to.get(link.far) is link:
-            del self.to[link.far]
-            self.rarely("link.lost", link.far)
-            self.changed(link.far, False)
+        self.open_connections.discard(connection)
+        if self.by_peer.get(connection.peer) is connection:
+            del self.by_peer[connection.peer]
+            self.rarely("link.lost", connection.peer)
+            self.on_peer_changed(connection.peer, False)
 
-    def say(self, to: str, word: Any) -> None:
+    def send(self, peer: str, message: Any) -> None:
         """Send a message to a member; without a connection it is lost, as on any network."""
-        link, data = self.to.get(to), _encode.encode(word)
-        if link is None or link.transport is None:
+        connection, data = self.by_peer.get(peer), _encode.encode(message)
+        if connection is None or connection.transport is None:
             return
-        if len(data) > WORD_MOST:
-            self.rarely("link.too_long", to, bytes=len(data))
+        if len(data) > MAX_MESSAGE_BYTES:
+            self.rarely("link.too_long", peer, bytes=len(data))
             return
-        link.callRemote(Say, word=data)
+        connection.callRemote(Deliver, word=data)
 
     def close(self) -> None:
         """Close all connections."""
-        for acceptor in list(self.dialled):
-            self.drop(acceptor)
-        for link in list(self.open):
-            link.transport.loseConnection()
+        for peer in list(self.dialled):
+            self.disconnect(peer)
+        for connection in list(self.open_connections):
+            connection.transport.loseConnection()
 
 
-def later(reactor: Any, call: Callable[..., None], *args: object) -> None:
+def call_soon(reactor: Any, call: Callable[..., None], *args: object) -> None:
     """Deliver a message to this member itself by the reactor, as any other is."""
     reactor.callLater(0, partial(call, *args))
--- a/tests/compatibility/test_peering.py
+++ b/tests/compatibility/test_peering.py
@@ -14,7 +14,7 @@
 
 from linenbridge.fleet.leases.messages import Message
 from linenbridge.logging.event_log import Log
-from linenbridge.peering.connections import Links, WellFormedNames
+from linenbridge.peering.connections import PeerConnections, WellFormedNames
 from tests.compatibility.fleet_fakes import ResolvingReactor, SocketInMemory, amp_box
 
 DECODER = msgspec.msgpack.Decoder(Message)
@@ -32,8 +32,8 @@
         self.messages: list[list[str]] = []
         self.changes: list[list[Any]] = []
         self.raised = ""
-        self.connections = Links(
-            "a", known, self.reactor, self.log, self._on_message, changed=self._on_change, **more
+        self.connections = PeerConnections(
+            "a", known, self.reactor, self.log, self._on_message, on_peer_changed=self._on_change, **more
         )
         self.connection = self.connections.buildProtocol(None)
         self.connection.makeConnection(SocketInMemory())
@@ -63,7 +63,7 @@
             "closed": bool(transport.disconnecting or transport.disconnected),
             "messages": self.messages,
             "changes": self.changes,
-            "connected": sorted(self.connections.to),
+            "connected": sorted(self.connections.by_peer),
             "counts": {" ".join(names): count for names, count in sorted(self.log.counts.items())},
         }
 
@@ -92,7 +92,7 @@
     rows = record("peering")["received_by_rule"]
 
     for row in rows:
-        end = End(WellFormedNames("g-"), decoder=DECODER, connections=4)
+        end = End(WellFormedNames("g-"), decoder=DECODER, max_connections=4)
         end.receive(row["received"])
         assert end.shown() == expected(row), row["case"]
 
@@ -107,8 +107,8 @@
         end.receive([HELLO.hex()])
         end.connection.transport.clear()
         message = DECODER.decode(bytes.fromhex(row["message"]))
-        end.connections.say("b", message)
-        end.connections.say("c", message)
+        end.connections.send("b", message)
+        end.connections.send("c", message)
         assert end.connection.transport.value().hex() == row["sent"], message
 
     assert len(rows) == 6
@@ -129,6 +129,6 @@
     end.receive([HELLO.hex()])
     end.connection.transport.clear()
 
-    end.connections.say("b", RecoveryRequest(1, "x" * size, 1))
+    end.connections.send("b", RecoveryRequest(1, "x" * size, 1))
 
     assert len(end.connection.transport.value()) == record("peering")["too_long"]["sizes"][str(size)]
--- a/tests/distribution/hosting/test_hosts.py
+++ b/tests/distribution/hosting/test_hosts.py
@@ -27,7 +27,7 @@
 from linenbridge.distribution.messages import (
     Append, Appended, Batch, Follow, Prepare, Prepared, Progress, Publish, Published,
 )  # fmt: skip
-from linenbridge.peering.connections import Links
+from linenbridge.peering.connections import PeerConnections
 from linenbridge.logging.event_log import Log
 from tests.distribution.hosting.standins import StandinReactor
 from tests.distribution.hosting.test_configuration import GATEWAY, PUBLISHER, RELAY, file, fleet
@@ -40,17 +40,17 @@
 class FarEnd:
     """A peer that is linked; `heard` is what it was told since the last look, reports on progress aside."""
 
-    def __init__(self, links: Links, name: str) -> None:
-        self.links, self.name, self._said = links, name, []
-        self.link = links.buildProtocol(None)
+    def __init__(self, connections: PeerConnections, name: str) -> None:
+        self.connections, self.name, self._said = connections, name, []
+        self.link = connections.buildProtocol(None)
         self.link.makeConnection(Wire())
-        self.link.far = name
-        self.link.quiet.cancel()
-        links.met(self.link)
+        self.link.peer = name
+        self.link.hello_timer.cancel()
+        connections.on_connected(self.link)
         self.link.callRemote = lambda command, word: self._said.append(_decode(word))
 
     def say(self, message: object) -> None:
-        self.links.hear(self.name, message)
+        self.connections.on_message(self.name, message)
 
     def heard(self) -> list:
         said = [message for message in self._said if not isinstance(message, Progress)]
@@ -125,7 +125,7 @@
     assert not relay.feed.sessions and relay.log.counts["distribution.misnamed", "follower"] == 2
     follower.say(Follow("g-1", 7, [], 0, []))
     assert list(relay.feed.sessions) == ["g-1"] and follower.heard()
-    relay.downstream.lost(follower.link)
+    relay.downstream.on_disconnected(follower.link)
     assert not relay.feed.sessions
 
 
@@ -302,7 +302,7 @@
         view, kept = open_view(settings, Methods(), log)
         own = dataclasses.replace(settings, name=f"g-{number}")
         found.append(Gateway(own, reactor, log, view, Random(number), kept))
-    assert len({one.links.name for one in found}) == 20 and not reactor.threads.calls
+    assert len({one.connections.name for one in found}) == 20 and not reactor.threads.calls
     for one in found:
         one.close()
     assert not reactor.getDelayedCalls()
@@ -323,16 +323,16 @@
         )
         self.ends: dict[str, FarEnd] = {}
         self.asked: list[str] = []
-        self.author.links.say = lambda to, message: self.asked.append(to)
+        self.author.connections.send = lambda to, message: self.asked.append(to)
 
     def up(self, name: str) -> None:
-        self.ends[name] = FarEnd(self.author.links, name)
+        self.ends[name] = FarEnd(self.author.connections, name)
 
     def down(self, name: str) -> None:
-        self.author.links.lost(self.ends[name].link)
+        self.author.connections.on_disconnected(self.ends[name].link)
 
     def answer(self, name: str, state: str, code: str = "", request: int = 5) -> None:
-        self.author.links.hear(name, Published(request, state, Version(1, 2), code))
+        self.author.connections.on_message(name, Published(request, state, Version(1, 2), code))
 
     def later(self) -> None:
         self.reactor.advance(ASK_AGAIN)
--- a/tests/distribution/log/world.py
+++ b/tests/distribution/log/world.py
@@ -26,7 +26,7 @@
 from linenbridge.distribution.log.replication import PublisherPace
 from linenbridge.distribution.log.publisher import Publisher
 from linenbridge.distribution.log.replica import Kept, Replica
-from linenbridge.peering.connections import WORD_MOST
+from linenbridge.peering.connections import MAX_MESSAGE_BYTES
 
 REGION = "north"
 PACE = PublisherPace(heartbeat=100, retry=50, retry_most=200, answer_within=2_000, silence=1_000)
@@ -149,7 +149,7 @@
             self.told.append((send.to, send.message))
         elif not {name, send.to} & self.down:
             self.sent += 1
-            assert len(msgpack.encode(send.message)) <= WORD_MOST
+            assert len(msgpack.encode(send.message)) <= MAX_MESSAGE_BYTES
             self.flying.append((name, send.to, send.message))
 
     def _deliver(self, sender: str, to: str, message: Message) -> None:
--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -12,7 +12,14 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from linenbridge.peering.connections import CONNECT_WAIT, Links, Meet, Say, WellFormedNames, _encode
+from linenbridge.peering.connections import (
+    CONNECT_TIMEOUT,
+    Deliver,
+    Hello,
+    PeerConnections,
+    WellFormedNames,
+    _encode,
+)
 from linenbridge.fleet.leases.messages import RecoveryRequest
 from linenbridge.logging.event_log import Log
 
@@ -60,13 +67,13 @@
         self.reactor, self.words, self.ups = MemoryReactorClock(), [], []
         self.log = Log(io.BytesIO())
         known = frozenset(known.split()) if isinstance(known, str) else known
-        self.links = Links(
+        self.connections = PeerConnections(
             name, known, self.reactor, self.log, lambda *row: self.words.append(row),
-            changed=lambda *row: self.ups.append(row), **more,
+            on_peer_changed=lambda *row: self.ups.append(row), **more,
         )  # fmt: skip
 
     def came(self, wire=None):  # noqa: ANN001
-        link = self.links.buildProtocol(None)
+        link = self.connections.buildProtocol(None)
         if link is not None:
             link.makeConnection(wire or Wire())
         return link
@@ -90,10 +97,10 @@
 def test_words_go_both_ways_by_name():
     here, one, other = met()
     word = RecoveryRequest(3, "b", 1)
-    other.links.say("a", word)
+    other.connections.send("a", word)
     carry(other, one)
-    assert here.words == [("b", word)] and list(here.links.to) == ["b"]
-    here.links.say("c", word)
+    assert here.words == [("b", word)] and list(here.connections.by_peer) == ["b"]
+    here.connections.send("c", word)
     assert one.transport.value() == b"", "nobody of that name is there"
 
 
@@ -103,13 +110,13 @@
     one, other = here.came(), stranger.came()
     carry(other, one)
     assert one.transport.disconnecting or one.transport.disconnected
-    assert not here.links.to and not here.words
+    assert not here.connections.by_peer and not here.words
 
 
 @pytest.mark.parametrize("word", [b"", b"\xff" * 9, _encode.encode(["round", 1]), _encode.encode({"a": 1})])
 def test_what_is_no_word_costs_its_own_connection(word):
     here, one, other = met()
-    other.callRemote(Say, word=word)
+    other.callRemote(Deliver, word=word)
     carry(other, one)
     assert one.transport.disconnecting or one.transport.disconnected
     assert not here.words
@@ -119,7 +126,7 @@
     here = End("a", "b")
     one, other = here.came(), End("b", "a").came()
     other.transport.clear()
-    other.callRemote(Say, word=_encode.encode(RecoveryRequest(1, "b", 1)))
+    other.callRemote(Deliver, word=_encode.encode(RecoveryRequest(1, "b", 1)))
     carry(other, one)
     assert not here.words
 
@@ -136,16 +143,16 @@
     links = [here.came() for _ in range(40)]
     open_now = [link for link in links if link is not None]
     assert len(open_now) == 4 * 2 + 16
-    here.reactor.advance(CONNECT_WAIT + 1)
+    here.reactor.advance(CONNECT_TIMEOUT + 1)
     assert all(link.transport.disconnecting or link.transport.disconnected for link in open_now)
 
 
 def test_one_that_names_itself_twice_is_cut_off():
     here, one, other = met()
-    other.callRemote(Meet, name="c")
+    other.callRemote(Hello, name="c")
     carry(other, one)
     assert one.transport.disconnecting or one.transport.disconnected
-    assert "c" not in here.links.to
+    assert "c" not in here.connections.by_peer
 
 
 def test_another_set_of_words_takes_the_same_commands():
@@ -154,10 +161,10 @@
     one, other = here.came(), there.came()
     carry(one, other)
     carry(other, one)
-    other.links.say("a", Ping("here"))
+    other.connections.send("a", Ping("here"))
     carry(other, one)
     assert here.words == [("b", Ping("here"))]
-    other.callRemote(Say, word=_encode.encode(RecoveryRequest(3, "b", 1)))
+    other.callRemote(Deliver, word=_encode.encode(RecoveryRequest(3, "b", 1)))
     carry(other, one)
     assert one.transport.disconnecting or one.transport.disconnected, "a word of the leases is none here"
     assert len(here.words) == 1
@@ -165,27 +172,27 @@
 
 @pytest.mark.parametrize("name", ["g-1", "g-1.eu", "g-" + "9" * 61])
 def test_a_rule_takes_names_that_no_settings_list(name):
-    here, there = End("relay", WellFormedNames("g-"), connections=4), End(name, "relay")
+    here, there = End("relay", WellFormedNames("g-"), max_connections=4), End(name, "relay")
     one, other = here.came(), there.came()
     carry(other, one)
-    assert list(here.links.to) == [name] and here.ups == [(name, True)]
+    assert list(here.connections.by_peer) == [name] and here.ups == [(name, True)]
     one.connectionLost(Failure(ConnectionDone()))
-    assert not here.links.to and here.ups[-1] == (name, False)
+    assert not here.connections.by_peer and here.ups[-1] == (name, False)
 
 
 @pytest.mark.parametrize("name", ["", "relay", "h-1", "g-1 x", "g-" + "9" * 62, "g-\n"])
 def test_a_rule_refuses_names_that_are_not_well_formed(name):
-    here, stranger = End("relay", WellFormedNames("g-"), connections=4), End(name, "relay")
+    here, stranger = End("relay", WellFormedNames("g-"), max_connections=4), End(name, "relay")
     one, other = here.came(), stranger.came()
     carry(other, one)
     assert one.transport.disconnecting or one.transport.disconnected
-    assert not here.links.to and not here.ups
+    assert not here.connections.by_peer and not here.ups
 
 
 def test_names_by_a_rule_need_a_bound_and_cost_no_counter_each():
     with pytest.raises(ValueError, match="bound on connections"):
         End("relay", WellFormedNames())
-    here = End("relay", WellFormedNames("g-"), connections=3)
+    here = End("relay", WellFormedNames("g-"), max_connections=3)
     ends = [(here.came(), End(name, "relay").came()) for name in ("g-1", "g-2", "x", "y")]
     assert ends[3][0] is None, "no more connections than the bound"
     for one, other in ends[:3]:
@@ -195,9 +202,9 @@
     }  # fmt: skip
 
 
-def stuck(unsent_most: int):
+def stuck(max_unsent_bytes: int):
     """A link to one that names itself and then reads nothing."""
-    here = End("a", "b c", unsent_most=unsent_most, decoder=Decoder(Ping))
+    here = End("a", "b c", max_unsent_bytes=max_unsent_bytes, decoder=Decoder(Ping))
     wire = StuckSocket(here.reactor)
     one, other = here.came(wire), End("b", "a").came()
     carry(other, one)
@@ -205,18 +212,18 @@
 
 
 def test_one_that_reads_nothing_costs_bounded_memory_and_then_its_own_connection():
-    here, one, wire = stuck(unsent_most=200_000)
+    here, one, wire = stuck(max_unsent_bytes=200_000)
     most = 0
     for _ in range(400):
-        here.links.say("b", Ping("x" * 10_000))
-        most = max(most, one.outbox.bytes + wire.held())
+        here.connections.send("b", Ping("x" * 10_000))
+        most = max(most, one.send_buffer.bytes + wire.held())
     assert wire.aborted and most < 200_000 + 2 * FileDescriptor.bufferSize
     assert here.log.counts["link.unread", "b"] == 1
-    assert not one.outbox.waiting and one.outbox.bytes == 0
+    assert not one.send_buffer.waiting and one.send_buffer.bytes == 0
 
 
 def test_one_that_asks_for_answers_and_reads_none_is_bounded_too():
-    here, one, wire = stuck(unsent_most=50_000)
+    here, one, wire = stuck(max_unsent_bytes=50_000)
     asks = StringTransport()
     for number in range(20_000):
         asks.clear()
@@ -231,10 +238,10 @@
 
 
 def test_one_that_reads_late_gets_every_word_in_order():
-    here, one, wire = stuck(unsent_most=1_000_000)
+    here, one, wire = stuck(max_unsent_bytes=1_000_000)
     for number in range(60):
-        here.links.say("b", Ping(f"{number:05}" * 1_000))
-    assert one.outbox.waiting, "some words wait behind the transport's own buffer"
+        here.connections.send("b", Ping(f"{number:05}" * 1_000))
+    assert one.send_buffer.waiting, "some words wait behind the transport's own buffer"
     there = End("b", "a", decoder=Decoder(Ping))
     far, sent = there.came(), bytearray()
 
@@ -247,4 +254,4 @@
         wire.doWrite()
     far.dataReceived(bytes(sent))
     assert [word.text[:5] for _, word in there.words] == [f"{number:05}" for number in range(60)]
-    assert not wire.aborted and one.outbox.bytes == 0
+    assert not wire.aborted and one.send_buffer.bytes == 0
--- a/tests/scale/author.py
+++ b/tests/scale/author.py
@@ -22,7 +22,7 @@
 from linenbridge.distribution.errors import NotPublisher, PublisherBusy
 from linenbridge.distribution.hosting.link_messages import AUTHOR_TAKES
 from linenbridge.distribution.messages import Publish, Published
-from linenbridge.peering.connections import Links
+from linenbridge.peering.connections import PeerConnections
 from linenbridge.logging.structured import structured
 from linenbridge.process import lifecycle
 from tests.scale.hollow import Address, shown
@@ -80,7 +80,7 @@
 
     def asks_of_linked(self) -> bool:
         """Whether there is a candidate to ask."""
-        linked = [name for name in self.candidates if name in self.author.links.to]
+        linked = [name for name in self.candidates if name in self.author.connections.by_peer]
         if linked and self.asks not in linked:
             self.asks = linked[0]
         return bool(linked)
@@ -88,7 +88,7 @@
     def look(self) -> None:
         """Ask for what is due."""
         at = now()
-        if at < self.quiet_until or self.asks not in self.author.links.to:
+        if at < self.quiet_until or self.asks not in self.author.connections.by_peer:
             return
         waits_since = min((asked for _, asked, _ in self.open.values()), default=at)
         if at - waits_since > PATIENCE * 1e6:
@@ -99,7 +99,7 @@
             request = next(self.author.requests)
             self.open[request] = (first, at, change)
             self.author.record_sent(first, request, change)
-            self.author.links.say(
+            self.author.connections.send(
                 self.asks, Publish(request, self.region, change.kind, change.name, change.value)
             )
 
@@ -123,13 +123,13 @@
         self.refused, self.last = dict[str, int](), dict[str, int]()
         self.exit_code = 1
         known = frozenset(name for candidates in spec.publishers.values() for name in candidates)
-        self.links = Links(spec.name, known, reactor, log, self.heard, decoder=AUTHOR_TAKES)
+        self.connections = PeerConnections(spec.name, known, reactor, log, self.heard, decoder=AUTHOR_TAKES)
         self.regions = {
             region: RegionAuthor(self, region, candidates) for region, candidates in spec.publishers.items()
         }
         for candidates in spec.publishers.values():
             for name, at in candidates.items():
-                self.links.dial(name, (at.host, at.port))
+                self.connections.dial(name, (at.host, at.port))
         self.schedule = deque(sorted(spec.schedule, key=lambda change: change.at))
         self.began = 0
         self.connect()
--- a/tests/scale/hollow.py
+++ b/tests/scale/hollow.py
@@ -288,17 +288,17 @@
 
     def _count_links(self) -> None:
         """Count what all links of the process read and write."""
-        read, write = connections.Link.dataReceived, connections.Outbox.write
+        read, write = connections.PeerConnection.dataReceived, connections.SendBuffer.write
 
-        def counted_read(link: connections.Link, data: bytes) -> None:
+        def counted_read(link: connections.PeerConnection, data: bytes) -> None:
             self.received += len(data)
             read(link, data)
 
-        def counted_write(outbox: connections.Outbox, data: bytes) -> None:
+        def counted_write(buffer: connections.SendBuffer, data: bytes) -> None:
             self.sent += len(data)
-            write(outbox, data)
+            write(buffer, data)
 
-        connections.Link.dataReceived, connections.Outbox.write = counted_read, counted_write
+        connections.PeerConnection.dataReceived, connections.SendBuffer.write = counted_read, counted_write
 
     def read(self) -> None:
         at, used = now(), _processor_seconds()
