--- a/linenbridge/distribution/hosting/change_client.py
+++ b/linenbridge/distribution/hosting/change_client.py
@@ -54,10 +54,10 @@
         for candidate, address in region.publishers.items():
             self.connections.dial(candidate, address)
 
-    def _link_changed(self, far: str, up: bool) -> None:
-        if up and not self.waits_for:
+    def _link_changed(self, far: str, *, connected: bool) -> None:
+        if connected and not self.waits_for:
             self._ask(far)
-        elif not up and far == self.waits_for and not self._is_over():
+        elif not connected and far == self.waits_for and not self._is_over():
             self.outcome.maybe_kept = True
             self._ask_next()
 
--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -71,8 +71,8 @@
         hear(self.follower, clock.now(), far, message)
         self.carrier.turn()
 
-    def _link_changed(self, far: str, up: bool) -> None:
-        self.follower.on_link(clock.now(), far, up)
+    def _link_changed(self, far: str, *, connected: bool) -> None:
+        self.follower.on_link(clock.now(), far, connected)
         self.carrier.turn()
 
     # ---- decisions ---------------------------------------------------------------------------------------
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -119,8 +119,8 @@
                 self.replica.on_append(now, far, message)
         self.feed.on_publisher(now, self.replica.publisher)
 
-    def _downstream_changed(self, far: str, up: bool) -> None:
-        if not up:
+    def _downstream_changed(self, far: str, *, connected: bool) -> None:
+        if not connected:
             self.feed.on_lost(clock.now(), far)
             self.carrier.turn()
 
@@ -130,10 +130,10 @@
             hear(follower, clock.now(), far, message)
             self.carrier.turn()
 
-    def _upstream_changed(self, far: str, up: bool) -> None:
+    def _upstream_changed(self, far: str, *, connected: bool) -> None:
         follower = self.followers.get(self.region_of[far])
         if follower is not None:
-            follower.on_link(clock.now(), far, up)
+            follower.on_link(clock.now(), far, connected)
             self.carrier.turn()
 
     # ---- decisions ---------------------------------------------------------------------------------------
--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -10,6 +10,7 @@
 from random import Random
 from typing import Any
 
+import msgspec
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.threadpool import ThreadPool
 
@@ -20,11 +21,18 @@
 from linenbridge.fleet.hosting.freezes import Freezes
 from linenbridge.peering.connections import PeerConnections, call_soon
 from linenbridge.fleet.leases.acceptor import Acceptor
-from linenbridge.fleet.leases.messages import LeaseReply, LeaseRequest, RecoveryReply, RecoveryRequest
+from linenbridge.fleet.leases.messages import (
+    LeaseReply,
+    LeaseRequest,
+    Message,
+    RecoveryReply,
+    RecoveryRequest,
+)
 from linenbridge.fleet.leases.proposer import Proposer
 from linenbridge.fleet.store.acceptor_records import promises
 from linenbridge.logging.event_log import Log
 
+MESSAGE_DECODER = msgspec.msgpack.Decoder(Message)
 GOODBYE = 0.25  # seconds for the last words of a member that leaves
 
 
@@ -47,7 +55,9 @@
         self.gone = False
         if told.is_acceptor():
             self._start_acceptor(now, life)
-        self.connections = PeerConnections(told.member, frozenset(told.members), reactor, log, self._hear)
+        self.connections = PeerConnections(
+            told.member, frozenset(told.members), reactor, log, self._hear, decoder=MESSAGE_DECODER
+        )
         self.port = reactor.listenTCP(told.listen[1], self.connections, interface=told.listen[0])
         self._dial()
         for errand in told.errands:
--- a/linenbridge/peering/clock.py
+++ b/linenbridge/peering/clock.py
@@ -1,6 +1,6 @@
-"""The fleet's clock: whole microseconds that also pass while the machine sleeps.
+"""The clock of leases and of the distribution: whole microseconds that also pass while the machine sleeps.
 
-Owns which clock that is. It must never be compared with another member's reading.
+Readings of two machines' clocks are never compared; only durations are.
 """
 
 from __future__ import annotations
@@ -9,4 +9,5 @@
 
 
 def now() -> int:
+    """Microseconds of `CLOCK_BOOTTIME`."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
--- a/linenbridge/peering/connections.py
+++ b/linenbridge/peering/connections.py
@@ -1,10 +1,10 @@
-"""Connections between processes: messages over Twisted's AMP, one connection from each dialler to each one
-dialled.
+"""Connections between processes: messages over Twisted's AMP, one connection from each process that dials to
+each one that it dials.
 
-Owns the connections and knows the process at the far end of each. A peer that sends something else costs
-its own connection, and one that reads nothing costs a bounded queue of unsent bytes, then its connection.
-It must never look into a message beyond its form, nor send one again: the cores repeat requests by
-themselves.
+Owns the connections, their send buffers and the name of the process at the far end of each. A peer that sends
+anything else loses its own connection; one that reads nothing fills a bounded send buffer, then loses its
+connection. A message is decoded and checked for its form only, and is sent once: repeating requests is the
+caller's concern. The set of messages is the caller's as well: it passes their decoder.
 """
 
 from __future__ import annotations
@@ -13,128 +13,164 @@
 from collections import deque
 from collections.abc import Callable
 from functools import partial
-from typing import Any, Protocol
+from typing import Any, ClassVar, Protocol
 
 import msgspec
 from twisted.application.internet import ClientService, backoffPolicy
 from twisted.internet.endpoints import TCP4ClientEndpoint
-from twisted.internet.protocol import Factory
+from twisted.internet.protocol import Factory, connectionDone
 from twisted.protocols import amp
+from twisted.python.failure import Failure
 
-from linenbridge.fleet.leases.messages import Message
 from linenbridge.logging.event_log import Log
 
 MAX_MESSAGE_BYTES = 60_000  # AMP's values end at 65,535 bytes
-MAX_UNSENT_BYTES = 1 << 20  # bytes queued for a peer that reads nothing; beyond them, no connection
-CONNECT_TIMEOUT = 5.0  # seconds, of a connection attempt and of the wait for a peer's name
+MAX_UNSENT_BYTES = 1 << 20  # in the send buffer of one connection
+MAX_LOGGED_NAME = 64  # characters of a name that a peer made up
+CONNECT_TIMEOUT = 5.0  # seconds, of a connection attempt, and of the wait for the peer's name after it
 MIN_RECONNECT_DELAY = 0.1  # seconds
 MAX_RECONNECT_DELAY = 2.0  # seconds
+CONNECTIONS_PER_PEER = 4  # of the default bound: both sides dial, and the former ones may not have timed out
+SPARE_CONNECTIONS = 16  # of the default bound: for peers that have not sent their name
 WELL_FORMED_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._\-]{0,62}")  # the schema's type `name`
-ANY_PEER = "any"  # stands for all names in the counters where names are not in the settings
+ANY_PEER = "any"  # the counters' label for all peers whose names are not in the settings
+ALL_PEERS = "all"  # the counters' label of what concerns no single peer
 
-_encode, _decode = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder(Message)
+_encoder = msgspec.msgpack.Encoder()
 
 
 class Hello(amp.Command):
-    """The name of the member at this end, sent once before any message."""
+    """The name of the process at this end, sent once before any message."""
 
     commandName = b"Meet"  # on the wire
-
-    arguments = [(b"name", amp.Unicode())]
+    arguments: ClassVar = [(b"name", amp.Unicode())]
     requiresAnswer = False
 
 
 class Deliver(amp.Command):
-    """One message of a core."""
+    """One message, encoded as MessagePack."""
 
     commandName = b"Say"  # on the wire
-
-    arguments = [(b"word", amp.String())]
+    arguments: ClassVar = [(b"word", amp.String())]
     requiresAnswer = False
 
 
 class PeerNames(Protocol):
-    """Who may name itself at the far end of a connection: a set of names, or a rule."""
+    """The names that a peer may have: a set of names, or a rule."""
 
-    def __contains__(self, name: object, /) -> bool: ...
+    def __contains__(self, name: object, /) -> bool:
+        """Whether a peer may have the name."""
 
 
 class WellFormedNames:
-    """The rule for links of processes that no settings list: any well-formed name that begins with
-    `prefix`. The links that use it need a bound on connections."""
+    """The rule for processes that no settings list: any well-formed name that begins with `prefix`.
+
+    Connections by this rule need a bound on their number.
+    """
 
     def __init__(self, prefix: str = "") -> None:
+        """Allow names that begin with `prefix`."""
         self.prefix = prefix
 
     def __contains__(self, name: object, /) -> bool:
+        """Whether the name is well formed and begins with the prefix."""
         return (
             isinstance(name, str) and name.startswith(self.prefix) and bool(WELL_FORMED_NAME.fullmatch(name))
         )
 
 
+class PeerChanged(Protocol):
+    """Called when the first connection of a peer is established and when its last one is lost."""
+
+    def __call__(self, peer: str, *, connected: bool) -> None:
+        """The peer's name, and whether it is connected now."""
+
+
+def ignore_peer_change(peer: str, *, connected: bool) -> None:
+    """Do nothing: for callers that need no `PeerChanged`."""
+
+
 class SendBuffer:
-    """What is written to one connection: no more than a bound waits for a far end that does not read.
+    """The unsent bytes of one connection, bounded by `max_bytes`.
 
-    Twisted's producer: it is paused while the transport's own buffer is full.
+    A push producer in Twisted's sense: it is paused while the transport's own buffer is full. Beyond the
+    bound it discards all, takes nothing more, and calls `on_overflow` with the number of bytes discarded.
     """
 
-    def __init__(self, transport: Any, most: int, full: Callable[[int], None]) -> None:
-        self.transport, self.most, self.full = transport, most, full
+    def __init__(self, transport: Any, max_bytes: int, on_overflow: Callable[[int], None]) -> None:
+        """Register with the transport as its producer."""
+        self.transport = transport
+        self.max_bytes = max_bytes
+        self.on_overflow = on_overflow
         self.waiting: deque[bytes] = deque()
-        self.bytes = 0  # of those that wait
-        self.paused = self.ended = False
-        transport.registerProducer(self, True)
+        self.waiting_bytes = 0
+        self.paused = False
+        self.stopped = False
+        transport.registerProducer(self, streaming=True)
 
     def write(self, data: bytes) -> None:
-        if self.ended:
+        """Send now, or once the transport takes more."""
+        if self.stopped:
             return
         if not self.paused:
             self.transport.write(data)
             return
         self.waiting.append(data)
-        self.bytes += len(data)
-        if self.bytes > self.most:
-            waited = self.bytes
+        self.waiting_bytes += len(data)
+        if self.waiting_bytes > self.max_bytes:
+            discarded = self.waiting_bytes
             self.stopProducing()
-            self.full(waited)
+            self.on_overflow(discarded)
 
     def pauseProducing(self) -> None:
+        """Twisted: the transport's buffer is full."""
         self.paused = True
 
     def resumeProducing(self) -> None:
+        """Twisted: the transport's buffer has been sent."""
         self.paused = False
         while self.waiting and not self.paused:
             data = self.waiting.popleft()
-            self.bytes -= len(data)
+            self.waiting_bytes -= len(data)
             self.transport.write(data)
 
     def stopProducing(self) -> None:
-        self.ended = True
+        """Twisted: the connection is lost."""
+        self.stopped = True
         self.waiting.clear()
-        self.bytes = 0
+        self.waiting_bytes = 0
 
 
 class PeerConnection(amp.AMP):
-    """One connection. `peer` is the name of the process at the other end, as it says itself."""
+    """One connection. `peer` is the name that the process at the far end has sent, empty before that."""
 
-    noisy, peer, hello_timer, send_buffer = False, "", None, None
+    noisy = False
+    transport: Any  # a TCP transport: Twisted declares the general type
 
     def __init__(self, connections: PeerConnections) -> None:
+        """Belong to `connections`, which passes messages on and counts events."""
         super().__init__()
         self.connections = connections
+        self.peer = ""
+        self.hello_timer: Any = None
+        self.send_buffer: SendBuffer | None = None
 
     def connectionMade(self) -> None:
+        """Twisted: send this process's name, and wait for the peer's."""
         super().connectionMade()
         self.transport.setTcpNoDelay(True)
-        self.send_buffer = SendBuffer(self.transport, self.connections.max_unsent_bytes, self._unread)
+        self.send_buffer = SendBuffer(
+            self.transport, self.connections.max_unsent_bytes, self._on_send_buffer_full
+        )
         self.callRemote(Hello, name=self.connections.name)
         self.connections.open_connections.add(self)
         self.hello_timer = self.connections.reactor.callLater(CONNECT_TIMEOUT, self.transport.abortConnection)
 
     @Hello.responder
-    def on_hello(self, name: str) -> dict:
+    def on_hello(self, name: str) -> dict[str, Any]:
+        """The peer's name. One that is not authorized, or a second one, costs the connection."""
         if name not in self.connections.peer_names or self.peer:
-            self.connections.rarely("link.stranger", name[:64])
+            self.connections.log_rarely("link.stranger", name[:MAX_LOGGED_NAME])
             self.transport.abortConnection()
             return {}
         self.peer = name
@@ -143,34 +179,37 @@
         return {}
 
     @Deliver.responder
-    def on_deliver(self, word: bytes) -> dict:
+    def on_deliver(self, word: bytes) -> dict[str, Any]:
+        """One message; AMP names the parameter by the argument's key on the wire."""
         try:
             if not self.peer:
                 raise msgspec.ValidationError("a word before the name")
-            decoded = self.connections.decoder.decode(word)
+            message = self.connections.decoder.decode(word)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
-            self._malformed(error)
+            self._on_malformed(error)
         else:
-            self.connections.on_message(self.peer, decoded)
+            self.connections.on_message(self.peer, message)
         return {}
 
-    def unhandledError(self, failure: Any) -> None:
-        self._malformed(failure.value)
+    def unhandledError(self, failure: Failure) -> None:
+        """Twisted: a box that is no command of this protocol."""
+        self._on_malformed(failure.value)
 
-    def _malformed(self, error: BaseException) -> None:
-        self.connections.rarely("link.malformed", self.peer, error=str(error))
+    def _on_malformed(self, error: BaseException) -> None:
+        self.connections.log_rarely("link.malformed", self.peer, error=str(error))
         self.transport.abortConnection()
 
     def sendBox(self, box: amp.AmpBox) -> None:
-        """Words and AMP's own answers alike."""
+        """Twisted: send a command, or an answer that AMP itself gives, by way of the send buffer."""
         if self.send_buffer is not None:
             self.send_buffer.write(box.serialize())
 
-    def _unread(self, waited: int) -> None:
-        self.connections.rarely("link.unread", self.peer, bytes=waited)
+    def _on_send_buffer_full(self, discarded: int) -> None:
+        self.connections.log_rarely("link.unread", self.peer, bytes=discarded)
         self.transport.abortConnection()
 
-    def connectionLost(self, reason: Any) -> None:
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Twisted: the connection is closed."""
         super().connectionLost(reason)
         if self.hello_timer is not None and self.hello_timer.active():
             self.hello_timer.cancel()
@@ -178,48 +217,53 @@
 
 
 class PeerConnections(Factory):
-    """All connections of one process. `on_message(peer, message)` is called for each message; `peer_names`
-    are the others' names.
+    """All connections of one process under one name.
 
-    `decoder` is that of the messages that are understood; `max_connections` bounds how many stand at once
-    (without it, as many as the names known can have any use for); `on_peer_changed(peer, connected)` is told
-    when the first connection of a name is met and when its last is lost.
+    `on_message(peer, message)` is called for each message that `decoder` decodes. `peer_names` are the names
+    that peers may have. `max_connections` bounds the open connections; without it the bound follows from the
+    number of names, which has to be known then. `on_peer_changed` is called when the first connection of a
+    peer is established and when its last one is lost.
     """
 
     noisy = False
 
     def __init__(
         self, name: str, peer_names: PeerNames, reactor: Any, log: Log,
-        on_message: Callable[[str, Any], None], *,
-        decoder: msgspec.msgpack.Decoder = _decode, max_connections: int | None = None,
-        max_unsent_bytes: int = MAX_UNSENT_BYTES,
-        on_peer_changed: Callable[[str, bool], None] = lambda peer, connected: None,
+        on_message: Callable[[str, Any], None], *, decoder: msgspec.msgpack.Decoder[Any],
+        max_connections: int | None = None, max_unsent_bytes: int = MAX_UNSENT_BYTES,
+        on_peer_changed: PeerChanged = ignore_peer_change,
     ) -> None:  # fmt: skip
+        """Raise ValueError if the names are a rule and there is no bound on connections."""
         if max_connections is None and not isinstance(peer_names, frozenset):
-            raise ValueError("links to names by a rule need a bound on connections")
-        self.name, self.peer_names, self.reactor, self.log, self.on_message = (
-            name,
-            peer_names,
-            reactor,
-            log,
-            on_message,
-        )
-        self.decoder, self.max_connections, self.max_unsent_bytes = decoder, max_connections, max_unsent_bytes
+            raise ValueError("connections to names by a rule need a bound on connections")
+        self.name = name
+        self.peer_names = peer_names
+        self.reactor = reactor
+        self.log = log
+        self.on_message = on_message
+        self.decoder = decoder
+        self.max_connections = max_connections
+        self.max_unsent_bytes = max_unsent_bytes
         self.on_peer_changed = on_peer_changed
         self.open_connections: set[PeerConnection] = set()
-        self.by_peer: dict[str, PeerConnection] = {}  # by the far end's name
+        self.by_peer: dict[str, PeerConnection] = {}  # the newest connection of each
         self.dialled: dict[str, tuple[ClientService, tuple[str, int]]] = {}
 
-    def buildProtocol(self, addr: Any) -> PeerConnection | None:
-        """Accept a connection, unless as many are open as the bound."""
-        most = 4 * len(self.peer_names) + 16 if self.max_connections is None else self.max_connections
-        if len(self.open_connections) >= most:
-            self.log.rarely("link.too_many", "all")
+    def buildProtocol(self, addr: Any) -> PeerConnection | None:  # noqa: ARG002  (Twisted's signature)
+        """Twisted: accept a connection, unless as many as the bound are open."""
+        if len(self.open_connections) >= self._connection_bound():
+            self.log.rarely("link.too_many", ALL_PEERS)
             return None
         return PeerConnection(self)
 
-    def rarely(self, event: str, peer: str, **fields: object) -> None:
-        """Counted by name only where the settings hold the names: a peer can make up any number of others."""
+    def _connection_bound(self) -> int:
+        if self.max_connections is not None or not isinstance(self.peer_names, frozenset):
+            return self.max_connections or 0
+        return CONNECTIONS_PER_PEER * len(self.peer_names) + SPARE_CONNECTIONS
+
+    def log_rarely(self, event: str, peer: str, **fields: object) -> None:
+        """Count an event by the peer's name if the settings hold the names; else under one label, since a
+        peer can make up any number of names."""
         if isinstance(self.peer_names, frozenset):
             self.log.rarely(event, peer, **fields)
         else:
@@ -231,42 +275,45 @@
         if peer in self.dialled and self.dialled[peer][1] == address:
             return
         self.disconnect(peer)
-        endpoint = TCP4ClientEndpoint(self.reactor, *address, timeout=CONNECT_TIMEOUT)
+        factory: Any = self  # mypy reads no interfaces of zope
+        endpoint: Any = TCP4ClientEndpoint(self.reactor, *address, timeout=CONNECT_TIMEOUT)
         policy = backoffPolicy(initialDelay=MIN_RECONNECT_DELAY, maxDelay=MAX_RECONNECT_DELAY)
-        service = ClientService(endpoint, self, retryPolicy=policy, clock=self.reactor)
+        service = ClientService(endpoint, factory, retryPolicy=policy, clock=self.reactor)
         self.dialled[peer] = service, address
         service.startService()
 
     def disconnect(self, peer: str) -> None:
-        """Close the connection to an acceptor and don't open it again."""
+        """Close the connection that was dialled to a process, and don't open it again."""
         if peer in self.dialled:
             self.dialled.pop(peer)[0].stopService()
 
     def on_connected(self, connection: PeerConnection) -> None:
-        """The far end has named itself: the newest connection of a name is the one that is written to."""
-        first = connection.peer not in self.by_peer
+        """A peer has sent its name: messages to that name go by this connection, the newest, from now on."""
+        is_first = connection.peer not in self.by_peer
         self.by_peer[connection.peer] = connection
-        self.rarely("link.up", connection.peer)
-        if first:
-            self.on_peer_changed(connection.peer, True)
+        self.log_rarely("link.up", connection.peer)
+        if is_first:
+            self.on_peer_changed(connection.peer, connected=True)
 
     def on_disconnected(self, connection: PeerConnection) -> None:
-        """A connection has closed."""
+        """A connection is closed; an older one of the same peer is not taken up again."""
         self.open_connections.discard(connection)
         if self.by_peer.get(connection.peer) is connection:
             del self.by_peer[connection.peer]
-            self.rarely("link.lost", connection.peer)
-            self.on_peer_changed(connection.peer, False)
+            self.log_rarely("link.lost", connection.peer)
+            self.on_peer_changed(connection.peer, connected=False)
 
     def send(self, peer: str, message: Any) -> None:
-        """Send a message to a member; without a connection it is lost, as on any network."""
-        connection, data = self.by_peer.get(peer), _encode.encode(message)
+        """Send a message to a peer. It is lost without a connection, and counted as lost if it is longer than
+        `MAX_MESSAGE_BYTES`."""
+        connection = self.by_peer.get(peer)
+        payload = _encoder.encode(message)
         if connection is None or connection.transport is None:
             return
-        if len(data) > MAX_MESSAGE_BYTES:
-            self.rarely("link.too_long", peer, bytes=len(data))
+        if len(payload) > MAX_MESSAGE_BYTES:
+            self.log_rarely("link.too_long", peer, bytes=len(payload))
             return
-        connection.callRemote(Deliver, word=data)
+        connection.callRemote(Deliver, word=payload)
 
     def close(self) -> None:
         """Close all connections."""
@@ -277,5 +324,5 @@
 
 
 def call_soon(reactor: Any, call: Callable[..., None], *args: object) -> None:
-    """Deliver a message to this member itself by the reactor, as any other is."""
+    """Call from the reactor's next turn: how a process passes a message to itself."""
     reactor.callLater(0, partial(call, *args))
