--- a/linenbridge/cli/publish.py
+++ b/linenbridge/cli/publish.py
@@ -26,14 +26,14 @@
 from linenbridge.distribution.hosting.methods import methods_of
 from linenbridge.distribution.messages import Publish, Published
 from linenbridge.distribution.view.values import ValueChecks
-from linenbridge.errors import Refusal
+from linenbridge.errors import Rejection
 from linenbridge.logging.event_log import Log
 from linenbridge.net.reactor import Reactor
 
 IN_FORCE, ACCEPTED, REFUSED, UNKNOWN = range(4)  # exit codes
 KINDS = {"routes": Kind.ROUTES, "tenant": Kind.TENANT, "instance": Kind.INSTANCE, "zone": Kind.ZONE}
 FORMS = {Kind.TENANT: TenantValue, Kind.INSTANCE: InstanceValue, Kind.ZONE: ZoneValue}
-REFUSALS: dict[str, type[Refusal]] = {
+REFUSALS: dict[str, type[Rejection]] = {
     kind.code: kind
     for kind in (ChangeRefused, ForeignKey, NotPublisher, OlderEpoch, PublisherBusy, QuorumUnreached)
 }
--- a/linenbridge/distribution/configuration.py
+++ b/linenbridge/distribution/configuration.py
@@ -15,7 +15,7 @@
 from linenbridge.configuration.read import (
     SPACE, Configuration, ConfigurationError, attributes, duration, size,
 )  # fmt: skip
-from linenbridge.errors import PlaceError
+from linenbridge.errors import FileFaultError
 from linenbridge.net.discovery import host_port
 
 Address = tuple[str, int]
@@ -32,7 +32,7 @@
     PUBLISHER = "publisher"
 
 
-class DistributionSettingsError(PlaceError):
+class DistributionSettingsError(FileFaultError):
     """One wrong place in the element `distribution`."""
 
     advice = "mend the settings; the process does not start with them"
--- a/linenbridge/distribution/errors.py
+++ b/linenbridge/distribution/errors.py
@@ -5,86 +5,86 @@
 
 from __future__ import annotations
 
-from linenbridge.errors import FleetError, Refusal
+from linenbridge.errors import ControlPlaneError, Rejection
 
 
-class OlderEpoch(Refusal):
+class OlderEpoch(Rejection):
     """A publisher that has been replaced; nothing of it is taken any more."""
 
     code = "older_epoch"
     advice = "none: its successor goes on; an author asks again and reaches the successor"
 
 
-class LogGap(Refusal):
+class LogGap(Rejection):
     """Entries that do not follow on what the relay has."""
 
     code = "gap"
     advice = "none: the publisher sends from where both agree"
 
 
-class RelayFull(Refusal):
+class RelayFull(Rejection):
     """The relay serves as many followers as it may."""
 
     code = "full"
     advice = "start more relays in this region, or raise `followers` where the machine has room"
 
 
-class RelayBehind(Refusal):
+class RelayBehind(Rejection):
     """The relay has just started and has not caught up with the other regions."""
 
     code = "relay_behind"
     advice = "none: the follower goes to another relay; if it lasts, look at the links between the regions"
 
 
-class SilentFollower(Refusal):
+class SilentFollower(Rejection):
     """Nothing was heard of the follower for long, or it is not known here any more."""
 
     code = "silent"
     advice = "none if it is rare: the follower begins anew; else look at its machine's load and its links"
 
 
-class ForeignKey(Refusal):
+class ForeignKey(Rejection):
     """The key belongs to another region."""
 
     code = "foreign_key"
     advice = "send the change to the publisher of the region that owns the key"
 
 
-class NotPublisher(Refusal):
+class NotPublisher(Rejection):
     """The process asked does not hold the region's lease."""
 
     code = "not_publisher"
     advice = "ask another candidate; if none holds the lease for long, look at the quorum (`council.lost`)"
 
 
-class PublisherBusy(Refusal):
+class PublisherBusy(Rejection):
     """More changes wait for a majority of the region's relays than the publisher holds."""
 
     code = "busy"
     advice = "publish it again a little later; where it lasts, bring back relays of this region"
 
 
-class ChangeRefused(Refusal):
+class ChangeRefused(Rejection):
     """The change cannot be read or fails its checks; the last good version stays in force."""
 
     code = "invalid"
     advice = "mend the value and publish it again; the error names the place"
 
 
-class QuorumUnreached(Refusal):
+class QuorumUnreached(Rejection):
     """No majority of the region's relays has the change on disk in time; it may still be accepted later."""
 
     code = "unconfirmed"
     advice = "bring back relays of this region; then publish it again: the newest version counts"
 
 
-class RelayStoreError(FleetError):
+class RelayStoreError(ControlPlaneError):
     """A relay's disk cannot be written, or does not hold what was written."""
 
     advice = "mend the disk or empty the store's folder: the relay then follows the others from the start"
 
 
-class ViewStoreError(FleetError):
+class ViewStoreError(ControlPlaneError):
     """A gateway's store cannot be used; it goes on without one and asks its relay for everything at a
     start."""
 
--- a/linenbridge/distribution/log/change_requests.py
+++ b/linenbridge/distribution/log/change_requests.py
@@ -13,7 +13,7 @@
 from linenbridge.distribution.decisions import Send
 from linenbridge.distribution.errors import NotPublisher, PublisherBusy, QuorumUnreached
 from linenbridge.distribution.messages import Publish, Published
-from linenbridge.errors import Refusal
+from linenbridge.errors import Rejection
 
 QUEUED_MOST = 4_000  # changes that wait to be appended
 QUEUED_BYTES = 16_000_000
@@ -58,7 +58,7 @@
         self._queue.append(Waiting(author, publish.request, deadline, publish))
         self._queued_bytes += size
 
-    def refuse(self, author: str, publish: Publish, error: type[Refusal]) -> None:
+    def refuse(self, author: str, publish: Publish, error: type[Rejection]) -> None:
         """A change that is not appended and will not be."""
         self.out.append(Waiting(author, publish.request, 0, None).answer("refused", error.code))
 
--- a/linenbridge/errors.py
+++ b/linenbridge/errors.py
@@ -9,7 +9,7 @@
 from typing import ClassVar
 
 
-class FleetError(Exception):
+class ControlPlaneError(Exception):
     """`what` happened, `where` (a place in a file, a member, a task), and `advice` for the operator,
     which each kind states."""
 
@@ -33,7 +33,7 @@
         return {"kind": kind, **renamed, "what": self.what, "where": self.where, "do": self.advice}
 
 
-class PlaceError(FleetError):
+class FileFaultError(ControlPlaneError):
     """One fault in a file; `do` replaces the kind's advice where it is given."""
 
     def __init__(self, what: str, where: str = "", do: str = "") -> None:
@@ -44,14 +44,14 @@
         return f"{self.where}: {self.what}; {self.do}"
 
 
-class Refusal(FleetError):
+class Rejection(ControlPlaneError):
     """A reason for which a request is refused; `code` is sent over the wire."""
 
     code: ClassVar[str] = ""
 
 
-def kinds(base: type[FleetError] = FleetError) -> Iterator[type[FleetError]]:
+def error_types(base: type[ControlPlaneError] = ControlPlaneError) -> Iterator[type[ControlPlaneError]]:
     """All kinds imported so far, in the order of their definition."""
     for kind in base.__subclasses__():
         yield kind
-        yield from kinds(kind)
+        yield from error_types(kind)
--- a/linenbridge/fleet/configuration.py
+++ b/linenbridge/fleet/configuration.py
@@ -11,7 +11,7 @@
 from lxml import etree
 
 from linenbridge.configuration.read import SPACE, Configuration, ConfigurationError, attributes, duration
-from linenbridge.errors import PlaceError
+from linenbridge.errors import FileFaultError
 from linenbridge.fleet.freezes.configuration import windows
 from linenbridge.fleet.freezes.windows import Window
 from linenbridge.fleet.leases.quorum import Quorum
@@ -22,7 +22,7 @@
 RESTARTS = "restarts"  # the task whose places are the turns of planned restarts
 
 
-class FleetSettingsError(PlaceError):
+class FleetSettingsError(FileFaultError):
     """One fault in the element `fleet`."""
 
     advice = "mend the settings; until then the member goes on by the earlier ones, or does not start"
--- a/linenbridge/fleet/freezes/configuration.py
+++ b/linenbridge/fleet/freezes/configuration.py
@@ -19,11 +19,11 @@
     duration,
     read,
 )  # fmt: skip
-from linenbridge.errors import PlaceError
+from linenbridge.errors import FileFaultError
 from linenbridge.fleet.freezes.windows import Window
 
 
-class FreezesFileError(PlaceError):
+class FreezesFileError(FileFaultError):
     """One wrong place in the file of freezes."""
 
     advice = "mend the file and send SIGHUP; until then the windows of the earlier file count"
--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -15,7 +15,7 @@
 from twisted.python.threadpool import ThreadPool
 
 from linenbridge.fleet.configuration import RESTARTS, FleetTold
-from linenbridge.errors import FleetError
+from linenbridge.errors import ControlPlaneError
 from linenbridge.peering import clock
 from linenbridge.fleet.hosting.task_actions import Errands
 from linenbridge.fleet.hosting.freezes import Freezes
@@ -76,7 +76,7 @@
         try:
             self.disk = promises(told.store, told.member)
             kept = self.disk.read()
-        except FleetError as error:
+        except ControlPlaneError as error:
             broken = str(error)
             self.log.event("store.failed", **error.fields())
             kept = promises("", told.member).read()
--- a/linenbridge/fleet/leases/acceptor.py
+++ b/linenbridge/fleet/leases/acceptor.py
@@ -18,7 +18,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from linenbridge.errors import FleetError
+from linenbridge.errors import ControlPlaneError
 from linenbridge.fleet.leases.errors import (
     AcceptorAside,
     BehindOthers,
@@ -26,7 +26,7 @@
     LeaseTooLong,
     OlderTerm,
     OtherGeneration,
-    Refusal,
+    Rejection,
     StoreUnusable,
 )  # fmt: skip
 from linenbridge.fleet.leases.granted_leases import Guards, Key
@@ -201,7 +201,7 @@
         for error in self.returning.notes(now):
             self._log("seat.aside", error)
 
-    def _log(self, name: str, error: FleetError) -> None:
+    def _log(self, name: str, error: ControlPlaneError) -> None:
         self.out.append((LOG, name, error.fields()))
 
     def _well_formed(self, message: LeaseRequest) -> bool:
@@ -251,7 +251,7 @@
         self.queues.leave(acquire.task, proposer)
         granted.append(Granted(acquire.task, acquire.place, acquire.term))
 
-    def _refusal(self, now: int, proposer: str, acquire: Acquire) -> type[Refusal] | None:
+    def _refusal(self, now: int, proposer: str, acquire: Acquire) -> type[Rejection] | None:
         """The rule by which places are granted: the reason for a refusal, or None where the place is
         granted."""
         guards, key = self.guards, (acquire.task, acquire.place)
--- a/linenbridge/fleet/leases/errors.py
+++ b/linenbridge/fleet/leases/errors.py
@@ -5,42 +5,42 @@
 
 from __future__ import annotations
 
-from linenbridge.errors import FleetError, Refusal
+from linenbridge.errors import ControlPlaneError, Rejection
 
 
-class LeaseError(FleetError):
+class LeaseError(ControlPlaneError):
     """The base of all errors of leases."""
 
 
-class HeldByAnother(Refusal):
+class HeldByAnother(Rejection):
     """The place is leased to another member."""
 
     code = "held"
     advice = "nothing to do: the place is free again when its holder leaves or its lease runs out"
 
 
-class BehindOthers(Refusal):
+class BehindOthers(Rejection):
     """Members with lower tickets wait for the task."""
 
     code = "behind"
     advice = "nothing to do: members that asked earlier come first"
 
 
-class OlderTerm(Refusal):
+class OlderTerm(Rejection):
     """The requested term is not above the newest that the acceptor knows."""
 
     code = "older"
     advice = "nothing to do: the member asks again with a newer term"
 
 
-class LeaseTooLong(Refusal):
+class LeaseTooLong(Rejection):
     """The requested length is above the acceptor's `longest`."""
 
     code = "too-long"
     advice = "set the same `lease` in the settings of all members"
 
 
-class AcceptorAside(Refusal):
+class AcceptorAside(Rejection):
     """The acceptor has not recovered yet, or its store failed."""
 
     code = "aside"
@@ -50,7 +50,7 @@
     )
 
 
-class OtherGeneration(Refusal):
+class OtherGeneration(Rejection):
     """Proposer and acceptor have different generations of the quorum."""
 
     code = "generation"
--- a/tests/fleet/test_errors.py
+++ b/tests/fleet/test_errors.py
@@ -10,7 +10,7 @@
 
 import linenbridge.distribution
 import linenbridge.fleet
-from linenbridge.errors import FleetError, Refusal, kinds
+from linenbridge.errors import ControlPlaneError, Rejection, error_types
 from linenbridge.fleet.leases.errors import QuorumLost
 
 DOCS = Path(__file__).parents[2] / "docs"
@@ -21,11 +21,11 @@
 for package in (linenbridge.fleet, linenbridge.distribution):
     for module in pkgutil.walk_packages(package.__path__, f"{package.__name__}."):
         importlib.import_module(module.name)
-BASES = {"Refusal", "LeaseError", "PlaceError"}
+BASES = {"Rejection", "LeaseError", "FileFaultError"}
 
 
 @pytest.mark.parametrize(
-    "kind", [kind for kind in kinds() if kind.__name__ not in BASES], ids=lambda k: k.__name__
+    "kind", [kind for kind in error_types() if kind.__name__ not in BASES], ids=lambda k: k.__name__
 )
 def test_every_kind_has_advice_and_a_line_on_the_page(kind):
     assert kind.advice and kind.advice in str(kind("it happened", "g1"))
@@ -35,12 +35,12 @@
 
 
 def test_each_refusal_has_a_code_of_its_own():
-    codes = [kind.code for kind in kinds(Refusal)]
+    codes = [kind.code for kind in error_types(Rejection)]
     assert len(codes) > 4 and len(set(codes)) == len(codes) and all(codes)
 
 
 def test_an_error_is_plain_data_for_the_log():
-    class PlannedError(FleetError):
+    class PlannedError(ControlPlaneError):
         advice = "wait"
 
     assert str(PlannedError("late", "g1")) == "g1: late; wait"
