--- a/linenbridge/cli/commands.py
+++ b/linenbridge/cli/commands.py
@@ -78,13 +78,13 @@
     """Settings with a fleet or a distribution alone need no configuration of the platform: a process that
     serves no RPCs."""
     from linenbridge.fleet.hosting.quorum_member import run as witness
-    from linenbridge.fleet.configuration import fleet
+    from linenbridge.fleet.configuration import fleet_settings
 
     if configuration.part("distribution") is not None:
         from linenbridge.distribution.hosting.server import run as distribute
 
         return distribute(configuration)
-    told = fleet(configuration)
+    told = fleet_settings(configuration)
     if told is None or configuration.part("processor") is not None:
         raise ConfigurationError(f"{configuration.path}: only a fleet alone runs without --config")
     return witness(configuration, told)
--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -17,11 +17,11 @@
 from linenbridge.distribution.messages import Appended, Fetched, Prepared, Progress, Publish, Published
 from linenbridge.distribution.log.replication import PublisherPace
 from linenbridge.distribution.log.publisher import Check, Publisher
-from linenbridge.fleet.configuration import FleetTold
+from linenbridge.fleet.configuration import FleetSettings
 from linenbridge.peering import clock
 from linenbridge.peering.connections import PeerConnections, WellFormedNames
 from linenbridge.fleet.hosting.member import Member
-from linenbridge.fleet.hosting.quorum_member import again
+from linenbridge.fleet.hosting.quorum_member import reload_settings
 from linenbridge.logging.event_log import Log
 
 
@@ -29,7 +29,7 @@
     """One candidate; it publishes while it holds its region's task. `check` is asked of each value."""
 
     def __init__(
-        self, settings: DistributionSettings, told: FleetTold, reactor: Any, log: Log, check: Check,
+        self, settings: DistributionSettings, told: FleetSettings, reactor: Any, log: Log, check: Check,
         random: Random,
     ) -> None:  # fmt: skip
         self.settings, self.reactor, self.log = settings, reactor, log
@@ -46,7 +46,7 @@
             settings.name, frozenset(relays), reactor, log, self._heard_relay, decoder=PUBLISHER_TAKES
         )
         self.carrier = Carrier(reactor, [self.publisher], self._carry_out, self._look_at_lease)
-        self.member = Member(told, reactor, log, secrets.randbits(60), tasks_changed=self._tasks_changed)
+        self.member = Member(told, reactor, log, secrets.randbits(60), on_task_changed=self._tasks_changed)
         if settings.listen is None:
             raise ValueError("a publisher listens")
         self.port = reactor.listenTCP(settings.listen[1], self.authors, interface=settings.listen[0])
@@ -56,7 +56,7 @@
         self.carrier.turn()
 
     def _look_at_lease(self, now: int) -> None:
-        held = self.member.holds(self.task)
+        held = self.member.held_lease(self.task)
         self.publisher.on_term(now, None if held is None else held[0])
 
     def _tasks_changed(self, task: str) -> None:
@@ -108,7 +108,7 @@
 
     def reload(self, path: str) -> None:
         """At SIGHUP: the fleet's part counts at once, the distribution's from the next start."""
-        again(path, self.member, self.log)
+        reload_settings(path, self.member, self.log)
 
     def close(self, closed: Any) -> None:
         """The lease is given back; `closed()` at the end."""
--- a/linenbridge/distribution/hosting/server.py
+++ b/linenbridge/distribution/hosting/server.py
@@ -98,9 +98,9 @@
 ) -> Process:  # fmt: skip
     from linenbridge.distribution.hosting.publisher import PublisherProcess
     from linenbridge.distribution.view.values import ValueChecks
-    from linenbridge.fleet.configuration import fleet
+    from linenbridge.fleet.configuration import fleet_settings
 
-    told = fleet(configuration)
+    told = fleet_settings(configuration)
     if told is None:
         raise ConfigurationError(f"{configuration.path}: a publisher needs the element fleet")
     check = ValueChecks(methods.methods, methods.longest)
--- a/linenbridge/fleet/configuration.py
+++ b/linenbridge/fleet/configuration.py
@@ -19,7 +19,7 @@
 from linenbridge.net.discovery import host_port
 
 ACCEPTORS = (3, 7)
-RESTARTS = "restarts"  # the task whose places are the turns of planned restarts
+RESTARTS_TASK = "restarts"  # the task whose places are the turns of planned restarts
 
 
 class FleetSettingsError(FileFaultError):
@@ -29,29 +29,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Errand:
+class TaskSettings:
     """One task: how many members hold it at once, and where its holder sends each act, if anywhere."""
 
     task: str
-    places: int
-    act: tuple[str, int] | None
-    every: int
+    slots: int
+    action_address: tuple[str, int] | None
+    action_interval: int
 
 
 @dataclass(frozen=True, slots=True)
-class FleetTold:
+class FleetSettings:
     """The element `fleet`. Times in microseconds."""
 
     member: str
     listen: tuple[str, int]
     store: str
-    trusted: bool
+    store_never_goes_back: bool
     pace: Pace
     members: dict[str, tuple[str, int]]
     quorum: Quorum
     first_term: int
-    errands: tuple[Errand, ...]
-    restarts_within: int
+    tasks: tuple[TaskSettings, ...]
+    restart_timeout: int
     windows: tuple[Window, ...] = ()
 
     def is_acceptor(self) -> bool:
@@ -59,7 +59,7 @@
         return self.member in self.quorum.everyone()
 
 
-def fleet(configuration: Configuration) -> FleetTold | None:
+def fleet_settings(configuration: Configuration) -> FleetSettings | None:
     """The element, or None if there is none. ConfigurationError names every fault, one a line."""
     element = configuration.part("fleet")
     if element is None:
@@ -86,27 +86,27 @@
     row = _quorum_element(element)
     quorum = _quorum(row, said["member"], members, refuse)
     first_term = int(attributes(row, "quorum")["first-term"])
-    errands = list[Errand]()
+    tasks = list[TaskSettings]()
     for row in element.iterchildren(f"{SPACE}task"):
         words = attributes(row, "task")
-        if words["name"] in (RESTARTS, *(errand.task for errand in errands)):
+        if words["name"] in (RESTARTS_TASK, *(task.task for task in tasks)):
             refuse(row, f"the task {words['name']} is there already", "name it once")
         if int(words["places"]) > 64:
             refuse(row, "a task has 64 places at most", "lower `places`")
         act = host_port(words["act"]) if "act" in words else None
-        errands.append(Errand(words["name"], int(words["places"]), act, duration(words["every"])))
+        tasks.append(TaskSettings(words["name"], int(words["places"]), act, duration(words["every"])))
     within = 0
     if (row := element.find(f"{SPACE}restarts")) is not None:
         words = attributes(row, "restarts")
         within = duration(words["within"])
-        errands.append(Errand(RESTARTS, int(words["at-once"]), None, 0))
+        tasks.append(TaskSettings(RESTARTS_TASK, int(words["at-once"]), None, 0))
     if wrong:
         raise ConfigurationError("\n".join(str(error) for error in wrong))
-    return FleetTold(
+    return FleetSettings(
         said["member"], host_port(said["listen"].replace("[", "").replace("]", "")),
         configuration.beside(said["store"]),
         said["store-never-goes-back"] in ("true", "1"), Pace(lease, longest, apart, beat), members, quorum,
-        first_term, tuple(errands), within, windows(configuration.beside(said["freezes"])),
+        first_term, tuple(tasks), within, windows(configuration.beside(said["freezes"])),
     )  # fmt: skip
 
 
--- a/linenbridge/fleet/freezes/holds.py
+++ b/linenbridge/fleet/freezes/holds.py
@@ -20,7 +20,7 @@
 KIND = "hold"
 
 
-class Holds:
+class FreezeSchedule:
     """Times are Unix microseconds: windows are written by the wall clock."""
 
     def __init__(self, windows: tuple[Window, ...], now: int) -> None:
--- a/linenbridge/fleet/hosting/freezes.py
+++ b/linenbridge/fleet/hosting/freezes.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from linenbridge.fleet.freezes.holds import Holds
+from linenbridge.fleet.freezes.holds import FreezeSchedule
 from linenbridge.fleet.freezes.windows import Window
 from linenbridge.logging.event_log import Log
 
@@ -21,7 +21,7 @@
     return time.time_ns() // 1000
 
 
-class Freezes:
+class RolloutFreezes:
     """`held(zones)` is called with each change, None where nothing is held."""
 
     def __init__(
@@ -29,10 +29,10 @@
         held: Callable[[frozenset[str] | None], None],
     ) -> None:  # fmt: skip
         self.reactor, self.log, self.held, self.timer = reactor, log, held, None
-        self.core = Holds(windows, wall())
+        self.core = FreezeSchedule(windows, wall())
         self.turn()
 
-    def take_up(self, windows: tuple[Window, ...]) -> None:
+    def update(self, windows: tuple[Window, ...]) -> None:
         self.core.on_windows(wall(), windows)
         self.turn()
 
--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -14,11 +14,11 @@
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.threadpool import ThreadPool
 
-from linenbridge.fleet.configuration import RESTARTS, FleetTold
+from linenbridge.fleet.configuration import RESTARTS_TASK, FleetSettings
 from linenbridge.errors import ControlPlaneError
 from linenbridge.peering import clock
-from linenbridge.fleet.hosting.task_actions import Errands
-from linenbridge.fleet.hosting.freezes import Freezes
+from linenbridge.fleet.hosting.task_actions import TaskActions
+from linenbridge.fleet.hosting.freezes import RolloutFreezes
 from linenbridge.peering.connections import PeerConnections, call_soon
 from linenbridge.fleet.leases.acceptor import Acceptor
 from linenbridge.fleet.leases.messages import (
@@ -37,39 +37,42 @@
 
 
 class Member:
-    """`life` differs for each start of the process. `held` is called with the zones in which releases are
-    held, None for none; `tasks_changed` with a task that this member has begun or ceased to hold."""
+    """`incarnation` differs for each start of the process. `on_rollout_freeze` is called with the zones in
+    which releases are held, None for none; `on_task_changed` with a task that this member has begun or ceased
+    to hold."""
 
     def __init__(
-        self, told: FleetTold, reactor: Any, log: Log, life: int,
-        held: Callable[[frozenset[str] | None], None] = lambda zones: None,
-        tasks_changed: Callable[[str], None] = lambda task: None,
+        self, told: FleetSettings, reactor: Any, log: Log, incarnation: int,
+        on_rollout_freeze: Callable[[frozenset[str] | None], None] = lambda zones: None,
+        on_task_changed: Callable[[str], None] = lambda task: None,
     ) -> None:  # fmt: skip
-        self.told, self.reactor, self.log, self.tasks_changed = told, reactor, log, tasks_changed
-        self.name, self.life = f"{told.member}#{life:x}", life
+        self.told, self.reactor, self.log, self.on_task_changed = told, reactor, log, on_task_changed
+        self.name, self.incarnation = f"{told.member}#{incarnation:x}", incarnation
         now = clock.now()
-        self.proposer = Proposer(self.name, told.quorum, told.pace, life, now)
+        self.proposer = Proposer(self.name, told.quorum, told.pace, incarnation, now)
         self.acceptor: Acceptor | None = None
         self.proposers: dict[str, str] = {}  # by proposer, the link that it was last heard on
         self.disk = self.pool = self.timer = self.leaving = None
         self.gone = False
         if told.is_acceptor():
-            self._start_acceptor(now, life)
+            self._start_acceptor(now, incarnation)
         self.connections = PeerConnections(
             told.member, frozenset(told.members), reactor, log, self._hear, decoder=MESSAGE_DECODER
         )
         self.port = reactor.listenTCP(told.listen[1], self.connections, interface=told.listen[0])
         self._dial()
-        for errand in told.errands:
-            if errand.task != RESTARTS:
-                self.proposer.stand_for(now, errand.task, errand.places)
-        self.freezes = Freezes(told.windows, reactor, log, held)
-        self.errands = Errands(self.name, told.errands, reactor, log, self.holds)
+        for task in told.tasks:
+            if task.task != RESTARTS_TASK:
+                self.proposer.stand_for(now, task.task, task.slots)
+        self.freezes = RolloutFreezes(told.windows, reactor, log, on_rollout_freeze)
+        self.actions = TaskActions(self.name, told.tasks, reactor, log, self.held_lease)
         acceptor = told.is_acceptor()
-        log.event("member.started", member=told.member, life=f"{life:x}", acceptor=acceptor, seat=acceptor)
+        log.event(
+            "member.started", member=told.member, life=f"{incarnation:x}", acceptor=acceptor, seat=acceptor
+        )
         self.turn()
 
-    def _start_acceptor(self, now: int, life: int) -> None:
+    def _start_acceptor(self, now: int, incarnation: int) -> None:
         """Read the store, then start the acceptor. If the store can't be used the acceptor grants
         nothing."""
         told, broken, kept = self.told, "", None
@@ -80,9 +83,16 @@
             broken = str(error)
             self.log.event("store.failed", **error.fields())
             kept = promises("", told.member).read()
-        number = Random(life).getrandbits(52)
+        number = Random(incarnation).getrandbits(52)
         self.acceptor = Acceptor(
-            told.member, told.quorum, told.pace, kept, now, told.first_term, told.trusted, number
+            told.member,
+            told.quorum,
+            told.pace,
+            kept,
+            now,
+            told.first_term,
+            told.store_never_goes_back,
+            number,
         )
         if broken:
             self.acceptor.on_store_failed(now, broken)
@@ -154,8 +164,8 @@
         else:
             _, task, place, term = decision
             self.log.event(f"task.{kind}", task=task, place=place, term=term)
-            call_soon(self.reactor, self.tasks_changed, task)
-            if kind == "held" and task == RESTARTS and self.leaving is not None:
+            call_soon(self.reactor, self.on_task_changed, task)
+            if kind == "held" and task == RESTARTS_TASK and self.leaving is not None:
                 self._go()
 
     def _keep(self, rows: list[tuple], to: str, message: Any) -> None:
@@ -168,12 +178,12 @@
 
     # ---- what others ask ---------------------------------------------------------------------------
 
-    def holds(self, task: str) -> tuple[int, int] | None:
+    def held_lease(self, task: str) -> tuple[int, int] | None:
         """Term and place under which this member may act on the task at this moment, or None."""
         term = self.proposer.may_act(clock.now(), task)
         return None if term is None else (term, self.proposer.holds[task].place)
 
-    def take_up(self, told: FleetTold) -> None:
+    def update_settings(self, told: FleetSettings) -> None:
         """New settings: the quorum, addresses and windows count at once, all else from the next start."""
         now = clock.now()
         self.told = told
@@ -181,13 +191,13 @@
         if self.acceptor is not None:
             self.acceptor.on_quorum(now, told.quorum)
         elif told.is_acceptor():
-            self._start_acceptor(now, self.life)
+            self._start_acceptor(now, self.incarnation)
         self.connections.peer_names = frozenset(told.members)
         acceptors = told.quorum.everyone()
         for former in [name for name in self.connections.dialled if name not in acceptors]:
             self.connections.disconnect(former)
         self._dial()
-        self.freezes.take_up(told.windows)
+        self.freezes.update(told.windows)
         self.turn()
 
     def leave(self, gone: Callable[[], None]) -> None:
@@ -195,12 +205,12 @@
         if self.leaving is not None:
             return
         self.leaving = gone
-        turns = [errand for errand in self.told.errands if errand.task == RESTARTS]
+        turns = [task for task in self.told.tasks if task.task == RESTARTS_TASK]
         if not turns:
             self._go()
             return
-        self.proposer.stand_for(clock.now(), RESTARTS, turns[0].places)
-        self.reactor.callLater(self.told.restarts_within / 1e6, self._go)
+        self.proposer.stand_for(clock.now(), RESTARTS_TASK, turns[0].slots)
+        self.reactor.callLater(self.told.restart_timeout / 1e6, self._go)
         self.turn()
 
     def _go(self) -> None:
@@ -208,11 +218,11 @@
         if gone is None or self.gone:
             return
         self.gone = True
-        self.errands.close()
+        self.actions.close()
         self.freezes.close()
         now = clock.now()
         for task in list(self.proposer.holds):
-            if task != RESTARTS:
+            if task != RESTARTS_TASK:
                 self.proposer.leave(now, task)
         self.turn()
         self.reactor.callLater(GOODBYE, self._close, gone)
@@ -228,7 +238,7 @@
 
     def facts(self) -> dict[str, int]:
         """Figures for the line of counters."""
-        held = sum(self.holds(task) is not None for task in self.proposer.holds)
+        held = sum(self.held_lease(task) is not None for task in self.proposer.holds)
         return {
             "links": len(self.connections.by_peer),
             "held": held,
--- a/linenbridge/fleet/hosting/task_actions.py
+++ b/linenbridge/fleet/hosting/task_actions.py
@@ -17,7 +17,7 @@
 from twisted.web.iweb import IBodyProducer
 from zope.interface import implementer
 
-from linenbridge.fleet.configuration import Errand
+from linenbridge.fleet.configuration import TaskSettings
 from linenbridge.logging.event_log import Log
 
 ANSWER_WAIT, ANSWER_MOST = 5.0, 65_536  # seconds and bytes of one answer
@@ -54,36 +54,36 @@
             self.transport.loseConnection()
 
 
-class Errands:
+class TaskActions:
     """`term(task)` is asked at each act: the term and place under which this member may act now, or None."""
 
     def __init__(
-        self, name: str, errands: tuple[Errand, ...], reactor: Any, log: Log,
+        self, name: str, tasks: tuple[TaskSettings, ...], reactor: Any, log: Log,
         term: Callable[[str], tuple[int, int] | None],
     ) -> None:  # fmt: skip
         self.name, self.reactor, self.log, self.term = name, reactor, log, term
         self.agent = Agent(reactor, connectTimeout=1.0, pool=HTTPConnectionPool(reactor, persistent=False))
         self.timers: dict[str, Any] = {}
         self.out: set[str] = set()  # tasks whose last act has no answer yet
-        for errand in errands:
-            if errand.act is not None:
-                self._again(errand)
+        for task in tasks:
+            if task.action_address is not None:
+                self._again(task)
 
-    def _again(self, errand: Errand) -> None:
-        self.timers[errand.task] = self.reactor.callLater(errand.every / 1e6, self._act, errand)
+    def _again(self, task: TaskSettings) -> None:
+        self.timers[task.task] = self.reactor.callLater(task.action_interval / 1e6, self._act, task)
 
-    def _act(self, errand: Errand) -> None:
-        self._again(errand)
-        held = self.term(errand.task)
-        if held is None or errand.task in self.out:
+    def _act(self, task: TaskSettings) -> None:
+        self._again(task)
+        held = self.term(task.task)
+        if held is None or task.task in self.out:
             return
         term, place = held
-        said = {"task": errand.task, "place": place, "term": term, "by": self.name}
-        host, port = errand.act
+        said = {"task": task.task, "place": place, "term": term, "by": self.name}
+        host, port = task.action_address
         asked = self.agent.request(
             b"POST", f"http://{host}:{port}/act".encode(), TYPE, Body(msgspec.json.encode(said))
         )
-        self.out.add(errand.task)
+        self.out.add(task.task)
         asked.addTimeout(ANSWER_WAIT, self.reactor)
         asked.addCallbacks(self._done, self._failed, callbackArgs=(said,), errbackArgs=(said,))
 
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -167,9 +167,9 @@
     if configuration.part("fleet") is None:
         return None
     from linenbridge.fleet.hosting.member import Member
-    from linenbridge.fleet.configuration import fleet
+    from linenbridge.fleet.configuration import fleet_settings
 
-    told = fleet(configuration)
+    told = fleet_settings(configuration)
     if told is None:
         return None
 
@@ -229,9 +229,9 @@
         reload(parts, log, dict(os.environ))
         server.reload()
         if member is not None:
-            from linenbridge.fleet.hosting.quorum_member import again
+            from linenbridge.fleet.hosting.quorum_member import reload_settings
 
-            again(configuration.path, member, log)
+            reload_settings(configuration.path, member, log)
 
     lifecycle.run(reactor, log, stop, counters, anew)
     return 0
--- a/tests/compatibility/test_fleet_settings.py
+++ b/tests/compatibility/test_fleet_settings.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 from linenbridge.configuration.read import ConfigurationError, parse
-from linenbridge.fleet.configuration import FleetTold, fleet
+from linenbridge.fleet.configuration import FleetSettings, fleet_settings
 
 
-def values(settings: FleetTold | None) -> dict[str, Any] | None:
+def values(settings: FleetSettings | None) -> dict[str, Any] | None:
     """The settings in the record's form."""
     if settings is None:
         return None
@@ -20,21 +20,21 @@
         "member": settings.member,
         "listen": list(settings.listen),
         "store": settings.store,
-        "trusted": settings.trusted,
+        "trusted": settings.store_never_goes_back,
         "pace": list(settings.pace),
         "members": {name: list(address) for name, address in settings.members.items()},
         "quorum": [quorum.generation, list(quorum.now), list(quorum.before)],
         "first_term": settings.first_term,
         "errands": [
             {
-                "task": errand.task,
-                "places": errand.places,
-                "act": None if errand.act is None else list(errand.act),
-                "every": errand.every,
+                "task": task.task,
+                "places": task.slots,
+                "act": None if task.action_address is None else list(task.action_address),
+                "every": task.action_interval,
             }
-            for errand in settings.errands
+            for task in settings.tasks
         ],
-        "restarts_within": settings.restarts_within,
+        "restarts_within": settings.restart_timeout,
         "windows": list(settings.windows),
     }
 
@@ -42,7 +42,7 @@
 def read_settings(text: str) -> tuple[dict[str, Any] | None, str]:
     """The values of the settings, or the error."""
     try:
-        return values(fleet(parse(text.encode(), "/etc/fleet/x.xml"))), ""
+        return values(fleet_settings(parse(text.encode(), "/etc/fleet/x.xml"))), ""
     except ConfigurationError as error:
         return None, str(error)
 
--- a/tests/compatibility/test_freezes.py
+++ b/tests/compatibility/test_freezes.py
@@ -13,7 +13,7 @@
 
 from linenbridge.configuration.read import ConfigurationError
 from linenbridge.fleet.freezes.configuration import windows
-from linenbridge.fleet.freezes.holds import Holds
+from linenbridge.fleet.freezes.holds import FreezeSchedule
 from linenbridge.fleet.freezes.windows import Window, occurrences
 
 BEGIN = int(datetime(2026, 12, 8, 2, tzinfo=UTC).timestamp()) * 1_000_000
@@ -42,7 +42,7 @@
 def decisions(found: tuple[Window, ...]) -> list[list[Any]]:
     """What is decided at each wake-up, from an hour before the first window on, in the record's form."""
     now = BEGIN - HOUR
-    core = Holds(found, now)
+    core = FreezeSchedule(found, now)
     rows: list[list[Any]] = []
     for _ in range(MAX_WAKES):
         while (decision := core.next_decision(now)) is not None:
--- a/tests/compatibility/test_task_actions.py
+++ b/tests/compatibility/test_task_actions.py
@@ -10,8 +10,8 @@
 
 from twisted.internet.testing import StringTransport
 
-from linenbridge.fleet.configuration import Errand
-from linenbridge.fleet.hosting.task_actions import Errands
+from linenbridge.fleet.configuration import TaskSettings
+from linenbridge.fleet.hosting.task_actions import TaskActions
 from linenbridge.logging.event_log import Log
 from tests.compatibility.fleet_fakes import ResolvingReactor, log_rows
 
@@ -26,8 +26,8 @@
     stream = io.BytesIO()
     log = Log(stream)
     may_act = None if row["may_act"] is None else tuple(row["may_act"])
-    task = Errand(row["task"], 1, tuple(row["address"]), row["every"])
-    actions = Errands(row["member"], (task,), reactor, log, lambda _: may_act)
+    task = TaskSettings(row["task"], 1, tuple(row["address"]), row["every"])
+    actions = TaskActions(row["member"], (task,), reactor, log, lambda _: may_act)
     reactor.advance(row["every"] / 1e6 - 0.0001)
     early = len(reactor.tcpClients)
     reactor.advance(0.0002)
--- a/tests/distribution/hosting/test_configuration.py
+++ b/tests/distribution/hosting/test_configuration.py
@@ -12,7 +12,7 @@
 from linenbridge.configuration.read import ConfigurationError, parse, read
 from linenbridge.distribution.configuration import Role, distribution
 from linenbridge.distribution.hosting.methods import methods_of
-from linenbridge.fleet.configuration import fleet as fleet_of
+from linenbridge.fleet.configuration import fleet_settings as fleet_of
 
 ROOT = Path(__file__).parents[3]
 EU = (
--- a/tests/distribution/hosting/test_hosts.py
+++ b/tests/distribution/hosting/test_hosts.py
@@ -140,10 +140,10 @@
 class StandinMember:
     """Holds what the test says."""
 
-    def __init__(self, *row: object, tasks_changed: Callable[[str], None]) -> None:
-        self.tasks_changed, self.term = tasks_changed, None
+    def __init__(self, *row: object, on_task_changed: Callable[[str], None]) -> None:
+        self.on_task_changed, self.term = on_task_changed, None
 
-    def holds(self, task: str) -> tuple[int, int] | None:
+    def held_lease(self, task: str) -> tuple[int, int] | None:
         return None if task != "publish-eu" or self.term is None else (self.term, 0)
 
     def facts(self) -> dict[str, int]:
@@ -166,9 +166,9 @@
     (refused,) = author.heard()
     assert (refused.state, refused.code) == ("refused", "not_publisher") and relay.heard() == []
     publisher.member.term = 5
-    publisher.member.tasks_changed("another")
+    publisher.member.on_task_changed("another")
     assert relay.heard() == []
-    publisher.member.tasks_changed("publish-eu")
+    publisher.member.on_task_changed("publish-eu")
     (prepare,) = relay.heard()
     assert prepare == Prepare("eu", 5)
     for name in ("eu-1", "eu-2"):
--- a/tests/fleet/freezes/test_holds.py
+++ b/tests/fleet/freezes/test_holds.py
@@ -11,7 +11,7 @@
 from linenbridge.policy import Choice
 from linenbridge.configuration.read import ConfigurationError
 from linenbridge.fleet.freezes.configuration import windows
-from linenbridge.fleet.freezes.holds import Holds
+from linenbridge.fleet.freezes.holds import FreezeSchedule
 from linenbridge.fleet.freezes.windows import Window
 from linenbridge.interface import SECOND
 from tests.policy.helpers import fail_trial, outcome
@@ -28,14 +28,14 @@
     return Window(name, "hold", first, last, ZoneInfo("UTC"), frozenset(zones), **more)
 
 
-def said(core: Holds, now: int) -> list:
+def said(core: FreezeSchedule, now: int) -> list:
     """Zones held, as told; log lines by their window."""
     found = iter(lambda: core.next_decision(now), None)
     return [row[1] if row[0] == "hold" else f"{row[1]} {row[2]['window']}" for row in found]
 
 
 def test_holds_begin_overlap_and_end_by_the_clock_alone():
-    core = Holds((hold("a", 10, 30, "west"), hold("b", 20, 40, "east"), hold("c", 25, 26)), NOW)
+    core = FreezeSchedule((hold("a", 10, 30, "west"), hold("b", 20, 40, "east"), hold("c", 25, 26)), NOW)
     assert said(core, NOW) == [] and core.wake_at() == NOW + 10 * MINUTE
     assert said(core, NOW + 10 * MINUTE) == ["hold.open a", frozenset({"west"})]
     assert said(core, NOW + 20 * MINUTE) == ["hold.open b", frozenset({"west", "east"})]
@@ -45,7 +45,7 @@
 
 
 def test_a_window_is_extended_ended_early_cancelled_or_begins_in_the_past():
-    core = Holds((hold("a", -30, 10),), NOW)
+    core = FreezeSchedule((hold("a", -30, 10),), NOW)
     assert said(core, NOW) == ["hold.open a", frozenset()]
     core.on_windows(NOW + MINUTE, (hold("a", -30, 60),))
     assert said(core, NOW + MINUTE) == [] and said(core, NOW + 10 * MINUTE) == []
--- a/tests/fleet/test_configuration.py
+++ b/tests/fleet/test_configuration.py
@@ -9,7 +9,7 @@
 import pytest
 
 from linenbridge.configuration.read import ConfigurationError, parse
-from linenbridge.fleet.configuration import fleet
+from linenbridge.fleet.configuration import fleet_settings
 from linenbridge.fleet.leases.quorum import Quorum
 
 ACCEPTORS = '<quorum><acceptor name="g1"/><acceptor name="g2"/><acceptor name="g3"/></quorum>'
@@ -24,24 +24,24 @@
 
 
 def test_a_plain_element_gets_the_schemas_defaults():
-    found = fleet(parse(told(), "x.xml"))
+    found = fleet_settings(parse(told(), "x.xml"))
     assert found.pace == (10_000_000, 10_000_000, 10_000, 2_000_000) and found.is_acceptor()
     assert found.quorum == Quorum(1, ("g1", "g2", "g3"), ("g1", "g2", "g3"))
-    assert found.members["g4"] == ("127.0.0.1", 7104) and not found.errands
+    assert found.members["g4"] == ("127.0.0.1", 7104) and not found.tasks
 
 
 def test_one_acceptor_joins_while_both_lists_count():
     joins = ACCEPTORS.replace("<quorum>", '<quorum generation="2">').replace(
         "</quorum>", '<acceptor name="g4" joins="true"/></quorum>'
     )
-    quorum = fleet(parse(told(OTHERS + joins), "x.xml")).quorum
+    quorum = fleet_settings(parse(told(OTHERS + joins), "x.xml")).quorum
     assert quorum == Quorum(2, ("g1", "g2", "g3", "g4"), ("g1", "g2", "g3"))
 
 
 def test_the_earlier_names_of_the_quorum_and_its_acceptors_are_read_alike():
     earlier = ACCEPTORS.replace("quorum", "council").replace("<acceptor", "<seat")
     assert "<council><seat" in earlier
-    assert fleet(parse(told(OTHERS + earlier), "x.xml")) == fleet(parse(told(), "x.xml"))
+    assert fleet_settings(parse(told(OTHERS + earlier), "x.xml")) == fleet_settings(parse(told(), "x.xml"))
     with pytest.raises(ConfigurationError):
         parse(told(OTHERS + ACCEPTORS + earlier), "x.xml")
 
@@ -64,13 +64,15 @@
 )  # fmt: skip
 def test_what_is_wrong_is_named_with_its_place_and_what_to_do(data, line):
     with pytest.raises(ConfigurationError) as error:
-        fleet(parse(data, "x.xml"))
+        fleet_settings(parse(data, "x.xml"))
     assert line in str(error.value)
 
 
 def test_all_wrong_places_are_named_at_once():
     with pytest.raises(ConfigurationError) as error:
-        fleet(parse(told(OTHERS + ACCEPTORS.replace('"g3"', '"g9"'), 'lease="5s" beat="4s"'), "x.xml"))
+        fleet_settings(
+            parse(told(OTHERS + ACCEPTORS.replace('"g3"', '"g9"'), 'lease="5s" beat="4s"'), "x.xml")
+        )
     assert len(str(error.value).splitlines()) == 2
 
 
