--- a/linenbridge/fleet/hosting/freezes.py
+++ b/linenbridge/fleet/hosting/freezes.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from linenbridge.fleet.freezes.holds import FreezeSchedule
+from linenbridge.fleet.freezes.schedule import FreezeSchedule
 from linenbridge.fleet.freezes.windows import Window
 from linenbridge.logging.event_log import Log
 
--- a/tests/compatibility/test_freezes.py
+++ b/tests/compatibility/test_freezes.py
@@ -13,7 +13,7 @@
 
 from linenbridge.configuration.read import ConfigurationError
 from linenbridge.fleet.freezes.configuration import windows
-from linenbridge.fleet.freezes.holds import FreezeSchedule
+from linenbridge.fleet.freezes.schedule import FreezeSchedule
 from linenbridge.fleet.freezes.windows import Window, occurrences
 
 BEGIN = int(datetime(2026, 12, 8, 2, tzinfo=UTC).timestamp()) * 1_000_000
--- a/tests/fleet/freezes/test_holds.py
+++ b/tests/fleet/freezes/test_schedule.py
@@ -11,7 +11,7 @@
 from linenbridge.policy import Choice
 from linenbridge.configuration.read import ConfigurationError
 from linenbridge.fleet.freezes.configuration import windows
-from linenbridge.fleet.freezes.holds import FreezeSchedule
+from linenbridge.fleet.freezes.schedule import FreezeSchedule
 from linenbridge.fleet.freezes.windows import Window
 from linenbridge.interface import SECOND
 from tests.policy.helpers import fail_trial, outcome
@@ -149,7 +149,8 @@
     found = file(
         tmp_path,
         '<window name="move" kind="hold" from="2026-12-08T02:00" until="2026-12-08T04:30" in="Asia/Seoul" '
-        'every="2 weeks"/><window name="west" kind="hold" from="2026-12-08T02:00" for="1h" in="UTC" zones="w1 w2"/>',
+        'every="2 weeks"/>'
+        '<window name="west" kind="hold" from="2026-12-08T02:00" for="1h" in="UTC" zones="w1 w2"/>',
     )
     assert (found[0].every, found[0].step, found[0].zone.key) == (2, "week", "Asia/Seoul")
     assert found[1].end - found[1].begin == timedelta(hours=1) and found[1].zones == {"w1", "w2"}
--- a/tests/fleet/procs/checker.py
+++ b/tests/fleet/procs/checker.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from tests.fleet.procs.standin_resource import Act
+from tests.fleet.procs.fake_resource import Act
 
 # An act that was under way when its process was stopped arrives when it wakes; so long after its waking one
 # with an older term is that act, not another one.
--- a/tests/fleet/procs/installation.py
+++ b/tests/fleet/procs/installation.py
@@ -18,8 +18,8 @@
 from pathlib import Path
 from random import Random
 
-from tests.fleet.procs.standin_links import StandinLinks
-from tests.fleet.procs.standin_resource import StandinResource
+from tests.fleet.procs.fake_network import StandinLinks
+from tests.fleet.procs.fake_resource import StandinResource
 
 ROOT = Path(__file__).parents[3]
 LEASE, BEAT = 1.0, 0.2
--- a/tests/fleet/procs/test_leases.py
+++ b/tests/fleet/procs/test_leases.py
@@ -12,7 +12,7 @@
 
 from tests.fleet.procs.checker import breaches, longest_gap
 from tests.fleet.procs.installation import BEAT, LEASE, Installation
-from tests.fleet.procs.standin_resource import Act
+from tests.fleet.procs.fake_resource import Act
 
 MEMBERS = ["g1", "g2", "g3", "g4", "g5"]
 FAULTS = 5
--- a/tests/fleet/sim/world.py
+++ b/tests/fleet/sim/world.py
@@ -22,7 +22,7 @@
 from linenbridge.fleet.leases.proposer import Proposer
 from linenbridge.fleet.leases.quorum import Quorum
 from linenbridge.fleet.leases.timing import Pace
-from tests.fleet.procs.standin_resource import Act
+from tests.fleet.procs.fake_resource import Act
 
 MS, SECOND = 1_000, 1_000_000
 ACT_EVERY = 200 * MS
--- a/tests/fleet/test_errors.py
+++ b/tests/test_errors.py
@@ -13,7 +13,7 @@
 from linenbridge.errors import ControlPlaneError, Rejection, error_types
 from linenbridge.fleet.leases.errors import QuorumLost
 
-DOCS = Path(__file__).parents[2] / "docs"
+DOCS = Path(__file__).parents[1] / "docs"
 PAGES = {
     "linenbridge.fleet": (DOCS / "oncall-fleet.md").read_text(),
     "linenbridge.distribution": (DOCS / "distribution-operators.md").read_text(),
