--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -29,7 +29,7 @@
     RecoveryRequest,
 )
 from linenbridge.fleet.leases.proposer import Proposer
-from linenbridge.fleet.store.acceptor_records import promises
+from linenbridge.fleet.store.acceptor_records import open_records
 from linenbridge.logging.event_log import Log
 
 MESSAGE_DECODER = msgspec.msgpack.Decoder(Message)
@@ -49,7 +49,7 @@
         self.told, self.reactor, self.log, self.on_task_changed = told, reactor, log, on_task_changed
         self.name, self.incarnation = f"{told.member}#{incarnation:x}", incarnation
         now = clock.now()
-        self.proposer = Proposer(self.name, told.quorum, told.pace, incarnation, now)
+        self.proposer = Proposer(self.name, told.quorum, told.timing, incarnation, now)
         self.acceptor: Acceptor | None = None
         self.proposers: dict[str, str] = {}  # by proposer, the link that it was last heard on
         self.disk = self.pool = self.timer = self.leaving = None
@@ -63,7 +63,7 @@
         self._dial()
         for task in told.tasks:
             if task.task != RESTARTS_TASK:
-                self.proposer.stand_for(now, task.task, task.slots)
+                self.proposer.request_lease(now, task.task, task.slots)
         self.freezes = RolloutFreezes(told.windows, reactor, log, on_rollout_freeze)
         self.actions = TaskActions(self.name, told.tasks, reactor, log, self.held_lease)
         acceptor = told.is_acceptor()
@@ -77,17 +77,17 @@
         nothing."""
         told, broken, kept = self.told, "", None
         try:
-            self.disk = promises(told.store, told.member)
+            self.disk = open_records(told.store, told.member)
             kept = self.disk.read()
         except ControlPlaneError as error:
             broken = str(error)
             self.log.event("store.failed", **error.fields())
-            kept = promises("", told.member).read()
+            kept = open_records("", told.member).read()
         number = Random(incarnation).getrandbits(52)
         self.acceptor = Acceptor(
             told.member,
             told.quorum,
-            told.pace,
+            told.timing,
             kept,
             now,
             told.first_term,
@@ -100,7 +100,7 @@
         self.pool.start()
 
     def _dial(self) -> None:
-        for acceptor in self.told.quorum.everyone():
+        for acceptor in self.told.quorum.all_acceptors():
             if acceptor != self.told.member:
                 self.connections.dial(acceptor, self.told.members[acceptor])
 
@@ -120,7 +120,7 @@
             if message.acceptor == far:
                 acceptor.on_recovery_request(now, message)
         elif acceptor is not None and isinstance(message, RecoveryReply) and message.acceptor == far:
-            acceptor.on_stamp(now, far, message.stamp)
+            acceptor.on_revision(now, far, message.revision)
             acceptor.on_recovery_reply(now, message)
         self.turn()
 
@@ -169,7 +169,7 @@
                 self._go()
 
     def _keep(self, rows: list[tuple], to: str, message: Any) -> None:
-        done = deferToThreadPool(self.reactor, self.pool, self.disk.keep, rows, self.acceptor.facts())
+        done = deferToThreadPool(self.reactor, self.pool, self.disk.write, rows, self.acceptor.facts())
         done.addCallbacks(lambda _: message is not None and self._say(to, message), self._not_kept)
 
     def _not_kept(self, failure: Any) -> None:
@@ -181,7 +181,7 @@
     def held_lease(self, task: str) -> tuple[int, int] | None:
         """Term and place under which this member may act on the task at this moment, or None."""
         term = self.proposer.may_act(clock.now(), task)
-        return None if term is None else (term, self.proposer.holds[task].place)
+        return None if term is None else (term, self.proposer.leases[task].slot)
 
     def update_settings(self, told: FleetSettings) -> None:
         """New settings: the quorum, addresses and windows count at once, all else from the next start."""
@@ -193,7 +193,7 @@
         elif told.is_acceptor():
             self._start_acceptor(now, self.incarnation)
         self.connections.peer_names = frozenset(told.members)
-        acceptors = told.quorum.everyone()
+        acceptors = told.quorum.all_acceptors()
         for former in [name for name in self.connections.dialled if name not in acceptors]:
             self.connections.disconnect(former)
         self._dial()
@@ -209,7 +209,7 @@
         if not turns:
             self._go()
             return
-        self.proposer.stand_for(clock.now(), RESTARTS_TASK, turns[0].slots)
+        self.proposer.request_lease(clock.now(), RESTARTS_TASK, turns[0].slots)
         self.reactor.callLater(self.told.restart_timeout / 1e6, self._go)
         self.turn()
 
@@ -221,9 +221,9 @@
         self.actions.close()
         self.freezes.close()
         now = clock.now()
-        for task in list(self.proposer.holds):
+        for task in list(self.proposer.leases):
             if task != RESTARTS_TASK:
-                self.proposer.leave(now, task)
+                self.proposer.release_lease(now, task)
         self.turn()
         self.reactor.callLater(GOODBYE, self._close, gone)
 
@@ -238,7 +238,7 @@
 
     def facts(self) -> dict[str, int]:
         """Figures for the line of counters."""
-        held = sum(self.held_lease(task) is not None for task in self.proposer.holds)
+        held = sum(self.held_lease(task) is not None for task in self.proposer.leases)
         return {
             "links": len(self.connections.by_peer),
             "held": held,
--- a/tests/compatibility/test_fleet_settings.py
+++ b/tests/compatibility/test_fleet_settings.py
@@ -21,9 +21,9 @@
         "listen": list(settings.listen),
         "store": settings.store,
         "trusted": settings.store_never_goes_back,
-        "pace": list(settings.pace),
+        "pace": list(settings.timing),
         "members": {name: list(address) for name, address in settings.members.items()},
-        "quorum": [quorum.generation, list(quorum.now), list(quorum.before)],
+        "quorum": [quorum.generation, list(quorum.acceptors), list(quorum.previous)],
         "first_term": settings.first_term,
         "errands": [
             {
