--- a/linenbridge/distribution/errors.py
+++ b/linenbridge/distribution/errors.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from linenbridge.errors import FleetError, Rejection
+from linenbridge.errors import ControlPlaneError, Rejection
 
 
 class OlderEpoch(Rejection):
@@ -78,13 +78,13 @@
     advice = "bring back relays of this region; then publish it again: the newest version counts"
 
 
-class RelayStoreError(FleetError):
+class RelayStoreError(ControlPlaneError):
     """A relay's disk cannot be written, or does not hold what was written."""
 
     advice = "mend the disk or empty the store's folder: the relay then follows the others from the start"
 
 
-class ViewStoreError(FleetError):
+class ViewStoreError(ControlPlaneError):
     """A gateway's store cannot be used; it goes on without one and asks its relay for everything at a
     start."""
 
--- a/linenbridge/fleet/leases/acceptor.py
+++ b/linenbridge/fleet/leases/acceptor.py
@@ -12,7 +12,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from linenbridge.errors import FleetError, Rejection
+from linenbridge.errors import ControlPlaneError, Rejection
 from linenbridge.fleet.leases.decisions import AcceptorDecision, LogEvent, Persist, Send
 from linenbridge.fleet.leases.errors import (
     AcceptorAside,
@@ -314,5 +314,5 @@
         self.revision += len(changed)
         self._decisions.append(Persist(self.granted_leases.stored_records(changed), then))
 
-    def _log(self, name: str, error: FleetError) -> None:
+    def _log(self, name: str, error: ControlPlaneError) -> None:
         self._decisions.append(LogEvent(name, error.fields()))
--- a/linenbridge/fleet/leases/errors.py
+++ b/linenbridge/fleet/leases/errors.py
@@ -5,10 +5,10 @@
 
 from __future__ import annotations
 
-from linenbridge.errors import FleetError, Rejection
+from linenbridge.errors import ControlPlaneError, Rejection
 
 
-class LeaseError(FleetError):
+class LeaseError(ControlPlaneError):
     """The base of all errors of leases."""
 
 
