--- a/tests/fleet/explore/leases.py
+++ b/tests/fleet/explore/leases.py
@@ -189,6 +189,10 @@
                 self._put_in_flight(self.tick + TWICE_TICKS, sender, to, message)
             case ["late", ticks, *_]:
                 self._put_in_flight(self.tick + int(ticks), sender, to, message)
+            case ["lost", *_]:
+                pass
+            case _:
+                raise ValueError(f"no such fate: {choice}")
 
     def _choose_fault(self, choice: str) -> None:
         match choice.split():
@@ -211,8 +215,10 @@
                 self._pump(name)
             case ["kept" | "blank" | "older" as kind, name, *_]:
                 self._restart(name, kind)
-            case _:
+            case ["on"]:
                 self._tick()
+            case _:
+                raise ValueError(f"no such fault: {choice}")
 
     # ---- the world -------------------------------------------------------------------------------------
 
--- a/tests/fleet/sim/world.py
+++ b/tests/fleet/sim/world.py
@@ -117,6 +117,10 @@
                     self._pump(f"acceptor {arguments[0]}")
                 case "mend":
                     self.partitioned.clear()
+                case "wake":
+                    pass  # an earlier one has taken its place
+                case _:
+                    raise ValueError(f"no such event: {kind}")
         return lines + [
             f"{act.at:.6f} {act.task} {act.place} {act.term} {act.by} {act.taken}" for act in self.acts
         ]
--- a/tests/scale/measure/leases.py
+++ b/tests/scale/measure/leases.py
@@ -43,7 +43,7 @@
         super().__init__(shape, seed)
         self.seat, self.member = self.acceptors[0], self.names[-1]
         for name in self.names[ACCEPTORS : ACCEPTORS + round(RESTARTED * len(self.names))]:
-            self._at(RESTART_AT * SECOND, ("up", name))
+            self._at(RESTART_AT * SECOND, ("start", name))
 
     @property
     def steady(self) -> bool:
