--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -21,6 +21,15 @@
 from linenbridge.fleet.hosting.freezes import RolloutFreezes
 from linenbridge.peering.connections import PeerConnections, call_soon
 from linenbridge.fleet.leases.acceptor import Acceptor
+from linenbridge.fleet.leases.decisions import (
+    AcceptorDecision,
+    LeaseAcquired,
+    LeaseLost,
+    LogEvent,
+    Persist,
+    ProposerDecision,
+    Send,
+)
 from linenbridge.fleet.leases.messages import (
     LeaseReply,
     LeaseRequest,
@@ -77,12 +86,12 @@
         nothing."""
         told, broken, kept = self.told, "", None
         try:
-            self.disk = open_records(told.store, told.member)
+            self.disk = open_records(told.store)
             kept = self.disk.read()
         except ControlPlaneError as error:
             broken = str(error)
             self.log.event("store.failed", **error.fields())
-            kept = open_records("", told.member).read()
+            kept = open_records("").read()
         number = Random(incarnation).getrandbits(52)
         self.acceptor = Acceptor(
             told.member,
@@ -90,12 +99,12 @@
             told.timing,
             kept,
             now,
-            told.first_term,
-            told.store_never_goes_back,
-            number,
+            first_term=told.first_term,
+            trusted=told.store_never_goes_back,
+            incarnation=number,
         )
         if broken:
-            self.acceptor.on_store_failed(now, broken)
+            self.acceptor.on_store_failed(broken)
         self.pool = ThreadPool(1, 1, "promises")
         self.pool.start()
 
@@ -120,7 +129,7 @@
             if message.acceptor == far:
                 acceptor.on_recovery_request(now, message)
         elif acceptor is not None and isinstance(message, RecoveryReply) and message.acceptor == far:
-            acceptor.on_revision(now, far, message.revision)
+            acceptor.on_revision(far, message.revision)
             acceptor.on_recovery_reply(now, message)
         self.turn()
 
@@ -153,27 +162,35 @@
         if at is not None:
             self.timer = self.reactor.callLater(max(0.001, (at - now) / 1e6), self.turn)
 
-    def _carry_out(self, decision: tuple) -> None:
-        kind = decision[0]
-        if kind == "say":
-            self._say(decision[1], decision[2])
-        elif kind == "keep":
-            self._keep(decision[1], decision[2], decision[3])
-        elif kind == "log":
-            self.log.event(decision[1], **decision[2])
-        else:
-            _, task, place, term = decision
-            self.log.event(f"task.{kind}", task=task, place=place, term=term)
-            call_soon(self.reactor, self.on_task_changed, task)
-            if kind == "held" and task == RESTARTS_TASK and self.leaving is not None:
-                self._go()
+    def _carry_out(self, decision: ProposerDecision | AcceptorDecision) -> None:
+        match decision:
+            case Send(to, message):
+                self._say(to, message)
+            case Persist():
+                self._persist(decision)
+            case LogEvent(name, fields):
+                self.log.event(name, **fields)
+            case LeaseAcquired(task, slot, term):
+                self.log.event("task.held", task=task, place=slot, term=term)
+                call_soon(self.reactor, self.on_task_changed, task)
+                if task == RESTARTS_TASK and self.leaving is not None:
+                    self._go()
+            case LeaseLost(task, slot, term):
+                self.log.event("task.lost", task=task, place=slot, term=term)
+                call_soon(self.reactor, self.on_task_changed, task)
+
+    def _persist(self, decision: Persist) -> None:
+        """Write to the store, then send the message that waits for it."""
+        records = decision.records
+        done = deferToThreadPool(self.reactor, self.pool, self.disk.write, records, self.acceptor.facts())
+        done.addCallbacks(self._persisted, self._not_kept, callbackArgs=(decision.then,))
 
-    def _keep(self, rows: list[tuple], to: str, message: Any) -> None:
-        done = deferToThreadPool(self.reactor, self.pool, self.disk.write, rows, self.acceptor.facts())
-        done.addCallbacks(lambda _: message is not None and self._say(to, message), self._not_kept)
+    def _persisted(self, _: None, then: Send | None) -> None:
+        if then is not None:
+            self._say(then.to, then.message)
 
     def _not_kept(self, failure: Any) -> None:
-        self.acceptor.on_store_failed(clock.now(), failure.getErrorMessage())
+        self.acceptor.on_store_failed(failure.getErrorMessage())
         self.turn()
 
     # ---- what others ask ---------------------------------------------------------------------------
