--- a/tests/days.py
+++ b/tests/days.py
@@ -2,14 +2,17 @@
 
 Owns what happens around one gateway there: RPCs of several methods and tenants, picks that end in every way,
 lists, stages, votes that are refused, tallies, peers' words and flags. It asserts nothing; it must never look
-at the module's state. `python -m tests.days SEEDS` prints one digest of the records of that many days, and
-`python -m tests.days SEEDS tenants` that of days on which tenants have shares.
+at the module's state. `python -m tests.days SEEDS` prints one digest of the records of that many days,
+`python -m tests.days SEEDS tenants` that of days on which tenants have shares, and
+`python -m tests.days SEEDS interruptions` that of days on which releases are frozen, responses stream, and
+attempts are hedged, cancelled or not sent.
 """
 
 from __future__ import annotations
 
 import hashlib
 import sys
+from collections import Counter
 from dataclasses import replace
 from random import Random
 
@@ -19,6 +22,7 @@
 from linenbridge.state.counters import Counts
 from linenbridge.state.peers import pack
 from tests.helpers import LONG_AGO, MS, startup
+from tests.records import base_form
 
 NAMES = ("", "north", "south")
 SHARES = {f"tenant{n}": 0.002 * n for n in range(30)}
@@ -35,7 +39,7 @@
         self.gateways = self.start.allowances.gateways
         self.now, self.count, self.lines = 0, 0, list[str]()
         self.gateway = Choice(self.start, seed, 0)
-        self.entries = {n: self._entry(n, 1, face.READY, LONG_AGO) for n in range(self.dice.choice((6, 40)))}
+        self.entries = {n: self._entry(n, 1, face.READY, LONG_AGO) for n in range(self._size())}
         self.open: dict[str, int] = {}
         self.due: list[tuple[int, str, int, int]] = []
         self.pace = self.dice.choice((1, 3, 12))
@@ -56,6 +60,10 @@
             calls_per_second=dice.choice((0.0, 16.0)),
         )  # fmt: skip
 
+    def _size(self) -> int:
+        """How many instances the day begins with."""
+        return self.dice.choice((6, 40))
+
     def _entry(self, n: int, build: int, state: int, started: int) -> ListEntry:
         return ListEntry(n, build, "abc"[n % 3], n % 5, state, 1.0 + n % 2, started)
 
@@ -74,10 +82,14 @@
                 rpc = self.dice.choice(list(self.open))
                 del self.open[rpc]
                 self.gateway.on_gone(self.now, rpc)
+            self._interrupt()
             self._decisions()
             self.lines.append(f"{self.now} wake {self.gateway.wake_at()}")
         return self.lines
 
+    def _interrupt(self) -> None:
+        """What else happens in a step before the decisions: nothing on a plain day."""
+
     def _arrive(self) -> None:
         self.count += 1
         rpc, method = f"r{self.count}", self.dice.choice(self.start.methods)
@@ -133,10 +145,12 @@
 
     def _decisions(self) -> None:
         while (decision := self.gateway.next_decision(self.now)) is not None:
-            self.lines.append(f"{self.now} {decision!r}")
+            self.lines.append(f"{self.now} {base_form(decision)}")
+            self._note(decision)
             kind = decision[0]
             if kind == face.PICK:
-                wait = min(decision[3], self.dice.choice((5, 10, 30, 60, 200, 3000)) * MS)
+                wait = self.dice.choice((5, 10, 30, 60, 200, 3000)) * MS
+                wait = min(decision[3], self._wait(decision[2], wait))
                 self.due.append((self.now + wait, decision[1], self._number(decision[1]), decision[2]))
             elif kind in (face.PUSH_BACK, face.ABORT):
                 del self.open[decision[1]]
@@ -148,6 +162,13 @@
                     self.now, build, stage, face.ON_TRIAL, cap, vote=True, valid=valid, moot=moot
                 )
 
+    def _wait(self, instance: int, wait: int) -> int:
+        """When an attempt ends, given the wait that was drawn."""
+        return wait
+
+    def _note(self, decision: tuple) -> None:
+        """A decision before it is carried out."""
+
     def _number(self, rpc: str) -> int:
         """The pick's number among the RPC's, from nought."""
         if rpc in self.open:
@@ -156,15 +177,82 @@
         return 0
 
 
-def digest(seeds: int, steps: int = 1200, shares: dict[str, float] | None = None) -> tuple[str, int]:
-    """Of the records of days 0 to `seeds`, and how many lines they hold."""
+class InterruptedDay(Day):
+    """A day with rollout freezes, responses that stream, hedged requests and cancelled attempts.
+
+    `happened` counts each of them. A cancelled attempt ends as cancelled after the decision; some attempts
+    never leave the gateway. Sick instances are silent, and a quarter of all by turns. Every second gateway hedges,
+    the others cancel.
+    """
+
+    def __init__(self, seed: int, shares: dict[str, float] | None = None) -> None:
+        self.hedges = seed % 2 == 0
+        super().__init__(seed, shares)
+        self.events = Random(f"interruptions {seed}")
+        self.happened: Counter[str] = Counter()
+
+    def _settings(self) -> Startup:
+        start = super()._settings()
+        allowances = replace(start.allowances, second_copies=self.hedges, may_cancel=True)
+        return replace(start, allowances=allowances)
+
+    def _size(self) -> int:
+        return 40
+
+    def _wait(self, instance: int, wait: int) -> int:
+        silent = instance in self.sick or (instance % 4 == 3 and self.now // (4 * SECOND) % 2 == 1)
+        return 10 * SECOND if silent else wait
+
+    def _interrupt(self) -> None:
+        if self.events.random() < 0.01:
+            zones = self.events.choice((None, frozenset[str](), frozenset("a"), frozenset("bc")))
+            self.happened["freeze" if zones is not None else "thaw"] += 1
+            self.gateway.on_hold(self.now, zones)
+        if self.events.random() < 0.1 and self.due:
+            _, rpc, number, _ = self.events.choice(self.due)
+            if rpc in self.open:
+                self.happened["stream"] += 1
+                self.gateway.on_stream(self.now, rpc, number)
+        if self.events.random() < 0.05 and self.due:
+            row = self.events.choice(self.due)
+            self.due.remove(row)
+            self._finish(row[1], row[2], face.UNSENT)
+
+    def _finish(self, rpc: str, number: int, outcome: str) -> None:
+        """One attempt ends with an outcome that says nothing of the instance."""
+        self.happened[outcome] += 1
+        self.gateway.on_reply(self.now, rpc, number, outcome, rpc not in self.open, 0, {})
+
+    def _decisions(self) -> None:
+        self.cancelled = list[tuple[str, int]]()
+        super()._decisions()
+        for rpc, number in self.cancelled:
+            row = next((row for row in self.due if row[1:3] == (rpc, number)), None)
+            if row is not None and self.events.random() < 0.8:
+                self.due.remove(row)
+                self._finish(rpc, number, face.CANCELLED)
+
+    def _note(self, decision: tuple) -> None:
+        if decision[0] == face.CANCEL:
+            self.happened["cancel"] += 1
+            self.cancelled.append((decision[1], decision[2]))
+        elif decision[0] == face.PICK:
+            self.happened["hedge"] += any(row[1] == decision[1] for row in self.due)
+
+
+KINDS = {"plain": (Day, None), "tenants": (Day, SHARES), "interruptions": (InterruptedDay, None)}
+
+
+def digest(seeds: int, steps: int = 1200, kind: str = "plain") -> tuple[str, int]:
+    """Of the records of days 0 to `seeds` of a kind, and how many lines they hold."""
     found, lines = hashlib.sha256(), 0
+    day, shares = KINDS[kind]
     for seed in range(seeds):
-        record = Day(seed, shares).play(steps)
+        record = day(seed, shares).play(steps)
         found.update("\n".join(record).encode())
         lines += len(record)
     return found.hexdigest(), lines
 
 
 if __name__ == "__main__":
-    print(*digest(int(sys.argv[1]), shares=SHARES if sys.argv[2:] == ["tenants"] else None))
+    print(*digest(int(sys.argv[1]), kind=sys.argv[2] if sys.argv[2:] else "plain"))
