--- a/tests/days.py
+++ b/tests/days.py
@@ -181,8 +181,8 @@
     """A day with rollout freezes, responses that stream, hedged requests and cancelled attempts.
 
     `happened` counts each of them. A cancelled attempt ends as cancelled after the decision; some attempts
-    never leave the gateway. Sick instances are silent, and a quarter of all by turns. Every second gateway hedges,
-    the others cancel.
+    never leave the gateway. Sick instances are silent, and a quarter of all by turns. Every second gateway
+    hedges, the others cancel.
     """
 
     def __init__(self, seed: int, shares: dict[str, float] | None = None) -> None:
