--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -30,7 +30,7 @@
     for seed in range(6):
         day = InterruptedDay(seed)
         day.play(1200)
-        assert min(day.happened[name] for name in ("freeze", "thaw", "stream", "unsent")) > 0, seed
+        assert min(day.happened[name] for name in ("freeze", "thaw", "stream", "not_sent")) > 0, seed
         happened += day.happened
     assert min(happened[name] for name in ("hedge", "cancel", "cancelled")) > 0, happened
 
