--- a/tests/days.py
+++ b/tests/days.py
@@ -2,14 +2,17 @@
 
 Owns what happens around one gateway there: RPCs of several methods and tenants, picks that end in every way,
 lists, stages, votes that are refused, tallies, peers' words and flags. It asserts nothing; it must never look
-at the module's state. `python -m tests.days SEEDS` prints one digest of the records of that many days, and
-`python -m tests.days SEEDS tenants` that of days on which tenants have shares.
+at the module's state. `python -m tests.days SEEDS` prints one digest of the records of that many days,
+`python -m tests.days SEEDS tenants` that of days on which tenants have quotas, and
+`python -m tests.days SEEDS interruptions` that of days on which releases are frozen, responses stream, and
+attempts are hedged, cancelled or not sent.
 """
 
 from __future__ import annotations
 
 import hashlib
 import sys
+from collections import Counter
 from dataclasses import replace
 from random import Random
 
@@ -18,17 +21,15 @@
     CastVote,
     Decision,
     Fail,
-    Gossip,
-    LogMessage,
     Reject,
     SendAttempt,
-    WatchEndpoints,
 )
 from linenbridge.interface import EndpointEntry, InstanceState, Outcome, RolloutPhase, SECOND, Startup
 from linenbridge.policy import DecisionModule
 from linenbridge.state.counters import Counts
 from linenbridge.state.peers import pack
 from tests.helpers import LONG_AGO, MS, startup
+from tests.records import base_form
 
 NAMES = ("", "north", "south")
 SHARES = {f"tenant{n}": 0.002 * n for n in range(30)}
@@ -43,28 +44,6 @@
 )
 
 
-def rendered(decision: Decision) -> str:
-    """A decision in the form of the record: as the tuple that stood for it when the digests were taken."""
-    match decision:
-        case SendAttempt():
-            fields: tuple[object, ...] = ("pick", decision.rpc_id, decision.instance, decision.timeout)
-        case CancelAttempt():
-            fields = ("cancel", decision.rpc_id, decision.attempt)
-        case Reject():
-            fields = ("push_back", decision.rpc_id, decision.retry_after)
-        case Fail():
-            fields = ("abort", decision.rpc_id)
-        case CastVote():
-            fields = ("vote", decision.build, decision.stage, int(decision.vote))
-        case Gossip():
-            fields = ("tell", decision.peer, decision.payload)
-        case WatchEndpoints():
-            fields = ("watch",)
-        case LogMessage():
-            fields = ("log", decision.text)
-    return repr(fields)
-
-
 class Day:
     """One gateway among `gateways`, one day; `lines` is the record. `shares` are those of further tenants."""
 
@@ -75,9 +54,7 @@
         self.gateways = self.start.allowances.gateway_count
         self.now, self.count, self.lines = 0, 0, list[str]()
         self.gateway = DecisionModule(self.start, seed, 0)
-        self.entries = {
-            n: self._entry(n, 1, InstanceState.READY, LONG_AGO) for n in range(self.dice.choice((6, 40)))
-        }
+        self.entries = {n: self._entry(n, 1, InstanceState.READY, LONG_AGO) for n in range(self._size())}
         self.open: dict[str, int] = {}
         self.due: list[tuple[int, str, int, int]] = []
         self.pace = self.dice.choice((1, 3, 12))
@@ -109,6 +86,10 @@
             calls_per_second=dice.choice((0.0, 16.0)),
         )
 
+    def _size(self) -> int:
+        """How many instances the day begins with."""
+        return self.dice.choice((6, 40))
+
     def _entry(self, n: int, build: int, state: int, started: int) -> EndpointEntry:
         return EndpointEntry(n, build, "abc"[n % 3], n % 5, state, 1.0 + n % 2, started)
 
@@ -127,10 +108,14 @@
                 rpc = self.dice.choice(list(self.open))
                 del self.open[rpc]
                 self.gateway.on_client_disconnected(self.now, rpc)
+            self._interrupt()
             self._decisions()
             self.lines.append(f"{self.now} wake {self.gateway.wake_at()}")
         return self.lines
 
+    def _interrupt(self) -> None:
+        """What else happens in a step before the decisions: nothing on a plain day."""
+
     def _arrive(self) -> None:
         self.count += 1
         rpc, method = f"r{self.count}", self.dice.choice(self.start.methods)
@@ -211,9 +196,11 @@
 
     def _decisions(self) -> None:
         while (decision := self.gateway.next_decision(self.now)) is not None:
-            self.lines.append(f"{self.now} {rendered(decision)}")
+            self.lines.append(f"{self.now} {base_form(decision)}")
+            self._note(decision)
             if isinstance(decision, SendAttempt):
-                wait = min(decision.timeout, self.dice.choice((5, 10, 30, 60, 200, 3000)) * MS)
+                wait = self.dice.choice((5, 10, 30, 60, 200, 3000)) * MS
+                wait = min(decision.timeout, self._wait(decision.instance, wait))
                 self.due.append(
                     (self.now + wait, decision.rpc_id, self._number(decision.rpc_id), decision.instance)
                 )
@@ -234,6 +221,13 @@
                     is_stale=moot,
                 )
 
+    def _wait(self, instance: int, wait: int) -> int:
+        """When an attempt ends, given the wait that was drawn."""
+        return wait
+
+    def _note(self, decision: Decision) -> None:
+        """A decision before it is carried out."""
+
     def _number(self, rpc: str) -> int:
         """The pick's number among the RPC's, from nought."""
         if rpc in self.open:
@@ -242,15 +236,82 @@
         return 0
 
 
-def digest(seeds: int, steps: int = 1200, shares: dict[str, float] | None = None) -> tuple[str, int]:
-    """Of the records of days 0 to `seeds`, and how many lines they hold."""
+class InterruptedDay(Day):
+    """A day with rollout freezes, responses that stream, hedged requests and cancelled attempts.
+
+    `happened` counts each of them. A cancelled attempt ends as cancelled after the decision; some attempts
+    never leave the gateway. Sick instances are silent, and a quarter of all by turns. Every second gateway
+    hedges, the others cancel.
+    """
+
+    def __init__(self, seed: int, shares: dict[str, float] | None = None) -> None:
+        self.hedges = seed % 2 == 0
+        super().__init__(seed, shares)
+        self.events = Random(f"interruptions {seed}")
+        self.happened: Counter[str] = Counter()
+
+    def _settings(self) -> Startup:
+        start = super()._settings()
+        allowances = replace(start.allowances, hedging_allowed=self.hedges, cancel_allowed=True)
+        return replace(start, allowances=allowances)
+
+    def _size(self) -> int:
+        return 40
+
+    def _wait(self, instance: int, wait: int) -> int:
+        silent = instance in self.sick or (instance % 4 == 3 and self.now // (4 * SECOND) % 2 == 1)
+        return 10 * SECOND if silent else wait
+
+    def _interrupt(self) -> None:
+        if self.events.random() < 0.01:
+            zones = self.events.choice((None, frozenset[str](), frozenset("a"), frozenset("bc")))
+            self.happened["freeze" if zones is not None else "thaw"] += 1
+            self.gateway.on_rollout_freeze(self.now, zones)
+        if self.events.random() < 0.1 and self.due:
+            _, rpc, number, _ = self.events.choice(self.due)
+            if rpc in self.open:
+                self.happened["stream"] += 1
+                self.gateway.on_response_started(self.now, rpc, number)
+        if self.events.random() < 0.05 and self.due:
+            row = self.events.choice(self.due)
+            self.due.remove(row)
+            self._finish(row[1], row[2], Outcome.NOT_SENT)
+
+    def _finish(self, rpc: str, number: int, outcome: Outcome) -> None:
+        """One attempt ends with an outcome that says nothing of the instance."""
+        self.happened[outcome] += 1
+        self.gateway.on_attempt_finished(self.now, rpc, number, outcome, rpc not in self.open, 0, {})
+
+    def _decisions(self) -> None:
+        self.cancelled = list[tuple[str, int]]()
+        super()._decisions()
+        for rpc, number in self.cancelled:
+            row = next((row for row in self.due if row[1:3] == (rpc, number)), None)
+            if row is not None and self.events.random() < 0.8:
+                self.due.remove(row)
+                self._finish(rpc, number, Outcome.CANCELLED)
+
+    def _note(self, decision: Decision) -> None:
+        if isinstance(decision, CancelAttempt):
+            self.happened["cancel"] += 1
+            self.cancelled.append((decision.rpc_id, decision.attempt))
+        elif isinstance(decision, SendAttempt):
+            self.happened["hedge"] += any(row[1] == decision.rpc_id for row in self.due)
+
+
+KINDS = {"plain": (Day, None), "tenants": (Day, SHARES), "interruptions": (InterruptedDay, None)}
+
+
+def digest(seeds: int, steps: int = 1200, kind: str = "plain") -> tuple[str, int]:
+    """Of the records of days 0 to `seeds` of a kind, and how many lines they hold."""
     found, lines = hashlib.sha256(), 0
+    day, shares = KINDS[kind]
     for seed in range(seeds):
-        record = Day(seed, shares).play(steps)
+        record = day(seed, shares).play(steps)
         found.update("\n".join(record).encode())
         lines += len(record)
     return found.hexdigest(), lines
 
 
 if __name__ == "__main__":
-    print(*digest(int(sys.argv[1]), shares=SHARES if sys.argv[2:] == ["tenants"] else None))
+    print(*digest(int(sys.argv[1]), kind=sys.argv[2] if sys.argv[2:] else "plain"))
