--- /dev/null
+++ b/tests/compatibility/test_view.py
@@ -0,0 +1,271 @@
+"""A view's pages, digests, look-ups and values are byte for byte those of the base, 4d24a08.
+
+`record_view.py` wrote `data/view.json` and `data/view.db` there. The record holds the changes as bytes of the
+wire, so that reading them is held as well.
+"""
+
+from __future__ import annotations
+
+import json
+import os
+import shutil
+import subprocess
+import sys
+import zlib
+from base64 import b64decode, b64encode
+from hashlib import sha256
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+from linenbridge.distribution.changes import Change, Kind, Version
+from linenbridge.distribution.decisions import Apply, ReplaceRange
+from linenbridge.distribution.errors import ChangeRefused
+from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
+from linenbridge.distribution.view.results import Applied, Listed, PageKind, RefusedChange, StoredPage
+from linenbridge.distribution.view.rules import DICTIONARY
+from linenbridge.distribution.view.values import ValueChecks
+from linenbridge.distribution.view.view import View
+from linenbridge.routes.table import Request
+from tests.helpers import startup
+
+ROOT = Path(__file__).parents[2]
+DATA = Path(__file__).parent / "data"
+RECORD = json.loads((DATA / "view.json").read_text())
+METHODS = startup().methods
+STEPS_BEFORE_USE = 4  # inputs before the service in use is used
+LONGEST = RECORD["longest"]  # microseconds, of a deadline
+
+
+def new_view() -> View:
+    return View(METHODS, LONGEST, RECORD["unix_offset"])
+
+
+def put_in(view: View, step: dict[str, Any]) -> Applied:
+    """One recorded input, with the changes decoded from their recorded bytes."""
+    changes = msgspec.msgpack.decode(b64decode(step["changes"]), type=list[Change])
+    upto = Version(*step["upto"])
+    if step["input"] == "apply":
+        return view.apply(Apply(step["region"], upto, changes))
+    return view.replace(ReplaceRange(step["region"], upto, step["range"], changes, step["final"]))
+
+
+def endpoint_row(one: Listed) -> list[Any]:
+    entry = one.entry
+    return [
+        entry.instance,
+        entry.build,
+        entry.zone,
+        entry.cell,
+        entry.state,
+        entry.size,
+        entry.started,
+        *one.address,
+    ]
+
+
+def version_row(version: Version) -> list[int]:
+    return [version.epoch, version.sequence]
+
+
+def rejection_row(one: RefusedChange) -> list[Any]:
+    return [one.region, version_row(one.version), one.kind, one.name, one.reason]
+
+
+def result_row(applied: Applied) -> dict[str, Any]:
+    """A result in the form of the record."""
+    return {
+        "upto": version_row(applied.upto),
+        "digest": applied.digest,
+        "applied": applied.taken,
+        "skipped": applied.passed,
+        "routes": applied.routes,
+        "tenants": applied.tenants,
+        "zones": applied.zones,
+        "instances": {
+            service: sorted(map(endpoint_row, changed)) for service, changed in applied.instances.items()
+        },
+        "rejected": list(map(rejection_row, applied.refused)),
+    }
+
+
+def recorded_pages(step: dict[str, Any]) -> list[StoredPage]:
+    return [
+        StoredPage(kind, name, number, None if body is None else b64decode(body))
+        for kind, name, number, body in step["pages"]
+    ]
+
+
+def page_key(page: StoredPage) -> tuple[int, str, int]:
+    return page.kind, page.name, page.number
+
+
+def content_of(page: StoredPage) -> object:
+    """A page's body; of a packed set of routes, whose index is in no fixed order, the decoded content."""
+    if page.kind != PageKind.ROUTES or page.body is None:
+        return page.body
+    records = msgspec.msgpack.decode(page.body)
+    for record in records:
+        record[-1] = unpacked_rules(record[-1])
+    return records
+
+
+def unpacked_rules(packed: bytes) -> object:
+    """The decoded content of a packed set of routes: its index, a dict, and its rules."""
+    unpacker = zlib.decompressobj(zdict=DICTIONARY)
+    return msgspec.msgpack.decode(unpacker.decompress(packed) + unpacker.flush())
+
+
+def played() -> View:
+    """The view after all recorded inputs, without a look at what they gave."""
+    view = new_view()
+    for number, step in enumerate(RECORD["steps"]):
+        if number == STEPS_BEFORE_USE:
+            view.use(RECORD["in_use"])
+        put_in(view, step)
+    return view
+
+
+def print_pages() -> None:
+    """The pages of each step as JSON, in the form of the record: what a process with its own hash seed
+    gives."""
+    view = new_view()
+    found = []
+    for step in RECORD["steps"]:
+        put_in(view, step)
+        found.append(
+            [
+                [page.kind, page.name, page.number, page.body and b64encode(page.body).decode()]
+                for page in view.dirty()
+            ]
+        )
+    print(json.dumps(found))
+
+
+def check_look_ups(view: View) -> None:
+    expected = RECORD["look_ups"]
+    found = {name: sorted(map(endpoint_row, view.listed(name))) for name in expected["instances"]}
+    assert found == expected["instances"]
+    assert {name: view.tenant(name) for name in expected["tenants"]} == expected["tenants"]
+    positions = sorted([one.region, one.epoch, one.sequence] for one in view.positions())
+    assert positions == expected["positions"]
+    assert list(map(rejection_row, view.refused())) == expected["rejected"]
+    for authority, question, answer in expected["routes"]:
+        table = view.routes(authority)
+        found_rpc = None if table is None else table.find(Request(*question))
+        assert (None if found_rpc is None else list(msgspec.structs.astuple(found_rpc))) == answer
+
+
+def test_the_record_covers_every_kind_of_page_and_of_result() -> None:
+    steps = RECORD["steps"]
+
+    kinds = {page[0] for step in steps for page in step["pages"]}
+    deleted = {page[0] for step in steps for page in step["pages"] if page[3] is None}
+
+    assert kinds == set(PageKind)
+    assert {PageKind.ROUTES, PageKind.INSTANCE, PageKind.ZONE, PageKind.REFUSED} <= deleted
+    assert {step["input"] for step in steps} == {"apply", "replace"}
+    assert any(step["result"]["digest"] is None for step in steps)
+    assert any(step["result"]["instances"] for step in steps)
+    assert any(page[2] > 2 for step in steps for page in step["pages"] if page[0] == Kind.INSTANCE)
+
+
+def test_each_input_gives_the_results_digests_and_pages_of_the_base() -> None:
+    view = new_view()
+
+    for number, step in enumerate(RECORD["steps"]):
+        if number == STEPS_BEFORE_USE:
+            view.use(RECORD["in_use"])
+        applied = put_in(view, step)
+
+        assert result_row(applied) == step["result"], f"step {number}"
+        pages = view.dirty()
+        assert list(map(page_key, pages)) == list(map(page_key, recorded_pages(step))), f"step {number}"
+        assert list(map(content_of, pages)) == list(map(content_of, recorded_pages(step))), f"step {number}"
+        digests = view.range_digests(step["region"])
+        assert sha256(digests).hexdigest() == step["range_digests"], f"step {number}"
+
+    check_look_ups(view)
+
+
+def test_each_page_is_byte_for_byte_that_of_the_base() -> None:
+    """In a process with the record's hash seed: the index of a packed set is in the order of a set of
+    strings."""
+    program = "from tests.compatibility.test_view import print_pages; print_pages()"
+    environment = {**os.environ, "PYTHONHASHSEED": "0"}
+
+    process = subprocess.run(
+        [sys.executable, "-c", program], capture_output=True, check=True, cwd=ROOT, env=environment
+    )
+
+    found = json.loads(process.stdout)
+    for number, step in enumerate(RECORD["steps"]):
+        assert found[number] == step["pages"], f"step {number}"
+    assert len(found) == len(RECORD["steps"])
+
+
+def test_look_ups_after_a_load_of_the_bases_pages_are_those_of_the_base() -> None:
+    pages = {page[:3]: page for step in RECORD["steps"] for page in recorded_pages(step)}
+    stored = sorted(page for page in pages.values() if page.body is not None)
+    view = new_view()
+
+    view.load(stored)
+
+    check_look_ups(view)
+    assert view.dirty() == []
+
+
+@pytest.mark.parametrize("number", range(len(RECORD["values"])))
+def test_a_value_is_read_or_rejected_as_by_the_base(number: int) -> None:
+    kind, name, value, expected = RECORD["values"][number]
+    checks = ValueChecks(METHODS, LONGEST)
+
+    try:
+        read = checks.read(kind, name, b64decode(value))
+    except ChangeRefused as error:
+        assert {"rejected": error.what, "where": error.where} == expected
+        assert checks(kind, name, b64decode(value)) == expected["rejected"]
+    else:
+        if isinstance(read, bytes):
+            assert unpacked_rules(read) == unpacked_rules(b64decode(expected["read"]))
+        else:
+            assert msgspec.msgpack.encode(read) == b64decode(expected["read"])
+        assert checks(kind, name, b64decode(value)) == ""
+
+
+def opened(path: Path, events: list[str]) -> tuple[ViewStore, View]:
+    mark = fingerprint(method.name for method in METHODS)
+    store = ViewStore(str(path), mark, lambda name, **_: events.append(name))
+    return store, restored(store, new_view)
+
+
+def test_a_store_of_the_base_is_opened_and_written_on(tmp_path: Path) -> None:
+    events: list[str] = []
+    path = Path(shutil.copy(DATA / "view.db", tmp_path / "view.db"))
+
+    store, view = opened(path, events)
+    check_look_ups(view)
+    reference = played()
+    reference.dirty()
+    further = put_in_both(view, reference)
+    written = store.write(view.dirty())
+    store.close()
+    store, again = opened(path, events)
+    store.close()
+
+    assert written and events == []
+    assert again.digest("ap") == further.digest == reference.digest("ap")
+    assert again.tenant("t1") == reference.tenant("t1") == 0.125
+    assert again.range_digests("eu") == reference.range_digests("eu")
+
+
+def put_in_both(view: View, reference: View) -> Applied:
+    """One more change of the first region, to a view from the store and to one that played all inputs."""
+    head = next(one for one in view.positions() if one.region == "ap")
+    upto = Version(head.epoch, head.sequence + 1)
+    value = msgspec.msgpack.encode([0.125])
+    content = Apply("ap", upto, [Change("ap", upto.epoch, upto.sequence, Kind.TENANT, "t1", value)])
+    reference.apply(content)
+    return view.apply(content)
