--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -27,7 +27,7 @@
 from linenbridge.distribution.hosting.methods import Methods
 from linenbridge.distribution.hosting.link_messages import FOLLOWER_TAKES
 from linenbridge.distribution.hosting.disk_writer import GroupWriter
-from linenbridge.distribution.view.results import Applied, StoredPage, ViewLimits
+from linenbridge.distribution.view.results import ApplyResult, StoredPage, ViewLimits
 from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
 from linenbridge.distribution.view.view import View
 from linenbridge.peering import clock
@@ -43,7 +43,7 @@
 
     def __init__(
         self, settings: DistributionSettings, reactor: Any, log: Log, view: View, random: Random,
-        store: ViewStore | None = None, applied: Callable[[Applied], None] = lambda applied: None,
+        store: ViewStore | None = None, applied: Callable[[ApplyResult], None] = lambda applied: None,
     ) -> None:  # fmt: skip
         self.settings, self.reactor, self.log, self.view = settings, reactor, log, view
         self.applied = applied
@@ -122,7 +122,7 @@
             return True
         if not self.unchecked:
             return False
-        self.steps = self.view.examining(self.unchecked.popleft())
+        self.steps = self.view.validation_steps(self.unchecked.popleft())
         return True
 
     def _put_in_force(self, content: Apply | ReplaceRange) -> None:
@@ -135,12 +135,12 @@
             self.pages.changed()
         self.carrier.turn()
 
-    def _tell(self, applied: Applied) -> None:
-        for refused in applied.refused:
+    def _tell(self, applied: ApplyResult) -> None:
+        for refused in applied.rejected:
             self.log.event("distribution.refused_change", **refused.error().fields())
-        if applied.taken:
+        if applied.applied:
             place = {"region": applied.region, "epoch": applied.upto.epoch, "sequence": applied.upto.sequence}
-            self.log.event("distribution.in_force", changes=applied.taken, **place)
+            self.log.event("distribution.in_force", changes=applied.applied, **place)
 
     # ---- the process -------------------------------------------------------------------------------------
 
@@ -158,9 +158,9 @@
             "digests_differed": counters.differed,
             "relays_lost": counters.lost,
             "relays_silent": counters.silences,
-            "changes_taken": view.counts["taken"],
-            "changes_refused": view.counts["refused"],
-            "keys_refused": len(view.refused()),
+            "changes_taken": view.counts["applied"],
+            "changes_refused": view.counts["rejected"],
+            "keys_refused": len(view.rejected()),
         }
 
     def reload(self, path: str) -> None:
@@ -194,7 +194,7 @@
     def _put(self) -> None:
         self.timer = None
         if self.store.error is None:
-            self.writer.put(self.view.dirty())
+            self.writer.put(self.view.take_changed_pages())
 
     def _write(self, groups: list[list[StoredPage]]) -> None:
         for pages in groups:
@@ -225,7 +225,7 @@
     """The view of the last life where the settings name a store that holds one, else a new one. `unix_offset`
     is the view's."""
 
-    limits = ViewLimits(compiled_bytes=settings.compiled_routes)
+    limits = ViewLimits(max_compiled_bytes=settings.compiled_routes)
 
     def new_view() -> View:
         return View(methods.methods, methods.longest, unix_offset, limits)
--- a/linenbridge/distribution/view/instances.py
+++ b/linenbridge/distribution/view/instances.py
@@ -16,13 +16,13 @@
 from linenbridge.distribution.changes import (
     RANGES, Change, InstanceValue, Kind, digest_of, range_of,
 )  # fmt: skip
-from linenbridge.distribution.view.packing import entry, names, replaced, value_of
+from linenbridge.distribution.view.packing import names, packed_entry, value_of, with_value
 from linenbridge.distribution.view.regions import Region, Regions
 from linenbridge.distribution.view.results import PageKind, StoredPage
 from linenbridge.distribution.view.tables import first_by_region
 
-PAGE_MOST = 48  # instances in a page from which on the service gets one page more
-LEVEL = 6  # of compression: the smallest that is still as small as the largest level makes them
+MAX_PAGE_INSTANCES = 48  # instances in a page from which on the service gets one page more
+COMPRESSION_LEVEL = 6  # of compression: the smallest that is still as small as the largest level makes them
 
 
 class InstanceRecord(Struct, array_like=True, frozen=True):
@@ -35,7 +35,7 @@
     value: Raw
 
 
-class ReadRecord(Struct, array_like=True, frozen=True):
+class DecodedInstanceRecord(Struct, array_like=True, frozen=True):
     """An InstanceRecord with its value read."""
 
     name: str
@@ -45,28 +45,28 @@
     value: InstanceValue
 
 
-Records = dict[tuple[str, int], InstanceRecord]  # by instance and region
+PageRecords = dict[tuple[str, int], InstanceRecord]  # by instance and region
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(list[InstanceRecord]).decode
 _decode_pages = msgspec.msgpack.Decoder(tuple[bytes, ...]).decode
-_read = msgspec.msgpack.Decoder(list[ReadRecord]).decode
+_read = msgspec.msgpack.Decoder(list[DecodedInstanceRecord]).decode
 
 
-class OpenService:
+class UnpackedService:
     """One service's pages while they are changed."""
 
     def __init__(self, pages: tuple[bytes, ...]) -> None:
         self.packed = list(pages) or [b""]
-        self.open: dict[int, Records] = {}
+        self.unpacked: dict[int, PageRecords] = {}
         self.written: set[int] = set()
 
-    def page(self, number: int) -> Records:
+    def page(self, number: int) -> PageRecords:
         """A page, unpacked."""
-        if number not in self.open:
+        if number not in self.unpacked:
             packed = self.packed[number]
             records = _decode(zlib.decompress(packed)) if packed else []
-            self.open[number] = {(record.name, record.region): record for record in records}
-        return self.open[number]
+            self.unpacked[number] = {(record.name, record.region): record for record in records}
+        return self.unpacked[number]
 
     def get(self, instance: str, region: int) -> InstanceRecord | None:
         return self.page(page_number(instance, len(self.packed))).get((instance, region))
@@ -76,7 +76,7 @@
         page = self.page(number)
         page[record.name, record.region] = record
         self.written.add(number)
-        if len(page) > PAGE_MOST:
+        if len(page) > MAX_PAGE_INSTANCES:
             self._split()
 
     def remove(self, instance: str, region: int) -> InstanceRecord | None:
@@ -96,11 +96,11 @@
             new[key] = old.pop(key)
         self.written |= {source, target}
 
-    def end(self) -> tuple[tuple[bytes, ...], set[int]]:
+    def commit(self) -> tuple[tuple[bytes, ...], set[int]]:
         """The pages, packed, and the numbers of those written to. No pages where nothing is left."""
         for number in self.written:
-            records = list(self.open[number].values())
-            self.packed[number] = zlib.compress(_encode(records), LEVEL) if records else b""
+            records = list(self.unpacked[number].values())
+            self.packed[number] = zlib.compress(_encode(records), COMPRESSION_LEVEL) if records else b""
         pages = tuple(self.packed) if any(self.packed) else ()
         return pages, self.written
 
@@ -118,25 +118,24 @@
 
 
 class InstanceTable:
-    """All services' instances. `changed_instances` has what changed since the last `end`, by service in use,
-    with the value in force or, for one that went, its last."""
+    """All services' instances; those of services in use are unpacked."""
 
     def __init__(self, regions: Regions) -> None:
         self.regions = regions
-        self.pieces = [b""] * RANGES  # of the range's services: see packing.py
+        self.buckets = [b""] * RANGES  # of the range's services: see packing.py
         self.loading: tuple[str, list[bytes]] = ("", [])  # a service, and its pages while they come
-        self.open: dict[str, OpenService] = {}
+        self.unpacked: dict[str, UnpackedService] = {}
         self.changed: set[tuple[str, int]] = set()
         self.in_use: dict[str, dict[str, InstanceValue]] = {}
-        self.touched: dict[str, dict[str, InstanceValue]] = {}
+        self.changed_values: dict[str, dict[str, InstanceValue]] = {}
 
     def services(self) -> Iterator[str]:
-        for piece in self.pieces:
-            yield from names(piece)
+        for bucket in self.buckets:
+            yield from names(bucket)
 
     def _pages(self, service: str) -> tuple[bytes, ...]:
         """The packed pages of a service; none where it has no instance."""
-        pages = value_of(self.pieces[_range(service)], service)
+        pages = value_of(self.buckets[_range(service)], service)
         return () if pages is None else _decode_pages(pages)
 
     # ---- look-ups --------------------------------------------------------------------------------
@@ -154,7 +153,7 @@
                 found.update(self._in_force(_read(zlib.decompress(page))))
         return found
 
-    def _in_force(self, records: Iterable[ReadRecord]) -> dict[str, InstanceValue]:
+    def _in_force(self, records: Iterable[DecodedInstanceRecord]) -> dict[str, InstanceValue]:
         by_name: dict[str, dict[int, InstanceValue]] = {}
         for record in records:
             by_name.setdefault(record.name, {})[record.region] = record.value
@@ -182,60 +181,60 @@
         service, instance = _split_name(change.name)
         record = InstanceRecord(instance, region.index, change.epoch, change.sequence, Raw(change.value))
         self._opened(service).put(record)
-        self._touch(service, instance, value)
+        self._note_change(service, instance, value)
 
     def remove(self, region: Region, name: str) -> None:
         service, instance = _split_name(name)
         record = self._opened(service).remove(instance, region.index)
         if record is not None and service in self.in_use:
-            self._touch(service, instance, msgspec.msgpack.decode(record.value, type=InstanceValue))
+            self._note_change(service, instance, msgspec.msgpack.decode(record.value, type=InstanceValue))
 
-    def retain(self, region: Region, number: int, kept: Collection[str]) -> None:
-        for service in list(names(self.pieces[number])):
+    def retain(self, region: Region, number: int, retained: Collection[str]) -> None:
+        for service in list(names(self.buckets[number])):
             opened = self._opened(service)
             for page in range(len(opened.packed)):
                 for instance, index in list(opened.page(page)):
                     name = f"{service}/{instance}"
-                    if index == region.index and name not in kept:
+                    if index == region.index and name not in retained:
                         self.remove(region, name)
 
-    def _opened(self, service: str) -> OpenService:
-        opened = self.open.get(service)
+    def _opened(self, service: str) -> UnpackedService:
+        opened = self.unpacked.get(service)
         if opened is None:
-            opened = self.open[service] = OpenService(self._pages(service))
+            opened = self.unpacked[service] = UnpackedService(self._pages(service))
         return opened
 
-    def _touch(self, service: str, instance: str, value: InstanceValue) -> None:
+    def _note_change(self, service: str, instance: str, value: InstanceValue) -> None:
         if service in self.in_use:
-            self.touched.setdefault(service, {})[instance] = value
+            self.changed_values.setdefault(service, {})[instance] = value
 
-    def end(self) -> None:
-        opened, self.open = self.open, {}
+    def commit(self) -> None:
+        opened, self.unpacked = self.unpacked, {}
         for service, one in opened.items():
             self._pack(service, one)
 
-    def _pack(self, service: str, opened: OpenService) -> None:
-        after, written = opened.end()
+    def _pack(self, service: str, opened: UnpackedService) -> None:
+        after, written = opened.commit()
         if not written:
             return
         before, number = self._pages(service), _range(service)
         value = _encode(after) if after else None
-        self.pieces[number] = replaced(self.pieces[number], service, value)
+        self.buckets[number] = with_value(self.buckets[number], service, value)
         for number in written | set(range(len(after), len(before))):
             self.changed.add((service, number))
 
-    def changed_in_use(self, told_as: Callable[[str, InstanceValue, bool], object]) -> dict[str, list]:
-        """What changed of the services in use since the last call: `told_as(instance, value, gone)` of
+    def changed_in_use(self, render: Callable[[str, InstanceValue, bool], object]) -> dict[str, list]:
+        """What changed of the services in use since the last call: `render(instance, value, gone)` of
         each."""
-        touched, self.touched = self.touched, {}
-        told: dict[str, list] = {}
-        for service, values in touched.items():
+        changed_values, self.changed_values = self.changed_values, {}
+        updates: dict[str, list] = {}
+        for service, values in changed_values.items():
             now = self.in_use[service]
             self._refresh(service, now, values)
-            told[service] = [
-                told_as(name, now.get(name, last), name not in now) for name, last in values.items()
+            updates[service] = [
+                render(name, now.get(name, last), name not in now) for name, last in values.items()
             ]
-        return told
+        return updates
 
     def _refresh(self, service: str, now: dict[str, InstanceValue], names: Collection[str]) -> None:
         """The named instances of a service in use, as its pages have them."""
@@ -253,7 +252,7 @@
 
     # ---- on disk ---------------------------------------------------------------------------------
 
-    def dirty(self) -> Iterator[StoredPage]:
+    def take_changed_pages(self) -> Iterator[StoredPage]:
         changed, self.changed = self.changed, set()
         for service, number in sorted(changed):
             pages = self._pages(service)
@@ -263,17 +262,17 @@
     def load(self, page: StoredPage) -> None:
         """Pages of a service come together, in the order of their numbers."""
         if page.name != self.loading[0]:
-            self.loaded()
+            self.finish_loading()
             self.loading = (page.name, [])
         pages = self.loading[1]
         if page.number != len(pages):
             raise ValueError(f"page {page.number} of {page.name} follows on {len(pages)} pages")
         pages.append(page.body or b"")
 
-    def loaded(self) -> None:
+    def finish_loading(self) -> None:
         service, pages = self.loading
         if pages:
-            self.pieces[_range(service)] += entry(service, _encode(pages))
+            self.buckets[_range(service)] += packed_entry(service, _encode(pages))
         self.loading = ("", [])
 
 
--- a/linenbridge/distribution/view/paths.py
+++ b/linenbridge/distribution/view/paths.py
@@ -13,9 +13,9 @@
 from linenbridge.routes.checks import Conjunction, choice, possible
 from linenbridge.routes.language import Question, Rule
 
-DEPTH_MOST = 4  # segments that are looked at
+MAX_DEPTH = 4  # segments that are looked at
 
-NONE: list[int] = []
+NO_RULES: list[int] = []
 
 Segments = tuple[str, ...]
 
@@ -29,8 +29,8 @@
     def candidates(self, segments: Sequence[str]) -> Sequence[int]:
         """All rules on the way that these segments lead, in their order."""
         places, place = self.places, ""
-        found, several = places.get(place, NONE), False
-        for segment in segments[:DEPTH_MOST]:
+        found, several = places.get(place, NO_RULES), False
+        for segment in segments[:MAX_DEPTH]:
             place = f"{place}/{segment}"
             here = places.get(place)
             if here is not None:
@@ -59,21 +59,21 @@
 
 def _longest(conjunction: Conjunction) -> set[Segments]:
     """The leading segments that a conjunction asks for, by the question that tells the most of them."""
-    told: list[set[Segments]] = [{()}]
+    prefixes: list[set[Segments]] = [{()}]
     for literal in conjunction:
         if literal.wanted and literal.test.subject.kind == "path":
-            told.append(_leading(literal.test))
-    return max(told, key=lambda places: min(map(len, places)))
+            prefixes.append(_leading(literal.test))
+    return max(prefixes, key=lambda places: min(map(len, places)))
 
 
 def _leading(test: Question) -> set[Segments]:
     """The whole segments that a path starts with if the answer is yes."""
     if test.operator in ("is", "in"):
-        return {_segments(word) for word in test.words}
+        return {_segments(literal_path) for literal_path in test.words}
     if test.operator == "starts":
         return {_segments(test.words[0].rpartition("/")[0])}
     return {()}
 
 
-def _segments(word: str) -> Segments:
-    return tuple(word.split("/")[1 : 1 + DEPTH_MOST]) if word.startswith("/") else ()
+def _segments(literal_path: str) -> Segments:
+    return tuple(literal_path.split("/")[1 : 1 + MAX_DEPTH]) if literal_path.startswith("/") else ()
--- a/linenbridge/distribution/view/regions.py
+++ b/linenbridge/distribution/view/regions.py
@@ -15,9 +15,9 @@
 from linenbridge.distribution.errors import ChangeRefused
 from linenbridge.distribution.view.results import PageKind, StoredPage
 
-CHUNK = 64  # ranges whose digests share a stored page
-REGIONS_MOST = 255  # their index is one byte in packed pages
-MASK = (1 << 64) - 1
+DIGESTS_PER_PAGE = 64  # ranges whose digests share a stored page
+MAX_REGIONS = 255  # their index is one byte in packed pages
+DIGEST_MASK = (1 << 64) - 1
 
 
 class RegionRecord(Struct, array_like=True, frozen=True):
@@ -37,21 +37,21 @@
         self.position = START
         self.floors: dict[int, Version] = {}
         self.digests = array("Q", bytes(8 * RANGES))
-        self.total = 0
+        self.total_digest = 0
         self.changed = True
-        self.changed_chunks: set[int] = set()
+        self.changed_pages: set[int] = set()
 
-    def known(self, number: int, version: Version) -> bool:
+    def has_seen(self, number: int, version: Version) -> bool:
         """Whether a change of a range at that version has been seen, or replaced by newer content."""
         return version <= max(self.position, self.floors.get(number, START))
 
     def add(self, number: int, difference: int) -> None:
         """One key's digest less that of its earlier version, for its range and the whole."""
-        self.digests[number] = (self.digests[number] + difference) & MASK
-        self.total = (self.total + difference) & MASK
-        self.changed_chunks.add(number // CHUNK)
+        self.digests[number] = (self.digests[number] + difference) & DIGEST_MASK
+        self.total_digest = (self.total_digest + difference) & DIGEST_MASK
+        self.changed_pages.add(number // DIGESTS_PER_PAGE)
 
-    def move(self, upto: Version) -> None:
+    def advance_to(self, upto: Version) -> None:
         self.position = upto
         self.floors = {number: floor for number, floor in self.floors.items() if floor > upto}
         self.changed = True
@@ -64,21 +64,21 @@
 
     def digest(self) -> int | None:
         """That of the whole table at the position; None while it stands at no single version."""
-        return None if self.floors else self.total
+        return None if self.floors else self.total_digest
 
     def stored_position(self) -> Position:
         return Position(self.name, self.position.epoch, self.position.sequence)
 
-    def dirty(self) -> Iterator[StoredPage]:
+    def take_changed_pages(self) -> Iterator[StoredPage]:
         """What has changed since the last call, to be stored."""
         if self.changed:
             record = RegionRecord(self.index, self.position, self.floors)
             yield StoredPage(PageKind.REGION, self.name, 0, msgspec.msgpack.encode(record))
-        for chunk in sorted(self.changed_chunks):
-            part = self.digests[chunk * CHUNK : (chunk + 1) * CHUNK]
-            yield StoredPage(PageKind.DIGESTS, self.name, chunk, part.tobytes())
+        for page_number in sorted(self.changed_pages):
+            part = self.digests[page_number * DIGESTS_PER_PAGE : (page_number + 1) * DIGESTS_PER_PAGE]
+            yield StoredPage(PageKind.DIGESTS, self.name, page_number, part.tobytes())
         self.changed = False
-        self.changed_chunks = set()
+        self.changed_pages = set()
 
 
 class Regions:
@@ -96,8 +96,8 @@
         return region
 
     def _add(self, name: str, index: int) -> Region:
-        if index >= REGIONS_MOST:
-            raise ChangeRefused(f"more than {REGIONS_MOST} regions", name)
+        if index >= MAX_REGIONS:
+            raise ChangeRefused(f"more than {MAX_REGIONS} regions", name)
         region = self.by_name[name] = Region(name, index)
         self.by_index.append(region)
         return region
@@ -119,11 +119,11 @@
             if page.kind == PageKind.DIGESTS:
                 self._load_digests(self.by_name[page.name], page)
         for region in self.by_index:
-            region.total = sum(region.digests) & MASK
+            region.total_digest = sum(region.digests) & DIGEST_MASK
 
     @staticmethod
     def _load_digests(region: Region, page: StoredPage) -> None:
         part = array("Q", page.body or b"")
-        if len(part) != CHUNK:
-            raise ValueError(f"{len(part)} digests in a page of {CHUNK}")
-        region.digests[page.number * CHUNK : (page.number + 1) * CHUNK] = part
+        if len(part) != DIGESTS_PER_PAGE:
+            raise ValueError(f"{len(part)} digests in a page of {DIGESTS_PER_PAGE}")
+        region.digests[page.number * DIGESTS_PER_PAGE : (page.number + 1) * DIGESTS_PER_PAGE] = part
--- a/linenbridge/distribution/view/rejections.py
+++ b/linenbridge/distribution/view/rejections.py
@@ -12,12 +12,12 @@
 
 from linenbridge.distribution.changes import Change, Version, digest_of, range_of
 from linenbridge.distribution.view.regions import Region
-from linenbridge.distribution.view.results import PageKind, RefusedChange, StoredPage
+from linenbridge.distribution.view.results import PageKind, RejectedChange, StoredPage
 
 Key = tuple[str, int, str]  # region, kind, name
 
 
-class Refusal(Struct, array_like=True, frozen=True):
+class RejectionRecord(Struct, array_like=True, frozen=True):
     """What is kept of a refused change."""
 
     epoch: int
@@ -26,11 +26,11 @@
     reason: str
 
 
-class Refusals:
+class RejectionTable:
     """By key; each is kept until the key changes again."""
 
     def __init__(self) -> None:
-        self.records: dict[Key, Refusal] = {}
+        self.records: dict[Key, RejectionRecord] = {}
         self.by_range: dict[tuple[str, int], set[Key]] = {}
         self.changed: set[Key] = set()
 
@@ -41,10 +41,10 @@
 
     def put(self, region: Region, change: Change, reason: str) -> None:
         key = region.name, change.kind, change.name
-        self._add(key, Refusal(change.epoch, change.sequence, digest_of(change), reason))
+        self._add(key, RejectionRecord(change.epoch, change.sequence, digest_of(change), reason))
         self.changed.add(key)
 
-    def _add(self, key: Key, record: Refusal) -> None:
+    def _add(self, key: Key, record: RejectionRecord) -> None:
         self.records[key] = record
         self.by_range.setdefault(_range(key), set()).add(key)
 
@@ -52,9 +52,9 @@
         key = region.name, kind, name
         if self.records.pop(key, None) is not None:
             self.changed.add(key)
-            held = self.by_range[_range(key)]
-            held.remove(key)
-            if not held:
+            keys_of_range = self.by_range[_range(key)]
+            keys_of_range.remove(key)
+            if not keys_of_range:
                 del self.by_range[_range(key)]
 
     def retain(self, region: Region, number: int, keys: Collection[tuple[int, str]]) -> None:
@@ -63,22 +63,22 @@
             if (kind, name) not in keys:
                 self.remove(region, kind, name)
 
-    def all(self) -> Iterator[RefusedChange]:
+    def all(self) -> Iterator[RejectedChange]:
         """Every key whose newest version is not the one in force."""
         for (region, kind, name), record in sorted(self.records.items()):
             version = Version(record.epoch, record.sequence)
-            yield RefusedChange(region, version, kind, name, record.reason)
+            yield RejectedChange(region, version, kind, name, record.reason)
 
-    def dirty(self) -> Iterator[StoredPage]:
+    def take_changed_pages(self) -> Iterator[StoredPage]:
         changed, self.changed = self.changed, set()
         for key in sorted(changed):
             record = self.records.get(key)
             body = None if record is None else msgspec.msgpack.encode(record)
-            yield StoredPage(PageKind.REFUSED, msgspec.json.encode(key).decode(), 0, body)
+            yield StoredPage(PageKind.REJECTION, msgspec.json.encode(key).decode(), 0, body)
 
     def load(self, page: StoredPage) -> None:
         key = msgspec.json.decode(page.name, type=Key)
-        self._add(key, msgspec.msgpack.decode(page.body or b"", type=Refusal))
+        self._add(key, msgspec.msgpack.decode(page.body or b"", type=RejectionRecord))
 
 
 def _range(key: Key) -> tuple[str, int]:
--- a/linenbridge/distribution/view/results.py
+++ b/linenbridge/distribution/view/results.py
@@ -18,14 +18,14 @@
 
 
 class ViewLimits(Struct, frozen=True):
-    """Bounds of one view. `compiled_bytes` is what route sets unpacked for look-ups may take, estimated (the
-    settings' `compiled-routes`); `examined` how many changes may be checked ahead of their turn."""
+    """Bounds of one view. `max_compiled_bytes` is what route sets unpacked for look-ups may take, estimated
+    (the settings' `compiled-routes`); `max_prevalidated` how many changes may be checked ahead."""
 
-    compiled_bytes: int = 4_000_000
-    examined: int = 256
+    max_compiled_bytes: int = 4_000_000
+    max_prevalidated: int = 256
 
 
-class RefusedChange(Struct, frozen=True):
+class RejectedChange(Struct, frozen=True):
     """A change that cannot be read or fails its checks: which key, which version, and why."""
 
     region: str
@@ -41,29 +41,29 @@
         return ChangeRefused(self.reason, place)
 
 
-class Listed(NamedTuple):
+class Endpoint(NamedTuple):
     """One instance as the decision module and the processor's front take it."""
 
     entry: ListEntry
     address: tuple[str, int]
 
 
-class Applied(Struct, frozen=True):
+class ApplyResult(Struct, frozen=True):
     """What one `apply` or `replace` came to. `upto` is the position from now on. `digest` is that of the
     region's whole table there, None while single ranges are further on than the position. `routes` and
     `zones` name what changed; `instances` has the changed entries of the services in use, those that went as
-    GONE. `passed` counts changes that were known already."""
+    GONE. `skipped` counts changes that were known already."""
 
     region: str
     upto: Version
     digest: int | None
-    taken: int = 0
-    passed: int = 0
-    refused: list[RefusedChange] = field(default_factory=list)
+    applied: int = 0
+    skipped: int = 0
+    rejected: list[RejectedChange] = field(default_factory=list)
     routes: list[str] = field(default_factory=list)
     tenants: int = 0
     zones: list[str] = field(default_factory=list)
-    instances: dict[str, list[Listed]] = field(default_factory=dict)
+    instances: dict[str, list[Endpoint]] = field(default_factory=dict)
 
 
 class PageKind(IntEnum):
@@ -73,7 +73,7 @@
     TENANT = 2
     INSTANCE = 3
     ZONE = 4
-    REFUSED = 5
+    REJECTION = 5
     REGION = 6
     DIGESTS = 7
 
--- a/linenbridge/distribution/view/routes.py
+++ b/linenbridge/distribution/view/routes.py
@@ -1,7 +1,7 @@
 """Routes of all services: one packed set for each authority, and a bounded cache of those in use.
 
-Keeps state without I/O. A set is changed, kept and dropped as a whole. It must never hold a set that has not
-been checked.
+Keeps state without I/O. A set is changed, kept and dropped as a whole. It must never hold a set that has
+not been checked.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from msgspec import Struct
 
 from linenbridge.distribution.changes import RANGES, Change, Kind, digest_of, range_of
-from linenbridge.distribution.view.packing import entry, names, replaced, value_of
+from linenbridge.distribution.view.packing import names, packed_entry, value_of, with_value
 from linenbridge.distribution.view.regions import Region, Regions
 from linenbridge.distribution.view.results import PageKind, StoredPage
 from linenbridge.distribution.view.rules import RULE_BYTES, PackedRuleList, PackedTable
@@ -40,11 +40,11 @@
     """All sets, and those that are compiled at present."""
 
     def __init__(
-        self, regions: Regions, methods: dict[str, Method], longest: int, compiled_bytes: int
+        self, regions: Regions, methods: dict[str, Method], max_deadline: int, max_compiled_bytes: int
     ) -> None:
-        self.regions, self.methods, self.longest = regions, methods, longest
-        self.compiled_bytes = compiled_bytes
-        self.pieces = [b""] * RANGES  # of the range's authorities: see packing.py
+        self.regions, self.methods, self.max_deadline = regions, methods, max_deadline
+        self.max_compiled_bytes = max_compiled_bytes
+        self.buckets = [b""] * RANGES  # of the range's authorities: see packing.py
         self.loading: tuple[int, list[bytes]] = (0, [])  # a range, and its entries while they come
         self.compiled: OrderedDict[str, PackedTable] = OrderedDict()
         self.cost = 0  # of all compiled ones
@@ -61,10 +61,12 @@
         record = first_by_region(self._records(authority), self.regions.by_index)
         if record is None:
             return None
-        grew = partial(self._grew, authority)
-        found = self.compiled[authority] = PackedTable(record.packed, self.methods, self.longest, grew)
+        on_rule_compiled = partial(self._on_rule_compiled, authority)
+        found = self.compiled[authority] = PackedTable(
+            record.packed, self.methods, self.max_deadline, on_rule_compiled
+        )
         self.cost += found.cost
-        while self.cost > self.compiled_bytes and len(self.compiled) > 1:
+        while self.cost > self.max_compiled_bytes and len(self.compiled) > 1:
             self._drop(next(iter(self.compiled)))
         return found
 
@@ -73,7 +75,7 @@
         for authority in list(self.compiled):
             self._drop(authority)
 
-    def _grew(self, authority: str, rules: PackedRuleList) -> None:
+    def _on_rule_compiled(self, authority: str, rules: PackedRuleList) -> None:
         """A rule was compiled; the bound is held to when the next set is."""
         table = self.compiled.get(authority)
         if table is not None and table.rules is rules:
@@ -85,7 +87,7 @@
             self.cost -= table.cost
 
     def _records(self, authority: str) -> dict[int, RouteRecord]:
-        page = value_of(self.pieces[range_of(Kind.ROUTES, authority)], authority)
+        page = value_of(self.buckets[range_of(Kind.ROUTES, authority)], authority)
         return {} if page is None else {record.region: record for record in _decode(page)}
 
     # ---- changes ---------------------------------------------------------------------------------
@@ -99,43 +101,43 @@
         records[region.index] = RouteRecord(
             region.index, change.epoch, change.sequence, digest_of(change), value
         )
-        self._keep(change.name, records)
+        self._store(change.name, records)
 
     def remove(self, region: Region, name: str) -> None:
         records = self._records(name)
         if records.pop(region.index, None) is not None:
-            self._keep(name, records)
+            self._store(name, records)
 
-    def retain(self, region: Region, number: int, kept: Collection[str]) -> None:
-        for name in [name for name in names(self.pieces[number]) if name not in kept]:
+    def retain(self, region: Region, number: int, retained: Collection[str]) -> None:
+        for name in [name for name in names(self.buckets[number]) if name not in retained]:
             self.remove(region, name)
 
-    def _keep(self, authority: str, records: dict[int, RouteRecord]) -> None:
+    def _store(self, authority: str, records: dict[int, RouteRecord]) -> None:
         number = range_of(Kind.ROUTES, authority)
         page = _encode(list(records.values())) if records else None
-        self.pieces[number] = replaced(self.pieces[number], authority, page)
+        self.buckets[number] = with_value(self.buckets[number], authority, page)
         self._drop(authority)
         self.changed.add(authority)
 
-    def end(self) -> None: ...
+    def commit(self) -> None: ...
 
     # ---- on disk ---------------------------------------------------------------------------------
 
-    def dirty(self) -> Iterator[StoredPage]:
+    def take_changed_pages(self) -> Iterator[StoredPage]:
         changed, self.changed = self.changed, set()
         for name in sorted(changed):
-            body = value_of(self.pieces[range_of(Kind.ROUTES, name)], name)
+            body = value_of(self.buckets[range_of(Kind.ROUTES, name)], name)
             yield StoredPage(PageKind.ROUTES, name, 0, body)
 
     def load(self, page: StoredPage) -> None:
         """Pages come range by range."""
         number = range_of(Kind.ROUTES, page.name)
         if number != self.loading[0]:
-            self.loaded()
+            self.finish_loading()
             self.loading = (number, [])
-        self.loading[1].append(entry(page.name, page.body or b""))
+        self.loading[1].append(packed_entry(page.name, page.body or b""))
 
-    def loaded(self) -> None:
+    def finish_loading(self) -> None:
         number, entries = self.loading
-        self.pieces[number] += b"".join(entries)
+        self.buckets[number] += b"".join(entries)
         self.loading = (number, [])
--- a/linenbridge/distribution/view/rules.py
+++ b/linenbridge/distribution/view/rules.py
@@ -21,13 +21,13 @@
 from linenbridge.routes.table import Request, Table, compiled
 
 QUESTION, NOT, ALL, ANY = range(4)
-LEVEL = 6  # of compression
+COMPRESSION_LEVEL = 6  # of compression
 NOWHERE = Place(0, 0)  # Places are for errors; packed rules have none.
 # Bytes in memory, measured: of a table, of each of its rules while packed, and of each one compiled.
 TABLE_BYTES, ENTRY_BYTES, RULE_BYTES = 1_500, 260, 3_100
 
 
-class PackedTime(Struct, array_like=True, frozen=True):
+class PackedDuration(Struct, array_like=True, frozen=True):
     default: int
     subject: tuple[str, str] | None
     unit: str
@@ -36,7 +36,7 @@
 class PackedPart(Struct, array_like=True, frozen=True):
     subject: tuple[str, str] | None
     segment: int
-    word: str | None
+    literal: str | None
 
 
 class PackedRule(Struct, array_like=True, frozen=True):
@@ -48,8 +48,8 @@
     tenant: list[PackedPart]
     key: list[PackedPart]
     soft: int
-    deadline: PackedTime | None
-    cost: PackedTime | None
+    deadline: PackedDuration | None
+    cost: PackedDuration | None
     over: tuple[str, ...]
 
 
@@ -64,16 +64,16 @@
     """A checked table as bytes."""
     rules = [Raw(msgspec.msgpack.encode(_pack_rule(rule))) for rule in table.rules]
     content = msgspec.msgpack.encode(PackedRules(path_index(table.rules), rules))
-    packer = zlib.compressobj(LEVEL, zdict=DICTIONARY)
+    packer = zlib.compressobj(COMPRESSION_LEVEL, zdict=COMPRESSION_DICTIONARY)
     return packer.compress(content) + packer.flush()
 
 
 def _unpacked(packed: bytes) -> bytes:
-    unpacker = zlib.decompressobj(zdict=DICTIONARY)
+    unpacker = zlib.decompressobj(zdict=COMPRESSION_DICTIONARY)
     return unpacker.decompress(packed) + unpacker.flush()
 
 
-def _words_of_rules() -> bytes:
+def _typical_rule() -> bytes:
     """A packed rule with the words that most rules have: what a set repeats of it takes no room."""
     header, query = ("header", "x-tenant"), ("query", "limit")
     when = [
@@ -86,19 +86,19 @@
     rule = PackedRule(
         "route-1", when, "read", [PackedPart(header, 0, None), PackedPart(None, 0, "none")],
         [PackedPart(None, 2, None), PackedPart(("header", "x-request-id"), 0, None)], 250_000,
-        PackedTime(2_000_000, ("header", "grpc-timeout"), "grpc"), PackedTime(3_000, query, "ms"), (),
+        PackedDuration(2_000_000, ("header", "grpc-timeout"), "grpc"), PackedDuration(3_000, query, "ms"), (),
     )  # fmt: skip
     return msgspec.msgpack.encode(rule)
 
 
-DICTIONARY = _words_of_rules()  # Part of the store's form: another one needs another `store.FORM`.
+COMPRESSION_DICTIONARY = _typical_rule()  # Part of the store's form: another one needs another `store.FORM`.
 
 
 def _pack_rule(rule: Rule) -> PackedRule:
     return PackedRule(
         rule.name, _pack_condition(rule.when), rule.method, [_pack_part(part) for part in rule.tenant],
-        [_pack_part(part) for part in rule.key], rule.soft, _pack_time(rule.deadline),
-        _pack_time(rule.cost), rule.over,
+        [_pack_part(part) for part in rule.key], rule.soft, _pack_duration(rule.deadline),
+        _pack_duration(rule.cost), rule.over,
     )  # fmt: skip
 
 
@@ -119,8 +119,8 @@
     return PackedPart(_pack_subject(part.subject), part.segment, part.word)
 
 
-def _pack_time(timed: Timed | None) -> PackedTime | None:
-    return None if timed is None else PackedTime(timed.default, _pack_subject(timed.subject), timed.unit)
+def _pack_duration(timed: Timed | None) -> PackedDuration | None:
+    return None if timed is None else PackedDuration(timed.default, _pack_subject(timed.subject), timed.unit)
 
 
 def _pack_subject(subject: Subject | None) -> tuple[str, str] | None:
@@ -132,7 +132,8 @@
     return Rule(
         name=found.name, place=NOWHERE, when=_read_condition(found.when), method=found.method,
         tenant=tuple(map(_read_part, found.tenant)), key=tuple(map(_read_part, found.key)),
-        soft=found.soft, deadline=_read_time(found.deadline), cost=_read_time(found.cost), over=found.over,
+        soft=found.soft, deadline=_read_duration(found.deadline), cost=_read_duration(found.cost),
+        over=found.over,
     )  # fmt: skip
 
 
@@ -148,10 +149,10 @@
 
 
 def _read_part(packed: PackedPart) -> Part:
-    return Part(_read_subject(packed.subject), packed.segment, packed.word)
+    return Part(_read_subject(packed.subject), packed.segment, packed.literal)
 
 
-def _read_time(packed: PackedTime | None) -> Timed | None:
+def _read_duration(packed: PackedDuration | None) -> Timed | None:
     return None if packed is None else Timed(packed.default, _read_subject(packed.subject), packed.unit)
 
 
@@ -159,7 +160,7 @@
     return None if packed is None else Subject(*packed)
 
 
-class _WhenAsked(Sequence):
+class _LazySequence(Sequence):
     """A list whose items are made when first asked for."""
 
     def __init__(self, length: int) -> None:
@@ -181,22 +182,22 @@
         return (self[number] for number in range(len(self.items)))
 
 
-class PackedRuleList(_WhenAsked):
-    """The rules of a set. `grew` is told with each one read; `cost` is what they take in memory by then."""
+class PackedRuleList(_LazySequence):
+    """The rules of a set. Calls `on_rule_compiled` with each one read; `cost` is what they take in memory."""
 
-    def __init__(self, packed: list[Raw], grew: Callable[[PackedRuleList], None] | None) -> None:
+    def __init__(self, packed: list[Raw], on_rule_compiled: Callable[[PackedRuleList], None] | None) -> None:
         super().__init__(len(packed))
-        self.packed, self.grew = packed, grew
+        self.packed, self.on_rule_compiled = packed, on_rule_compiled
         self.cost = ENTRY_BYTES * len(packed)
 
     def make(self, number: int) -> Rule:
         self.cost += RULE_BYTES
-        if self.grew is not None:
-            self.grew(self)
+        if self.on_rule_compiled is not None:
+            self.on_rule_compiled(self)
         return _read_rule(self.packed[number])
 
 
-class _Conditions(_WhenAsked):
+class _Conditions(_LazySequence):
     """The rules' conditions, compiled."""
 
     def __init__(self, rules: PackedRuleList) -> None:
@@ -212,13 +213,13 @@
     it refers back to it: once it is let go, its memory is free at once."""
 
     def __init__(
-        self, packed: bytes, methods: dict[str, Method], longest: int,
-        grew: Callable[[PackedRuleList], None] | None = None,
+        self, packed: bytes, methods: dict[str, Method], max_deadline: int,
+        on_rule_compiled: Callable[[PackedRuleList], None] | None = None,
     ) -> None:  # fmt: skip
         content = _unpacked(packed)
         found = msgspec.msgpack.decode(content, type=PackedRules)
-        self.methods, self.longest, self.paths = methods, longest, found.paths
-        self.rules = PackedRuleList(found.rules, grew)
+        self.methods, self.longest, self.paths = methods, max_deadline, found.paths
+        self.rules = PackedRuleList(found.rules, on_rule_compiled)
         self.conditions = _Conditions(self.rules)
         self.fixed_cost = TABLE_BYTES + len(content)
 
--- a/linenbridge/distribution/view/serving.py
+++ b/linenbridge/distribution/view/serving.py
@@ -33,19 +33,19 @@
         return self.settings if table is None else table
 
 
-class TenantShares(Mapping[str, float]):
+class TenantQuotas(Mapping[str, float]):
     """The shares by name. Names are kept as hashes only: it can be asked, not gone through."""
 
     def __init__(self, view: View, settings: Mapping[str, float]) -> None:
         self.view, self.settings = view, settings
 
     def __getitem__(self, name: str) -> float:
-        share = self.view.tenant(name)
+        share = self.view.tenant_quota(name)
         return self.settings[name] if share is None else share
 
     def __len__(self) -> int:
         """How many the view has."""
-        return len(self.view.by_tenant)
+        return len(self.view.tenant_table)
 
     def __iter__(self) -> Iterator[str]:
         raise TypeError("tenants are kept by the hashes of their names")
--- a/linenbridge/distribution/view/tables.py
+++ b/linenbridge/distribution/view/tables.py
@@ -18,7 +18,7 @@
 class RecordTable(Protocol):
     """One kind of key. Each region's record of a key is kept by itself; look-ups take the one of the region
     whose name is first, so that two regions that both hold a key have the same result everywhere. Look-ups
-    come between an `end` and the next change."""
+    come between a `commit` and the next change."""
 
     def digest(self, region: Region, name: str) -> int:
         """Of the region's record of a key; 0 where there is none."""
@@ -27,18 +27,18 @@
 
     def remove(self, region: Region, name: str) -> None: ...
 
-    def retain(self, region: Region, number: int, kept: Collection[str]) -> None:
+    def retain(self, region: Region, number: int, retained: Collection[str]) -> None:
         """Of a range, keep the region's records of these names only."""
 
-    def end(self) -> None:
+    def commit(self) -> None:
         """The changes since the last call are complete: pages are packed, look-ups see them."""
 
-    def dirty(self) -> Iterable[StoredPage]:
+    def take_changed_pages(self) -> Iterable[StoredPage]:
         """Pages that have changed since the last call."""
 
     def load(self, page: StoredPage) -> None: ...
 
-    def loaded(self) -> None:
+    def finish_loading(self) -> None:
         """All pages of the store have come."""
 
 
--- a/linenbridge/distribution/view/tenants.py
+++ b/linenbridge/distribution/view/tenants.py
@@ -19,9 +19,9 @@
 from linenbridge.distribution.view.tables import first_by_region
 
 HASH_BYTES = 10
-EPOCH_MOST = 1 << 32
+MAX_EPOCH = 1 << 32
 SEQUENCE_BYTES = 5
-SEQUENCE_MOST = 1 << (8 * SEQUENCE_BYTES)
+MAX_SEQUENCE = 1 << (8 * SEQUENCE_BYTES)
 ROW = Layout(f">{HASH_BYTES}sdI{SEQUENCE_BYTES}sB")  # hash, share, epoch, sequence, region
 ROW_BYTES = ROW.size
 
@@ -34,12 +34,12 @@
 
 
 class TenantTable:
-    """Shares by name. A page that is being changed is held as a bytearray until `end`."""
+    """Shares by name. A page that is being changed is held as a bytearray until `commit`."""
 
     def __init__(self, regions: Regions) -> None:
         self.regions = regions
         self.pages: list[Page] = [b""] * RANGES
-        self.open: set[int] = set()
+        self.unpacked: set[int] = set()
         self.changed: set[int] = set()
 
     def __len__(self) -> int:
@@ -47,12 +47,12 @@
 
     # ---- look-ups --------------------------------------------------------------------------------
 
-    def share(self, name: str) -> float | None:
+    def quota(self, name: str) -> float | None:
         """The share of the load that a tenant may take; None where nothing is said of it."""
         page = self.pages[range_of(Kind.TENANT, name)]
         shares: dict[int, float] = {}
-        for at in _rows(page, hash_of(name)):
-            _, share, _, _, region = ROW.unpack_from(page, at)
+        for offset in _row_offsets(page, hash_of(name)):
+            _, share, _, _, region = ROW.unpack_from(page, offset)
             shares[region] = share
         return first_by_region(shares, self.regions.by_index)
 
@@ -60,10 +60,10 @@
 
     def digest(self, region: Region, name: str) -> int:
         page = self.pages[range_of(Kind.TENANT, name)]
-        at = _row(page, hash_of(name), region.index)
-        if at is None:
+        offset = _row_offset(page, hash_of(name), region.index)
+        if offset is None:
             return 0
-        _, share, epoch, sequence, _ = ROW.unpack_from(page, at)
+        _, share, epoch, sequence, _ = ROW.unpack_from(page, offset)
         value = msgspec.msgpack.encode(TenantValue(share))
         version = epoch, int.from_bytes(sequence, "big")
         return digest_of(Change(region.name, *version, Kind.TENANT, name, value))
@@ -71,24 +71,24 @@
     def put(self, region: Region, change: Change, value: TenantValue) -> None:
         number, hashed = range_of(Kind.TENANT, change.name), hash_of(change.name)
         page = self._opened(number)
-        at = _row(page, hashed, region.index)
-        if at is None:
-            at = _place(page, hashed)
-            page[at:at] = bytes(ROW_BYTES)
+        offset = _row_offset(page, hashed, region.index)
+        if offset is None:
+            offset = _insertion_offset(page, hashed)
+            page[offset:offset] = bytes(ROW_BYTES)
         sequence = change.sequence.to_bytes(SEQUENCE_BYTES, "big")
-        ROW.pack_into(page, at, hashed, value.share, change.epoch, sequence, region.index)
+        ROW.pack_into(page, offset, hashed, value.share, change.epoch, sequence, region.index)
 
     def remove(self, region: Region, name: str) -> None:
         number = range_of(Kind.TENANT, name)
-        at = _row(self.pages[number], hash_of(name), region.index)
-        if at is not None:
-            del self._opened(number)[at : at + ROW_BYTES]
+        offset = _row_offset(self.pages[number], hash_of(name), region.index)
+        if offset is not None:
+            del self._opened(number)[offset : offset + ROW_BYTES]
 
-    def retain(self, region: Region, number: int, kept: Collection[str]) -> None:
-        page, hashes = self.pages[number], {hash_of(name) for name in kept}
+    def retain(self, region: Region, number: int, retained: Collection[str]) -> None:
+        page, hashes = self.pages[number], {hash_of(name) for name in retained}
         left = bytearray()
-        for at in range(0, len(page), ROW_BYTES):
-            row = page[at : at + ROW_BYTES]
+        for offset in range(0, len(page), ROW_BYTES):
+            row = page[offset : offset + ROW_BYTES]
             if row[-1] != region.index or bytes(row[:HASH_BYTES]) in hashes:
                 left += row
         if len(left) < len(page):
@@ -98,18 +98,18 @@
         page = self.pages[number]
         if not isinstance(page, bytearray):
             page = self.pages[number] = bytearray(page)
-            self.open.add(number)
+            self.unpacked.add(number)
             self.changed.add(number)
         return page
 
-    def end(self) -> None:
-        for number in self.open:
+    def commit(self) -> None:
+        for number in self.unpacked:
             self.pages[number] = bytes(self.pages[number])
-        self.open.clear()
+        self.unpacked.clear()
 
     # ---- on disk ---------------------------------------------------------------------------------
 
-    def dirty(self) -> Iterator[StoredPage]:
+    def take_changed_pages(self) -> Iterator[StoredPage]:
         changed, self.changed = self.changed, set()
         for number in sorted(changed):
             yield StoredPage(PageKind.TENANT, "", number, bytes(self.pages[number]) or None)
@@ -120,29 +120,31 @@
             raise ValueError(f"{len(body)} bytes in a page of tenants, {ROW_BYTES} each")
         self.pages[page.number] = body
 
-    def loaded(self) -> None: ...
+    def finish_loading(self) -> None: ...
 
 
-def _place(page: Page, hashed: bytes) -> int:
+def _insertion_offset(page: Page, hashed: bytes) -> int:
     """Where the first row of that hash is, or would be."""
     low, high = 0, len(page) // ROW_BYTES
     while low < high:
         middle = (low + high) // 2
-        at = middle * ROW_BYTES
-        if page[at : at + HASH_BYTES] < hashed:
+        offset = middle * ROW_BYTES
+        if page[offset : offset + HASH_BYTES] < hashed:
             low = middle + 1
         else:
             high = middle
     return low * ROW_BYTES
 
 
-def _rows(page: Page, hashed: bytes) -> Iterator[int]:
+def _row_offsets(page: Page, hashed: bytes) -> Iterator[int]:
     """Where the rows of that hash are: one for each region that has the tenant."""
-    at = _place(page, hashed)
-    while page[at : at + HASH_BYTES] == hashed:
-        yield at
-        at += ROW_BYTES
+    offset = _insertion_offset(page, hashed)
+    while page[offset : offset + HASH_BYTES] == hashed:
+        yield offset
+        offset += ROW_BYTES
 
 
-def _row(page: Page, hashed: bytes, region: int) -> int | None:
-    return next((at for at in _rows(page, hashed) if page[at + ROW_BYTES - 1] == region), None)
+def _row_offset(page: Page, hashed: bytes, region: int) -> int | None:
+    return next(
+        (offset for offset in _row_offsets(page, hashed) if page[offset + ROW_BYTES - 1] == region), None
+    )
--- a/linenbridge/distribution/view/values.py
+++ b/linenbridge/distribution/view/values.py
@@ -25,19 +25,19 @@
 from linenbridge.routes.language import RouteError, parse_by_rule
 from linenbridge.routes.table import FaultsError, checked_table
 
-WORD_MOST = 256  # characters of a zone's, cell's or host's name
-NUMBER_MOST = 1 << 53
-PORT_MOST = 65_535
+MAX_TEXT_LENGTH = 256  # characters of a zone's, cell's or host's name
+MAX_INTEGER = 1 << 53
+MAX_PORT = 65_535
 
 Value = bytes | TenantValue | InstanceValue | ZoneValue
 
 
 class ValueChecks:
-    """Reads values against the methods of this gateway. `longest` is the longest deadline, in
+    """Reads values against the methods of this gateway. `max_deadline` is the max_deadline deadline, in
     microseconds."""
 
-    def __init__(self, methods: Iterable[Method], longest: int) -> None:
-        self.methods, self.longest = list(methods), longest
+    def __init__(self, methods: Iterable[Method], max_deadline: int) -> None:
+        self.methods, self.max_deadline = list(methods), max_deadline
 
     def __call__(self, kind: int, name: str, value: bytes) -> str:
         """Why a value would be refused; "" where it would not."""
@@ -49,18 +49,18 @@
 
     def read(self, kind: int, name: str, value: bytes) -> Value:
         """The value in its table's form, a set of routes packed; else ChangeRefused."""
-        steps = self.reading(kind, name, value)
+        steps = self.read_in_steps(kind, name, value)
         while True:
             try:
                 next(steps)
             except StopIteration as end:
                 return end.value
 
-    def reading(self, kind: int, name: str, value: bytes) -> Generator[None, None, Value]:
+    def read_in_steps(self, kind: int, name: str, value: bytes) -> Generator[None, None, Value]:
         """The same in steps: a set of routes takes some milliseconds, a step one rule, or the checks of all
         against each other."""
         if not 0 < len(name) <= NAME_MOST:
-            raise ChangeRefused(f"a name has 1 to {NAME_MOST} characters", name[:WORD_MOST])
+            raise ChangeRefused(f"a name has 1 to {NAME_MOST} characters", name[:MAX_TEXT_LENGTH])
         if len(value) > VALUE_MOST:
             raise ChangeRefused(f"{len(value)} bytes, {VALUE_MOST} at most", name)
         try:
@@ -83,7 +83,7 @@
             for rule in parse_by_rule(value.decode()):
                 rules.append(rule)
                 yield
-            table = checked_table(rules, self.methods, self.longest)
+            table = checked_table(rules, self.methods, self.max_deadline)
             yield
             return pack_rules(table)
         except (FaultsError, RouteError) as error:
@@ -108,10 +108,12 @@
         raise ValueError(f"no state is numbered {found.state}")
     if not (isfinite(found.size) and found.size > 0.0):
         raise ValueError(f"a size is above 0, not {found.size}")
-    if not (0 <= found.build < NUMBER_MOST and 0 <= found.started < NUMBER_MOST):
+    if not (0 <= found.build < MAX_INTEGER and 0 <= found.started < MAX_INTEGER):
         raise ValueError("build and start are whole numbers from 0")
-    if max(len(found.zone), len(found.cell), len(found.host)) > WORD_MOST or not found.host:
-        raise ValueError(f"zone, cell and host have {WORD_MOST} characters at most, and there is a host")
-    if not 0 < found.port <= PORT_MOST:
+    if max(len(found.zone), len(found.cell), len(found.host)) > MAX_TEXT_LENGTH or not found.host:
+        raise ValueError(
+            f"zone, cell and host have {MAX_TEXT_LENGTH} characters at most, and there is a host"
+        )
+    if not 0 < found.port <= MAX_PORT:
         raise ValueError(f"no port is numbered {found.port}")
     return found
--- a/linenbridge/distribution/view/zones.py
+++ b/linenbridge/distribution/view/zones.py
@@ -55,14 +55,14 @@
             if not records:
                 del self.records[name]
 
-    def retain(self, region: Region, number: int, kept: Collection[str]) -> None:
+    def retain(self, region: Region, number: int, retained: Collection[str]) -> None:
         for name in [name for name in self.records if range_of(Kind.ZONE, name) == number]:
-            if name not in kept:
+            if name not in retained:
                 self.remove(region, name)
 
-    def end(self) -> None: ...
+    def commit(self) -> None: ...
 
-    def dirty(self) -> Iterator[StoredPage]:
+    def take_changed_pages(self) -> Iterator[StoredPage]:
         changed, self.changed = self.changed, set()
         for name in sorted(changed):
             records = list(self.records.get(name, {}).values())
@@ -72,4 +72,4 @@
         records = msgspec.msgpack.decode(page.body or b"", type=list[ZoneRecord])
         self.records[page.name] = {record.region: record for record in records}
 
-    def loaded(self) -> None: ...
+    def finish_loading(self) -> None: ...
--- a/linenbridge/processor/distributed.py
+++ b/linenbridge/processor/distributed.py
@@ -16,7 +16,7 @@
 from linenbridge.distribution.configuration import distribution
 from linenbridge.distribution.hosting.gateway import Gateway, open_view
 from linenbridge.distribution.hosting.methods import methods_in
-from linenbridge.distribution.view.serving import TenantShares
+from linenbridge.distribution.view.serving import TenantQuotas
 from linenbridge.distribution.view.view import View
 from linenbridge.interface import Startup
 from linenbridge.logging.event_log import Log
@@ -43,6 +43,6 @@
         return None
     view, store = open_view(settings, methods_in(at), log)
     start = startup(at.settings)
-    start = replace(start, tenant_shares=TenantShares(view, start.tenant_shares))
+    start = replace(start, tenant_shares=TenantQuotas(view, start.tenant_shares))
     random = Random(secrets.randbits(64))
     return Distributed(view, start, lambda: Gateway(settings, reactor, log, view, random, store))
--- a/tests/compatibility/test_view.py
+++ b/tests/compatibility/test_view.py
@@ -24,8 +24,8 @@
 from linenbridge.distribution.decisions import Apply, ReplaceRange
 from linenbridge.distribution.errors import ChangeRefused
 from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
-from linenbridge.distribution.view.results import Applied, Listed, PageKind, RefusedChange, StoredPage
-from linenbridge.distribution.view.rules import DICTIONARY
+from linenbridge.distribution.view.results import ApplyResult, Endpoint, PageKind, RejectedChange, StoredPage
+from linenbridge.distribution.view.rules import COMPRESSION_DICTIONARY
 from linenbridge.distribution.view.values import ValueChecks
 from linenbridge.distribution.view.view import View
 from linenbridge.routes.table import Request
@@ -43,7 +43,7 @@
     return View(METHODS, LONGEST, RECORD["unix_offset"])
 
 
-def put_in(view: View, step: dict[str, Any]) -> Applied:
+def put_in(view: View, step: dict[str, Any]) -> ApplyResult:
     """One recorded input, with the changes decoded from their recorded bytes."""
     changes = msgspec.msgpack.decode(b64decode(step["changes"]), type=list[Change])
     upto = Version(*step["upto"])
@@ -52,7 +52,7 @@
     return view.replace(ReplaceRange(step["region"], upto, step["range"], changes, step["final"]))
 
 
-def endpoint_row(one: Listed) -> list[Any]:
+def endpoint_row(one: Endpoint) -> list[Any]:
     entry = one.entry
     return [
         entry.instance,
@@ -70,24 +70,24 @@
     return [version.epoch, version.sequence]
 
 
-def rejection_row(one: RefusedChange) -> list[Any]:
+def rejection_row(one: RejectedChange) -> list[Any]:
     return [one.region, version_row(one.version), one.kind, one.name, one.reason]
 
 
-def result_row(applied: Applied) -> dict[str, Any]:
+def result_row(applied: ApplyResult) -> dict[str, Any]:
     """A result in the form of the record."""
     return {
         "upto": version_row(applied.upto),
         "digest": applied.digest,
-        "applied": applied.taken,
-        "skipped": applied.passed,
+        "applied": applied.applied,
+        "skipped": applied.skipped,
         "routes": applied.routes,
         "tenants": applied.tenants,
         "zones": applied.zones,
         "instances": {
             service: sorted(map(endpoint_row, changed)) for service, changed in applied.instances.items()
         },
-        "rejected": list(map(rejection_row, applied.refused)),
+        "rejected": list(map(rejection_row, applied.rejected)),
     }
 
 
@@ -114,7 +114,7 @@
 
 def unpacked_rules(packed: bytes) -> object:
     """The decoded content of a packed set of routes: its index, a dict, and its rules."""
-    unpacker = zlib.decompressobj(zdict=DICTIONARY)
+    unpacker = zlib.decompressobj(zdict=COMPRESSION_DICTIONARY)
     return msgspec.msgpack.decode(unpacker.decompress(packed) + unpacker.flush())
 
 
@@ -138,7 +138,7 @@
         found.append(
             [
                 [page.kind, page.name, page.number, page.body and b64encode(page.body).decode()]
-                for page in view.dirty()
+                for page in view.take_changed_pages()
             ]
         )
     print(json.dumps(found))
@@ -146,12 +146,12 @@
 
 def check_look_ups(view: View) -> None:
     expected = RECORD["look_ups"]
-    found = {name: sorted(map(endpoint_row, view.listed(name))) for name in expected["instances"]}
+    found = {name: sorted(map(endpoint_row, view.endpoints(name))) for name in expected["instances"]}
     assert found == expected["instances"]
-    assert {name: view.tenant(name) for name in expected["tenants"]} == expected["tenants"]
+    assert {name: view.tenant_quota(name) for name in expected["tenants"]} == expected["tenants"]
     positions = sorted([one.region, one.epoch, one.sequence] for one in view.positions())
     assert positions == expected["positions"]
-    assert list(map(rejection_row, view.refused())) == expected["rejected"]
+    assert list(map(rejection_row, view.rejected())) == expected["rejected"]
     for authority, question, answer in expected["routes"]:
         table = view.routes(authority)
         found_rpc = None if table is None else table.find(Request(*question))
@@ -165,7 +165,7 @@
     deleted = {page[0] for step in steps for page in step["pages"] if page[3] is None}
 
     assert kinds == set(PageKind)
-    assert {PageKind.ROUTES, PageKind.INSTANCE, PageKind.ZONE, PageKind.REFUSED} <= deleted
+    assert {PageKind.ROUTES, PageKind.INSTANCE, PageKind.ZONE, PageKind.REJECTION} <= deleted
     assert {step["input"] for step in steps} == {"apply", "replace"}
     assert any(step["result"]["digest"] is None for step in steps)
     assert any(step["result"]["instances"] for step in steps)
@@ -181,7 +181,7 @@
         applied = put_in(view, step)
 
         assert result_row(applied) == step["result"], f"step {number}"
-        pages = view.dirty()
+        pages = view.take_changed_pages()
         assert list(map(page_key, pages)) == list(map(page_key, recorded_pages(step))), f"step {number}"
         assert list(map(content_of, pages)) == list(map(content_of, recorded_pages(step))), f"step {number}"
         digests = view.range_digests(step["region"])
@@ -214,7 +214,7 @@
     view.load(stored)
 
     check_look_ups(view)
-    assert view.dirty() == []
+    assert view.take_changed_pages() == []
 
 
 @pytest.mark.parametrize("number", range(len(RECORD["values"])))
@@ -248,20 +248,20 @@
     store, view = opened(path, events)
     check_look_ups(view)
     reference = played()
-    reference.dirty()
+    reference.take_changed_pages()
     further = put_in_both(view, reference)
-    written = store.write(view.dirty())
+    written = store.write(view.take_changed_pages())
     store.close()
     store, again = opened(path, events)
     store.close()
 
     assert written and events == []
     assert again.digest("ap") == further.digest == reference.digest("ap")
-    assert again.tenant("t1") == reference.tenant("t1") == 0.125
+    assert again.tenant_quota("t1") == reference.tenant_quota("t1") == 0.125
     assert again.range_digests("eu") == reference.range_digests("eu")
 
 
-def put_in_both(view: View, reference: View) -> Applied:
+def put_in_both(view: View, reference: View) -> ApplyResult:
     """One more change of the first region, to a view from the store and to one that played all inputs."""
     head = next(one for one in view.positions() if one.region == "ap")
     upto = Version(head.epoch, head.sequence + 1)
--- a/tests/distribution/view/helpers.py
+++ b/tests/distribution/view/helpers.py
@@ -26,7 +26,7 @@
 
 def reloaded(view: View, pages: dict) -> View:
     """The view that a restart gives: `pages` is what earlier calls have stored."""
-    for page in view.dirty():
+    for page in view.take_changed_pages():
         pages[page[:3]] = page
     fresh = new_view()
     fresh.load(sorted(page for page in pages.values() if page.body is not None))
@@ -62,13 +62,13 @@
     for region in model.positions:
         assert view.digest(region) == model.digest(region)
         assert view.range_digests(region) == struct.pack(">1024Q", *model.ranges(region))
-    assert {(r.region, r.kind, r.name, r.version.sequence) for r in view.refused()} == model.refused()
+    assert {(r.region, r.kind, r.name, r.version.sequence) for r in view.rejected()} == model.refused()
     for name in names.get(Kind.TENANT, ()):
         value = model.value(Kind.TENANT, name)
         share = None if value is None else msgspec.msgpack.decode(value, type=TenantValue).share
-        assert view.tenant(name) == share
+        assert view.tenant_quota(name) == share
     for service in {name.partition("/")[0] for name in names.get(Kind.INSTANCE, ())}:
-        assert {(tuple(one.entry), one.address) for one in view.listed(service)} == expected_service(
+        assert {(tuple(one.entry), one.address) for one in view.endpoints(service)} == expected_service(
             model, service
         )
     for name in names.get(Kind.ROUTES, ()):
--- a/tests/distribution/view/test_model.py
+++ b/tests/distribution/view/test_model.py
@@ -75,11 +75,11 @@
     @rule(number=st.integers(0, 99))
     def repeat_an_earlier_batch(self, number) -> None:
         if self.history:
-            before = self.view.dirty()
+            before = self.view.take_changed_pages()
             for page in before:
                 self.pages[page[:3]] = page
             applied = self.view.apply(self.history[number % len(self.history)])
-            assert applied.taken == 0 and not applied.refused and not self.view.dirty()
+            assert applied.applied == 0 and not applied.rejected and not self.view.take_changed_pages()
 
     @rule(region=st.sampled_from(REGIONS))
     def next_epoch(self, region) -> None:
--- a/tests/distribution/view/test_routes.py
+++ b/tests/distribution/view/test_routes.py
@@ -118,9 +118,9 @@
 def test_a_change_is_examined_in_a_step_for_each_rule_and_not_at_all_where_it_is_held():
     text = "\n".join(f'route r{n} {{ when path starts "/p{n}/" method "look" }}' for n in range(26))
     view, one = new_view(), change(Kind.ROUTES, "shop", text.encode(), 1)
-    assert len(list(view.examining(one))) == 27 and len(view.ahead) == 1
+    assert len(list(view.validation_steps(one))) == 27 and len(view.prevalidated) == 1
     view.apply(batch(one))
-    assert list(view.examining(one)) == [] and not view.ahead
+    assert list(view.validation_steps(one)) == [] and not view.prevalidated
 
 
 def test_only_rules_that_a_request_can_meet_are_read():
@@ -153,18 +153,18 @@
             change(Kind.ROUTES, "many", b"route r { when always }" * (RULES_MOST + 1), 3),
         )
     )
-    assert [(one.name, one.reason.partition(": ")[2]) for one in applied.refused] == [
+    assert [(one.name, one.reason.partition(": ")[2]) for one in applied.rejected] == [
         ("many", f"more than {RULES_MOST} routes")
     ]
 
 
 def test_compiled_sets_are_bounded_and_all_sets_answer():
-    view = new_view(ViewLimits(compiled_bytes=50_000))
+    view = new_view(ViewLimits(max_compiled_bytes=50_000))
     names = [f"s{number}" for number in range(100)]
     view.apply(batch(*(change(Kind.ROUTES, name, route_text("look"), n + 1) for n, name in enumerate(names))))
     for _ in range(3):
         for name in names:
             assert view.routes(name).find(Request(name, "/a")).method == "look"
-    tables = view.by_authority.compiled.values()
+    tables = view.route_table.compiled.values()
     assert 0 < len(tables) < 12
-    assert view.by_authority.cost == sum(one.cost for one in tables) <= 50_000 + RULE_BYTES
+    assert view.route_table.cost == sum(one.cost for one in tables) <= 50_000 + RULE_BYTES
--- a/tests/distribution/view/test_serving.py
+++ b/tests/distribution/view/test_serving.py
@@ -23,7 +23,7 @@
 from linenbridge.distribution.hosting.gateway import open_view
 from linenbridge.distribution.hosting.methods import Methods
 from linenbridge.logging.event_log import Log
-from linenbridge.distribution.view.serving import RoutesByAuthority, TenantShares
+from linenbridge.distribution.view.serving import RoutesByAuthority, TenantQuotas
 from linenbridge.distribution.storage.view_store import ViewStore, fingerprint
 from linenbridge.distribution.view.view import View
 from linenbridge.faults.process import free_port
@@ -58,7 +58,7 @@
         while name not in found:
             text = rules(seeded)
             view = new_view()
-            if not view.apply(batch(change(Kind.ROUTES, name, text.encode(), 1))).refused:
+            if not view.apply(batch(change(Kind.ROUTES, name, text.encode(), 1))).rejected:
                 found[name] = text
     return found
 
@@ -134,14 +134,14 @@
     view.apply(batch(change(Kind.ROUTES, "desk", route_text("look", "/b"), 2)))
     second = answers(bench, [("/a", "desk"), ("/b", "desk")])
     assert "immediate_response" in second[0] and "request_headers" in second[1]
-    assert view.apply(batch(change(Kind.ROUTES, "desk", b"route x {", 3))).refused
+    assert view.apply(batch(change(Kind.ROUTES, "desk", b"route x {", 3))).rejected
     assert answers(bench, [("/b", "desk")])[0] == second[1]
 
 
 def test_shares_are_the_views_and_else_the_settings_own():
     view = new_view()
     view.apply(batch(change(Kind.TENANT, "t1", tenant_value(0.25), 1)))
-    shares = TenantShares(view, {"t1": 0.5, "t2": 0.75})
+    shares = TenantQuotas(view, {"t1": 0.5, "t2": 0.75})
     assert (shares.get("t1", 1.0), shares.get("t2", 1.0), shares.get("t3", 1.0)) == (0.25, 0.75, 1.0)
     assert "t3" not in shares and len(shares) == 1
     with pytest.raises(TypeError):
@@ -162,7 +162,7 @@
     view = new_view()
     view.apply(batch(change(Kind.TENANT, "t1", tenant_value(0.05), 1)))
     view.apply(batch(change(Kind.TENANT, "t2", tenant_value(0.5), 2)))
-    by_view = utilities(TenantShares(view, {}))
+    by_view = utilities(TenantQuotas(view, {}))
     assert by_view == utilities({"t1": 0.05, "t2": 0.5})
     assert by_view != utilities({"t1": 0.5, "t2": 0.05})
 
@@ -196,7 +196,7 @@
         view = View(methods, LONGEST)
         store.open(view.load)
         view.apply(batch(change(Kind.ROUTES, "desk", route_text(methods[0].name, "/spread"), 1)))
-        store.write(view.dirty())
+        store.write(view.take_changed_pages())
         store.close()
 
     def is_routed(self, path: str, authority: str) -> bool:
@@ -219,7 +219,7 @@
         settings = distribution(read(str(tmp_path / "s.xml")))
         view, store = open_view(settings, Methods(METHODS, LONGEST), Log(io.BytesIO()))
         store.close()
-        assert view.by_authority.compiled_bytes == expected
+        assert view.route_table.max_compiled_bytes == expected
 
 
 def test_beside_a_processor_a_distribution_is_a_gateways(tmp_path):
--- a/tests/distribution/view/test_store.py
+++ b/tests/distribution/view/test_store.py
@@ -34,7 +34,7 @@
 
     def apply(self, one: Apply) -> bool:
         self.view.apply(one)
-        return self.store.write(self.view.dirty())
+        return self.store.write(self.view.take_changed_pages())
 
     def names(self) -> list[str]:
         return [name for name, _ in self.events]
@@ -63,15 +63,15 @@
     return (
         table is not None
         and table.find(Request("shop", "/a")).method == "look"
-        and view.tenant("t1") == share
-        and [one.name for one in view.refused()] == ["bad"]
+        and view.tenant_quota("t1") == share
+        and [one.name for one in view.rejected()] == ["bad"]
         and all(view.instances(f"s{number}")[0].build == first for number in range(SERVICES))
         and view.positions()[0].sequence == first + 2 + SERVICES
     )
 
 
 def is_empty(view: View) -> bool:
-    return not view.positions() and view.routes("shop") is None and view.tenant("t1") is None
+    return not view.positions() and view.routes("shop") is None and view.tenant_quota("t1") is None
 
 
 @pytest.fixture
@@ -117,8 +117,8 @@
     life.apply(batch(change(Kind.TENANT, "t1", b"", 202), change(Kind.TENANT, "bad", b"", 203)))
     life.store.close()
     view = Life(kept).view
-    assert view.instances("s3") == [] and view.routes("shop") is None and view.tenant("t1") is None
-    assert view.refused() == [] and view.instances("s4") != []
+    assert view.instances("s3") == [] and view.routes("shop") is None and view.tenant_quota("t1") is None
+    assert view.rejected() == [] and view.instances("s4") != []
 
 
 def test_an_older_file_put_back_is_an_older_version_and_goes_on_from_there(kept, tmp_path):
@@ -185,7 +185,9 @@
 
 def test_pages_that_do_not_fit_together_are_set_aside(kept):
     life = Life(kept)
-    page = next(page for page in new_view_with(content(1, 0.5)).dirty() if page.kind == Kind.INSTANCE)
+    page = next(
+        page for page in new_view_with(content(1, 0.5)).take_changed_pages() if page.kind == Kind.INSTANCE
+    )
     life.store.write([page._replace(number=7)])
     life.store.close()
     life = Life(kept)
@@ -232,7 +234,7 @@
     assert not life.apply(batch(*many))
     assert isinstance(life.store.error, ViewStoreError) and life.names() == ["distribution.store_lost"]
     assert "FullError" in life.events[0][1]["what"] and life.events[0][1]["do"]
-    assert life.view.tenant("t7") == 0.1 and not life.apply(batch(change(Kind.TENANT, "t1", b"", 9000)))
+    assert life.view.tenant_quota("t7") == 0.1 and not life.apply(batch(change(Kind.TENANT, "t1", b"", 9000)))
     assert holds(Life(kept).view, 1, 0.5)
 
 
@@ -246,7 +248,7 @@
 def test_a_folder_that_is_not_there_is_said(tmp_path):
     life = Life(str(tmp_path / "none" / "view.db"))
     assert life.names() == ["distribution.store_lost"] and not life.apply(content(1, 0.5))
-    assert life.view.tenant("t1") == 0.5
+    assert life.view.tenant_quota("t1") == 0.5
 
 
 def test_a_file_that_cannot_be_written_still_serves_what_it_holds(kept, monkeypatch):
@@ -266,7 +268,7 @@
 def test_a_write_from_a_thread_of_its_own(kept):
     life = Life(kept)
     life.view.apply(content(100, 0.25))
-    pages, done = life.view.dirty(), []
+    pages, done = life.view.take_changed_pages(), []
     thread = threading.Thread(target=lambda: done.append(life.store.write(pages)))
     thread.start()
     thread.join()
@@ -280,6 +282,6 @@
     life.apply(content(1, 0.5))
     life.view.apply(content(100, 0.25))
     assert holds(Life(_copy_of_a_kill(path)).view, 1, 0.5)
-    life.store.write(life.view.dirty())
+    life.store.write(life.view.take_changed_pages())
     assert holds(Life(_copy_of_a_kill(path)).view, 100, 0.25)
     assert life.view.positions()[0].version == Version(1, 102 + SERVICES)
--- a/tests/scale/hollow.py
+++ b/tests/scale/hollow.py
@@ -30,7 +30,7 @@
 from linenbridge.distribution.configuration import DistributionSettings, Region, Role
 from linenbridge.distribution.decisions import Apply, ReplaceRange
 from linenbridge.distribution.hosting.gateway import Gateway
-from linenbridge.distribution.view.results import Applied
+from linenbridge.distribution.view.results import ApplyResult
 from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
 from linenbridge.distribution.view.values import Value, ValueChecks
 from linenbridge.distribution.view.view import View
@@ -119,12 +119,12 @@
 
     gateway, recorder = "", None
 
-    def apply(self, batch: Apply) -> Applied:
+    def apply(self, batch: Apply) -> ApplyResult:
         applied = super().apply(batch)
         self._record(batch.region, batch.changes)
         return applied
 
-    def replace(self, content: ReplaceRange) -> Applied:
+    def replace(self, content: ReplaceRange) -> ApplyResult:
         applied = super().replace(content)
         self._record(content.region, content.changes)
         return applied
@@ -250,7 +250,7 @@
             return
         name = self.random.choice(list(self.gateways))
         view = self.gateways[name].view
-        authorities = [authority for page in view.by_authority.pages for authority in page]
+        authorities = [authority for page in view.route_table.pages for authority in page]
         if not authorities:
             return
         authority = self.random.choice(sorted(authorities))
@@ -266,7 +266,7 @@
     def _zones(self, name: str, view: View, service: str) -> None:
         """All instances of a lost zone are gone together."""
         for zone in {entry.zone for entry in view.instances(service)}:
-            if view.by_zone.lost(zone):
+            if view.zone_table.lost(zone):
                 states = [entry.state for entry in view.instances(service) if entry.zone == zone]
                 marks = ["gone" if state == GONE else "there" for state in states]
                 self.recorder.write(Answered(now(), name, f"{service} {zone}", [*marks, "gone"]))
--- a/tests/scale/measure/view.py
+++ b/tests/scale/measure/view.py
@@ -148,7 +148,7 @@
     for change in changes:
         batch.append(change)
         if change.kind == Kind.ROUTES:
-            view.ahead[digest_of(change)] = packed(change.value)
+            view.prevalidated[digest_of(change)] = packed(change.value)
         if len(batch) == BATCH:
             apply(view, batch)
             batch = []
@@ -205,7 +205,7 @@
     values = [msgspec.msgpack.encode(TenantValue(share)) for share in (0.25, 0.75)]
     return {
         "one change": change_time(view, author, Kind.TENANT, name, values),
-        "one look-up": processor_time(lambda: view.tenant(name), 1_000),
+        "one look-up": processor_time(lambda: view.tenant_quota(name), 1_000),
         "memory of tenants": held,
     }
 
@@ -231,7 +231,7 @@
         path, methods = str(Path(folder) / "view.db"), fingerprint(method.name for method in METHODS)
         store = ViewStore(path, methods, lambda *_, **__: None)
         store.open()
-        if not store.write(filled(all_changes(Author(), count)).dirty()):
+        if not store.write(filled(all_changes(Author(), count)).take_changed_pages()):
             raise RuntimeError(f"the store could not be written: {store.error}")
         store.close()
 
--- a/tests/scale/tables/process.py
+++ b/tests/scale/tables/process.py
@@ -93,7 +93,7 @@
         if frame.what != FILL and not after_fill:
             after_fill = resident()
         applying[frame.what].append(processor_time(lambda frame=frame: take(view, frame)))
-        storing[frame.what].append(processor_time(lambda: store.write(view.dirty())))
+        storing[frame.what].append(processor_time(lambda: store.write(view.take_changed_pages())))
     told = {
         "base": base,
         "filled": after_fill,
@@ -110,8 +110,8 @@
 
 def take(view: View, frame: Frame) -> None:
     found = view.replace(frame.content) if frame.batch is None else view.apply(frame.batch)
-    if found.refused:
-        raise SystemExit(f"refused: {found.refused[0]}")
+    if found.rejected:
+        raise SystemExit(f"refused: {found.rejected[0]}")
 
 
 # ---- looking up --------------------------------------------------------------------------------------
@@ -124,7 +124,7 @@
     content = Content(Size().scaled(share), SEED)
     first = content.services[0]
     answer = view.routes(first)
-    if answer is None or view.tenant(content.tenant(0)) is None or not view.instances(first):
+    if answer is None or view.tenant_quota(content.tenant(0)) is None or not view.instances(first):
         raise SystemExit("the store holds nothing")
     told: dict = {"answered_at": time.monotonic_ns(), "base": base}
     told["restored"] = resident()
@@ -141,10 +141,10 @@
 def page_bytes(view: View) -> dict[str, int]:
     """Bytes of the packed pages, and of the sets compiled at present as they are counted."""
     return {
-        "tenants": sum(map(len, view.by_tenant.pages)),
-        "routes": sum(map(len, view.by_authority.pieces)),
-        "instances": sum(map(len, view.by_service.pieces)),
-        "compiled": view.by_authority.cost,
+        "tenants": sum(map(len, view.tenant_table.pages)),
+        "routes": sum(map(len, view.route_table.buckets)),
+        "instances": sum(map(len, view.instance_table.buckets)),
+        "compiled": view.route_table.cost,
     }
 
 
@@ -152,10 +152,10 @@
     """Look-ups of each table, at random over all of it or over what is in use."""
     chosen, tenants = random.Random(SEED), content.size.tenants
     names = (content.tenant(chosen.randrange(tenants)) for _ in range(LOOKUPS))
-    told = {"tenant": spread(processor_time(lambda name=name: view.tenant(name)) for name in names)}
+    told = {"tenant": spread(processor_time(lambda name=name: view.tenant_quota(name)) for name in names)}
     cold = chosen.sample(content.services, min(COLD_LOOKUPS, len(content.services)))
     requests = [(name, request_of(view, name, chosen)) for name in cold]
-    view.by_authority.clear()
+    view.route_table.clear()
     told["routes cold"] = spread(asked(view, *one) for one in requests)
     requests, used = requests[:COMPILED_SERVICES], cold[:COMPILED_SERVICES]
     for one in requests:
@@ -166,7 +166,7 @@
         view.use(name)
     entries = (chosen.choice(used) for _ in range(LOOKUPS))
     told["instance in use"] = spread(
-        processor_time(lambda name=name: view.by_service.find(name)) for name in entries
+        processor_time(lambda name=name: view.instance_table.find(name)) for name in entries
     )
     return told
 
