--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -158,8 +158,8 @@
             "digests_differed": counters.differed,
             "relays_lost": counters.lost,
             "relays_silent": counters.silences,
-            "changes_taken": view.counts["applied"],
-            "changes_refused": view.counts["rejected"],
+            "changes_taken": view.counters.applied,
+            "changes_refused": view.counters.rejected,
             "keys_refused": len(view.rejected()),
         }
 
--- a/linenbridge/distribution/view/instances.py
+++ b/linenbridge/distribution/view/instances.py
@@ -1,32 +1,38 @@
-"""All instances, packed: some pages for each service, each page unpacked only while it is changed or read.
+"""All instances, packed in compressed pages; the services in use are kept unpacked as well.
 
-Keeps state without I/O. A service with many instances has many pages, found by a hash of the instance and
-split one at a time (linear hashing), so that a change costs one page whatever the service's size. Services in
-use are kept unpacked. It must never know what an instance is chosen for.
+A service with many instances has many pages. An instance's page follows from a hash of its name, and pages
+are split one at a time (linear hashing, W. Litwin, VLDB 1980), so that a change costs one page whatever the
+size of the service. The table does no I/O and knows nothing of how instances are selected.
 """
 
 from __future__ import annotations
 
 import zlib
-from collections.abc import Callable, Collection, Iterable, Iterator
+from collections.abc import Collection, Iterable, Iterator
+from typing import NamedTuple
 
 import msgspec
 from msgspec import Raw, Struct
 
 from linenbridge.distribution.changes import (
-    RANGES, Change, InstanceValue, Kind, digest_of, range_of,
-)  # fmt: skip
+    RANGES,
+    Change,
+    InstanceValue,
+    Kind,
+    digest_of,
+    range_of,
+)
 from linenbridge.distribution.view.packing import names, packed_entry, value_of, with_value
 from linenbridge.distribution.view.regions import Region, Regions
 from linenbridge.distribution.view.results import PageKind, StoredPage
-from linenbridge.distribution.view.tables import first_by_region
+from linenbridge.distribution.view.tables import record_in_force
 
-MAX_PAGE_INSTANCES = 48  # instances in a page from which on the service gets one page more
-COMPRESSION_LEVEL = 6  # of compression: the smallest that is still as small as the largest level makes them
+MAX_PAGE_INSTANCES = 48  # instances in a page; with one more the service gets another page
+COMPRESSION_LEVEL = 6  # zlib's; the lowest level that compresses as well as the highest does
 
 
 class InstanceRecord(Struct, array_like=True, frozen=True):
-    """One region's entry of an instance, its value as it was published."""
+    """One region's record of an instance, its value as it was published."""
 
     name: str
     region: int
@@ -36,7 +42,7 @@
 
 
 class DecodedInstanceRecord(Struct, array_like=True, frozen=True):
-    """An InstanceRecord with its value read."""
+    """An InstanceRecord with its value decoded."""
 
     name: str
     region: int
@@ -45,23 +51,46 @@
     value: InstanceValue
 
 
-PageRecords = dict[tuple[str, int], InstanceRecord]  # by instance and region
+class InstanceKey(NamedTuple):
+    """The two parts of the name of a change of kind INSTANCE."""
+
+    service: str
+    instance: str
+
+
+class InstanceUpdate(NamedTuple):
+    """One changed instance of a service in use, with its value in force; a removed one has its last value."""
+
+    name: str
+    value: InstanceValue
+    removed: bool
+
+
+class PackedPages(NamedTuple):
+    """All pages of a service, packed, and the numbers of those that changed."""
+
+    pages: tuple[bytes, ...]
+    changed: set[int]
+
+
+PageRecords = dict[tuple[str, int], InstanceRecord]  # by instance and region index
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(list[InstanceRecord]).decode
 _decode_pages = msgspec.msgpack.Decoder(tuple[bytes, ...]).decode
-_read = msgspec.msgpack.Decoder(list[DecodedInstanceRecord]).decode
+_decode_with_values = msgspec.msgpack.Decoder(list[DecodedInstanceRecord]).decode
 
 
 class UnpackedService:
-    """One service's pages while they are changed."""
+    """The pages of one service while they are changed; a page is unpacked at its first use."""
 
     def __init__(self, pages: tuple[bytes, ...]) -> None:
+        """Take over the packed pages; a service without pages gets an empty one."""
         self.packed = list(pages) or [b""]
         self.unpacked: dict[int, PageRecords] = {}
-        self.written: set[int] = set()
+        self.changed: set[int] = set()
 
     def page(self, number: int) -> PageRecords:
-        """A page, unpacked."""
+        """Return the records of a page."""
         if number not in self.unpacked:
             packed = self.packed[number]
             records = _decode(zlib.decompress(packed)) if packed else []
@@ -69,40 +98,45 @@
         return self.unpacked[number]
 
     def get(self, instance: str, region: int) -> InstanceRecord | None:
+        """Return the region's record of an instance; None if there is none."""
         return self.page(page_number(instance, len(self.packed))).get((instance, region))
 
     def put(self, record: InstanceRecord) -> None:
+        """Set a record; a page that is full then makes the service split a page."""
         number = page_number(record.name, len(self.packed))
         page = self.page(number)
         page[record.name, record.region] = record
-        self.written.add(number)
+        self.changed.add(number)
         if len(page) > MAX_PAGE_INSTANCES:
             self._split()
 
     def remove(self, instance: str, region: int) -> InstanceRecord | None:
+        """Remove and return the region's record of an instance; None if there is none."""
         number = page_number(instance, len(self.packed))
         record = self.page(number).pop((instance, region), None)
         if record is not None:
-            self.written.add(number)
+            self.changed.add(number)
         return record
 
     def _split(self) -> None:
-        """One page more: it takes its part of the one page that its instances were in."""
-        count = len(self.packed) + 1
-        source, target = count - 1 - _level(count - 1), count - 1
+        """Add a page and move its share of records there from the one page that had them."""
+        target = len(self.packed)
+        source = target - _level(target)
+        count = target + 1
         self.packed.append(b"")
-        old, new = self.page(source), self.page(target)
+        old = self.page(source)
+        new = self.page(target)
         for key in [key for key in old if page_number(key[0], count) == target]:
             new[key] = old.pop(key)
-        self.written |= {source, target}
+        self.changed |= {source, target}
 
-    def commit(self) -> tuple[tuple[bytes, ...], set[int]]:
-        """The pages, packed, and the numbers of those written to. No pages where nothing is left."""
-        for number in self.written:
+    def pack(self) -> PackedPages:
+        """Pack the changed pages. A service without records has no pages."""
+        for number in self.changed:
             records = list(self.unpacked[number].values())
             self.packed[number] = zlib.compress(_encode(records), COMPRESSION_LEVEL) if records else b""
         pages = tuple(self.packed) if any(self.packed) else ()
-        return pages, self.written
+        return PackedPages(pages, self.changed)
 
 
 def _level(count: int) -> int:
@@ -111,46 +145,50 @@
 
 
 def page_number(instance: str, count: int) -> int:
-    """Which of a service's pages an instance is in."""
-    hashed, level = zlib.crc32(instance.encode()), _level(count)
+    """Return which of a service's `count` pages an instance is in."""
+    hashed = zlib.crc32(instance.encode())
+    level = _level(count)
     number = hashed % (2 * level)
     return number if number < count else hashed % level
 
 
 class InstanceTable:
-    """All services' instances; those of services in use are unpacked."""
+    """Instances by service and name; a `tables.RecordTable`."""
 
     def __init__(self, regions: Regions) -> None:
+        """Create an empty table; `regions` names the region of an index."""
         self.regions = regions
-        self.buckets = [b""] * RANGES  # of the range's services: see packing.py
-        self.loading: tuple[str, list[bytes]] = ("", [])  # a service, and its pages while they come
+        self.buckets = [b""] * RANGES  # by range, of its services: see packing.py
         self.unpacked: dict[str, UnpackedService] = {}
         self.changed: set[tuple[str, int]] = set()
         self.in_use: dict[str, dict[str, InstanceValue]] = {}
-        self.changed_values: dict[str, dict[str, InstanceValue]] = {}
+        self.last_values: dict[str, dict[str, InstanceValue]] = {}  # of changed instances of services in use
+        self._loading_service = ""
+        self._loading_pages: list[bytes] = []
 
     def services(self) -> Iterator[str]:
+        """Yield every service that has instances."""
         for bucket in self.buckets:
             yield from names(bucket)
 
     def _pages(self, service: str) -> tuple[bytes, ...]:
-        """The packed pages of a service; none where it has no instance."""
+        """The packed pages of a service; none if it has no instance."""
         pages = value_of(self.buckets[_range(service)], service)
         return () if pages is None else _decode_pages(pages)
 
     # ---- look-ups --------------------------------------------------------------------------------
 
     def find(self, service: str) -> dict[str, InstanceValue]:
-        """The instances in force of a service, by name."""
+        """Return the instances in force of a service, by name."""
         found = self.in_use.get(service)
         return self.read(service) if found is None else found
 
     def read(self, service: str) -> dict[str, InstanceValue]:
-        """The instances in force of a service, unpacked."""
+        """Return the instances in force of a service from its packed pages, by name."""
         found: dict[str, InstanceValue] = {}
         for page in self._pages(service):
             if page:
-                found.update(self._in_force(_read(zlib.decompress(page))))
+                found.update(self._in_force(_decode_with_values(zlib.decompress(page))))
         return found
 
     def _in_force(self, records: Iterable[DecodedInstanceRecord]) -> dict[str, InstanceValue]:
@@ -158,128 +196,143 @@
         for record in records:
             by_name.setdefault(record.name, {})[record.region] = record.value
         regions = self.regions.by_index
-        return {name: first_by_region(found, regions) for name, found in by_name.items()}  # type: ignore[misc]
+        return {name: record_in_force(found, regions) for name, found in by_name.items()}
 
     def use(self, service: str) -> None:
-        """Keep the service unpacked from now on."""
+        """Keep the service unpacked, and include it in `take_updates`, from now on."""
         self.in_use.setdefault(service, self.read(service))
 
     def release(self, service: str) -> None:
+        """Stop keeping the service unpacked."""
         self.in_use.pop(service, None)
 
     # ---- changes ---------------------------------------------------------------------------------
 
     def digest(self, region: Region, name: str) -> int:
-        service, instance = _split_name(name)
-        record = self._opened(service).get(instance, region.index)
+        """Return the digest of the region's record of an instance; 0 if there is none."""
+        key = _key(name)
+        record = self._service_to_change(key.service).get(key.instance, region.index)
         if record is None:
             return 0
         value = bytes(record.value)
         return digest_of(Change(region.name, record.epoch, record.sequence, Kind.INSTANCE, name, value))
 
     def put(self, region: Region, change: Change, value: InstanceValue) -> None:
-        service, instance = _split_name(change.name)
-        record = InstanceRecord(instance, region.index, change.epoch, change.sequence, Raw(change.value))
-        self._opened(service).put(record)
-        self._note_change(service, instance, value)
+        """Set the region's record of an instance."""
+        key = _key(change.name)
+        record = InstanceRecord(key.instance, region.index, change.epoch, change.sequence, Raw(change.value))
+        self._service_to_change(key.service).put(record)
+        self._note_change(key, value)
 
     def remove(self, region: Region, name: str) -> None:
-        service, instance = _split_name(name)
-        record = self._opened(service).remove(instance, region.index)
-        if record is not None and service in self.in_use:
-            self._note_change(service, instance, msgspec.msgpack.decode(record.value, type=InstanceValue))
+        """Remove the region's record of an instance, if there is one."""
+        key = _key(name)
+        record = self._service_to_change(key.service).remove(key.instance, region.index)
+        if record is not None and key.service in self.in_use:
+            self._note_change(key, msgspec.msgpack.decode(record.value, type=InstanceValue))
 
     def retain(self, region: Region, number: int, retained: Collection[str]) -> None:
+        """Remove the region's records of all other instances of the range `number`."""
         for service in list(names(self.buckets[number])):
-            opened = self._opened(service)
-            for page in range(len(opened.packed)):
-                for instance, index in list(opened.page(page)):
+            unpacked = self._service_to_change(service)
+            for page in range(len(unpacked.packed)):
+                for instance, index in list(unpacked.page(page)):
                     name = f"{service}/{instance}"
                     if index == region.index and name not in retained:
                         self.remove(region, name)
 
-    def _opened(self, service: str) -> UnpackedService:
-        opened = self.unpacked.get(service)
-        if opened is None:
-            opened = self.unpacked[service] = UnpackedService(self._pages(service))
-        return opened
+    def _service_to_change(self, service: str) -> UnpackedService:
+        unpacked = self.unpacked.get(service)
+        if unpacked is None:
+            unpacked = UnpackedService(self._pages(service))
+            self.unpacked[service] = unpacked
+        return unpacked
 
-    def _note_change(self, service: str, instance: str, value: InstanceValue) -> None:
-        if service in self.in_use:
-            self.changed_values.setdefault(service, {})[instance] = value
+    def _note_change(self, key: InstanceKey, value: InstanceValue) -> None:
+        if key.service in self.in_use:
+            self.last_values.setdefault(key.service, {})[key.instance] = value
 
     def commit(self) -> None:
-        opened, self.unpacked = self.unpacked, {}
-        for service, one in opened.items():
-            self._pack(service, one)
-
-    def _pack(self, service: str, opened: UnpackedService) -> None:
-        after, written = opened.commit()
-        if not written:
+        """Pack the services that changed since the last call."""
+        unpacked = self.unpacked
+        self.unpacked = {}
+        for service, content in unpacked.items():
+            self._pack(service, content)
+
+    def _pack(self, service: str, content: UnpackedService) -> None:
+        packed = content.pack()
+        if not packed.changed:
             return
-        before, number = self._pages(service), _range(service)
-        value = _encode(after) if after else None
+        before = self._pages(service)
+        number = _range(service)
+        value = _encode(packed.pages) if packed.pages else None
         self.buckets[number] = with_value(self.buckets[number], service, value)
-        for number in written | set(range(len(after), len(before))):
-            self.changed.add((service, number))
-
-    def changed_in_use(self, render: Callable[[str, InstanceValue, bool], object]) -> dict[str, list]:
-        """What changed of the services in use since the last call: `render(instance, value, gone)` of
-        each."""
-        changed_values, self.changed_values = self.changed_values, {}
-        updates: dict[str, list] = {}
-        for service, values in changed_values.items():
-            now = self.in_use[service]
-            self._refresh(service, now, values)
+        for page in packed.changed | set(range(len(packed.pages), len(before))):
+            self.changed.add((service, page))
+
+    def take_updates(self) -> dict[str, list[InstanceUpdate]]:
+        """Return the instances that changed since the last call, by service in use."""
+        changed = self.last_values
+        self.last_values = {}
+        updates: dict[str, list[InstanceUpdate]] = {}
+        for service, last_values in changed.items():
+            values = self.in_use[service]
+            self._refresh(service, values, last_values)
             updates[service] = [
-                render(name, now.get(name, last), name not in now) for name, last in values.items()
+                InstanceUpdate(name, values.get(name, last), name not in values)
+                for name, last in last_values.items()
             ]
         return updates
 
-    def _refresh(self, service: str, now: dict[str, InstanceValue], names: Collection[str]) -> None:
-        """The named instances of a service in use, as its pages have them."""
+    def _refresh(self, service: str, values: dict[str, InstanceValue], changed: Collection[str]) -> None:
+        """Set the changed instances of a service in use to what its packed pages have."""
         pages = self._pages(service)
-        numbers = {page_number(name, len(pages)) for name in names} if pages else set()
+        numbers = {page_number(name, len(pages)) for name in changed} if pages else set()
         fresh: dict[str, InstanceValue] = {}
         for number in numbers:
             if pages[number]:
-                fresh.update(self._in_force(_read(zlib.decompress(pages[number]))))
-        for name in names:
+                fresh.update(self._in_force(_decode_with_values(zlib.decompress(pages[number]))))
+        for name in changed:
             if name in fresh:
-                now[name] = fresh[name]
+                values[name] = fresh[name]
             else:
-                now.pop(name, None)
+                values.pop(name, None)
 
-    # ---- on disk ---------------------------------------------------------------------------------
+    # ---- storage ---------------------------------------------------------------------------------
 
     def take_changed_pages(self) -> Iterator[StoredPage]:
-        changed, self.changed = self.changed, set()
+        """Yield the pages that changed since the last call."""
+        changed = self.changed
+        self.changed = set()
         for service, number in sorted(changed):
             pages = self._pages(service)
             body = pages[number] if number < len(pages) else None
             yield StoredPage(PageKind.INSTANCE, service, number, body)
 
     def load(self, page: StoredPage) -> None:
-        """Pages of a service come together, in the order of their numbers."""
-        if page.name != self.loading[0]:
+        """Add one stored page; ValueError unless a service's pages arrive together and in order."""
+        if page.name != self._loading_service:
             self.finish_loading()
-            self.loading = (page.name, [])
-        pages = self.loading[1]
+            self._loading_service = page.name
+        pages = self._loading_pages
         if page.number != len(pages):
             raise ValueError(f"page {page.number} of {page.name} follows on {len(pages)} pages")
         pages.append(page.body or b"")
 
     def finish_loading(self) -> None:
-        service, pages = self.loading
+        """Pack the pages of the service that was loaded last."""
+        service = self._loading_service
+        pages = self._loading_pages
         if pages:
             self.buckets[_range(service)] += packed_entry(service, _encode(pages))
-        self.loading = ("", [])
+        self._loading_service = ""
+        self._loading_pages = []
 
 
 def _range(service: str) -> int:
     return range_of(Kind.INSTANCE, service)
 
 
-def _split_name(name: str) -> tuple[str, str]:
+def _key(name: str) -> InstanceKey:
     service, _, instance = name.partition("/")
-    return service, instance
+    return InstanceKey(service, instance)
--- a/linenbridge/distribution/view/packing.py
+++ b/linenbridge/distribution/view/packing.py
@@ -1,55 +1,68 @@
-"""Several named values in one bucket of bytes, for many small values: a name and a value cost 6 bytes beside
-their own, where a dict entry with its two objects costs some 200.
+"""A bucket: several named values in one bytes object.
 
-Decides without I/O. A look-up goes through the names in order, so that a bucket is for a dozen of them: the
-groups of one range of keys.
+A name and its value cost 6 bytes beside their own, where a dict entry with its two objects costs some 200. A
+look-up scans the names in order, so a bucket suits a dozen of them: the groups of one range of keys. Pure
+functions.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from struct import Struct as Layout
+from typing import NamedTuple
 
-HEADER = Layout(">HI")  # bytes of the name, bytes of the value
+HEADER = Layout(">HI")  # bytes of the encoded name, bytes of the value
+
+
+class _Span(NamedTuple):
+    """Offsets of one entry in its bucket: of the entry, of its value, and of the end of both."""
+
+    begin: int
+    value: int
+    end: int
 
 
 def packed_entry(name: str, value: bytes) -> bytes:
-    """A bucket that holds one value."""
+    """Return a bucket with one value. Buckets are joined by concatenation."""
     encoded_name = name.encode()
     return HEADER.pack(len(encoded_name), len(value)) + encoded_name + value
 
 
 def value_of(bucket: bytes, name: str) -> bytes | None:
-    """The value of that name; None where there is none."""
-    found = _find_entry(bucket, name.encode())
-    return None if found is None else bucket[found[1] : found[2]]
+    """Return the value under a name; None if the bucket has none."""
+    span = _find(bucket, name.encode())
+    return None if span is None else bucket[span.value : span.end]
 
 
 def with_value(bucket: bytes, name: str, value: bytes | None) -> bytes:
-    """The bucket with another value of that name, or without it."""
-    found = _find_entry(bucket, name.encode())
-    begin, _, end = (len(bucket),) * 3 if found is None else found
-    new = b"" if value is None else packed_entry(name, value)
-    return b"".join((bucket[:begin], new, bucket[end:]))
+    """Return the bucket with another value under a name, or without the name if the value is None."""
+    span = _find(bucket, name.encode())
+    entry = b"" if value is None else packed_entry(name, value)
+    if span is None:
+        return bucket + entry
+    return b"".join((bucket[: span.begin], entry, bucket[span.end :]))
 
 
 def names(bucket: bytes) -> Iterator[str]:
-    """Every name, in no particular order."""
-    at = 0
-    while at < len(bucket):
-        name, value = HEADER.unpack_from(bucket, at)
-        at += HEADER.size
-        yield bucket[at : at + name].decode()
-        at += name + value
-
-
-def _find_entry(bucket: bytes, wanted: bytes) -> tuple[int, int, int] | None:
-    """Where the entry of that name begins, where its value does, and where both end."""
-    at, size, length, head = 0, len(bucket), len(wanted), HEADER.size
-    while at < size:
-        name, value = HEADER.unpack_from(bucket, at)
-        begin = at + head
-        if name == length and bucket[begin : begin + name] == wanted:
-            return at, begin + name, begin + name + value
-        at = begin + name + value
+    """Yield every name of the bucket, in no particular order."""
+    offset = 0
+    while offset < len(bucket):
+        name_size, value_size = HEADER.unpack_from(bucket, offset)
+        offset += HEADER.size
+        yield bucket[offset : offset + name_size].decode()
+        offset += name_size + value_size
+
+
+def _find(bucket: bytes, wanted: bytes) -> _Span | None:
+    offset = 0
+    size = len(bucket)
+    wanted_size = len(wanted)
+    header_size = HEADER.size
+    while offset < size:
+        name_size, value_size = HEADER.unpack_from(bucket, offset)
+        name = offset + header_size
+        if name_size == wanted_size and bucket[name : name + name_size] == wanted:
+            value = name + name_size
+            return _Span(offset, value, value + value_size)
+        offset = name + name_size + value_size
     return None
--- a/linenbridge/distribution/view/paths.py
+++ b/linenbridge/distribution/view/paths.py
@@ -1,7 +1,8 @@
-"""Which rules a request's path can meet, by its leading segments.
+"""An index of a rule set by the leading segments of a request's path.
 
-Decides without I/O. A rule whose every choice asks for a path stands where those leading segments lead; all
-others stand at the root, "". It must never leave out a rule that could take the request.
+A rule whose every alternative asks for a path is filed under the leading segments that it asks for; any other
+rule is filed under the root, "". A look-up returns every rule that can match the request, and possibly more.
+Pure functions over parsed rules.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 from linenbridge.routes.checks import Conjunction, choice, possible
 from linenbridge.routes.language import Question, Rule
 
-MAX_DEPTH = 4  # segments that are looked at
+MAX_DEPTH = 4  # path segments that the index looks at
 
 NO_RULES: list[int] = []
 
@@ -21,59 +22,62 @@
 
 
 class PathIndex(Struct, array_like=True):
-    """The rules that stand at each place, in their order; a place is some leading segments, each behind a
-    `/`."""
+    """Rule numbers by path prefix, in the order of the rules. A prefix is some leading segments, each after a
+    `/`.
+    """
 
     places: dict[str, list[int]]
 
     def candidates(self, segments: Sequence[str]) -> Sequence[int]:
-        """All rules on the way that these segments lead, in their order."""
-        places, place = self.places, ""
-        found, several = places.get(place, NO_RULES), False
+        """Return the numbers of all rules under any prefix of these segments, in the order of the rules."""
+        places = self.places
+        prefix = ""
+        found = places.get(prefix, NO_RULES)
+        merged = False
         for segment in segments[:MAX_DEPTH]:
-            place = f"{place}/{segment}"
-            here = places.get(place)
-            if here is not None:
-                several = several or bool(found)
-                found = [*found, *here]
-        return sorted(found) if several else found
+            prefix = f"{prefix}/{segment}"
+            rules_here = places.get(prefix)
+            if rules_here is not None:
+                merged = merged or bool(found)
+                found = [*found, *rules_here]
+        return sorted(found) if merged else found
 
 
 def path_index(rules: Sequence[Rule]) -> PathIndex:
-    """Over all rules of a set."""
+    """Return the index of a rule set."""
     places: dict[str, list[int]] = {}
     for number, rule in enumerate(rules):
-        for segments in _places(rule):
+        for segments in _prefixes(rule):
             places.setdefault("".join(f"/{segment}" for segment in segments), []).append(number)
     return PathIndex(places)
 
 
-def _places(rule: Rule) -> set[Segments]:
-    """Where a rule stands: the root alone where one of its choices asks for no path."""
+def _prefixes(rule: Rule) -> set[Segments]:
+    """The prefixes that a rule is filed under: the root alone if one of its alternatives asks for no path."""
     found: set[Segments] = set()
     for conjunction in choice(rule.when, rule.place):
         if possible(conjunction):
-            found |= _longest(conjunction)
+            found |= _longest_prefixes(conjunction)
     return {()} if () in found else found
 
 
-def _longest(conjunction: Conjunction) -> set[Segments]:
-    """The leading segments that a conjunction asks for, by the question that tells the most of them."""
-    prefixes: list[set[Segments]] = [{()}]
+def _longest_prefixes(conjunction: Conjunction) -> set[Segments]:
+    """The prefixes that a conjunction asks for, by the question that gives the longest ones."""
+    alternatives: list[set[Segments]] = [{()}]
     for literal in conjunction:
         if literal.wanted and literal.test.subject.kind == "path":
-            prefixes.append(_leading(literal.test))
-    return max(prefixes, key=lambda places: min(map(len, places)))
+            alternatives.append(_leading_segments(literal.test))
+    return max(alternatives, key=lambda prefixes: min(map(len, prefixes)))
 
 
-def _leading(test: Question) -> set[Segments]:
-    """The whole segments that a path starts with if the answer is yes."""
+def _leading_segments(test: Question) -> set[Segments]:
+    """The complete segments that a path begins with if it passes the test."""
     if test.operator in ("is", "in"):
-        return {_segments(literal_path) for literal_path in test.words}
+        return {_segments(path) for path in test.words}
     if test.operator == "starts":
         return {_segments(test.words[0].rpartition("/")[0])}
     return {()}
 
 
-def _segments(literal_path: str) -> Segments:
-    return tuple(literal_path.split("/")[1 : 1 + MAX_DEPTH]) if literal_path.startswith("/") else ()
+def _segments(path: str) -> Segments:
+    return tuple(path.split("/")[1 : 1 + MAX_DEPTH]) if path.startswith("/") else ()
--- a/linenbridge/distribution/view/regions.py
+++ b/linenbridge/distribution/view/regions.py
@@ -1,6 +1,6 @@
-"""How far a view is in each region's log, and the digests of what it holds of each.
+"""The position of a view in each region's log, and the digests of what it holds of each region.
 
-Keeps state without I/O. It must never know a key's value.
+Owns positions, floors (ranges that are ahead of the position) and digests; it holds no values.
 """
 
 from __future__ import annotations
@@ -16,13 +16,15 @@
 from linenbridge.distribution.view.results import PageKind, StoredPage
 
 DIGESTS_PER_PAGE = 64  # ranges whose digests share a stored page
-MAX_REGIONS = 255  # their index is one byte in packed pages
+DIGEST_BYTES = 8
+MAX_REGIONS = 255  # a region's index is one byte in packed pages
 DIGEST_MASK = (1 << 64) - 1
 
 
 class RegionRecord(Struct, array_like=True, frozen=True):
-    """A region as it is stored. `floors` are the ranges that were replaced at a version beyond the
-    position."""
+    """A region as it is stored. `floors` are the ranges that were replaced at a version after the
+    position.
+    """
 
     index: int
     position: Version
@@ -30,100 +32,120 @@
 
 
 class Region:
-    """One region's position and digests. `index` stands for its name in packed pages."""
+    """The position and the digests of one region. `index` stands for its name in packed pages."""
 
     def __init__(self, name: str, index: int) -> None:
-        self.name, self.index = name, index
+        """Create a region at the start of its log."""
+        self.name = name
+        self.index = index
         self.position = START
         self.floors: dict[int, Version] = {}
-        self.digests = array("Q", bytes(8 * RANGES))
+        self.digests = array("Q", bytes(DIGEST_BYTES * RANGES))
         self.total_digest = 0
         self.changed = True
         self.changed_pages: set[int] = set()
 
     def has_seen(self, number: int, version: Version) -> bool:
-        """Whether a change of a range at that version has been seen, or replaced by newer content."""
+        """Return whether a change of the range `number` at that version was applied or replaced by a newer
+        one.
+        """
         return version <= max(self.position, self.floors.get(number, START))
 
+    def is_ahead_of(self, number: int, version: Version) -> bool:
+        """Return whether the range `number` is complete at a newer version."""
+        return version < max(self.position, self.floors.get(number, self.position))
+
     def add(self, number: int, difference: int) -> None:
-        """One key's digest less that of its earlier version, for its range and the whole."""
+        """Add the digest of a key's new version less that of its earlier one to its range and to the
+        total.
+        """
         self.digests[number] = (self.digests[number] + difference) & DIGEST_MASK
         self.total_digest = (self.total_digest + difference) & DIGEST_MASK
         self.changed_pages.add(number // DIGESTS_PER_PAGE)
 
     def advance_to(self, upto: Version) -> None:
+        """Move the position; floors at or before it are dropped."""
         self.position = upto
         self.floors = {number: floor for number, floor in self.floors.items() if floor > upto}
         self.changed = True
 
     def raise_floor(self, number: int, upto: Version) -> None:
-        """The range is complete at `upto`, even where that is beyond the position."""
+        """Record that the range `number` is complete at `upto`, if that is after the position."""
         if upto > self.position:
             self.floors[number] = upto
             self.changed = True
 
     def digest(self) -> int | None:
-        """That of the whole table at the position; None while it stands at no single version."""
+        """Return the digest of the whole region at the position; None while single ranges are ahead of it."""
         return None if self.floors else self.total_digest
 
     def stored_position(self) -> Position:
+        """Return the position with the region's name."""
         return Position(self.name, self.position.epoch, self.position.sequence)
 
     def take_changed_pages(self) -> Iterator[StoredPage]:
-        """What has changed since the last call, to be stored."""
+        """Yield the region's page and pages of digests that changed since the last call."""
         if self.changed:
             record = RegionRecord(self.index, self.position, self.floors)
             yield StoredPage(PageKind.REGION, self.name, 0, msgspec.msgpack.encode(record))
-        for page_number in sorted(self.changed_pages):
-            part = self.digests[page_number * DIGESTS_PER_PAGE : (page_number + 1) * DIGESTS_PER_PAGE]
-            yield StoredPage(PageKind.DIGESTS, self.name, page_number, part.tobytes())
+        for number in sorted(self.changed_pages):
+            part = self.digests[number * DIGESTS_PER_PAGE : (number + 1) * DIGESTS_PER_PAGE]
+            yield StoredPage(PageKind.DIGESTS, self.name, number, part.tobytes())
         self.changed = False
         self.changed_pages = set()
 
+    def load_digests(self, page: StoredPage) -> None:
+        """Set the digests of one stored page; ValueError if it has another size."""
+        part = array("Q", page.body or b"")
+        if len(part) != DIGESTS_PER_PAGE:
+            raise ValueError(f"{len(part)} digests in a page of {DIGESTS_PER_PAGE}")
+        self.digests[page.number * DIGESTS_PER_PAGE : (page.number + 1) * DIGESTS_PER_PAGE] = part
+
 
 class Regions:
-    """All regions, by name and by index."""
+    """All regions of a view, by name and by index."""
 
     def __init__(self) -> None:
+        """Create a view's regions: none."""
         self.by_name: dict[str, Region] = {}
         self.by_index: list[Region] = []
 
     def get(self, name: str) -> Region:
-        """The region of that name; a new one takes the next index."""
+        """Return the region of that name, added if it is new; ChangeRefused if there are MAX_REGIONS
+        already.
+        """
         region = self.by_name.get(name)
         if region is None:
-            region = self._add(name, len(self.by_index))
+            region = self._add(name)
         return region
 
-    def _add(self, name: str, index: int) -> Region:
+    def _add(self, name: str) -> Region:
+        index = len(self.by_index)
         if index >= MAX_REGIONS:
             raise ChangeRefused(f"more than {MAX_REGIONS} regions", name)
-        region = self.by_name[name] = Region(name, index)
+        region = Region(name, index)
+        self.by_name[name] = region
         self.by_index.append(region)
         return region
 
     def load(self, pages: list[StoredPage]) -> None:
-        """Regions and their digests as stored."""
+        """Restore all regions from their stored pages; ValueError or a msgspec error if they do not fit
+        together.
+        """
         records = [
             (page.name, msgspec.msgpack.decode(page.body or b"", type=RegionRecord))
             for page in pages
             if page.kind == PageKind.REGION
         ]
         for name, record in sorted(records, key=lambda pair: pair[1].index):
-            region = self._add(name, len(self.by_index))
+            region = self._add(name)
             if record.index != region.index:
                 raise ValueError(f"region {name} has index {record.index} instead of {region.index}")
-            region.position, region.floors = record.position, record.floors
+            region.position = record.position
+            region.floors = record.floors
             region.changed = False
         for page in pages:
             if page.kind == PageKind.DIGESTS:
-                self._load_digests(self.by_name[page.name], page)
+                self.by_name[page.name].load_digests(page)
         for region in self.by_index:
             region.total_digest = sum(region.digests) & DIGEST_MASK
-
-    @staticmethod
-    def _load_digests(region: Region, page: StoredPage) -> None:
-        part = array("Q", page.body or b"")
-        if len(part) != DIGESTS_PER_PAGE:
-            raise ValueError(f"{len(part)} digests in a page of {DIGESTS_PER_PAGE}")
-        region.digests[page.number * DIGESTS_PER_PAGE : (page.number + 1) * DIGESTS_PER_PAGE] = part
--- a/linenbridge/distribution/view/results.py
+++ b/linenbridge/distribution/view/results.py
@@ -1,10 +1,8 @@
-"""What a view tells its host, and what it wants kept on disk, as typed values.
-
-Owns their form. It must never know a table.
-"""
+"""What a view returns to its host and asks the host to store, as typed values."""
 
 from __future__ import annotations
 
+from dataclasses import dataclass
 from enum import IntEnum
 from typing import NamedTuple
 
@@ -18,15 +16,19 @@
 
 
 class ViewLimits(Struct, frozen=True):
-    """Bounds of one view. `max_compiled_bytes` is what route sets unpacked for look-ups may take, estimated
-    (the settings' `compiled-routes`); `max_prevalidated` how many changes may be checked ahead."""
+    """Bounds of one view.
+
+    `max_compiled_bytes` bounds the estimated memory of the route sets that are unpacked for look-ups (the
+    setting `compiled-routes`), `max_prevalidated` the number of changes that are validated ahead of their
+    batch.
+    """
 
     max_compiled_bytes: int = 4_000_000
     max_prevalidated: int = 256
 
 
 class RejectedChange(Struct, frozen=True):
-    """A change that cannot be read or fails its checks: which key, which version, and why."""
+    """A change that cannot be read or fails its checks: its key, its version, and the reason."""
 
     region: str
     version: Version
@@ -35,24 +37,27 @@
     reason: str
 
     def error(self) -> ChangeRefused:
-        """As the typed error, whose text names all of it."""
+        """Return the rejection as the typed error, whose text names the key, the version and the reason."""
         kind = KIND_NAMES.get(self.kind, str(self.kind))
         place = f"{kind} {self.name} at {self.region}/{self.version.epoch}/{self.version.sequence}"
         return ChangeRefused(self.reason, place)
 
 
 class Endpoint(NamedTuple):
-    """One instance as the decision module and the processor's front take it."""
+    """One instance as the decision module and the external processor take it, with its host and port."""
 
     entry: ListEntry
     address: tuple[str, int]
 
 
 class ApplyResult(Struct, frozen=True):
-    """What one `apply` or `replace` came to. `upto` is the position from now on. `digest` is that of the
-    region's whole table there, None while single ranges are further on than the position. `routes` and
-    `zones` name what changed; `instances` has the changed entries of the services in use, those that went as
-    GONE. `skipped` counts changes that were known already."""
+    """The result of one `View.apply` or `View.replace`.
+
+    `upto` is the position after the call, `digest` the digest of the region's complete table there; None
+    while single ranges are ahead of the position. `applied` counts changes, `skipped` those that were known
+    already or do not belong to the batch. `routes` and `zones` name the keys that changed, `tenants` counts
+    them. `instances` has the changed endpoints of the services in use, removed ones in the state GONE.
+    """
 
     region: str
     upto: Version
@@ -66,8 +71,23 @@
     instances: dict[str, list[Endpoint]] = field(default_factory=dict)
 
 
+@dataclass(slots=True)
+class ViewCounters:
+    """Changes that a view has applied, skipped and rejected since its start."""
+
+    applied: int = 0
+    skipped: int = 0
+    rejected: int = 0
+
+    def add(self, result: ApplyResult) -> None:
+        """Count one result."""
+        self.applied += result.applied
+        self.skipped += result.skipped
+        self.rejected += len(result.rejected)
+
+
 class PageKind(IntEnum):
-    """What a stored page holds; the first four as `changes.Kind`."""
+    """What a stored page holds; the first four are those of `changes.Kind`."""
 
     ROUTES = 1
     TENANT = 2
@@ -79,7 +99,7 @@
 
 
 class StoredPage(NamedTuple):
-    """One page for the disk, found by kind, name and number; without a body it is to be deleted."""
+    """One page for the store, identified by kind, name and number; a page without a body is deleted."""
 
     kind: int
     name: str
--- a/linenbridge/distribution/view/routes.py
+++ b/linenbridge/distribution/view/routes.py
@@ -1,7 +1,7 @@
-"""Routes of all services: one packed set for each authority, and a bounded cache of those in use.
+"""Routes of all services: one packed rule set for each authority, and a bounded cache of those compiled for
+look-ups.
 
-Keeps state without I/O. A set is changed, kept and dropped as a whole. It must never hold a set that has
-not been checked.
+A set is changed, cached and dropped as a whole. The table holds sets that passed their checks only.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class RouteRecord(Struct, array_like=True, frozen=True):
-    """One region's set of an authority, as `rules.pack_rules` made it."""
+    """One region's rule set of an authority, as `rules.pack_rules` made it."""
 
     region: int
     epoch: int
@@ -37,23 +37,29 @@
 
 
 class RouteTable:
-    """All sets, and those that are compiled at present."""
+    """Rule sets by authority; a `tables.RecordTable`. `cost` is the estimated memory of the compiled sets,
+    bytes.
+    """
 
     def __init__(
         self, regions: Regions, methods: dict[str, Method], max_deadline: int, max_compiled_bytes: int
     ) -> None:
-        self.regions, self.methods, self.max_deadline = regions, methods, max_deadline
+        """Create an empty table; `max_deadline` is the longest deadline of a route, in microseconds."""
+        self.regions = regions
+        self.methods = methods
+        self.max_deadline = max_deadline
         self.max_compiled_bytes = max_compiled_bytes
-        self.buckets = [b""] * RANGES  # of the range's authorities: see packing.py
-        self.loading: tuple[int, list[bytes]] = (0, [])  # a range, and its entries while they come
-        self.compiled: OrderedDict[str, PackedTable] = OrderedDict()
-        self.cost = 0  # of all compiled ones
+        self.buckets = [b""] * RANGES  # by range, of its authorities: see packing.py
+        self.compiled: OrderedDict[str, PackedTable] = OrderedDict()  # the least recently used first
+        self.cost = 0
         self.changed: set[str] = set()
+        self._loading_range = 0
+        self._loading_entries: list[bytes] = []
 
     # ---- look-ups --------------------------------------------------------------------------------
 
     def find(self, authority: str) -> PackedTable | None:
-        """The set in force; None where there is none. A set that a request has found stays as it is."""
+        """Return the rule set in force; None if there is none. A set that a caller holds does not change."""
         found = self.compiled.get(authority)
         if found is not None:
             self.compiled.move_to_end(authority)
@@ -62,21 +68,25 @@
         if record is None:
             return None
         on_rule_compiled = partial(self._on_rule_compiled, authority)
-        found = self.compiled[authority] = PackedTable(
-            record.packed, self.methods, self.max_deadline, on_rule_compiled
-        )
+        found = PackedTable(record.packed, self.methods, self.max_deadline, on_rule_compiled)
+        self.compiled[authority] = found
         self.cost += found.cost
         while self.cost > self.max_compiled_bytes and len(self.compiled) > 1:
             self._drop(next(iter(self.compiled)))
         return found
 
+    def authorities(self) -> Iterator[str]:
+        """Yield every authority that has a rule set."""
+        for bucket in self.buckets:
+            yield from names(bucket)
+
     def clear(self) -> None:
-        """Let all compiled sets go."""
+        """Drop all compiled sets; the packed ones stay."""
         for authority in list(self.compiled):
             self._drop(authority)
 
     def _on_rule_compiled(self, authority: str, rules: PackedRuleList) -> None:
-        """A rule was compiled; the bound is held to when the next set is."""
+        """Count a rule that a look-up compiled; the bound is enforced when the next set is compiled."""
         table = self.compiled.get(authority)
         if table is not None and table.rules is rules:
             self.cost += RULE_BYTES
@@ -93,10 +103,12 @@
     # ---- changes ---------------------------------------------------------------------------------
 
     def digest(self, region: Region, name: str) -> int:
+        """Return the digest of the region's record of an authority; 0 if there is none."""
         record = self._records(name).get(region.index)
         return 0 if record is None else record.digest
 
     def put(self, region: Region, change: Change, value: bytes) -> None:
+        """Set the region's packed rule set of an authority."""
         records = self._records(change.name)
         records[region.index] = RouteRecord(
             region.index, change.epoch, change.sequence, digest_of(change), value
@@ -104,11 +116,13 @@
         self._store(change.name, records)
 
     def remove(self, region: Region, name: str) -> None:
+        """Remove the region's rule set of an authority, if there is one."""
         records = self._records(name)
         if records.pop(region.index, None) is not None:
             self._store(name, records)
 
     def retain(self, region: Region, number: int, retained: Collection[str]) -> None:
+        """Remove the region's rule sets of all other authorities of the range `number`."""
         for name in [name for name in names(self.buckets[number]) if name not in retained]:
             self.remove(region, name)
 
@@ -119,25 +133,28 @@
         self._drop(authority)
         self.changed.add(authority)
 
-    def commit(self) -> None: ...
+    def commit(self) -> None:
+        """Do nothing: each change packs its set."""
 
-    # ---- on disk ---------------------------------------------------------------------------------
+    # ---- storage ---------------------------------------------------------------------------------
 
     def take_changed_pages(self) -> Iterator[StoredPage]:
-        changed, self.changed = self.changed, set()
+        """Yield one page for each authority that changed since the last call."""
+        changed = self.changed
+        self.changed = set()
         for name in sorted(changed):
             body = value_of(self.buckets[range_of(Kind.ROUTES, name)], name)
             yield StoredPage(PageKind.ROUTES, name, 0, body)
 
     def load(self, page: StoredPage) -> None:
-        """Pages come range by range."""
+        """Add one stored page. Pages arrive range by range, so that a bucket is joined once."""
         number = range_of(Kind.ROUTES, page.name)
-        if number != self.loading[0]:
+        if number != self._loading_range:
             self.finish_loading()
-            self.loading = (number, [])
-        self.loading[1].append(packed_entry(page.name, page.body or b""))
+            self._loading_range = number
+        self._loading_entries.append(packed_entry(page.name, page.body or b""))
 
     def finish_loading(self) -> None:
-        number, entries = self.loading
-        self.buckets[number] += b"".join(entries)
-        self.loading = (number, [])
+        """Join the entries of the range that was loaded last."""
+        self.buckets[self._loading_range] += b"".join(self._loading_entries)
+        self._loading_entries = []
--- a/linenbridge/distribution/view/rules.py
+++ b/linenbridge/distribution/view/rules.py
@@ -1,15 +1,18 @@
-"""Checked rules of one service, packed as data, and the routing table read from them without parsing again.
+"""The checked rules of one service, packed as data, and the routing table that reads them without parsing.
 
-Decides without I/O. A packed set holds which rules a path can meet, and each rule alone, so that a look-up
-in a set that is not unpacked yet reads a few of its rules only. It must never differ from
-`routes.table.Table` for the same text: it finds and explains by the same code.
+A packed set holds the index of `paths.py` and each rule by itself, so that a look-up in a set that is not
+unpacked yet reads only the rules that its path can match. `PackedTable` finds and explains with the code of
+`routes.table.Table` and gives the same answers as the table of the same text. Pure functions and lazy
+sequences; no I/O.
 """
 
 from __future__ import annotations
 
 import zlib
+from abc import ABC, abstractmethod
 from collections.abc import Callable, Iterator, Sequence
-from typing import Any
+from enum import IntEnum
+from typing import Any, Generic, TypeVar
 
 import msgspec
 from msgspec import Raw, Struct
@@ -20,48 +23,67 @@
 from linenbridge.routes.language import Condition, Not, Part, Place, Question, Rule, Subject, Timed
 from linenbridge.routes.table import Request, Table, compiled
 
-QUESTION, NOT, ALL, ANY = range(4)
-COMPRESSION_LEVEL = 6  # of compression
-NOWHERE = Place(0, 0)  # Places are for errors; packed rules have none.
-# Bytes in memory, measured: of a table, of each of its rules while packed, and of each one compiled.
-TABLE_BYTES, ENTRY_BYTES, RULE_BYTES = 1_500, 260, 3_100
+Item = TypeVar("Item")
+
+
+class Form(IntEnum):
+    """The first item of a packed condition."""
+
+    QUESTION = 0
+    NOT = 1
+    ALL = 2
+    ANY = 3
+
+
+COMPRESSION_LEVEL = 6  # zlib's
+NOWHERE = Place(0, 0)  # places are for parse errors; packed rules have none
+# Bytes in memory, measured (docs/CAPACITY.md, `tests/scale/measure/view.py`).
+TABLE_BYTES = 1_500  # of a table
+ENTRY_BYTES = 260  # of each rule while it is packed
+RULE_BYTES = 3_100  # of each rule once it is compiled
 
 
 class PackedDuration(Struct, array_like=True, frozen=True):
+    """A duration of a rule: a default in microseconds, and the subject that a request may override it
+    with.
+    """
+
     default: int
     subject: tuple[str, str] | None
     unit: str
 
 
 class PackedPart(Struct, array_like=True, frozen=True):
+    """One alternative of a rule's tenant or key: a subject, a path segment, or a literal."""
+
     subject: tuple[str, str] | None
     segment: int
     literal: str | None
 
 
 class PackedRule(Struct, array_like=True, frozen=True):
-    """One rule; `when` is a nested list that starts with the number of the condition's form."""
+    """One rule; `when` is a nested list that starts with the `Form` of the condition."""
 
     name: str
     when: list[Any]
     method: str
     tenant: list[PackedPart]
     key: list[PackedPart]
-    soft: int
+    latency_objective: int  # microseconds
     deadline: PackedDuration | None
     cost: PackedDuration | None
     over: tuple[str, ...]
 
 
 class PackedRules(Struct, array_like=True, frozen=True):
-    """All rules of a set, and which of them a path can meet."""
+    """All rules of a set, each encoded by itself, and their index by path."""
 
     paths: PathIndex
     rules: list[Raw]
 
 
 def pack_rules(table: Table) -> bytes:
-    """A checked table as bytes."""
+    """Return a checked table as bytes."""
     rules = [Raw(msgspec.msgpack.encode(_pack_rule(rule))) for rule in table.rules]
     content = msgspec.msgpack.encode(PackedRules(path_index(table.rules), rules))
     packer = zlib.compressobj(COMPRESSION_LEVEL, zdict=COMPRESSION_DICTIONARY)
@@ -74,44 +96,65 @@
 
 
 def _typical_rule() -> bytes:
-    """A packed rule with the words that most rules have: what a set repeats of it takes no room."""
-    header, query = ("header", "x-tenant"), ("query", "limit")
+    """A packed rule with the strings that most rules have: a set that repeats them compresses better."""
+    question = Form.QUESTION
+    header = ("header", "x-tenant")
+    has_attribute = [question, "attribute", "", "has", []]
+    query_contains = [question, "query", "", "contains", [""]]
+    path_is = [question, "path", "", "is", ["/"]]
+    verb_writes = [question, "verb", "", "in", ["POST", "PUT"]]
+    path_starts = [question, "path", "", "starts", ["/api/v1/"]]
+    verb_reads = [question, "verb", "", "in", ["GET", "HEAD"]]
     when = [
-        NOT, [ANY, [QUESTION, "attribute", "", "has", []], [QUESTION, "query", "", "contains", [""]]],
-        [QUESTION, "authority", "", "ends", [""]], [QUESTION, "header", "x-", "matches", [""]],
-        [ALL, [QUESTION, "path", "", "is", ["/"]], [QUESTION, "verb", "", "in", ["POST", "PUT"]]],
-        [ALL, [QUESTION, "path", "", "starts", ["/api/v1/"]], [QUESTION, "verb", "", "in", ["GET", "HEAD"]],
-         [QUESTION, "header", "x-", "is", [""]]],
-    ]  # fmt: skip
+        Form.NOT,
+        [Form.ANY, has_attribute, query_contains],
+        [question, "authority", "", "ends", [""]],
+        [question, "header", "x-", "matches", [""]],
+        [Form.ALL, path_is, verb_writes],
+        [Form.ALL, path_starts, verb_reads, [question, "header", "x-", "is", [""]]],
+    ]
     rule = PackedRule(
-        "route-1", when, "read", [PackedPart(header, 0, None), PackedPart(None, 0, "none")],
-        [PackedPart(None, 2, None), PackedPart(("header", "x-request-id"), 0, None)], 250_000,
-        PackedDuration(2_000_000, ("header", "grpc-timeout"), "grpc"), PackedDuration(3_000, query, "ms"), (),
-    )  # fmt: skip
+        name="route-1",
+        when=when,
+        method="read",
+        tenant=[PackedPart(header, 0, None), PackedPart(None, 0, "none")],
+        key=[PackedPart(None, 2, None), PackedPart(("header", "x-request-id"), 0, None)],
+        latency_objective=250_000,
+        deadline=PackedDuration(2_000_000, ("header", "grpc-timeout"), "grpc"),
+        cost=PackedDuration(3_000, ("query", "limit"), "ms"),
+        over=(),
+    )
     return msgspec.msgpack.encode(rule)
 
 
-COMPRESSION_DICTIONARY = _typical_rule()  # Part of the store's form: another one needs another `store.FORM`.
+# Part of the store's form: another dictionary needs another `view_store.FORM`.
+COMPRESSION_DICTIONARY = _typical_rule()
 
 
 def _pack_rule(rule: Rule) -> PackedRule:
     return PackedRule(
-        rule.name, _pack_condition(rule.when), rule.method, [_pack_part(part) for part in rule.tenant],
-        [_pack_part(part) for part in rule.key], rule.soft, _pack_duration(rule.deadline),
-        _pack_duration(rule.cost), rule.over,
-    )  # fmt: skip
+        name=rule.name,
+        when=_pack_condition(rule.when),
+        method=rule.method,
+        tenant=[_pack_part(part) for part in rule.tenant],
+        key=[_pack_part(part) for part in rule.key],
+        latency_objective=rule.soft,
+        deadline=_pack_duration(rule.deadline),
+        cost=_pack_duration(rule.cost),
+        over=rule.over,
+    )
 
 
 def _pack_condition(condition: Condition) -> list[Any]:
     match condition:
         case Question(subject, operator, words):
-            return [QUESTION, subject.kind, subject.name, operator, words]
+            return [Form.QUESTION, subject.kind, subject.name, operator, words]
         case Not(part):
-            return [NOT, _pack_condition(part)]
+            return [Form.NOT, _pack_condition(part)]
         case language.All(parts):
-            return [ALL, *map(_pack_condition, parts)]
+            return [Form.ALL, *map(_pack_condition, parts)]
         case language.Any(parts):
-            return [ANY, *map(_pack_condition, parts)]
+            return [Form.ANY, *map(_pack_condition, parts)]
     raise AssertionError(condition)
 
 
@@ -130,22 +173,28 @@
 def _read_rule(packed: Raw) -> Rule:
     found = msgspec.msgpack.decode(packed, type=PackedRule)
     return Rule(
-        name=found.name, place=NOWHERE, when=_read_condition(found.when), method=found.method,
-        tenant=tuple(map(_read_part, found.tenant)), key=tuple(map(_read_part, found.key)),
-        soft=found.soft, deadline=_read_duration(found.deadline), cost=_read_duration(found.cost),
+        name=found.name,
+        place=NOWHERE,
+        when=_read_condition(found.when),
+        method=found.method,
+        tenant=tuple(map(_read_part, found.tenant)),
+        key=tuple(map(_read_part, found.key)),
+        soft=found.latency_objective,
+        deadline=_read_duration(found.deadline),
+        cost=_read_duration(found.cost),
         over=found.over,
-    )  # fmt: skip
+    )
 
 
 def _read_condition(packed: list[Any]) -> Condition:
     form, *rest = packed
-    if form == QUESTION:
-        kind, name, operator, words = rest
-        return Question(Subject(kind, name), operator, tuple(words))
-    if form == NOT:
+    if form == Form.QUESTION:
+        kind, name, operator, operands = rest
+        return Question(Subject(kind, name), operator, tuple(operands))
+    if form == Form.NOT:
         return Not(_read_condition(rest[0]))
     parts = tuple(map(_read_condition, rest))
-    return language.All(parts) if form == ALL else language.Any(parts)
+    return language.All(parts) if form == Form.ALL else language.Any(parts)
 
 
 def _read_part(packed: PackedPart) -> Part:
@@ -160,14 +209,15 @@
     return None if packed is None else Subject(*packed)
 
 
-class _LazySequence(Sequence):
-    """A list whose items are made when first asked for."""
+class _LazySequence(Sequence[Item], ABC, Generic[Item]):
+    """A list whose items are made at their first use."""
 
     def __init__(self, length: int) -> None:
-        self.items: list[Any] = [None] * length
+        self.items: list[Item | None] = [None] * length
 
-    def make(self, number: int) -> Any:
-        raise NotImplementedError
+    @abstractmethod
+    def make(self, number: int) -> Item:
+        """Return the item of that number."""
 
     def __len__(self) -> int:
         return len(self.items)
@@ -175,57 +225,72 @@
     def __getitem__(self, number: Any) -> Any:
         item = self.items[number]
         if item is None:
-            item = self.items[number] = self.make(number)
+            item = self.make(number)
+            self.items[number] = item
         return item
 
-    def __iter__(self) -> Iterator[Any]:
+    def __iter__(self) -> Iterator[Item]:
         return (self[number] for number in range(len(self.items)))
 
 
-class PackedRuleList(_LazySequence):
-    """The rules of a set. Calls `on_rule_compiled` with each one read; `cost` is what they take in memory."""
+class PackedRuleList(_LazySequence[Rule]):
+    """The rules of a set. `cost` is their memory in bytes, estimated, by the rules that are read so far."""
 
     def __init__(self, packed: list[Raw], on_rule_compiled: Callable[[PackedRuleList], None] | None) -> None:
+        """Read `packed` rule by rule; `on_rule_compiled` is called at each rule that is read."""
         super().__init__(len(packed))
-        self.packed, self.on_rule_compiled = packed, on_rule_compiled
+        self.packed = packed
+        self.on_rule_compiled = on_rule_compiled
         self.cost = ENTRY_BYTES * len(packed)
 
     def make(self, number: int) -> Rule:
+        """Read a rule and count its memory."""
         self.cost += RULE_BYTES
         if self.on_rule_compiled is not None:
             self.on_rule_compiled(self)
         return _read_rule(self.packed[number])
 
 
-class _Conditions(_LazySequence):
-    """The rules' conditions, compiled."""
+class _Conditions(_LazySequence[Callable[[Request], bool]]):
+    """The compiled conditions of the rules."""
 
     def __init__(self, rules: PackedRuleList) -> None:
         super().__init__(len(rules))
         self.rules = rules
 
     def make(self, number: int) -> Callable[[Request], bool]:
+        """Compile the condition of a rule."""
         return compiled(self.rules[number].when)
 
 
 class PackedTable(Table):
-    """The routing table of one service, read from a packed set rule by rule as requests need them. Nothing in
-    it refers back to it: once it is let go, its memory is free at once."""
+    """The routing table of one service, read from a packed set rule by rule as requests need them.
+
+    It is in no reference cycle, so its memory is free as soon as the last reference goes.
+    """
+
+    rules: PackedRuleList
 
     def __init__(
-        self, packed: bytes, methods: dict[str, Method], max_deadline: int,
+        self,
+        packed: bytes,
+        methods: dict[str, Method],
+        max_deadline: int,
         on_rule_compiled: Callable[[PackedRuleList], None] | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
+        """Unpack the index of a set; `max_deadline` is the longest deadline of a route, in microseconds."""
         content = _unpacked(packed)
         found = msgspec.msgpack.decode(content, type=PackedRules)
-        self.methods, self.longest, self.paths = methods, max_deadline, found.paths
+        self.methods = methods
+        self.longest = max_deadline
+        self.paths = found.paths
         self.rules = PackedRuleList(found.rules, on_rule_compiled)
         self.conditions = _Conditions(self.rules)
         self.fixed_cost = TABLE_BYTES + len(content)
 
     @property
     def cost(self) -> int:
-        """Bytes in memory, estimated."""
+        """The estimated memory of the table, in bytes."""
         return self.fixed_cost + self.rules.cost
 
     def _candidates(self, request: Request) -> Sequence[int]:
--- a/linenbridge/distribution/view/serving.py
+++ b/linenbridge/distribution/view/serving.py
@@ -1,7 +1,8 @@
-"""A view as the processor's front and the decision module take it: a routing table by authority, and the
-tenants' shares as a mapping. What the view says nothing of is as the gateway's own settings have it.
+"""A view as the external processor and the decision module take it.
 
-Decides without I/O: each look-up asks the view as it is at that moment.
+`RoutesByAuthority` is a routing table over all authorities, `TenantQuotas` a mapping of the tenants' quotas.
+Where the view has no value, the gateway's own settings apply. Each look-up reads the view at that moment; no
+I/O.
 """
 
 from __future__ import annotations
@@ -13,19 +14,22 @@
 
 
 class RoutesByAuthority:
-    """What `routes.table.Table` is for one set, for all: the request's authority says which set. An authority
-    without one has the settings' own table."""
+    """A routing table that looks up the rule set of a request's authority; without one, the settings'
+    table.
+    """
 
     def __init__(self, view: View, settings: Table) -> None:
-        self.view, self.settings = view, settings
+        """Combine a view with the table of the gateway's own settings."""
+        self.view = view
+        self.settings = settings
         self.methods = settings.methods
 
     def find(self, request: Request) -> Asked | None:
-        """The RPC that the first rule to take the request makes of it; None where none does."""
+        """Return the RPC that the first matching rule makes of the request; None if no rule matches."""
         return self._table(request).find(request)
 
     def explain(self, request: Request) -> list[Step]:
-        """Each rule of the authority in its order up to the one that takes the request."""
+        """Return each rule of the authority in its order, up to the one that matches."""
         return self._table(request).explain(request)
 
     def _table(self, request: Request) -> Table:
@@ -34,18 +38,25 @@
 
 
 class TenantQuotas(Mapping[str, float]):
-    """The shares by name. Names are kept as hashes only: it can be asked, not gone through."""
+    """The tenants' quotas by name, as shares of the load from 0 to 1.
+
+    The view stores hashes of the names, so look-ups work and iteration raises TypeError.
+    """
 
     def __init__(self, view: View, settings: Mapping[str, float]) -> None:
-        self.view, self.settings = view, settings
+        """Combine a view with the quotas of the gateway's own settings."""
+        self.view = view
+        self.settings = settings
 
     def __getitem__(self, name: str) -> float:
-        share = self.view.tenant_quota(name)
-        return self.settings[name] if share is None else share
+        """Return the view's quota of a tenant, else that of the settings, else raise KeyError."""
+        quota = self.view.tenant_quota(name)
+        return self.settings[name] if quota is None else quota
 
     def __len__(self) -> int:
-        """How many the view has."""
+        """Return the number of tenants in the view."""
         return len(self.view.tenant_table)
 
     def __iter__(self) -> Iterator[str]:
+        """Raise TypeError: the view does not hold the names."""
         raise TypeError("tenants are kept by the hashes of their names")
--- /dev/null
+++ b/linenbridge/distribution/view/validation.py
@@ -0,0 +1,58 @@
+"""Validation of changes, in steps and ahead of the batch that applies them.
+
+Owns the results of changes that were validated ahead, a bounded number of them.
+"""
+
+from __future__ import annotations
+
+from collections import OrderedDict
+from collections.abc import Generator, Iterator
+
+from linenbridge.distribution.changes import Change, digest_of
+from linenbridge.distribution.errors import ChangeRefused
+from linenbridge.distribution.view.tenants import MAX_EPOCH, MAX_SEQUENCE
+from linenbridge.distribution.view.values import Value, ValueChecks
+
+ValidatedValue = Value | ChangeRefused | None  # the value as read, the rejection, or None for a deletion
+
+
+class ChangeValidator:
+    """Validates changes with `checks`; keeps the last `max_ahead` results of changes validated ahead."""
+
+    def __init__(self, checks: ValueChecks, max_ahead: int) -> None:
+        """Create a validator without results."""
+        self.checks = checks
+        self.max_ahead = max_ahead
+        self.ahead: OrderedDict[int, ValidatedValue] = OrderedDict()  # by the change's digest
+
+    def steps_ahead(self, change: Change) -> Iterator[None]:
+        """Validate a change in steps of about a millisecond; `take` then returns the result without a
+        check.
+        """
+        validated = yield from self._steps(change)
+        self.ahead[digest_of(change)] = validated
+        if len(self.ahead) > self.max_ahead:
+            self.ahead.popitem(last=False)
+
+    def take(self, change: Change) -> ValidatedValue:
+        """Return the result for a change, validated now unless it was validated ahead."""
+        found = self.ahead.pop(digest_of(change), None)
+        return self._validate(change) if found is None else found
+
+    def _validate(self, change: Change) -> ValidatedValue:
+        steps = self._steps(change)
+        while True:
+            try:
+                next(steps)
+            except StopIteration as end:
+                return end.value
+
+    def _steps(self, change: Change) -> Generator[None, None, ValidatedValue]:
+        if not change.value:
+            return None
+        if not (0 <= change.epoch < MAX_EPOCH and 0 <= change.sequence < MAX_SEQUENCE):
+            return ChangeRefused(f"epoch below {MAX_EPOCH}, sequence below {MAX_SEQUENCE}", change.name)
+        try:
+            return (yield from self.checks.read_in_steps(change.kind, change.name, change.value))
+        except ChangeRefused as error:
+            return error
--- a/linenbridge/distribution/view/values.py
+++ b/linenbridge/distribution/view/values.py
@@ -1,7 +1,7 @@
-"""Whether a change's value can be read and passes its checks.
+"""Whether the value of a change can be read and passes its checks.
 
-Decides without I/O. Publishers ask the same before they accept a change, so that what a gateway refuses is
-rare: a gateway of an earlier release, or a method that its settings do not have.
+Publishers run the same checks before they accept a change, so a gateway seldom rejects one: it may run an
+earlier release, or lack a method in its settings. Pure functions of the value and the settings' methods.
 """
 
 from __future__ import annotations
@@ -25,22 +25,23 @@
 from linenbridge.routes.language import RouteError, parse_by_rule
 from linenbridge.routes.table import FaultsError, checked_table
 
-MAX_TEXT_LENGTH = 256  # characters of a zone's, cell's or host's name
-MAX_INTEGER = 1 << 53
+MAX_TEXT_LENGTH = 256  # characters of the name of a zone, a cell or a host
+MAX_INTEGER = 1 << 53  # the first integer that JSON readers may round
 MAX_PORT = 65_535
 
 Value = bytes | TenantValue | InstanceValue | ZoneValue
 
 
 class ValueChecks:
-    """Reads values against the methods of this gateway. `max_deadline` is the max_deadline deadline, in
-    microseconds."""
+    """The checks of a value, against the methods of this gateway."""
 
     def __init__(self, methods: Iterable[Method], max_deadline: int) -> None:
-        self.methods, self.max_deadline = list(methods), max_deadline
+        """Check against these methods; `max_deadline` is the longest deadline of a route, in microseconds."""
+        self.methods = list(methods)
+        self.max_deadline = max_deadline
 
     def __call__(self, kind: int, name: str, value: bytes) -> str:
-        """Why a value would be refused; "" where it would not."""
+        """Return the reason why a value would be rejected; "" if it would not be."""
         try:
             self.read(kind, name, value)
         except ChangeRefused as error:
@@ -48,7 +49,7 @@
         return ""
 
     def read(self, kind: int, name: str, value: bytes) -> Value:
-        """The value in its table's form, a set of routes packed; else ChangeRefused."""
+        """Return the value in the form of its table, a rule set packed; ChangeRefused if it fails a check."""
         steps = self.read_in_steps(kind, name, value)
         while True:
             try:
@@ -57,8 +58,10 @@
                 return end.value
 
     def read_in_steps(self, kind: int, name: str, value: bytes) -> Generator[None, None, Value]:
-        """The same in steps: a set of routes takes some milliseconds, a step one rule, or the checks of all
-        against each other."""
+        """Return the same as `read`, in steps of about a millisecond.
+
+        A rule set takes some milliseconds: a step parses one rule, or checks all rules against each other.
+        """
         if not 0 < len(name) <= NAME_MOST:
             raise ChangeRefused(f"a name has 1 to {NAME_MOST} characters", name[:MAX_TEXT_LENGTH])
         if len(value) > VALUE_MOST:
@@ -74,7 +77,7 @@
                 case Kind.ZONE:
                     return msgspec.msgpack.decode(value, type=ZoneValue)
         except (msgspec.MsgspecError, ValueError) as error:
-            raise ChangeRefused(str(error), name) from None
+            raise ChangeRefused(str(error), name) from error
         raise ChangeRefused(f"no kind of key is numbered {kind}", name)
 
     def _routes(self, value: bytes) -> Generator[None, None, bytes]:
@@ -87,7 +90,7 @@
             yield
             return pack_rules(table)
         except (FaultsError, RouteError) as error:
-            raise ValueError(str(error)) from None
+            raise ValueError(str(error)) from error
 
 
 def _tenant(value: bytes) -> TenantValue:
@@ -110,7 +113,8 @@
         raise ValueError(f"a size is above 0, not {found.size}")
     if not (0 <= found.build < MAX_INTEGER and 0 <= found.started < MAX_INTEGER):
         raise ValueError("build and start are whole numbers from 0")
-    if max(len(found.zone), len(found.cell), len(found.host)) > MAX_TEXT_LENGTH or not found.host:
+    longest = max(len(found.zone), len(found.cell), len(found.host))
+    if longest > MAX_TEXT_LENGTH or not found.host:
         raise ValueError(
             f"zone, cell and host have {MAX_TEXT_LENGTH} characters at most, and there is a host"
         )
--- a/linenbridge/distribution/view/view.py
+++ b/linenbridge/distribution/view/view.py
@@ -1,66 +1,77 @@
 """All that a gateway holds of the installation: versioned routes, tenants, instances and zones.
 
-Keeps state without I/O. A host calls `apply` and `replace` between two requests, so that a request sees one
-version, and hands what `take_changed_pages` gives to the store. A change that cannot be read or fails its
-checks leaves the last good version of its key in force, is named in `ApplyResult.rejected`, and counts as
-seen: positions and digests go on as everywhere else.
+A host calls `apply` and `replace` between two requests, so that a request sees one version, and gives the
+pages of `take_changed_pages` to the store. A change that cannot be read or fails its checks leaves the last
+good version of its key in force, is named in `ApplyResult.rejected`, and counts as seen: the position and the
+digests advance as at every other gateway. The view owns its tables; it performs no I/O.
 """
 
 from __future__ import annotations
 
-from collections import Counter, OrderedDict
-from collections.abc import Generator, Iterable, Iterator
+from collections.abc import Iterable, Iterator
 from struct import pack
 
 from linenbridge.distribution.changes import (
-    RANGES, Change, InstanceValue, Kind, Position, digest_of, range_of,
-)  # fmt: skip
+    RANGES,
+    Change,
+    InstanceValue,
+    Kind,
+    Position,
+    digest_of,
+    range_of,
+)
 from linenbridge.distribution.decisions import Apply, ReplaceRange
 from linenbridge.distribution.errors import ChangeRefused
 from linenbridge.distribution.view.instances import InstanceTable
-from linenbridge.distribution.view.rejections import RejectionTable
 from linenbridge.distribution.view.regions import Region, Regions
+from linenbridge.distribution.view.rejections import RejectionTable
 from linenbridge.distribution.view.results import (
     ApplyResult,
     Endpoint,
     PageKind,
     RejectedChange,
     StoredPage,
+    ViewCounters,
     ViewLimits,
 )
 from linenbridge.distribution.view.routes import RouteTable
 from linenbridge.distribution.view.rules import PackedTable
-from linenbridge.distribution.view.tables import RecordTable
-from linenbridge.distribution.view.tenants import MAX_EPOCH, MAX_SEQUENCE, TenantTable
-from linenbridge.distribution.view.values import Value, ValueChecks
+from linenbridge.distribution.view.tables import PageSource, RecordTable
+from linenbridge.distribution.view.tenants import TenantTable
+from linenbridge.distribution.view.validation import ChangeValidator, ValidatedValue
+from linenbridge.distribution.view.values import ValueChecks
 from linenbridge.distribution.view.zones import ZoneTable
 from linenbridge.interface import GONE, ListEntry, Method
 from linenbridge.startup import LONG_AGO
 
-ValidatedValue = Value | ChangeRefused | None  # read, refused, or a deletion
+MICROSECONDS_PER_MILLISECOND = 1000
 
 
 class _ResultBuilder:
-    """What one call came to, while it runs."""
+    """The result of one call while it runs."""
 
     def __init__(self) -> None:
-        self.applied = self.skipped = self.tenants = 0
+        self.applied = 0
+        self.skipped = 0
+        self.tenants = 0
         self.rejected: list[RejectedChange] = []
         self.routes: set[str] = set()
         self.zones: set[str] = set()
 
     def count(self, change: Change) -> None:
+        """Count a change that was applied."""
         self.applied += 1
-        self.tenants += change.kind == Kind.TENANT
-        if change.kind == Kind.ROUTES:
-            self.routes.add(change.name)
-        elif change.kind == Kind.ZONE:
-            self.zones.add(change.name)
+        match change.kind:
+            case Kind.TENANT:
+                self.tenants += 1
+            case Kind.ROUTES:
+                self.routes.add(change.name)
+            case Kind.ZONE:
+                self.zones.add(change.name)
 
 
 class View:
-    """The tables of one gateway. `max_deadline` is the longest deadline; `unix_offset` is what makes the
-    gateway's clock of Unix time, both in microseconds."""
+    """The tables of one gateway."""
 
     def __init__(
         self,
@@ -69,9 +80,15 @@
         unix_offset: int = 0,
         limits: ViewLimits | None = None,
     ) -> None:
-        methods, limits = list(methods), limits or ViewLimits()
-        self.unix_offset, self.limits = unix_offset, limits
-        self.checks = ValueChecks(methods, max_deadline)
+        """Create an empty view.
+
+        `max_deadline` is the longest deadline of a route, and `unix_offset` is what is added to Unix time to
+        get the gateway's clock, both in microseconds.
+        """
+        methods = list(methods)
+        limits = limits or ViewLimits()
+        self.unix_offset = unix_offset
+        self.validator = ChangeValidator(ValueChecks(methods, max_deadline), limits.max_prevalidated)
         self.regions = Regions()
         self.route_table = RouteTable(
             self.regions, {method.name: method for method in methods}, max_deadline, limits.max_compiled_bytes
@@ -86,113 +103,105 @@
             Kind.INSTANCE: self.instance_table,
             Kind.ZONE: self.zone_table,
         }
-        self.prevalidated: OrderedDict[int, ValidatedValue] = OrderedDict()
-        self.counts: Counter[str] = Counter()
+        self.counters = ViewCounters()
 
     # ---- look-ups --------------------------------------------------------------------------------
 
     def routes(self, authority: str) -> PackedTable | None:
-        """The routing table of a service; None where nothing is said of it."""
+        """Return the routing table of a service; None if the view has none."""
         return self.route_table.find(authority)
 
     def tenant_quota(self, name: str) -> float | None:
-        """The share of the load that a tenant may take; None where nothing is said of it."""
+        """Return the share of the load that a tenant may take, 0 to 1; None if the view does not have it."""
         return self.tenant_table.quota(name)
 
     def instances(self, service: str) -> list[ListEntry]:
-        """The instance list of a service, in no particular order. Those of a lost zone are GONE."""
+        """Return the instances of a service, in no particular order. Those of a lost zone are in the state
+        GONE.
+        """
         return [self._entry(name, value) for name, value in self.instance_table.find(service).items()]
 
     def endpoints(self, service: str) -> list[Endpoint]:
-        """The same with addresses."""
+        """Return the same as `instances`, with addresses."""
         return [self._endpoint(name, value) for name, value in self.instance_table.find(service).items()]
 
     def use(self, service: str) -> list[Endpoint]:
-        """Keep a service unpacked and hear of its changes in `ApplyResult.instances`, from this list on."""
+        """Keep a service unpacked and report its changes in `ApplyResult.instances`, from the returned list
+        on.
+        """
         self.instance_table.use(service)
         return self.endpoints(service)
 
     def release(self, service: str) -> None:
-        """The service is in use no more."""
+        """End the effect of `use`."""
         self.instance_table.release(service)
 
-    def _endpoint(self, name: str, value: InstanceValue, removed: bool = False) -> Endpoint:
-        return Endpoint(self._entry(name, value, removed), (value.host, value.port))
+    def services(self) -> Iterator[str]:
+        """Yield every service that has instances."""
+        return self.instance_table.services()
 
-    def _entry(self, name: str, value: InstanceValue, removed: bool = False) -> ListEntry:
+    def _endpoint(self, name: str, value: InstanceValue, *, removed: bool = False) -> Endpoint:
+        return Endpoint(self._entry(name, value, removed=removed), (value.host, value.port))
+
+    def _entry(self, name: str, value: InstanceValue, *, removed: bool = False) -> ListEntry:
         state = GONE if removed or self.zone_table.lost(value.zone) else value.state
-        started = value.started * 1000 + self.unix_offset if value.started else LONG_AGO
+        started = LONG_AGO
+        if value.started:
+            started = value.started * MICROSECONDS_PER_MILLISECOND + self.unix_offset
         return ListEntry(name, value.build, value.zone, value.cell, state, value.size, started)
 
-    # ---- how far it is ---------------------------------------------------------------------------
+    # ---- positions and digests -------------------------------------------------------------------
 
     def positions(self) -> list[Position]:
-        """The version vector: a position in each region's log that the view has met."""
+        """Return the version vector: the position in the log of each region that the view has received
+        from.
+        """
         return [region.stored_position() for region in self.regions.by_index]
 
     def digest(self, region: str) -> int | None:
-        """Of the region's whole table, as `ApplyResult.digest`."""
+        """Return the digest of a region's complete table, as in `ApplyResult.digest`."""
         return self.regions.get(region).digest()
 
     def range_digests(self, region: str) -> bytes:
-        """Of each range of a region's keys, 8 bytes each, as relays compare them."""
+        """Return the digest of each range of a region's keys, 8 bytes each, highest byte first."""
         return pack(f">{RANGES}Q", *self.regions.get(region).digests)
 
     def rejected(self) -> list[RejectedChange]:
-        """Keys whose newest version is not the one in force."""
+        """Return the keys whose newest version is not the one in force."""
         return list(self.rejections.all())
 
     # ---- changes ---------------------------------------------------------------------------------
 
     def prevalidate(self, change: Change) -> None:
-        """Check a change ahead of its turn. Checks are what costs time: a host that has many changes to apply
-        together calls this for each, with requests between, and then `apply`."""
+        """Validate a change ahead of its batch.
+
+        Validation is what takes time: a host that has many changes to apply together calls this for each,
+        serves requests between, and then calls `apply`.
+        """
         for _ in self.validation_steps(change):
             pass
 
     def validation_steps(self, change: Change) -> Iterator[None]:
-        """The same in steps, a millisecond or so each, between which requests may be served."""
-        wanted, region = digest_of(change), self.regions.by_name.get(change.region)
-        if region is not None and self._digest(region, change.kind, change.name) == wanted:
-            return  # It is held already.
-        validated = yield from self._validate_in_steps(change)
-        self.prevalidated[wanted] = validated
-        if len(self.prevalidated) > self.limits.max_prevalidated:
-            self.prevalidated.popitem(last=False)
-
-    def _validate(self, change: Change) -> ValidatedValue:
-        steps = self._validate_in_steps(change)
-        while True:
-            try:
-                next(steps)
-            except StopIteration as end:
-                return end.value
-
-    def _validate_in_steps(self, change: Change) -> Generator[None, None, ValidatedValue]:
-        if not change.value:
-            return None
-        if not (0 <= change.epoch < MAX_EPOCH and 0 <= change.sequence < MAX_SEQUENCE):
-            return ChangeRefused(f"epoch below {MAX_EPOCH}, sequence below {MAX_SEQUENCE}", change.name)
-        try:
-            return (yield from self.checks.read_in_steps(change.kind, change.name, change.value))
-        except ChangeRefused as error:
-            return error
-
-    def _validated(self, change: Change) -> ValidatedValue:
-        found = self.prevalidated.pop(digest_of(change), None)
-        return self._validate(change) if found is None else found
+        """Do the same in steps of about a millisecond, between which requests may be served."""
+        region = self.regions.by_name.get(change.region)
+        if region is not None and self._digest(region, change.kind, change.name) == digest_of(change):
+            return
+        yield from self.validator.steps_ahead(change)
 
     def apply(self, batch: Apply) -> ApplyResult:
-        """Changes behind the position come into force together; the position is then `upto`. What lies
-        outside of (position, upto], or in a range that has been replaced by newer content, is passed over."""
-        region, result = self.regions.get(batch.region), _ResultBuilder()
+        """Apply the changes after the position together; the position is `batch.upto` afterwards.
+
+        Changes outside of (position, upto], or of a range that was replaced by newer content, are skipped.
+        """
+        region = self.regions.get(batch.region)
+        result = _ResultBuilder()
         if batch.upto <= region.position:
             result.skipped = len(batch.changes)
             return self._result(region, result)
         new = []
         for change in batch.changes:
             if self._follows(region, batch, change):
-                new.append((change, self._validated(change)))
+                new.append((change, self.validator.take(change)))
             else:
                 result.skipped += 1
         for change, validated in sorted(new, key=lambda pair: pair[0].version):
@@ -212,23 +221,24 @@
     def _apply_change(
         self, region: Region, change: Change, validated: ValidatedValue, result: _ResultBuilder
     ) -> None:
-        """One change into its table, or among the refusals; the digest of what it replaces goes."""
+        """Put one change into its table, or among the rejections, and correct the digests."""
         before = self._digest(region, change.kind, change.name)
         self._put(region, change, validated, result)
         region.add(range_of(change.kind, change.name), digest_of(change) - before)
 
     def _digest(self, region: Region, kind: int, name: str) -> int:
-        """Of the newest version seen of a key; 0 where there is none."""
-        refused = self.rejections.digest(region, kind, name)
-        if refused is not None:
-            return refused
+        """The digest of the newest version seen of a key; 0 if there is none."""
+        rejected = self.rejections.digest(region, kind, name)
+        if rejected is not None:
+            return rejected
         table = self.tables.get(kind)
         return 0 if table is None else table.digest(region, name)
 
     def _put(self, region: Region, change: Change, validated: ValidatedValue, result: _ResultBuilder) -> None:
         if isinstance(validated, ChangeRefused):
-            refused = RejectedChange(region.name, change.version, change.kind, change.name, validated.what)
-            result.rejected.append(refused)
+            result.rejected.append(
+                RejectedChange(region.name, change.version, change.kind, change.name, validated.what)
+            )
             self.rejections.put(region, change, validated.what)
             return
         self.rejections.remove(region, change.kind, change.name)
@@ -242,12 +252,14 @@
         result.count(change)
 
     def replace(self, content: ReplaceRange) -> ApplyResult:
-        """A range of a region's keys, whole: keys that it does not name are removed. It may have been read
-        later than at `upto` and then names newer versions: it holds all up to the newest that it names.
-        Passed over where it is older than what the range holds."""
-        region, result = self.regions.get(content.region), _ResultBuilder()
-        older = content.upto < max(region.position, region.floors.get(content.range, region.position))
-        if older or not 0 <= content.range < RANGES:
+        """Replace a range of a region's keys completely: keys that the content does not name are removed.
+
+        The content may have been read later than at `upto` and then names newer versions: the range is
+        complete up to the newest that it names. Content that is older than the range is skipped.
+        """
+        region = self.regions.get(content.region)
+        result = _ResultBuilder()
+        if region.is_ahead_of(content.range, content.upto) or not 0 <= content.range < RANGES:
             result.skipped = len(content.changes)
         else:
             self._replace(region, content, result)
@@ -270,7 +282,7 @@
             if self._digest(region, change.kind, change.name) == wanted:
                 result.skipped += 1
             else:
-                self._put(region, change, self._validated(change), result)
+                self._put(region, change, self.validator.take(change), result)
         region.add(content.range, total - region.digests[content.range])
         region.raise_floor(content.range, max([content.upto, *(change.version for change in changes)]))
 
@@ -286,29 +298,47 @@
         for table in self.tables.values():
             table.commit()
 
-    def _result(self, region: Region, result: _ResultBuilder) -> ApplyResult:
-        self.counts["applied"] += result.applied
-        self.counts["skipped"] += result.skipped
-        self.counts["rejected"] += len(result.rejected)
-        return ApplyResult(
-            region.name, region.position, region.digest(), result.applied, result.skipped, result.rejected,
-            sorted(result.routes), result.tenants, sorted(result.zones),
-            self.instance_table.changed_in_use(self._endpoint),
-        )  # fmt: skip
+    def _result(self, region: Region, built: _ResultBuilder) -> ApplyResult:
+        result = ApplyResult(
+            region=region.name,
+            upto=region.position,
+            digest=region.digest(),
+            applied=built.applied,
+            skipped=built.skipped,
+            rejected=built.rejected,
+            routes=sorted(built.routes),
+            tenants=built.tenants,
+            zones=sorted(built.zones),
+            instances=self._changed_endpoints(),
+        )
+        self.counters.add(result)
+        return result
+
+    def _changed_endpoints(self) -> dict[str, list[Endpoint]]:
+        return {
+            service: [self._endpoint(one.name, one.value, removed=one.removed) for one in updates]
+            for service, updates in self.instance_table.take_updates().items()
+        }
 
-    # ---- on disk ---------------------------------------------------------------------------------
+    # ---- storage ---------------------------------------------------------------------------------
 
     def take_changed_pages(self) -> list[StoredPage]:
-        """The pages that have changed since the last call, with the positions that they are at: they are
-        stored all together or not at all."""
+        """Return the pages that changed since the last call, with the positions that they are at.
+
+        The store has to write all of them or none.
+        """
         found: list[StoredPage] = []
-        for table in (*self.tables.values(), self.rejections, *self.regions.by_index):
-            found.extend(table.take_changed_pages())
+        sources: list[PageSource] = [*self.tables.values(), self.rejections, *self.regions.by_index]
+        for source in sources:
+            found.extend(source.take_changed_pages())
         return found
 
     def load(self, pages: Iterable[StoredPage]) -> None:
-        """Stored pages into a new view, range by range; ValueError or a msgspec error where they do not fit
-        together. An iterator is read page by page, so that nothing is held twice."""
+        """Load stored pages into a new view, sorted by kind, range, name and number.
+
+        ValueError or a msgspec error if they do not fit together. An iterator is read page by page, so that
+        no page is in memory twice.
+        """
         regions = []
         for page in pages:
             if page.kind in (PageKind.REGION, PageKind.DIGESTS):
@@ -320,7 +350,3 @@
         for table in self.tables.values():
             table.finish_loading()
         self.regions.load(regions)
-
-    def services(self) -> Iterator[str]:
-        """Every service that has instances."""
-        return self.instance_table.services()
--- a/linenbridge/distribution/view/zones.py
+++ b/linenbridge/distribution/view/zones.py
@@ -1,6 +1,6 @@
-"""Zones that are said to be lost, over all instances: one change, whatever their number.
+"""Zones that a region declares lost: one change takes all instances of a zone out of service.
 
-Keeps state without I/O.
+The table owns which zones are lost, unpacked: there are few.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class ZoneRecord(Struct, array_like=True, frozen=True):
-    """One region's word on a zone."""
+    """One region's record of a zone."""
 
     region: int
     epoch: int
@@ -27,49 +27,60 @@
 
 
 class ZoneTable:
-    """A few zones, unpacked."""
+    """Records of zones, by name and region index; a `tables.RecordTable`."""
 
     def __init__(self, regions: Regions) -> None:
+        """Create an empty table; `regions` names the region of an index."""
         self.regions = regions
         self.records: dict[str, dict[int, ZoneRecord]] = {}
         self.changed: set[str] = set()
 
     def lost(self, name: str) -> bool:
-        """Whether a zone has no instance that is ready."""
-        found = first_by_region(self.records.get(name, {}), self.regions.by_index)
-        return found is not None and found.lost
+        """Return whether a zone is lost: none of its instances is ready then."""
+        record = first_by_region(self.records.get(name, {}), self.regions.by_index)
+        return record is not None and record.lost
 
     def digest(self, region: Region, name: str) -> int:
+        """Return the digest of the region's record of a zone; 0 if there is none."""
         record = self.records.get(name, {}).get(region.index)
         return 0 if record is None else record.digest
 
     def put(self, region: Region, change: Change, value: ZoneValue) -> None:
+        """Set the region's record of a zone."""
         record = ZoneRecord(region.index, change.epoch, change.sequence, digest_of(change), value.lost)
         self.records.setdefault(change.name, {})[region.index] = record
         self.changed.add(change.name)
 
     def remove(self, region: Region, name: str) -> None:
+        """Remove the region's record of a zone, if there is one."""
         records = self.records.get(name, {})
-        if records.pop(region.index, None) is not None:
-            self.changed.add(name)
-            if not records:
-                del self.records[name]
+        if records.pop(region.index, None) is None:
+            return
+        self.changed.add(name)
+        if not records:
+            del self.records[name]
 
     def retain(self, region: Region, number: int, retained: Collection[str]) -> None:
+        """Remove the region's records of all other zones of the range `number`."""
         for name in [name for name in self.records if range_of(Kind.ZONE, name) == number]:
             if name not in retained:
                 self.remove(region, name)
 
-    def commit(self) -> None: ...
+    def commit(self) -> None:
+        """Do nothing: records are not packed."""
 
     def take_changed_pages(self) -> Iterator[StoredPage]:
-        changed, self.changed = self.changed, set()
+        """Yield one page for each zone that changed since the last call."""
+        changed = self.changed
+        self.changed = set()
         for name in sorted(changed):
             records = list(self.records.get(name, {}).values())
             yield StoredPage(PageKind.ZONE, name, 0, msgspec.msgpack.encode(records) if records else None)
 
     def load(self, page: StoredPage) -> None:
+        """Add the records of one zone; a msgspec error if the page cannot be read."""
         records = msgspec.msgpack.decode(page.body or b"", type=list[ZoneRecord])
         self.records[page.name] = {record.region: record for record in records}
 
-    def finish_loading(self) -> None: ...
+    def finish_loading(self) -> None:
+        """Do nothing: each page is complete."""
--- a/linenbridge/routes/table.py
+++ b/linenbridge/routes/table.py
@@ -102,10 +102,10 @@
     """All routes of one gateway, compiled."""
 
     def __init__(self, rules: list[Rule], methods: Iterable[Method], longest: int) -> None:
-        self.rules = rules
+        self.rules: Sequence[Rule] = rules
         self.methods = {method.name: method for method in methods}
         self.longest = longest
-        self.conditions = [compiled(rule.when) for rule in rules]
+        self.conditions: Sequence[Callable[[Request], bool]] = [compiled(rule.when) for rule in rules]
         self.everywhere: list[int] = []
         self.under: dict[str, list[int]] = {}
         self._sort_in()
