--- a/linenbridge/distribution/view/serving.py
+++ b/linenbridge/distribution/view/serving.py
@@ -10,6 +10,7 @@
 from collections.abc import Iterator, Mapping
 
 from linenbridge.distribution.view.view import View
+from linenbridge.interface import Method
 from linenbridge.routes.table import Asked, Request, Step, Table
 
 
@@ -22,7 +23,7 @@
         """Combine a view with the table of the gateway's own settings."""
         self.view = view
         self.settings = settings
-        self.methods = settings.methods
+        self.methods: Mapping[str, Method] = settings.methods
 
     def find(self, request: Request) -> Asked | None:
         """Return the RPC that the first matching rule makes of the request; None if no rule matches."""
--- a/tests/distribution/view/test_routes.py
+++ b/tests/distribution/view/test_routes.py
@@ -18,7 +18,7 @@
 from linenbridge.routes.checks import check
 from linenbridge.routes.language import RULES_MOST, RouteError, Rule, parse, parse_by_rule
 from linenbridge.routes.table import FaultsError, Request, table
-from tests.distribution.view.helpers import MAX_DEADLINE, METHODS, new_view
+from tests.distribution.view.helpers import MAX_DEADLINE, METHODS, method_of, new_view
 from tests.distribution.view.model import batch, change, route_text
 
 BY_NAME = {method.name: method for method in METHODS}
@@ -162,6 +162,7 @@
 
     found = packed.find(Request("shop", "/p7/x"))
 
+    assert found is not None
     assert found.rule == "r7"
     assert [rule is not None for rule in packed.rules.items].count(True) == 1
 
@@ -205,7 +206,7 @@
 
     for _ in range(3):
         for name in names:
-            assert view.routes(name).find(Request(name, "/a")).method == "look"
+            assert method_of(view, name) == "look"
 
     tables = view.route_table.compiled.values()
     assert 0 < len(tables) < 12
--- a/tests/distribution/view/test_serving.py
+++ b/tests/distribution/view/test_serving.py
@@ -31,7 +31,7 @@
 from linenbridge.faults.process import free_port
 from linenbridge.process.configuration import load
 from linenbridge.processor.distributed import distributed
-from linenbridge.routes.table import table
+from linenbridge.routes.table import Table, table
 from linenbridge.startup import startup as started
 from tests.distribution.view.helpers import MAX_DEADLINE, METHODS, new_view
 from tests.distribution.view.model import batch, change, route_text, tenant_value
@@ -42,6 +42,7 @@
 
 ROOT = Path(__file__).parents[3]
 RESERVATION = re.compile(r"[0-9a-f]{16}\.\d")  # drawn at random for each request
+UNUSED: Any = (None, None, None)  # arguments that a call does not come to use
 SETTINGS = """<linenbridge xmlns="urn:linenbridge:premises:1">
   <processor listen="127.0.0.1:{port}">
     <partner name="desk" address="127.0.0.0/8" attempts="2"/>
@@ -94,7 +95,9 @@
 
 def with_view(bench: Bench, view: View) -> Bench:
     """The bench with the view's routes before its own."""
-    bench.front.table = RoutesByAuthority(view, bench.front.table)
+    own = bench.front.table
+    assert isinstance(own, Table)
+    bench.front.table = RoutesByAuthority(view, own)
     return bench
 
 
@@ -134,8 +137,8 @@
     view = View(METHODS, 900 * MS)
     view.apply(batch(change(Kind.ROUTES, "desk", ROUTES.encode(), 1)))
     plain = Bench()
-    with_routes = with_view(Bench(), view)
-    with_routes.front.table.settings = table("", startup().methods, 900 * MS)
+    with_routes = Bench()
+    with_routes.front.table = RoutesByAuthority(view, table("", startup().methods, 900 * MS))
 
     assert answers(with_routes, REQUESTS) == answers(plain, REQUESTS)
 
@@ -178,7 +181,9 @@
         tenant = ("t1", "t2", "t3")[number % 3]
         rpc = f"r{number}"
         module.on_rpc(number * 500, rpc, "look", 50 * MS, None, tenant, None)
-        found.append(module.rpcs.get(rpc).utility)
+        active = module.rpcs.get(rpc)
+        assert active is not None
+        found.append(active.utility)
     return found
 
 
@@ -210,6 +215,7 @@
             env=self.environ, cwd=ROOT, stderr=subprocess.PIPE, text=True,
         )  # fmt: skip
         self.events: list[str] = []
+        assert self.process.stderr is not None
         while not self.events or self.events[-1] != "started":
             self.events.append(json.loads(self.process.stderr.readline())["event"])
 
@@ -253,7 +259,9 @@
         (tmp_path / "s.xml").write_text(SETTINGS.format(port=1, relay=2, more=attribute))
         settings = distribution(read(str(tmp_path / "s.xml")))
 
+        assert settings is not None
         view, store = open_view(settings, Methods(METHODS, MAX_DEADLINE), Log(io.BytesIO()))
+        assert store is not None
         store.close()
 
         assert view.route_table.max_compiled_bytes == expected
@@ -265,7 +273,7 @@
     (tmp_path / "s.xml").write_text(text.replace('name="g1"', 'name="eu-1"'))
 
     with pytest.raises(ConfigurationError, match="serves no proxies"):
-        distributed(read(str(tmp_path / "s.xml")), None, None, None)
+        distributed(read(str(tmp_path / "s.xml")), *UNUSED)
 
 
 def test_a_processor_serves_its_last_version_from_the_store_while_no_relay_answers(
--- a/tests/distribution/view/test_store.py
+++ b/tests/distribution/view/test_store.py
@@ -185,6 +185,7 @@
 def test_a_full_disk_leaves_the_last_version_complete_and_the_gateway_running(stored: str) -> None:
     incarnation = Incarnation(stored)
     connection = incarnation.store.connection
+    assert connection is not None
     connection.pragma("max_page_count", connection.pragma("page_count"))
     many = [change(Kind.TENANT, f"t{number}", tenant_value(0.1), 200 + number) for number in range(3000)]
 
--- a/tests/distribution/view/test_view.py
+++ b/tests/distribution/view/test_view.py
@@ -302,10 +302,13 @@
 def test_a_table_that_a_request_has_found_does_not_change_under_it(view: View) -> None:
     view.apply(batch(routes_change(1, route_text("look"))))
     found = view.routes("shop")
+    assert found is not None
 
     view.apply(batch(routes_change(2, route_text("charge"))))
 
-    assert found.find(Request("shop", "/a")).method == "look"
+    answer = found.find(Request("shop", "/a"))
+    assert answer is not None
+    assert answer.method == "look"
     assert method_of(view) == "charge"
 
 
@@ -388,7 +391,7 @@
 
     changed = [page for page in view.take_changed_pages() if page.kind == Kind.INSTANCE]
     assert len(changed) == 1
-    assert len(changed[0].body) < 4000
+    assert len(changed[0].body or b"") in range(1, 4000)
     assert len(view.instances("shop")) == 3000
 
     view.apply(batch(*(change(Kind.INSTANCE, f"shop/i{at}", b"", 6000 + at) for at in range(3000))))
