--- a/tests/distribution/dissemination/test_table.py
+++ b/tests/distribution/dissemination/test_table.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
-from linenbridge.distribution import table as module
+from linenbridge.distribution.dissemination import compacted_log as module
 from linenbridge.distribution.changes import (
     RANGES, START, Change, Kind, Version, digest_of, range_of, sealed,
 )  # fmt: skip
--- a/tests/scale/measure/pools.py
+++ b/tests/scale/measure/pools.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 from linenbridge.interface import DRAINING
-from linenbridge.net import instances as instances_module
+from linenbridge.net import upstream as instances_module
 from linenbridge.net.upstream import Instances
 from linenbridge.logging.event_log import Log
 
--- a/tests/scale/measure/relay.py
+++ b/tests/scale/measure/relay.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from linenbridge.distribution import feed as feed_module
+from linenbridge.distribution.dissemination import feed as feed_module
 from linenbridge.distribution.changes import START, Change, Kind, Position, TenantValue, Version, sealed
 from linenbridge.distribution.decisions import Send
 from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
