--- a/linenbridge/distribution/dissemination/sessions.py
+++ b/linenbridge/distribution/dissemination/sessions.py
@@ -1,71 +1,65 @@
-"""One follower at a relay: where it is in each region, what it may be sent, and when it was last heard.
+"""A relay's state of one follower: its position in each region, its flow control and its last progress.
 
-Keeps state without I/O. A follower costs a cursor for each region, a window of unacknowledged bytes, and
-while ranges are transferred one range.
+Keeps state without I/O. A follower costs a cursor for each region, a window of unacknowledged bytes and,
+during a transfer, one range.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from linenbridge.distribution.changes import START, Version
-from linenbridge.distribution.messages import EncodedBatch, EncodedWhole, Follow
 from linenbridge.distribution.dissemination.flow_control import MESSAGE_OVERHEAD, TokenBucket, Window
 from linenbridge.distribution.dissemination.progress import FollowerProgress
-
-
-@dataclass(slots=True)
-class Transfer:
-    """Whole ranges on their way to a follower. `parts` are those left of `index`, each a list of encoded
-    changes; `ranges` are those after it."""
-
-    upto: Version
-    ranges: deque[int]
-    index: int = 0
-    part: int = 0
-    parts: deque[list[bytes]] = field(default_factory=deque)
+from linenbridge.distribution.dissemination.range_transfer import RangeTransfer
+from linenbridge.distribution.messages import EncodedBatch, EncodedWhole, Follow
 
 
 @dataclass(slots=True)
 class Cursor:
-    """What a follower has been sent of one region. `told` is the head at which it was last told the digest,
-    or that it is behind the horizon."""
+    """Position up to which a follower has been sent one region.
+
+    `reported_head` is the head at which the follower was last sent the digest or the horizon.
+    """
 
     region: str
     version: Version = START
-    transfer: Transfer | None = None
-    told: Version | None = None
+    transfer: RangeTransfer | None = None
+    reported_head: Version | None = None
 
 
 class Session:
-    """One follower between its `Follow` and its loss."""
+    """One follower from its `Follow` until it is lost. Times are in microseconds."""
 
     def __init__(self, follow: Follow, regions: list[str], window: int, now: int) -> None:
-        self.follower, self.number = follow.follower, follow.session
+        self.follower = follow.follower
+        self.number = follow.session
         known = {position.region: position.version for position in follow.positions}
         wanted = [region for region in regions if not follow.regions or region in follow.regions]
         self.cursors = {region: Cursor(region, known.get(region, START)) for region in wanted}
         self.bucket = TokenBucket(max(0, follow.rate), now)
-        self.window = Window(max(window, 2 * self.bucket.page_most))
+        self.window = Window(max(window, 2 * self.bucket.max_page_bytes))
         self.progress = FollowerProgress(follow.follower)
         self.progress.positions = {region: cursor.version.sequence for region, cursor in self.cursors.items()}
-        self.heard_at = now
+        self.received_at = now
         self.sent_at = now
         self.messages = 0  # sent in this session
         self._order = deque(wanted)
 
     def may_send(self, now: int) -> bool:
+        """Whether the window and the rate allow a message."""
         return self.window.open and self.bucket.ready(now)
 
     def on_sent(self, message: EncodedBatch | EncodedWhole, now: int) -> None:
+        """Account for a message."""
         size = len(bytes(message.changes)) + MESSAGE_OVERHEAD
         self.messages += 1
         self.window.sent(size)
         self.bucket.take(size)
         self.sent_at = now
 
-    def turn(self) -> Cursor:
-        """The regions take turns with their heartbeats."""
+    def next_region(self) -> Cursor:
+        """The region whose turn it is for a heartbeat."""
         self._order.rotate(-1)
         return self.cursors[self._order[-1]]
--- a/linenbridge/distribution/view/results.py
+++ b/linenbridge/distribution/view/results.py
@@ -10,7 +10,7 @@
 
 from linenbridge.distribution.changes import Version
 from linenbridge.distribution.errors import ChangeRefused
-from linenbridge.interface import ListEntry
+from linenbridge.interface import EndpointEntry
 
 KIND_NAMES = {1: "routes", 2: "tenant", 3: "instance", 4: "zone"}
 
@@ -46,7 +46,7 @@
 class Endpoint(NamedTuple):
     """One instance as the decision module and the external processor take it, with its host and port."""
 
-    entry: ListEntry
+    entry: EndpointEntry
     address: tuple[str, int]
 
 
@@ -56,7 +56,7 @@
     `upto` is the position after the call, `digest` the digest of the region's complete table there; None
     while single ranges are ahead of the position. `applied` counts changes, `skipped` those that were known
     already or do not belong to the batch. `routes` and `zones` name the keys that changed, `tenants` counts
-    them. `instances` has the changed endpoints of the services in use, removed ones in the state GONE.
+    them. `instances` has the changed endpoints of the services in use, removed ones in the state REMOVED.
     """
 
     region: str
--- a/linenbridge/distribution/view/view.py
+++ b/linenbridge/distribution/view/view.py
@@ -41,10 +41,11 @@
 from linenbridge.distribution.view.validation import ChangeValidator, ValidatedValue
 from linenbridge.distribution.view.values import ValueChecks
 from linenbridge.distribution.view.zones import ZoneTable
-from linenbridge.interface import GONE, ListEntry, Method
+from linenbridge.interface import EndpointEntry, InstanceState, Method
 from linenbridge.startup import LONG_AGO
 
 MICROSECONDS_PER_MILLISECOND = 1000
+STATES = tuple(InstanceState)  # by number: `values` lets no other number through
 
 
 class _ResultBuilder:
@@ -115,9 +116,9 @@
         """Return the share of the load that a tenant may take, 0 to 1; None if the view does not have it."""
         return self.tenant_table.quota(name)
 
-    def instances(self, service: str) -> list[ListEntry]:
+    def instances(self, service: str) -> list[EndpointEntry]:
         """Return the instances of a service, in no particular order. Those of a lost zone are in the state
-        GONE.
+        REMOVED.
         """
         return [self._entry(name, value) for name, value in self.instance_table.find(service).items()]
 
@@ -143,12 +144,13 @@
     def _endpoint(self, name: str, value: InstanceValue, *, removed: bool = False) -> Endpoint:
         return Endpoint(self._entry(name, value, removed=removed), (value.host, value.port))
 
-    def _entry(self, name: str, value: InstanceValue, *, removed: bool = False) -> ListEntry:
-        state = GONE if removed or self.zone_table.lost(value.zone) else value.state
+    def _entry(self, name: str, value: InstanceValue, *, removed: bool = False) -> EndpointEntry:
+        lost = removed or self.zone_table.lost(value.zone)
+        state = InstanceState.REMOVED if lost else STATES[value.state]
         started = LONG_AGO
         if value.started:
             started = value.started * MICROSECONDS_PER_MILLISECOND + self.unix_offset
-        return ListEntry(name, value.build, value.zone, value.cell, state, value.size, started)
+        return EndpointEntry(name, value.build, value.zone, value.cell, state, value.size, started)
 
     # ---- positions and digests -------------------------------------------------------------------
 
--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -20,9 +20,18 @@
 from linenbridge.fleet.hosting.freezes import Freezes
 from linenbridge.peering.connections import Links, later
 from linenbridge.fleet.leases.acceptor import Acceptor
+from linenbridge.fleet.leases.decisions import (
+    AcceptorDecision,
+    LeaseAcquired,
+    LeaseLost,
+    LogEvent,
+    Persist,
+    ProposerDecision,
+    Send,
+)
 from linenbridge.fleet.leases.messages import LeaseReply, LeaseRequest, RecoveryReply, RecoveryRequest
 from linenbridge.fleet.leases.proposer import Proposer
-from linenbridge.fleet.store.acceptor_records import promises
+from linenbridge.fleet.store.acceptor_records import open_records
 from linenbridge.logging.event_log import Log
 
 GOODBYE = 0.25  # seconds for the last words of a member that leaves
@@ -40,7 +49,7 @@
         self.told, self.reactor, self.log, self.tasks_changed = told, reactor, log, tasks_changed
         self.name, self.life = f"{told.member}#{life:x}", life
         now = clock.now()
-        self.proposer = Proposer(self.name, told.quorum, told.pace, life, now)
+        self.proposer = Proposer(self.name, told.quorum, told.timing, life, now)
         self.acceptor: Acceptor | None = None
         self.proposers: dict[str, str] = {}  # by proposer, the link that it was last heard on
         self.disk = self.pool = self.timer = self.leaving = None
@@ -52,7 +61,7 @@
         self._dial()
         for errand in told.errands:
             if errand.task != RESTARTS:
-                self.proposer.stand_for(now, errand.task, errand.places)
+                self.proposer.request_lease(now, errand.task, errand.places)
         self.freezes = Freezes(told.windows, reactor, log, held)
         self.errands = Errands(self.name, told.errands, reactor, log, self.holds)
         acceptor = told.is_acceptor()
@@ -64,23 +73,30 @@
         nothing."""
         told, broken, kept = self.told, "", None
         try:
-            self.disk = promises(told.store, told.member)
+            self.disk = open_records(told.store)
             kept = self.disk.read()
         except FleetError as error:
             broken = str(error)
             self.log.event("store.failed", **error.fields())
-            kept = promises("", told.member).read()
+            kept = open_records("").read()
         number = Random(life).getrandbits(52)
         self.acceptor = Acceptor(
-            told.member, told.quorum, told.pace, kept, now, told.first_term, told.trusted, number
+            told.member,
+            told.quorum,
+            told.timing,
+            kept,
+            now,
+            first_term=told.first_term,
+            trusted=told.trusted,
+            incarnation=number,
         )
         if broken:
-            self.acceptor.on_store_failed(now, broken)
+            self.acceptor.on_store_failed(broken)
         self.pool = ThreadPool(1, 1, "promises")
         self.pool.start()
 
     def _dial(self) -> None:
-        for acceptor in self.told.quorum.everyone():
+        for acceptor in self.told.quorum.all_acceptors():
             if acceptor != self.told.member:
                 self.links.dial(acceptor, self.told.members[acceptor])
 
@@ -100,7 +116,7 @@
             if message.acceptor == far:
                 acceptor.on_recovery_request(now, message)
         elif acceptor is not None and isinstance(message, RecoveryReply) and message.acceptor == far:
-            acceptor.on_stamp(now, far, message.stamp)
+            acceptor.on_revision(far, message.revision)
             acceptor.on_recovery_reply(now, message)
         self.turn()
 
@@ -131,27 +147,35 @@
         if at is not None:
             self.timer = self.reactor.callLater(max(0.001, (at - now) / 1e6), self.turn)
 
-    def _carry_out(self, decision: tuple) -> None:
-        kind = decision[0]
-        if kind == "say":
-            self._say(decision[1], decision[2])
-        elif kind == "keep":
-            self._keep(decision[1], decision[2], decision[3])
-        elif kind == "log":
-            self.log.event(decision[1], **decision[2])
-        else:
-            _, task, place, term = decision
-            self.log.event(f"task.{kind}", task=task, place=place, term=term)
-            later(self.reactor, self.tasks_changed, task)
-            if kind == "held" and task == RESTARTS and self.leaving is not None:
-                self._go()
-
-    def _keep(self, rows: list[tuple], to: str, message: Any) -> None:
-        done = deferToThreadPool(self.reactor, self.pool, self.disk.keep, rows, self.acceptor.facts())
-        done.addCallbacks(lambda _: message is not None and self._say(to, message), self._not_kept)
+    def _carry_out(self, decision: ProposerDecision | AcceptorDecision) -> None:
+        match decision:
+            case Send(to, message):
+                self._say(to, message)
+            case Persist():
+                self._persist(decision)
+            case LogEvent(name, fields):
+                self.log.event(name, **fields)
+            case LeaseAcquired(task, slot, term):
+                self.log.event("task.held", task=task, place=slot, term=term)
+                later(self.reactor, self.tasks_changed, task)
+                if task == RESTARTS and self.leaving is not None:
+                    self._go()
+            case LeaseLost(task, slot, term):
+                self.log.event("task.lost", task=task, place=slot, term=term)
+                later(self.reactor, self.tasks_changed, task)
+
+    def _persist(self, decision: Persist) -> None:
+        """Write to the store, then send the message that waits for it."""
+        records = decision.records
+        done = deferToThreadPool(self.reactor, self.pool, self.disk.write, records, self.acceptor.facts())
+        done.addCallbacks(self._persisted, self._not_kept, callbackArgs=(decision.then,))
+
+    def _persisted(self, _: None, then: Send | None) -> None:
+        if then is not None:
+            self._say(then.to, then.message)
 
     def _not_kept(self, failure: Any) -> None:
-        self.acceptor.on_store_failed(clock.now(), failure.getErrorMessage())
+        self.acceptor.on_store_failed(failure.getErrorMessage())
         self.turn()
 
     # ---- what others ask ---------------------------------------------------------------------------
@@ -159,7 +183,7 @@
     def holds(self, task: str) -> tuple[int, int] | None:
         """Term and place under which this member may act on the task at this moment, or None."""
         term = self.proposer.may_act(clock.now(), task)
-        return None if term is None else (term, self.proposer.holds[task].place)
+        return None if term is None else (term, self.proposer.leases[task].slot)
 
     def take_up(self, told: FleetTold) -> None:
         """New settings: the quorum, addresses and windows count at once, all else from the next start."""
@@ -171,7 +195,7 @@
         elif told.is_acceptor():
             self._start_acceptor(now, self.life)
         self.links.known = frozenset(told.members)
-        acceptors = told.quorum.everyone()
+        acceptors = told.quorum.all_acceptors()
         for former in [name for name in self.links.dialled if name not in acceptors]:
             self.links.drop(former)
         self._dial()
@@ -187,7 +211,7 @@
         if not turns:
             self._go()
             return
-        self.proposer.stand_for(clock.now(), RESTARTS, turns[0].places)
+        self.proposer.request_lease(clock.now(), RESTARTS, turns[0].places)
         self.reactor.callLater(self.told.restarts_within / 1e6, self._go)
         self.turn()
 
@@ -199,9 +223,9 @@
         self.errands.close()
         self.freezes.close()
         now = clock.now()
-        for task in list(self.proposer.holds):
+        for task in list(self.proposer.leases):
             if task != RESTARTS:
-                self.proposer.leave(now, task)
+                self.proposer.release_lease(now, task)
         self.turn()
         self.reactor.callLater(GOODBYE, self._close, gone)
 
@@ -216,7 +240,7 @@
 
     def facts(self) -> dict[str, int]:
         """Figures for the line of counters."""
-        held = sum(self.holds(task) is not None for task in self.proposer.holds)
+        held = sum(self.holds(task) is not None for task in self.proposer.leases)
         return {
             "links": len(self.links.to),
             "held": held,
--- a/tests/compatibility/test_view.py
+++ b/tests/compatibility/test_view.py
@@ -63,7 +63,7 @@
         entry.cell,
         entry.state,
         entry.size,
-        entry.started,
+        entry.started_at,
         *one.address,
     ]
 
--- a/tests/distribution/view/helpers.py
+++ b/tests/distribution/view/helpers.py
@@ -11,12 +11,12 @@
 
 import msgspec
 
-from linenbridge import interface
 from linenbridge.distribution.changes import Change, InstanceValue, Kind, TenantValue, ZoneValue
 from linenbridge.distribution.decisions import Apply
 from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
 from linenbridge.distribution.view.results import StoredPage, ViewLimits
 from linenbridge.distribution.view.view import View
+from linenbridge.interface import InstanceState
 from linenbridge.routes.table import Request
 from tests.distribution.view.model import (
     Model,
@@ -146,7 +146,7 @@
 
 def expected_endpoint(name: str, value: InstanceValue, lost: set[str]) -> tuple[Any, ...]:
     """An endpoint's entry and address, as plain tuples."""
-    state = interface.GONE if value.zone in lost else value.state
+    state = InstanceState.REMOVED if value.zone in lost else value.state
     started = value.started * 1000 + UNIX_OFFSET
     entry = (name, value.build, value.zone, value.cell, state, value.size, started)
     return entry, (value.host, value.port)
--- a/tests/distribution/view/test_model.py
+++ b/tests/distribution/view/test_model.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable
 from random import Random
 
-from hypothesis import HealthCheck, settings, strategies as st
+from hypothesis import HealthCheck, settings
+from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from linenbridge.distribution.changes import Change, Kind, Version
--- a/tests/distribution/view/test_packing.py
+++ b/tests/distribution/view/test_packing.py
@@ -2,7 +2,8 @@
 
 from __future__ import annotations
 
-from hypothesis import given, strategies as st
+from hypothesis import given
+from hypothesis import strategies as st
 
 from linenbridge.distribution.view.packing import names, packed_entry, value_of, with_value
 
--- a/tests/distribution/view/test_serving.py
+++ b/tests/distribution/view/test_serving.py
@@ -18,17 +18,17 @@
 import grpc
 import pytest
 
-from linenbridge.policy import Choice
-from linenbridge.distribution.changes import Kind
 from linenbridge.configuration.read import ConfigurationError, read
+from linenbridge.distribution.changes import Kind
 from linenbridge.distribution.configuration import distribution
 from linenbridge.distribution.hosting.gateway import open_view
 from linenbridge.distribution.hosting.methods import Methods
-from linenbridge.logging.event_log import Log
-from linenbridge.distribution.view.serving import RoutesByAuthority, TenantQuotas
 from linenbridge.distribution.storage.view_store import ViewStore, fingerprint
+from linenbridge.distribution.view.serving import RoutesByAuthority, TenantQuotas
 from linenbridge.distribution.view.view import View
 from linenbridge.faults.process import free_port
+from linenbridge.logging.event_log import Log
+from linenbridge.policy import DecisionModule
 from linenbridge.process.configuration import load
 from linenbridge.processor.distributed import distributed
 from linenbridge.routes.table import Table, table
@@ -174,13 +174,13 @@
 
 def priority_weights(quotas: Mapping[str, float]) -> list[float]:
     """The weights that a decision module with these quotas gives to requests of three tenants in turn."""
-    module = Choice(replace(startup(gateways=1), tenant_shares=quotas), 7, 0)
-    module.on_list(0, [entry(1)], whole=True, answers=True)
+    module = DecisionModule(replace(startup(gateway_count=1), tenant_quotas=quotas), 7, 0)
+    module.on_endpoint_list(0, [entry(1)], is_snapshot=True, is_poll_response=True)
     found = []
     for number in range(60):
         tenant = ("t1", "t2", "t3")[number % 3]
         rpc = f"r{number}"
-        module.on_rpc(number * 500, rpc, "look", 50 * MS, None, tenant, None)
+        module.on_request(number * 500, rpc, "look", 50 * MS, None, tenant, None)
         active = module.rpcs.get(rpc)
         assert active is not None
         found.append(active.utility)
--- a/tests/distribution/view/test_store.py
+++ b/tests/distribution/view/test_store.py
@@ -11,7 +11,8 @@
 
 import apsw
 import pytest
-from hypothesis import given, settings, strategies as st
+from hypothesis import given, settings
+from hypothesis import strategies as st
 
 from linenbridge.distribution.changes import Kind, Version
 from linenbridge.distribution.decisions import Apply
--- a/tests/distribution/view/test_view.py
+++ b/tests/distribution/view/test_view.py
@@ -5,7 +5,6 @@
 import msgspec
 import pytest
 
-from linenbridge import interface
 from linenbridge.distribution.changes import VALUE_MOST, InstanceValue, Kind, TenantValue, Version
 from linenbridge.distribution.decisions import Apply
 from linenbridge.distribution.errors import ChangeRefused
@@ -14,6 +13,7 @@
 from linenbridge.distribution.view.tenants import MAX_EPOCH, MAX_SEQUENCE
 from linenbridge.distribution.view.values import ValueChecks
 from linenbridge.distribution.view.view import View
+from linenbridge.interface import InstanceState
 from linenbridge.routes.table import Request
 from linenbridge.startup import LONG_AGO
 from tests.distribution.view.helpers import (
@@ -340,11 +340,11 @@
 
     assert (lost.applied, lost.zones) == (1, ["z1"])
     states = [entry.state for entry in view.instances("shop")]
-    assert (states.count(interface.GONE), states.count(interface.READY)) == (50, 50)
+    assert (states.count(InstanceState.REMOVED), states.count(InstanceState.READY)) == (50, 50)
 
     view.apply(batch(change(Kind.ZONE, "z1", zone_value(lost=False), 201)))
 
-    assert all(entry.state == interface.READY for entry in view.instances("shop"))
+    assert all(entry.state == InstanceState.READY for entry in view.instances("shop"))
 
 
 def test_changes_of_services_in_use_are_reported_one_by_one(view: View) -> None:
@@ -362,8 +362,8 @@
 
     changed = result.instances["shop"]
     assert [(one.entry.instance, one.entry.build, one.entry.state) for one in changed] == [
-        ("i7", 9, interface.READY),
-        ("i8", 1, interface.GONE),
+        ("i7", 9, InstanceState.READY),
+        ("i8", 1, InstanceState.REMOVED),
     ]
     assert list(result.instances) == ["shop"]
     assert changed[0].address == ("127.0.0.1", 9000)
@@ -379,7 +379,7 @@
 
     view.apply(batch(instance_change(1, "shop/i1"), change(Kind.INSTANCE, "shop/i2", unknown, 2)))
 
-    starts = {entry.instance: entry.started for entry in view.instances("shop")}
+    starts = {entry.instance: entry.started_at for entry in view.instances("shop")}
     assert starts == {"i1": 1_700_000_000_000_000 - 7, "i2": LONG_AGO}
 
 
