--- a/tests/scale/hollow.py
+++ b/tests/scale/hollow.py
@@ -30,7 +30,7 @@
 from linenbridge.distribution.configuration import DistributionSettings, Region, Role
 from linenbridge.distribution.decisions import Apply, ReplaceRange
 from linenbridge.distribution.hosting.gateway import Gateway
-from linenbridge.distribution.view.results import Applied
+from linenbridge.distribution.view.results import ApplyResult
 from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
 from linenbridge.distribution.view.values import Value, ValueChecks
 from linenbridge.distribution.view.view import View
@@ -104,10 +104,10 @@
         super().__init__(METHODS, LONGEST)
         self.known: OrderedDict[tuple[int, str, bytes], Value] = OrderedDict()
 
-    def reading(self, kind: int, name: str, value: bytes) -> Generator[None, None, Value]:
+    def read_in_steps(self, kind: int, name: str, value: bytes) -> Generator[None, None, Value]:
         known = self.known.get((kind, name, value))
         if known is None:
-            known = yield from super().reading(kind, name, value)
+            known = yield from super().read_in_steps(kind, name, value)
             self.known[kind, name, value] = known
             if len(self.known) > KNOWN_VALUES:
                 self.known.popitem(last=False)
@@ -119,12 +119,12 @@
 
     gateway, recorder = "", None
 
-    def apply(self, batch: Apply) -> Applied:
+    def apply(self, batch: Apply) -> ApplyResult:
         applied = super().apply(batch)
         self._record(batch.region, batch.changes)
         return applied
 
-    def replace(self, content: ReplaceRange) -> Applied:
+    def replace(self, content: ReplaceRange) -> ApplyResult:
         applied = super().replace(content)
         self._record(content.region, content.changes)
         return applied
@@ -141,7 +141,7 @@
                     )
                 )  # fmt: skip
         for table in self.tables.values():
-            table.end()
+            table.commit()
 
 
 class Hollow:
@@ -181,7 +181,7 @@
         self.recorder.write(Started(now(), gateway, kept))
         view, store = self._view(settings)
         view.gateway, view.recorder = gateway, self.recorder
-        view.checks = self.checks
+        view.validator.checks = self.checks
         positions = {position.region: position.sequence for position in view.positions()}
         self.recorder.write(Serving(now(), gateway, positions))
         random = Random(f"{gateway} {self.spec.seed}")
@@ -250,7 +250,7 @@
             return
         name = self.random.choice(list(self.gateways))
         view = self.gateways[name].view
-        authorities = [authority for page in view.by_authority.pages for authority in page]
+        authorities = list(view.route_table.authorities())
         if not authorities:
             return
         authority = self.random.choice(sorted(authorities))
@@ -266,7 +266,7 @@
     def _zones(self, name: str, view: View, service: str) -> None:
         """All instances of a lost zone are gone together."""
         for zone in {entry.zone for entry in view.instances(service)}:
-            if view.by_zone.lost(zone):
+            if view.zone_table.lost(zone):
                 states = [entry.state for entry in view.instances(service) if entry.zone == zone]
                 marks = ["gone" if state == InstanceState.REMOVED else "there" for state in states]
                 self.recorder.write(Answered(now(), name, f"{service} {zone}", [*marks, "gone"]))
