--- a/tests/compatibility/distribution/test_stores.py
+++ b/tests/compatibility/distribution/test_stores.py
@@ -118,15 +118,15 @@
     """All that a view answers, as the record holds it."""
     regions = list(record["digests"])
     range_digests = {name: hashlib.sha256(view.range_digests(name)).hexdigest() for name in regions}
-    refused = [[row.region, *as_array(row.version), row.kind, row.name, row.reason] for row in view.refused()]
+    refused = [[row.region, *as_array(row.version), row.kind, row.name, row.reason] for row in view.rejected()]
     return {
         "positions": as_array(view.positions()),
         "digests": {region: view.digest(region) for region in regions},
         "range_digests": range_digests,
         "refused": sorted(refused),
-        "tenants": {name: view.tenant(name) for name in record["tenants"]},
+        "tenants": {name: view.tenant_quota(name) for name in record["tenants"]},
         "instances": {
-            service: sorted([list(one.entry), list(one.address)] for one in view.listed(service))
+            service: sorted([list(one.entry), list(one.address)] for one in view.endpoints(service))
             for service in record["instances"]
         },
         "services": sorted(view.services()),
@@ -188,7 +188,7 @@
     view = restored(store, new_view)
     for row in view_record["goes_on"]:
         carry_out(view, row)
-        assert store.write(view.dirty())
+        assert store.write(view.take_changed_pages())
     store.close()
     assert tables_of(view_path) == view_record["tables_after"]
     again = restored(open_store(view_path), new_view)
@@ -201,7 +201,7 @@
     view = restored(store, new_view)
     for row in view_record["batches"]:
         carry_out(view, row)
-        assert store.write(view.dirty())
+        assert store.write(view.take_changed_pages())
     store.close()
     assert tables_of(tmp_path / "view.db") == view_record["tables"]
     assert events == []
