--- a/linenbridge/distribution/errors.py
+++ b/linenbridge/distribution/errors.py
@@ -54,7 +54,7 @@
     """The process asked does not hold the region's lease."""
 
     code = "not_publisher"
-    advice = "ask another candidate; if none holds the lease for long, look at the quorum (`council.lost`)"
+    advice = "ask another candidate; if none holds the lease for long, look at the quorum (`quorum.lost`)"
 
 
 class PublisherBusy(Rejection):
--- a/linenbridge/fleet/configuration.py
+++ b/linenbridge/fleet/configuration.py
@@ -138,7 +138,7 @@
         refuse(
             element,
             "two acceptors change at once",
-            "change one acceptor, wait until all acceptors say `seat.returned`",
+            "change one acceptor, wait until all acceptors say `acceptor.recovered`",
         )
     if not ACCEPTORS[0] <= len(now) <= ACCEPTORS[1]:
         refuse(
--- a/linenbridge/fleet/leases/acceptor.py
+++ b/linenbridge/fleet/leases/acceptor.py
@@ -172,9 +172,8 @@
             return
         self.quorum = quorum
         self.recovery.on_quorum(now, quorum)
-        names = list(quorum.acceptors)
-        fields = {"generation": quorum.generation, "acceptors": names, "seats": names}
-        self._decisions.append(LogEvent("council.moves", fields))
+        fields = {"generation": quorum.generation, "acceptors": list(quorum.acceptors)}
+        self._decisions.append(LogEvent("quorum.changing", fields))
 
     def on_store_failed(self, why: str) -> None:
         """A write failed: this acceptor grants nothing until the process is restarted."""
@@ -216,11 +215,11 @@
             fields = {
                 "grounds": grounds.value,
                 "generation": self.quorum.generation,
-                "places": self.granted_leases.count(),
+                "slots": self.granted_leases.count(),
             }
-            self._decisions.append(LogEvent("seat.returned", fields))
+            self._decisions.append(LogEvent("acceptor.recovered", fields))
         for error in self.recovery.errors_to_report(now):
-            self._log("seat.aside", error)
+            self._log("acceptor.recovering", error)
 
     def _on_store_restored(self, now: int, reporter: str, revision: int) -> None:
         """Another member has seen a newer revision than this store's: it was restored from an older copy."""
--- a/linenbridge/fleet/leases/proposer.py
+++ b/linenbridge/fleet/leases/proposer.py
@@ -167,7 +167,7 @@
         if not renewed:
             lease.phase = LeasePhase.HELD
             self._decisions.append(LeaseAcquired(lease.task, lease.slot, term))
-        fields = {"task": lease.task, "place": lease.slot, "term": term, "raised": renewed}
+        fields = {"task": lease.task, "slot": lease.slot, "term": term, "renewed": renewed}
         self._decisions.append(LogEvent("lease.held", fields))
 
     def _on_statuses(self, now: int, replies: list[LeaseReply]) -> None:
@@ -217,7 +217,7 @@
         if message.generation > max(self.quorum.generation, self._reported_generation):
             self._reported_generation = message.generation
             what = f"the acceptor is at {message.generation}, this member at {self.quorum.generation}"
-            self._log("council.newer", OtherGeneration(what, message.acceptor))
+            self._log("quorum.newer_generation", OtherGeneration(what, message.acceptor))
 
     # ---- time ------------------------------------------------------------------------------------------
 
@@ -241,7 +241,7 @@
             return
         self._decisions.append(LeaseLost(lease.task, lease.slot, lease.term))
         late = now - (expires_at or now)
-        fields = {"task": lease.task, "place": lease.slot, "term": lease.term, "late": late}
+        fields = {"task": lease.task, "slot": lease.slot, "term": lease.term, "late": late}
         self._decisions.append(LogEvent("lease.lost", fields))
         lease.restart_waiting(now)
         self._next_request_at = now
@@ -253,7 +253,7 @@
         replies = self._replies.get(self._request_number, {})
         granting = sorted(acceptor for acceptor, reply in replies.items() if not reply.code)
         what = f"of {list(self.quorum.acceptors)} only {granting} grant"
-        self._log("council.lost", QuorumLost(what, self.name))
+        self._log("quorum.lost", QuorumLost(what, self.name))
 
     def _has_quorum(self, now: int) -> bool:
         """Return whether a majority has replied lately."""
--- a/linenbridge/fleet/leases/recovery.py
+++ b/linenbridge/fleet/leases/recovery.py
@@ -28,8 +28,8 @@
     """Why an acceptor may grant again; the values stand in the log."""
 
     FOUNDED = "founded"  # no acceptor has records
-    RECOVERED = "recalled"  # enough others have sent their records
-    RECONFIGURED = "settled"  # majorities of both lists have the new settings
+    RECOVERED = "recovered"  # enough others have sent their records
+    RECONFIGURED = "reconfigured"  # majorities of both lists have the new settings
 
 
 class StoreRestored(NamedTuple):
@@ -150,12 +150,14 @@
         if self._restored is not None:
             reporter, own, reported = self._restored
             self._restored = None
-            yield DiskWentBack(f"{reporter} has heard stamp {reported}, the store holds {own}", self.acceptor)
+            yield DiskWentBack(
+                f"{reporter} has seen revision {reported}, the store is at {own}", self.acceptor
+            )
         if not self.done and now >= self._report_at:
             self._report_at = now + REPORT_AGAIN_HEARTBEATS * self.timing.heartbeat
             found = sorted(name for name, reply in self._replies.items() if reply.has_records)
             missing = sorted(set(self.quorum.all_acceptors()) - set(self._replies) - {self.acceptor})
-            what = f"with memory: {found or 'none'}; no answer: {missing or 'none'}"
+            what = f"with records: {found or 'none'}; no reply: {missing or 'none'}"
             yield MemoryLost(what, self.acceptor)
 
     # ---- grounds ---------------------------------------------------------------------------------------
