--- a/tests/compatibility/leases/test_decisions.py
+++ b/tests/compatibility/leases/test_decisions.py
@@ -17,7 +17,7 @@
 from tests.compatibility.leases.conftest import base_file
 from tests.fleet.explore.leases import LeaseWorld, Scenario
 from tests.fleet.explore.schedules import GROWS
-from tests.fleet.explore.search import wander
+from tests.exploration.search import wander
 from tests.fleet.sim.world import Fleet, Shape
 
 BASE = base_file("decisions.json")
--- /dev/null
+++ b/tests/exploration/network.py
@@ -0,0 +1,78 @@
+"""The messages of a small world, each with a fate that is chosen when the message is sent.
+
+Owns the messages between their sending and their delivery. A message is prompt, late by some ticks, lost, or
+delivered twice. Which processes reach each other is up to the world.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Collection, Iterator
+from typing import NamedTuple
+
+
+class Transit(NamedTuple):
+    """One message on its way. `number` orders messages that are due at the same tick."""
+
+    due: int
+    number: int
+    sender: str
+    to: str
+    message: object
+
+
+class Network:
+    """Messages whose fate is not chosen yet, and those in flight."""
+
+    def __init__(self, late_ticks: tuple[int, ...], twice_after: int) -> None:
+        """Take by how many ticks a message may be late, and after how many one is delivered again."""
+        self.late_ticks = late_ticks
+        self.twice_after = twice_after
+        self.sent: list[tuple[str, str, object]] = []
+        self.in_flight: list[Transit] = []
+        self.count = 0
+
+    def send(self, sender: str, to: str, message: object) -> None:
+        """Send a message; its fate is the next choice, after those of messages sent before."""
+        self.sent.append((sender, to, message))
+
+    def fates(self, faults: Collection[str], tick: int) -> Iterator[str]:
+        """Yield what may happen to the first message sent, the first if nothing goes wrong."""
+        sender, to, message = self.sent[0]
+        what = f"{type(message).__name__} {sender}>{to} at {tick}"
+        yield "prompt"
+        if "late" in faults:
+            yield from (f"late {ticks} {what}" for ticks in self.late_ticks)
+        if "lost" in faults:
+            yield f"lost {what}"
+        if "twice" in faults:
+            yield f"twice {what}"
+
+    def choose(self, fate: str) -> list[tuple[int, str, str, object]]:
+        """Return the deliveries of the first message sent: ticks until then, sender, receiver, message."""
+        sender, to, message = self.sent.pop(0)
+        match fate.split():
+            case ["prompt", *_]:
+                delays = [0]
+            case ["twice", *_]:
+                delays = [0, self.twice_after]
+            case ["late", ticks, *_]:
+                delays = [int(ticks)]
+            case ["lost", *_]:
+                delays = []
+            case _:
+                raise ValueError(f"no such fate: {fate}")
+        return [(delay, sender, to, message) for delay in delays]
+
+    def put_in_flight(self, due: int, sender: str, to: str, message: object) -> None:
+        """Let a message be delivered at a tick."""
+        self.count += 1
+        self.in_flight.append(Transit(due, self.count, sender, to, message))
+
+    def take_due(self, now: int, paused: Collection[str]) -> Transit | None:
+        """Remove and return the first message that is due to a process that runs; None if there is none."""
+        due = [transit for transit in self.in_flight if transit.due <= now and transit.to not in paused]
+        if not due:
+            return None
+        first = min(due, key=lambda transit: transit[:2])
+        self.in_flight.remove(first)
+        return first
