--- /dev/null
+++ b/tests/upgrade/__main__.py
@@ -0,0 +1,58 @@
+"""`python -m tests.upgrade --base CHECKOUT [--order NAME] [--folder FOLDER]`: exit code 0 where all passed.
+
+The base's installation is replaced process by process by the version that this command runs from, once from
+the acceptors to the gateways and once the other way round.
+"""
+
+from __future__ import annotations
+
+import argparse
+import asyncio
+import sys
+import tempfile
+import time
+from functools import partial
+from pathlib import Path
+
+from tests.fleet.procs.installation import ROOT
+from tests.fleet.procs.standin_resource import StandinResource
+from tests.upgrade.checkout import Checkout
+from tests.upgrade.play import ORDERS, Upgrade
+
+say = partial(print, flush=True)
+
+
+async def play(folder: Path, base: Checkout, new: Checkout, order: str) -> bool:
+    """One upgrade in a folder of its own; whether it passed."""
+    resource = StandinResource()
+    await resource.open()
+    began = time.monotonic()
+    say(f"upgrade in place, {order}: {base.root} -> {new.root}")
+    upgrade = Upgrade(folder, base, new, resource, say)
+    try:
+        report = await asyncio.to_thread(upgrade.play, ORDERS[order])
+    finally:
+        resource.server.close()
+    say(f"{report}\n{order}: {time.monotonic() - began:.0f} s\n")
+    return not report.faults
+
+
+def main() -> int:
+    parser = argparse.ArgumentParser(prog="python -m tests.upgrade", description=__doc__)
+    parser.add_argument("--base", type=Path, required=True, help="a checkout of the base with its own .venv")
+    parser.add_argument("--order", choices=[*ORDERS, "both"], default="both")
+    parser.add_argument("--folder", type=Path, help="for settings, stores and logs; else a new one")
+    given = parser.parse_args()
+    base, new = Checkout.of_base(given.base), Checkout.of_this_version(ROOT)
+    top = given.folder or Path(tempfile.mkdtemp(prefix="upgrade-"))
+    passed = []
+    for order in ORDERS if given.order == "both" else [given.order]:
+        folder = top / order.replace(" ", "-")
+        folder.mkdir(parents=True)
+        passed.append(asyncio.run(play(folder, base, new, order)))
+    say(f"{sum(passed)} of {len(passed)} upgrades passed; stores and logs in {top}")
+    return 0 if all(passed) else 1
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- /dev/null
+++ b/tests/upgrade/event_names.py
@@ -0,0 +1,16 @@
+"""Names of log events and their fields at the base, in this version's terms.
+
+The installation of the tests waits for events by their present names; a line that the base wrote is read with
+the names on the right. An event that is not named here has the same name in both.
+"""
+
+from __future__ import annotations
+
+EVENTS: dict[str, str] = {}  # at the base -> in this version
+FIELDS: dict[str, str] = {}
+
+
+def in_present_terms(row: dict) -> dict:
+    """A line of the base's log with this version's names."""
+    renamed = {FIELDS.get(name, name): value for name, value in row.items()}
+    return {**renamed, "event": EVENTS.get(row["event"], row["event"])}
--- /dev/null
+++ b/tests/upgrade/play.py
@@ -0,0 +1,280 @@
+"""One upgrade from the first process of the base to the last of this version, and the report on it.
+
+Owns the order of the steps. After each replaced process the next one is touched only when the whole serves
+again: a publisher publishes, the acceptor grants, the gateway follows, changes are acknowledged, and the
+task's holder sends fenced requests.
+"""
+
+from __future__ import annotations
+
+import io
+import time
+from collections.abc import Callable
+from dataclasses import dataclass, field
+from pathlib import Path
+
+from linenbridge.configuration.read import read
+from linenbridge.distribution.changes import Change
+from linenbridge.distribution.configuration import distribution
+from linenbridge.distribution.hosting.gateway import open_view
+from linenbridge.distribution.hosting.methods import methods_of
+from linenbridge.distribution.storage.log_store import RelayLog
+from linenbridge.logging.event_log import Log
+from tests.distribution.hosting.installation import Installation
+from tests.fleet.procs.checker import breaches, longest_gap
+from tests.fleet.procs.standin_resource import StandinResource
+from tests.upgrade import checks
+from tests.upgrade.checkout import Checkout
+from tests.upgrade.event_names import in_present_terms
+from tests.upgrade.load import IN_FORCE, ChangeLoad, request
+
+TASK = "sweep"  # the task whose holder sends fenced requests to the stand-in
+EVERY = "30ms"  # between two of them
+# The longest time without a fenced request. Lease 1 s, beat 200 ms: a lease that was given back is taken up
+# within a beat or two, one that was not within lease * 1.02 + 2 beats; a second for a busy machine.
+MAX_GAP = 2.42  # seconds
+REQUESTS_AFTER_STEP = 10  # fenced requests, and
+CHANGES_AFTER_STEP = 3  # acknowledged changes, before the next process is replaced
+LAST_THREAD = 99  # the name of the last change's keys
+ORDERS = {
+    "acceptors first": ["w", "p1", "p2", "eu-1", "eu-2", "g-1", "g-2"],
+    "gateways first": ["g-1", "g-2", "eu-1", "eu-2", "p1", "p2", "w"],
+}
+
+
+@dataclass(frozen=True, slots=True)
+class Life:
+    """One process of the installation, from its start to its end."""
+
+    name: str
+    label: str  # of its checkout
+    pid: int
+
+
+@dataclass
+class Report:
+    """What one upgrade came to: lines of counts, and what is wrong; it passed where nothing is."""
+
+    lines: list[str] = field(default_factory=list)
+    faults: list[str] = field(default_factory=list)
+
+    def check(self, what: str, faults: list[str]) -> None:
+        """One line for a check, and its faults."""
+        self.lines.append(f"{what}: {'ok' if not faults else f'{len(faults)} FAULTS'}")
+        self.faults += [f"{what}: {fault}" for fault in faults]
+
+    def __str__(self) -> str:
+        shown = [f"  FAULT {fault}" for fault in self.faults[:40]]
+        return "\n".join([*self.lines, *shown, "PASS" if not self.faults else "FAIL"])
+
+
+class MixedInstallation(Installation):
+    """Two relays, two gateways, three acceptors of which two stand for publisher; each process runs from the
+    checkout that it was last started from."""
+
+    def __init__(self, folder: Path, first: Checkout, port: int) -> None:
+        task = f'<task name="{TASK}" act="127.0.0.1:{port}" every="{EVERY}"/>'
+        super().__init__(folder, relays=2, gateways=2, fleet_tasks=task, launch=first.launch)
+        self.lives: list[Life] = []
+        self._checkouts = dict.fromkeys(self.everybody(), first)
+
+    def start(self, *names: str) -> None:
+        for name in names:
+            self.launch = self._checkouts[name].launch
+            super().start(name)
+            self.lives.append(Life(name, self._checkouts[name].label, self.running[name].pid))
+
+    def replace(self, name: str, checkout: Checkout) -> int | None:
+        """End a process in order and start it from another checkout; the exit code of the old one."""
+        code = self.end(name)
+        self._checkouts[name] = checkout
+        self.start(name)
+        return code
+
+    def events(self, name: str, event: str = "") -> list[dict]:
+        rows = super().events(name)
+        if self._checkouts[name].label == "base":
+            rows = [in_present_terms(row) for row in rows]
+        return [row for row in rows if row["event"] == event] if event else rows
+
+    def log_of(self, life: Life) -> bytes:
+        kept = self.folder / f"{life.name}.{life.pid}.log"
+        return (kept if kept.exists() else self.folder / f"{life.name}.log").read_bytes()
+
+
+class Upgrade:
+    """One play; `say` is called with each step's line."""
+
+    def __init__(
+        self, folder: Path, base: Checkout, new: Checkout, resource: StandinResource,
+        say: Callable[[str], None],
+    ) -> None:  # fmt: skip
+        self.base, self.new, self.resource, self.say = base, new, resource, say
+        self.installation = MixedInstallation(folder, base, resource.port)
+        self.load = ChangeLoad(self.installation, [base, new], threads=4)
+        self.report = Report()
+        self.replaced_holders = 0
+        self.exit_faults: list[str] = []
+
+    def play(self, order: list[str]) -> Report:
+        """The report. Where a step does not come about, it holds that and what the logs say."""
+        try:
+            self._replace_all(order)
+        except TimeoutError as error:
+            self.report.check("every step came about", [str(error)])
+        finally:
+            self.installation.close()
+        self._check_processes()
+        if not self.installation.running:
+            self._check_changes()
+        return self.report
+
+    def _replace_all(self, order: list[str]) -> None:
+        """From the start of the base's processes to the end in order of this version's."""
+        installation = self.installation
+        installation.start(*installation.everybody())
+        installation.up(*installation.everybody())
+        installation.until(lambda: installation.publisher() != "", "a publisher")
+        self.load.start()
+        try:
+            self._wait_until_served(order[0])
+            since = time.monotonic()
+            for name in order:
+                self._replace(name)
+        finally:
+            self.load.stop()
+        self._check_fenced_requests(since, time.monotonic())
+        self._publish_last()
+        for name in [*installation.gateways, *installation.publishers, *installation.relays, "w"]:
+            self._end(name, installation.end(name))
+
+    # ---- steps -------------------------------------------------------------------------------------------
+
+    def _replace(self, name: str) -> None:
+        began = time.monotonic()
+        self.replaced_holders += self._holder() == name
+        publishes = self.installation.publisher() == name
+        self._end(name, self.installation.replace(name, self.new))
+        self._wait_until_served(name)
+        what = " (it published)" if publishes else ""
+        self.say(f"  {name} replaced{what}: all served again after {time.monotonic() - began:.1f} s")
+
+    def _end(self, name: str, code: int | None) -> None:
+        if code != 0:
+            self.exit_faults.append(f"{name} ended with {code}")
+
+    def _wait_until_served(self, name: str) -> None:
+        """Until the process that was started last does its part and the whole serves."""
+        installation = self.installation
+        installation.up(name)
+        if name in installation.fleet_ports:
+            installation.until(lambda: bool(installation.events(name, "seat.returned")), f"{name} to grant")
+        if name in installation.relays:
+            installation.until(lambda: installation.has_joined(name), f"{name} to count")
+        installation.until(lambda: installation.publisher() != "", "a publisher")
+        for gateway in installation.gateways:
+            installation.until(
+                lambda one=gateway: installation.followed_by(one) != "", f"{gateway} to follow"
+            )
+        changes = self.load.acknowledged() + CHANGES_AFTER_STEP
+        requests = len(self.resource.acts) + REQUESTS_AFTER_STEP
+        installation.until(lambda: self.load.acknowledged() >= changes, "changes to be acknowledged")
+        installation.until(lambda: len(self.resource.acts) >= requests, "fenced requests")
+
+    def _holder(self) -> str:
+        acts = self.resource.acts
+        return acts[-1].by.partition("#")[0] if acts else ""
+
+    def _publish_last(self) -> None:
+        """One change after all others, which says that everything before it is in force."""
+        installation = self.installation
+        installation.until(
+            lambda: self.load.publish(request(LAST_THREAD, 0), self.new) == IN_FORCE, "a last change in force"
+        )
+        last = self.load.outcomes.acknowledged[-1].sequence
+        for gateway in installation.gateways:
+            installation.until(
+                lambda one=gateway: installation.in_force(one) >= last, f"{gateway} to have all"
+            )
+
+    # ---- checks ------------------------------------------------------------------------------------------
+
+    def _check_fenced_requests(self, since: float, until: float) -> None:
+        acts = [act for act in list(self.resource.acts) if act.task == TASK]
+        terms = [act.term for act in acts]
+        gap = longest_gap(acts, TASK, since, until)
+        self.report.lines.append(
+            f"fenced requests: {len(acts)}, terms {sorted(set(terms))}, holders in order "
+            f"{list(dict.fromkeys(act.by.partition('#')[0] for act in acts))}, "
+            f"longest time without one {gap:.2f} s (bound {MAX_GAP} s)"
+        )
+        self.report.check(
+            "fenced requests",
+            breaches(acts, [])
+            + checks.unrisen_terms(terms, self.replaced_holders)
+            + [f"rejected: {act}" for act in acts if not act.taken]
+            + ([f"no request for {gap:.2f} s"] if gap > MAX_GAP else []),
+        )
+
+    def _check_processes(self) -> None:
+        installation = self.installation
+        for label in (self.base.label, self.new.label):
+            lives = [life for life in installation.lives if life.label == label]
+            found = [checks.read_log(installation.log_of(life)) for life in lives]
+            events = dict[str, int]()
+            for summary in found:
+                for event, count in summary.events.items():
+                    events[event] = events.get(event, 0) + count
+            shown = ", ".join(f"{event} {count}" for event, count in sorted(events.items()))
+            self.report.lines.append(f"logs of {len(lives)} processes of {label}: {shown}")
+            faults = [
+                f"{life.name} ({label}): {fault}"
+                for life, summary in zip(lives, found, strict=True)
+                for fault in summary.faults
+            ]
+            self.report.check(f"rejected or malformed in logs of {label}", faults)
+            missing = [life.name for life, summary in zip(lives, found, strict=True) if not summary.events]
+            self.report.check(f"every process of {label} wrote its log", missing)
+        self.report.check("processes ended with 0", self.exit_faults)
+
+    def _check_changes(self) -> None:
+        installation, outcomes = self.installation, self.load.outcomes
+        codes = ", ".join(f"{label} code {code}: {n}" for (label, code), n in sorted(outcomes.codes.items()))
+        self.report.lines.append(
+            f"changes: {len(outcomes.acknowledged)} acknowledged, {len(outcomes.unknown)} unknown, "
+            f"{len(outcomes.rejected)} rejected ({codes}; 0 in force, 1 accepted, 2 rejected, 3 unknown)"
+        )
+        self.report.check("no change rejected", outcomes.rejected)
+        last = max(change.sequence for change in outcomes.acknowledged)
+        digests = dict[str, int | None]()
+        for relay in installation.relays:
+            table = checks.newest_of_each_key(self._log_of(relay), last)
+            digests[relay] = checks.table_digest(table.values())
+            lost = checks.lost_changes(outcomes.acknowledged, table)
+            self.report.check(f"acknowledged changes at {relay} ({len(table)} keys)", lost)
+        for gateway in installation.gateways:
+            self._check_gateway(gateway, last, digests)
+        self.report.lines.append("digests: " + ", ".join(f"{name} {one}" for name, one in digests.items()))
+        self.report.check("digests equal", checks.differing_digests(digests))
+
+    def _log_of(self, relay: str) -> list[Change]:
+        store = RelayLog(str(self.installation.folder / relay), "eu")
+        try:
+            return store.read().changes
+        finally:
+            store.close()
+
+    def _check_gateway(self, gateway: str, last: int, digests: dict[str, int | None]) -> None:
+        """The view that it has stored: at the last sequence, nothing rejected; its digest goes to
+        `digests`."""
+        settings = distribution(read(str(self.installation.folder / f"{gateway}.xml")))
+        view, store = open_view(settings, methods_of(settings), Log(io.BytesIO()))
+        try:
+            digests[gateway] = view.digest("eu")
+            positions = [position.sequence for position in view.positions() if position.region == "eu"]
+            refused = [f"{one.name}: {one}" for one in view.refused()]
+        finally:
+            if store is not None:
+                store.close()
+        wrong = [f"at {positions}, not at {last}"] if positions != [last] else []
+        self.report.check(f"in force at {gateway} up to {last}", wrong + refused)
--- /dev/null
+++ b/tests/upgrade/test_checks.py
@@ -0,0 +1,121 @@
+"""What the checks of the upgrade find in planted records, and that they find nothing in sound ones."""
+
+from __future__ import annotations
+
+import json
+
+import pytest
+
+from linenbridge.distribution.changes import Change, Kind, Version, sealed
+from tests.upgrade.checks import (
+    Acknowledged, differing_digests, lost_changes, newest_of_each_key, read_log, table_digest, unrisen_terms,
+)  # fmt: skip
+
+
+def line(event: str, **fields: object) -> bytes:
+    return json.dumps({"at": 1.0, "event": event, **fields}).encode() + b"\n"
+
+
+def tenant(sequence: int, name: str, value: bytes, epoch: int = 1) -> Change:
+    return sealed("eu", Version(epoch, sequence), Kind.TENANT, name, value)
+
+
+def test_a_log_without_faults_is_counted_by_event():
+    summary = read_log(
+        line("link.up", of="p1", number=1)
+        + line("link.up", of="p2", number=1)
+        + line("distribution.refused_follower", follower="g-1", code="relay_behind")
+        + line("counters", counts={"link.up.p1": 3, "link.malformed.p1": 0}, spoilt=0, refused_followers=1)
+    )
+    assert summary.faults == []
+    assert summary.events == {"link.up": 2, "distribution.refused_follower": 1, "counters": 1}
+
+
+@pytest.mark.parametrize(
+    "event",
+    [
+        "link.malformed", "link.stranger", "link.too_long", "link.unread", "distribution.misnamed",
+        "distribution.stranger", "distribution.refused_change", "distribution.change_refused",
+        "distribution.replica_malformed", "distribution.digest_differs", "distribution.spoilt",
+        "distribution.store_failed", "distribution.store_lost", "distribution.store_set_aside",
+        "store.failed", "act.refused", "failed",
+    ],
+)  # fmt: skip
+def test_each_fault_of_the_base_is_found_in_a_log(event):
+    summary = read_log(line("member.started") + line(event, of="p1"))
+    assert len(summary.faults) == 1 and event in summary.faults[0]
+
+
+@pytest.mark.parametrize(
+    "event", ["unauthorized_peer", "name_mismatch", "rejected_change", "action.rejected"]
+)
+def test_the_terms_of_this_version_are_found_too(event):
+    assert read_log(line(f"distribution.{event}")).faults
+
+
+@pytest.mark.parametrize(
+    ("fields", "counter"),
+    [
+        ({"spoilt": 2}, "spoilt is 2"),
+        ({"digests_differed": 1}, "digests_differed is 1"),
+        ({"keys_refused": 1}, "keys_refused is 1"),
+        ({"counts": {"link.malformed.eu-1": 4}}, "link.malformed.eu-1 is 4"),
+    ],
+)
+def test_a_counted_fault_is_found_where_no_line_tells_of_it(fields, counter):
+    (fault,) = read_log(line("counters", **fields)).faults
+    assert counter in fault
+
+
+def test_a_traceback_is_a_fault():
+    assert len(read_log(b"Traceback (most recent call last):\n" + line("stopped")).faults) == 1
+
+
+def test_the_newest_change_of_each_key_makes_the_table():
+    changes = [tenant(3, "a", b"new"), tenant(1, "a", b"old"), tenant(2, "b", b"x"), tenant(4, "b", b"later")]
+    table = newest_of_each_key(changes, up_to=3)
+    assert {key[1]: change.value for key, change in table.items()} == {"a": b"new", "b": b"x"}
+    assert table_digest(table.values()) == table_digest([changes[2], changes[0]]) != table_digest(changes)
+
+
+def acknowledged(sequence: int, value: bytes = b"x", epoch: int = 1) -> Acknowledged:
+    return Acknowledged(Kind.TENANT, "a", value, epoch, sequence)
+
+
+@pytest.mark.parametrize(
+    ("change", "held", "words"),
+    [
+        (acknowledged(2), None, "the key is not there"),
+        (acknowledged(2), tenant(1, "a", b"w"), "1/1 is in force"),
+        (acknowledged(2), tenant(2, "a", b"w"), "another change has its sequence"),
+        (acknowledged(2), tenant(2, "a", b"x", epoch=2), "another change has its sequence"),
+    ],
+)
+def test_a_lost_change_is_named(change, held, words):
+    table = {} if held is None else {held.key: held}
+    (found,) = lost_changes([change], table)
+    assert words in found
+
+
+@pytest.mark.parametrize(
+    ("change", "held"),
+    [
+        (acknowledged(2), tenant(2, "a", b"x")),
+        (acknowledged(2), tenant(3, "a", b"y")),
+        (acknowledged(2, b""), tenant(2, "a", b"")),
+        (acknowledged(2, b""), None),
+    ],
+)
+def test_a_change_that_is_held_or_replaced_by_a_newer_one_is_not_lost(change, held):
+    assert not lost_changes([change], {} if held is None else {held.key: held})
+
+
+def test_digests_that_differ_are_named():
+    assert not differing_digests({"eu-1": 5, "eu-2": 5, "g-1": 5})
+    assert len(differing_digests({"eu-1": 5, "eu-2": 6, "g-1": None, "g-2": 5})) == 2
+
+
+def test_terms_rise_with_each_replaced_holder():
+    assert not unrisen_terms([1, 1, 2, 2, 3], replaced_holders=2)
+    assert unrisen_terms([1, 2, 1], replaced_holders=1) == ["term 1 follows 2"]
+    assert unrisen_terms([1, 1, 2], replaced_holders=2) == ["2 terms for 2 replaced holders"]
