--- a/linenbridge/cli/publish.py
+++ b/linenbridge/cli/publish.py
@@ -1,7 +1,7 @@
 """`linenbridge publish`: one change to its region's publisher, and what becomes of it in plain words.
 
 Owns the words, the exit codes and the forms of values as people write them. It must never decide where a
-change goes: that is the author's (`distribution/hosting/author.py`).
+change goes: that is the change client's (`distribution/hosting/change_client.py`).
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 from linenbridge.distribution.errors import (
     ChangeRefused, ForeignKey, NotPublisher, OlderEpoch, PublisherBusy, QuorumUnreached,
 )  # fmt: skip
-from linenbridge.distribution.hosting.change_client import Author, Outcome
+from linenbridge.distribution.hosting.change_client import ChangeClient, Outcome
 from linenbridge.distribution.hosting.methods import methods_of
 from linenbridge.distribution.messages import Publish, Published
 from linenbridge.distribution.view.values import ValueChecks
@@ -106,7 +106,7 @@
     if not change.value or (change.kind == Kind.ROUTES and not settings.platform):
         return
     methods = methods_of(settings)
-    if fault := ValueChecks(methods.methods, methods.longest)(change.kind, change.name, change.value):
+    if fault := ValueChecks(methods.methods, methods.max_deadline)(change.kind, change.name, change.value):
         raise ValueError(f"{change.name}: {fault}; {ChangeRefused.advice}")
 
 
@@ -126,11 +126,11 @@
     def begin() -> None:
         deadline.append(reactor.callLater(wanted.accepted_within, reactor.stop))
 
-    author = Author(region, change, reactor, log, said, reactor.stop)
+    client = ChangeClient(region, change, reactor, log, said, reactor.stop)
     reactor.callWhenRunning(begin)
     reactor.run(installSignalHandlers=True)
-    author.close()
-    return author.outcome
+    client.close()
+    return client.outcome
 
 
 class Teller:
@@ -166,9 +166,9 @@
         if outcome.accepted is not None:
             self._last("not known to be in force everywhere yet; it stays accepted: look at the relays")
             return ACCEPTED
-        if outcome.refused is not None:
+        if outcome.rejected is not None:
             return REFUSED
-        if outcome.maybe_kept:
+        if outcome.maybe_accepted:
             self._last(f"unknown: it may be accepted later; {QuorumUnreached.advice}")
             return UNKNOWN
         self._last(f"not published: no publisher of {self.region} took it; {NotPublisher.advice}")
--- a/linenbridge/distribution/hosting/disk_writer.py
+++ b/linenbridge/distribution/hosting/disk_writer.py
@@ -14,45 +14,47 @@
 
 
 class GroupWriter(Generic[Item]):
-    """`write(items)` runs in a thread of the reactor's pool; then `done(items)` or `failed(items, error)` is
-    called on the reactor's."""
+    """`write(items)` runs in a thread of the reactor's pool; then `on_written(items)` or
+    `on_failed(items, error)` is called on the reactor's."""
 
     def __init__(
-        self, reactor: Any, write: Callable[[list[Item]], object], done: Callable[[list[Item]], None],
-        failed: Callable[[list[Item], BaseException], None],
+        self, reactor: Any, write: Callable[[list[Item]], object], on_written: Callable[[list[Item]], None],
+        on_failed: Callable[[list[Item], BaseException], None],
     ) -> None:  # fmt: skip
-        self.reactor, self.write, self.done, self.failed = reactor, write, done, failed
-        self.waiting: list[Item] = []
+        self.reactor, self.write, self.on_written, self.on_failed = reactor, write, on_written, on_failed
+        self.pending: list[Item] = []
         self.writing = False
-        self._idle: Callable[[], None] | None = None
+        self._on_idle: Callable[[], None] | None = None
 
     def put(self, item: Item) -> None:
-        self.waiting.append(item)
+        self.pending.append(item)
         if not self.writing:
-            self._begin()
+            self._start_write()
 
-    def close(self, idle: Callable[[], None]) -> None:
-        """`idle` is called once all that was put is written."""
-        self._idle = idle
-        self._tell_idle()
+    def close(self, on_idle: Callable[[], None]) -> None:
+        """`on_idle` is called once all that was put is written."""
+        self._on_idle = on_idle
+        self._notify_if_idle()
 
-    def _begin(self) -> None:
-        items, self.waiting = self.waiting, []
+    def _start_write(self) -> None:
+        items, self.pending = self.pending, []
         self.writing = True
         result = deferToThreadPool(self.reactor, self.reactor.getThreadPool(), self.write, items)
-        result.addCallbacks(lambda _: self.done(items), lambda failure: self.failed(items, failure.value))
-        result.addBoth(self._next)
+        result.addCallbacks(
+            lambda _: self.on_written(items), lambda failure: self.on_failed(items, failure.value)
+        )
+        result.addBoth(self._on_write_ended)
 
-    def _next(self, result: object) -> object:
+    def _on_write_ended(self, result: object) -> object:
         """Also after a callback that raised: its failure is passed on, to the process's log."""
         self.writing = False
-        if self.waiting:
-            self._begin()
+        if self.pending:
+            self._start_write()
         else:
-            self._tell_idle()
+            self._notify_if_idle()
         return result
 
-    def _tell_idle(self) -> None:
-        if self._idle is not None and not self.writing and not self.waiting:
-            idle, self._idle = self._idle, None
-            idle()
+    def _notify_if_idle(self) -> None:
+        if self._on_idle is not None and not self.writing and not self.pending:
+            on_idle, self._on_idle = self._on_idle, None
+            on_idle()
--- a/linenbridge/distribution/hosting/follower_settings.py
+++ b/linenbridge/distribution/hosting/follower_settings.py
@@ -26,7 +26,7 @@
     return frozenset(relay for region in settings.regions.values() for relay in region.relays)
 
 
-def hear(follower: Follower, now: int, relay: str, message: Batch | Whole | Refused) -> None:
+def deliver(follower: Follower, now: int, relay: str, message: Batch | Whole | Refused) -> None:
     """A relay's message to the core's input of its kind."""
     match message:
         case Batch():
--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -17,15 +17,15 @@
 from linenbridge.distribution.decisions import Apply, Decision, Dial, Event, HangUp, ReplaceRange, Send
 from linenbridge.distribution.errors import ViewStoreError
 from linenbridge.distribution.dissemination.follower import Follower
-from linenbridge.distribution.hosting.core_driver import Carrier, Core
+from linenbridge.distribution.hosting.core_driver import CoreDriver, StateMachine
 from linenbridge.distribution.hosting.follower_settings import (
     follower_settings,
-    hear,
+    deliver,
     relay_names,
     relay_places,
 )
 from linenbridge.distribution.hosting.methods import Methods
-from linenbridge.distribution.hosting.link_messages import FOLLOWER_TAKES
+from linenbridge.distribution.hosting.link_messages import FOLLOWER_DECODER
 from linenbridge.distribution.hosting.disk_writer import GroupWriter
 from linenbridge.distribution.view.results import Applied, StoredPage, ViewLimits
 from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
@@ -34,110 +34,110 @@
 from linenbridge.peering.connections import Links
 from linenbridge.logging.event_log import Log
 
-STORE_EVERY = 1.0  # seconds between two writes of the view's pages
+STORE_INTERVAL = 1.0  # seconds between two writes of the view's pages
 
 
 class Gateway:
-    """`view` is what it has in force, from its store where it was restored. `applied` is told of each change
-    of it, right after."""
+    """`view` is what it has in force, from its store where it was restored. `on_applied` is called
+    with each change of it, right after."""
 
     def __init__(
         self, settings: DistributionSettings, reactor: Any, log: Log, view: View, random: Random,
-        store: ViewStore | None = None, applied: Callable[[Applied], None] = lambda applied: None,
+        store: ViewStore | None = None, on_applied: Callable[[Applied], None] = lambda applied: None,
     ) -> None:  # fmt: skip
         self.settings, self.reactor, self.log, self.view = settings, reactor, log, view
-        self.applied = applied
+        self.on_applied = on_applied
         self.follower = Follower(
             settings.name, settings.region, relay_places(settings, list(settings.regions)),
             list(settings.regions), view.positions(), follower_settings(settings, settings.rate), random,
             clock.now(), view.range_digests,
         )  # fmt: skip
-        self.links = Links(
-            settings.name, relay_names(settings), reactor, log, self._heard, decoder=FOLLOWER_TAKES,
-            changed=self._link_changed,
+        self.connections = Links(
+            settings.name, relay_names(settings), reactor, log, self._on_message, decoder=FOLLOWER_DECODER,
+            changed=self._on_connection_changed,
         )  # fmt: skip
-        self.pages = None if store is None else StoredPages(reactor, log, view, store)
-        self.queue: deque[Apply | ReplaceRange] = deque()
+        self.page_writer = None if store is None else ViewPageWriter(reactor, log, view, store)
+        self.pending: deque[Apply | ReplaceRange] = deque()
         self.unchecked: deque[Change] = deque()  # sets of routes of the queue's first
-        self.steps: Iterator[None] = iter(())  # of the check of one of them
+        self.check_steps: Iterator[None] = iter(())  # of the check of one of them
         self.closed = False
-        self.carrier = Carrier(reactor, [self.follower], self._carry_out)
+        self.driver = CoreDriver(reactor, [self.follower], self._execute)
         log.event("distribution.started", role="gateway", name=settings.name, region=settings.region)
-        self.carrier.turn()
+        self.driver.turn()
 
     # ---- links -------------------------------------------------------------------------------------------
 
-    def _heard(self, far: str, message: Any) -> None:
-        hear(self.follower, clock.now(), far, message)
-        self.carrier.turn()
+    def _on_message(self, peer: str, message: Any) -> None:
+        deliver(self.follower, clock.now(), peer, message)
+        self.driver.turn()
 
-    def _link_changed(self, far: str, up: bool) -> None:
-        self.follower.on_link(clock.now(), far, up)
-        self.carrier.turn()
+    def _on_connection_changed(self, peer: str, connected: bool) -> None:
+        self.follower.on_link(clock.now(), peer, connected)
+        self.driver.turn()
 
     # ---- decisions ---------------------------------------------------------------------------------------
 
-    def _carry_out(self, core: Core, now: int, decision: Decision) -> None:
+    def _execute(self, state_machine: StateMachine, now: int, decision: Decision) -> None:
         match decision:
             case Send():
-                self.links.say(decision.to, decision.message)
+                self.connections.say(decision.to, decision.message)
             case Apply() | ReplaceRange():
                 self._enqueue(decision)
             case Dial():
                 address = self.settings.relay_address(decision.relay)
                 if address is not None:
-                    self.links.dial(decision.relay, address)
+                    self.connections.dial(decision.relay, address)
             case HangUp():
-                self.links.drop(decision.relay)
+                self.connections.drop(decision.relay)
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
     # ---- what comes into force ---------------------------------------------------------------------------
 
     def _enqueue(self, content: Apply | ReplaceRange) -> None:
-        self.queue.append(content)
-        if len(self.queue) == 1:
-            self._begin_first()
+        self.pending.append(content)
+        if len(self.pending) == 1:
+            self._start_checks()
 
-    def _begin_first(self) -> None:
+    def _start_checks(self) -> None:
         """Only checks of routes take long enough to be spread over turns."""
-        changes = self.queue[0].changes
+        changes = self.pending[0].changes
         self.unchecked = deque(change for change in changes if change.kind == Kind.ROUTES and change.value)
-        self._step()
+        self._check_pending()
 
-    def _step(self) -> None:
-        if self.closed or not self.queue:
+    def _check_pending(self) -> None:
+        if self.closed or not self.pending:
             return
-        if self._checks_more():
-            self.reactor.callLater(0, self._step)
+        if self._run_check_step():
+            self.reactor.callLater(0, self._check_pending)
             return
-        self._put_in_force(self.queue[0])
-        self.queue.popleft()
-        if self.queue:
-            self.reactor.callLater(0, self._begin_first)
+        self._put_in_force(self.pending[0])
+        self.pending.popleft()
+        if self.pending:
+            self.reactor.callLater(0, self._start_checks)
 
-    def _checks_more(self) -> bool:
+    def _run_check_step(self) -> bool:
         """One step of the checks, a millisecond or so; False once all are done."""
-        for _ in self.steps:
+        for _ in self.check_steps:
             return True
         if not self.unchecked:
             return False
-        self.steps = self.view.examining(self.unchecked.popleft())
+        self.check_steps = self.view.examining(self.unchecked.popleft())
         return True
 
     def _put_in_force(self, content: Apply | ReplaceRange) -> None:
         view = self.view
         applied = view.apply(content) if isinstance(content, Apply) else view.replace(content)
         self.follower.on_applied(clock.now(), applied.region, applied.upto, applied.digest)
-        self._tell(applied)
-        self.applied(applied)
-        if self.pages is not None:
-            self.pages.changed()
-        self.carrier.turn()
-
-    def _tell(self, applied: Applied) -> None:
-        for refused in applied.refused:
-            self.log.event("distribution.refused_change", **refused.error().fields())
+        self._log_applied(applied)
+        self.on_applied(applied)
+        if self.page_writer is not None:
+            self.page_writer.on_changed()
+        self.driver.turn()
+
+    def _log_applied(self, applied: Applied) -> None:
+        for rejected in applied.refused:
+            self.log.event("distribution.rejected_change", **rejected.error().fields())
         if applied.taken:
             place = {"region": applied.region, "epoch": applied.upto.epoch, "sequence": applied.upto.sequence}
             self.log.event("distribution.in_force", changes=applied.taken, **place)
@@ -152,15 +152,15 @@
             "sessions": counters.sessions,
             "batches": counters.batches,
             "ranges": counters.ranges,
-            "passed_over": counters.passed_over,
+            "skipped": counters.passed_over,
             "gaps": counters.gaps,
-            "spoilt": counters.spoilt,
+            "corrupt": counters.spoilt,
             "digests_differed": counters.differed,
             "relays_lost": counters.lost,
             "relays_silent": counters.silences,
-            "changes_taken": view.counts["taken"],
-            "changes_refused": view.counts["refused"],
-            "keys_refused": len(view.refused()),
+            "changes_applied": view.counts["taken"],
+            "changes_rejected": view.counts["refused"],
+            "keys_rejected": len(view.refused()),
         }
 
     def reload(self, path: str) -> None:
@@ -170,28 +170,28 @@
     def close(self, closed: Callable[[], None] = lambda: None) -> None:
         """In order: links, then turns, then the last pages on disk; `closed()` at the end."""
         self.closed = True
-        self.carrier.close()
-        self.links.close()
-        if self.pages is None:
+        self.driver.close()
+        self.connections.close()
+        if self.page_writer is None:
             closed()
         else:
-            self.pages.close(closed)
+            self.page_writer.close(closed)
 
 
-class StoredPages:
+class ViewPageWriter:
     """Brings a view's changed pages to its store, every now and then and all of them together."""
 
     def __init__(self, reactor: Any, log: Log, view: View, store: ViewStore) -> None:
         self.reactor, self.log, self.view, self.store = reactor, log, view, store
-        self.writer = GroupWriter[list[StoredPage]](reactor, self._write, self._done, self._failed)
+        self.writer = GroupWriter[list[StoredPage]](reactor, self._write, self._on_written, self._on_failed)
         self.timer: Any = None
 
-    def changed(self) -> None:
+    def on_changed(self) -> None:
         """The view has changed."""
         if self.timer is None and self.store.error is None:
-            self.timer = self.reactor.callLater(STORE_EVERY, self._put)
+            self.timer = self.reactor.callLater(STORE_INTERVAL, self._write_changed)
 
-    def _put(self) -> None:
+    def _write_changed(self) -> None:
         self.timer = None
         if self.store.error is None:
             self.writer.put(self.view.dirty())
@@ -200,10 +200,10 @@
         for pages in groups:
             self.store.write(pages)
 
-    def _done(self, groups: list[list[StoredPage]]) -> None:
+    def _on_written(self, groups: list[list[StoredPage]]) -> None:
         """The store says itself what went wrong."""
 
-    def _failed(self, groups: list[list[StoredPage]], error: BaseException) -> None:
+    def _on_failed(self, groups: list[list[StoredPage]], error: BaseException) -> None:
         self.log.failed("distribution.store", error)
         if self.store.error is None:
             self.store.error = ViewStoreError(f"{type(error).__name__}: {error}", self.store.path)
@@ -211,7 +211,7 @@
     def close(self, closed: Callable[[], None]) -> None:
         if self.timer is not None:
             self.timer.cancel()
-            self._put()
+            self._write_changed()
         self.writer.close(lambda: self._close_store(closed))
 
     def _close_store(self, closed: Callable[[], None]) -> None:
@@ -228,15 +228,17 @@
     limits = ViewLimits(compiled_bytes=settings.compiled_routes)
 
     def new_view() -> View:
-        return View(methods.methods, methods.longest, unix_offset, limits)
+        return View(methods.methods, methods.max_deadline, unix_offset, limits)
 
     if not settings.store:
         return new_view(), None
     store = ViewStore(settings.store, fingerprint(method.name for method in methods.methods), log.event)
     view = restored(store, new_view)
-    log.event("distribution.restored", positions=[_plain(position) for position in view.positions()])
+    log.event(
+        "distribution.restored", positions=[_position_fields(position) for position in view.positions()]
+    )
     return view, store
 
 
-def _plain(position: Position) -> dict[str, object]:
+def _position_fields(position: Position) -> dict[str, object]:
     return {"region": position.region, "epoch": position.epoch, "sequence": position.sequence}
--- a/linenbridge/distribution/hosting/link_messages.py
+++ b/linenbridge/distribution/hosting/link_messages.py
@@ -12,8 +12,8 @@
     Refused, Whole,
 )  # fmt: skip
 
-RELAY_TAKES = Decoder(Prepare | Fetch | Append | Follow | Progress | Digests)
-FOLLOWER_TAKES = Decoder(Batch | Whole | Refused)
-PUBLISHER_TAKES = Decoder(Prepared | Fetched | Appended | Progress)
-PUBLISHER_TAKES_OF_AUTHORS = Decoder(Publish)
-AUTHOR_TAKES = Decoder(Published)
+RELAY_DECODER = Decoder(Prepare | Fetch | Append | Follow | Progress | Digests)
+FOLLOWER_DECODER = Decoder(Batch | Whole | Refused)
+PUBLISHER_DECODER = Decoder(Prepared | Fetched | Appended | Progress)
+CHANGE_REQUEST_DECODER = Decoder(Publish)
+CHANGE_CLIENT_DECODER = Decoder(Published)
--- a/linenbridge/distribution/hosting/methods.py
+++ b/linenbridge/distribution/hosting/methods.py
@@ -16,16 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Methods:
-    """`longest` is the longest deadline, in microseconds."""
+    """`max_deadline` is the longest deadline, in microseconds."""
 
     methods: tuple[Method, ...] = ()
-    longest: int = 0
+    max_deadline: int = 0
 
 
 def methods_in(at: ProcessConfiguration) -> Methods:
     """Of a configuration that is read already."""
-    longest = micros(max(profile.give_up for profile in at.settings.profiles))
-    return Methods(tuple(startup(at.settings).methods), longest)
+    max_deadline = micros(max(profile.give_up for profile in at.settings.profiles))
+    return Methods(tuple(startup(at.settings).methods), max_deadline)
 
 
 def methods_of(settings: DistributionSettings) -> Methods:
--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -12,8 +12,8 @@
 
 from linenbridge.distribution.configuration import DistributionSettings, publishers_task
 from linenbridge.distribution.decisions import Decision, Event, Send
-from linenbridge.distribution.hosting.core_driver import Carrier, Core
-from linenbridge.distribution.hosting.link_messages import PUBLISHER_TAKES, PUBLISHER_TAKES_OF_AUTHORS
+from linenbridge.distribution.hosting.core_driver import CoreDriver, StateMachine
+from linenbridge.distribution.hosting.link_messages import PUBLISHER_DECODER, CHANGE_REQUEST_DECODER
 from linenbridge.distribution.messages import Appended, Fetched, Prepared, Progress, Publish, Published
 from linenbridge.distribution.log.replication import PublisherPace
 from linenbridge.distribution.log.publisher import Check, Publisher
@@ -29,7 +29,7 @@
     """One candidate; it publishes while it holds its region's task. `check` is asked of each value."""
 
     def __init__(
-        self, settings: DistributionSettings, told: FleetTold, reactor: Any, log: Log, check: Check,
+        self, settings: DistributionSettings, fleet_settings: FleetTold, reactor: Any, log: Log, check: Check,
         random: Random,
     ) -> None:  # fmt: skip
         self.settings, self.reactor, self.log = settings, reactor, log
@@ -38,56 +38,58 @@
         self.publisher = Publisher(
             settings.region, settings.name, tuple(relays), PublisherPace(), random, check
         )
-        self.authors = Links(
-            settings.name, WellFormedNames(), reactor, log, self._heard_author,
-            decoder=PUBLISHER_TAKES_OF_AUTHORS, connections=settings.authors,
+        self.clients = Links(
+            settings.name, WellFormedNames(), reactor, log, self._on_change_request,
+            decoder=CHANGE_REQUEST_DECODER, connections=settings.authors,
         )  # fmt: skip
         self.relays = Links(
-            settings.name, frozenset(relays), reactor, log, self._heard_relay, decoder=PUBLISHER_TAKES
+            settings.name, frozenset(relays), reactor, log, self._on_relay_message, decoder=PUBLISHER_DECODER
+        )
+        self.driver = CoreDriver(reactor, [self.publisher], self._execute, self._refresh_term)
+        self.member = Member(
+            fleet_settings, reactor, log, secrets.randbits(60), tasks_changed=self._tasks_changed
         )
-        self.carrier = Carrier(reactor, [self.publisher], self._carry_out, self._look_at_lease)
-        self.member = Member(told, reactor, log, secrets.randbits(60), tasks_changed=self._tasks_changed)
         if settings.listen is None:
             raise ValueError("a publisher listens")
-        self.port = reactor.listenTCP(settings.listen[1], self.authors, interface=settings.listen[0])
+        self.port = reactor.listenTCP(settings.listen[1], self.clients, interface=settings.listen[0])
         for relay, address in relays.items():
             self.relays.dial(relay, address)
         log.event("distribution.started", role="publisher", name=settings.name, region=settings.region)
-        self.carrier.turn()
+        self.driver.turn()
 
-    def _look_at_lease(self, now: int) -> None:
-        held = self.member.holds(self.task)
-        self.publisher.on_term(now, None if held is None else held[0])
+    def _refresh_term(self, now: int) -> None:
+        held_slot = self.member.holds(self.task)
+        self.publisher.on_term(now, None if held_slot is None else held_slot[0])
 
     def _tasks_changed(self, task: str) -> None:
         if task == self.task:
-            self.carrier.turn()
+            self.driver.turn()
 
-    def _heard_author(self, far: str, message: Publish) -> None:
+    def _on_change_request(self, peer: str, message: Publish) -> None:
         now = clock.now()
-        self._look_at_lease(now)
-        self.publisher.on_publish(now, far, message)
-        self.carrier.turn()
+        self._refresh_term(now)
+        self.publisher.on_publish(now, peer, message)
+        self.driver.turn()
 
-    def _heard_relay(self, far: str, message: Any) -> None:
+    def _on_relay_message(self, peer: str, message: Any) -> None:
         now = clock.now()
         match message:
-            case Prepared() if message.relay == far:
+            case Prepared() if message.relay == peer:
                 self.publisher.on_prepared(now, message)
-            case Fetched() if message.relay == far:
+            case Fetched() if message.relay == peer:
                 self.publisher.on_fetched(now, message)
-            case Appended() if message.relay == far:
+            case Appended() if message.relay == peer:
                 self.publisher.on_appended(now, message)
-            case Progress() if message.follower == far:
-                self.publisher.on_progress(now, far, message)
+            case Progress() if message.follower == peer:
+                self.publisher.on_progress(now, peer, message)
             case _:
-                self.log.rarely("distribution.misnamed", "relay", far=far)
-        self.carrier.turn()
+                self.log.rarely("distribution.name_mismatch", "relay", peer=peer)
+        self.driver.turn()
 
-    def _carry_out(self, core: Core, now: int, decision: Decision) -> None:
+    def _execute(self, state_machine: StateMachine, now: int, decision: Decision) -> None:
         match decision:
             case Send(to, Published() as answer):
-                self.authors.say(to, answer)
+                self.clients.say(to, answer)
             case Send(to, message):
                 self.relays.say(to, message)
             case Event():
@@ -98,7 +100,7 @@
         publisher = self.publisher
         return {
             **self.member.facts(),
-            "authors": len(self.authors.to),
+            "change_clients": len(self.clients.to),
             "relays": len(self.relays.to),
             "epoch": publisher.epoch,
             "publishing": int(publisher.leading),
@@ -116,8 +118,8 @@
         self.member.leave(lambda: self._close(closed))
 
     def _close(self, closed: Any) -> None:
-        self.carrier.turn()
-        self.carrier.close()
-        self.authors.close()
+        self.driver.turn()
+        self.driver.close()
+        self.clients.close()
         self.relays.close()
         closed()
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -18,14 +18,14 @@
 from linenbridge.distribution.errors import RelayStoreError
 from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
 from linenbridge.distribution.dissemination.follower import Follower
-from linenbridge.distribution.hosting.core_driver import Carrier, Core
+from linenbridge.distribution.hosting.core_driver import CoreDriver, StateMachine
 from linenbridge.distribution.hosting.follower_settings import (
     follower_settings,
-    hear,
+    deliver,
     relay_names,
     relay_places,
 )
-from linenbridge.distribution.hosting.link_messages import FOLLOWER_TAKES, RELAY_TAKES
+from linenbridge.distribution.hosting.link_messages import FOLLOWER_DECODER, RELAY_DECODER
 from linenbridge.distribution.hosting.disk_writer import GroupWriter
 from linenbridge.distribution.messages import Append, Digests, Fetch, Follow, Prepare, Progress
 from linenbridge.distribution.log.replica import Replica
@@ -34,20 +34,20 @@
 from linenbridge.peering.connections import Links, WellFormedNames, later
 from linenbridge.logging.event_log import Log
 
-SPARE_CONNECTIONS = 64  # for relays of other regions and publishers, beside two for each follower
-HEARTBEATS_BEYOND = 2  # a follower is let go when it has been silent so much longer than relays may be
+RESERVED_CONNECTIONS = 64  # for relays of other regions and publishers, beside two for each follower
+EXTRA_SILENT_HEARTBEATS = 2  # a follower is let go when it has been silent so much longer than relays may be
 
 
 class Relay:
     """One relay of `settings.region`. RelayStoreError where its disk cannot be used. A relay whose disk fails
-    later on gets nothing newer for its followers: `broken` is called once, for the process to end."""
+    later on gets nothing newer for its followers: `on_broken` is called once, for the process to end."""
 
     def __init__(
         self, settings: DistributionSettings, reactor: Any, log: Log, random: Random,
-        broken: Callable[[], None] = lambda: None,
+        on_broken: Callable[[], None] = lambda: None,
     ) -> None:  # fmt: skip
         self.settings, self.reactor, self.log = settings, reactor, log
-        self._broken: Callable[[], None] | None = broken
+        self._on_broken: Callable[[], None] | None = on_broken
         now = clock.now()
         self.disk = RelayLog(settings.store, settings.region)
         self.replica = Replica(settings.region, settings.name, self.disk.read(), settings.trusted, random)
@@ -63,22 +63,23 @@
         self.region_of = {
             relay: region for region, found in settings.regions.items() for relay in found.relays
         }
-        self.writer = GroupWriter[Keep](reactor, self.disk.keep, self._kept, self._not_kept)
+        self.writer = GroupWriter[Keep](reactor, self.disk.keep, self._on_persisted, self._on_persist_failed)
         self.downstream = Links(
-            settings.name, WellFormedNames(), reactor, log, self._heard_downstream, decoder=RELAY_TAKES,
-            connections=2 * settings.followers + SPARE_CONNECTIONS, changed=self._downstream_changed,
+            settings.name, WellFormedNames(), reactor, log, self._on_downstream_message,
+            decoder=RELAY_DECODER, connections=2 * settings.followers + RESERVED_CONNECTIONS,
+            changed=self._on_downstream_changed,
         )  # fmt: skip
         self.upstream = Links(
-            settings.name, relay_names(settings), reactor, log, self._heard_upstream, decoder=FOLLOWER_TAKES,
-            changed=self._upstream_changed,
+            settings.name, relay_names(settings), reactor, log, self._on_upstream_message,
+            decoder=FOLLOWER_DECODER, changed=self._on_upstream_changed,
         )  # fmt: skip
-        cores = [self.replica, *self.followers.values(), self.feed]
-        self.carrier = Carrier(reactor, cores, self._carry_out, after=self._look_at_replica)
+        state_machines = [self.replica, *self.followers.values(), self.feed]
+        self.driver = CoreDriver(reactor, state_machines, self._execute, on_turn_end=self._report_broken_disk)
         if settings.listen is None:
             raise ValueError("a relay listens")
         self.port = reactor.listenTCP(settings.listen[1], self.downstream, interface=settings.listen[0])
         log.event("distribution.started", role="relay", name=settings.name, region=settings.region)
-        self.carrier.turn()
+        self.driver.turn()
 
     def _follower(self, region: str, random: Random, now: int) -> Follower:
         """Of another region. What the feed's tables hold is not kept on disk: it is asked for anew."""
@@ -90,57 +91,59 @@
 
     # ---- links -------------------------------------------------------------------------------------------
 
-    def _heard_downstream(self, far: str, message: Any) -> None:
+    def _on_downstream_message(self, peer: str, message: Any) -> None:
         now = clock.now()
         match message:
             case Prepare() | Fetch() | Append():
-                self._heard_publisher(now, far, message)
-            case Follow() if message.follower == far:
+                self._on_publisher_message(now, peer, message)
+            case Follow() if message.follower == peer:
                 self.feed.on_follow(now, message)
-            case Progress() if message.follower == far:
+            case Progress() if message.follower == peer:
                 self.feed.on_progress(now, message)
             case Digests():
-                self.feed.on_digests(now, far, message)
+                self.feed.on_digests(now, peer, message)
             case _:
-                self.log.rarely("distribution.misnamed", "follower", far=far, named=message.follower[:64])
-        self.carrier.turn()
-
-    def _heard_publisher(self, now: int, far: str, message: Prepare | Fetch | Append) -> None:
-        if far not in self.settings.home.publishers:
-            self.log.rarely("distribution.stranger", "publisher", far=far)
+                self.log.rarely(
+                    "distribution.name_mismatch", "follower", peer=peer, claimed_name=message.follower[:64]
+                )
+        self.driver.turn()
+
+    def _on_publisher_message(self, now: int, peer: str, message: Prepare | Fetch | Append) -> None:
+        if peer not in self.settings.home.publishers:
+            self.log.rarely("distribution.unauthorized_peer", "publisher", peer=peer)
             return
         match message:
             case Prepare():
-                self.replica.on_prepare(now, far, message)
+                self.replica.on_prepare(now, peer, message)
             case Fetch():
-                self.replica.on_fetch(now, far, message)
+                self.replica.on_fetch(now, peer, message)
             case Append():
-                self.replica.on_append(now, far, message)
+                self.replica.on_append(now, peer, message)
         self.feed.on_publisher(now, self.replica.publisher)
 
-    def _downstream_changed(self, far: str, up: bool) -> None:
-        if not up:
-            self.feed.on_lost(clock.now(), far)
-            self.carrier.turn()
+    def _on_downstream_changed(self, peer: str, connected: bool) -> None:
+        if not connected:
+            self.feed.on_lost(clock.now(), peer)
+            self.driver.turn()
 
-    def _heard_upstream(self, far: str, message: Any) -> None:
-        follower = self.followers.get(self.region_of[far])
+    def _on_upstream_message(self, peer: str, message: Any) -> None:
+        follower = self.followers.get(self.region_of[peer])
         if follower is not None:
-            hear(follower, clock.now(), far, message)
-            self.carrier.turn()
+            deliver(follower, clock.now(), peer, message)
+            self.driver.turn()
 
-    def _upstream_changed(self, far: str, up: bool) -> None:
-        follower = self.followers.get(self.region_of[far])
+    def _on_upstream_changed(self, peer: str, connected: bool) -> None:
+        follower = self.followers.get(self.region_of[peer])
         if follower is not None:
-            follower.on_link(clock.now(), far, up)
-            self.carrier.turn()
+            follower.on_link(clock.now(), peer, connected)
+            self.driver.turn()
 
     # ---- decisions ---------------------------------------------------------------------------------------
 
-    def _carry_out(self, core: Core, now: int, decision: Decision) -> None:
+    def _execute(self, state_machine: StateMachine, now: int, decision: Decision) -> None:
         match decision:
             case Send():
-                links = self.upstream if isinstance(core, Follower) else self.downstream
+                links = self.upstream if isinstance(state_machine, Follower) else self.downstream
                 links.say(decision.to, decision.message)
             case Keep():
                 self.writer.put(decision)
@@ -163,27 +166,27 @@
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
-    def _look_at_replica(self) -> None:
-        if self.replica.broken and self._broken is not None:
-            broken, self._broken = self._broken, None
-            later(self.reactor, broken)
+    def _report_broken_disk(self) -> None:
+        if self.replica.broken and self._on_broken is not None:
+            on_broken, self._on_broken = self._on_broken, None
+            later(self.reactor, on_broken)
 
     def _address(self, relay: str) -> tuple[str, int]:
         return self.settings.regions[self.region_of[relay]].relays[relay]
 
-    def _kept(self, keeps: list[Keep]) -> None:
+    def _on_persisted(self, persists: list[Keep]) -> None:
         now = clock.now()
-        for keep in keeps:
-            self.replica.on_kept(now, keep.number)
-            for send in keep.then:
+        for persist in persists:
+            self.replica.on_kept(now, persist.number)
+            for send in persist.then:
                 self.downstream.say(send.to, send.message)
-        self.carrier.turn()
+        self.driver.turn()
 
-    def _not_kept(self, keeps: list[Keep], error: BaseException) -> None:
+    def _on_persist_failed(self, persists: list[Keep], error: BaseException) -> None:
         if not isinstance(error, RelayStoreError):
             error = RelayStoreError(f"{type(error).__name__}: {error}", self.settings.store)
         self.replica.on_store_failed(clock.now(), error)
-        self.carrier.turn()
+        self.driver.turn()
 
     # ---- the process -------------------------------------------------------------------------------------
 
@@ -192,7 +195,7 @@
         counters = self.feed.counters
         return {
             "followers": len(self.feed.sessions),
-            "links": len(self.downstream.to),
+            "connections": len(self.downstream.to),
             "epoch": self.replica.epoch,
             "member": int(self.replica.member),
             "committed": self.replica.log.committed,
@@ -201,7 +204,7 @@
             "batches_encoded": counters.encoded,
             "ranges": counters.ranges,
             "bytes": counters.bytes,
-            "refused_followers": counters.refused,
+            "rejected_followers": counters.refused,
             "silent_followers": counters.silent,
         }
 
@@ -212,7 +215,7 @@
     def close(self, closed: Callable[[], None]) -> None:
         """In order: no connection, then no turn, then the disk; `closed()` at the end."""
         self.port.stopListening()
-        self.carrier.close()
+        self.driver.close()
         self.downstream.close()
         self.upstream.close()
         self.writer.close(lambda: self._close_disk(closed))
@@ -225,5 +228,6 @@
 def _feed_settings(settings: DistributionSettings) -> FeedSettings:
     return FeedSettings(
         gather=settings.gather, heartbeat=settings.heartbeat,
-        silent=settings.silence + HEARTBEATS_BEYOND * settings.heartbeat, followers_most=settings.followers,
+        silent=settings.silence + EXTRA_SILENT_HEARTBEATS * settings.heartbeat,
+        followers_most=settings.followers,
     )  # fmt: skip
--- a/linenbridge/distribution/hosting/server.py
+++ b/linenbridge/distribution/hosting/server.py
@@ -18,7 +18,7 @@
 from linenbridge.logging.event_log import Log
 from linenbridge.process import lifecycle
 
-BROKEN = 1  # exit code of a process that ended by itself: its log says why
+EXIT_BROKEN = 1  # exit code of a process that ended by itself: its log says why
 
 
 class Process(Protocol):
@@ -39,12 +39,12 @@
     reactor = lifecycle.begin(log)
     code = 0
 
-    def broken() -> None:
+    def on_broken() -> None:
         nonlocal code
-        code = BROKEN
+        code = EXIT_BROKEN
         stop()
 
-    process = _process(configuration, settings, methods, reactor, log, broken)
+    process = _process(configuration, settings, methods, reactor, log, on_broken)
     ending = False
 
     def stop() -> None:
@@ -57,22 +57,22 @@
     def counters() -> None:
         log.counters(**process.facts())
 
-    def anew() -> None:
+    def reload() -> None:
         process.reload(configuration.path)
 
-    lifecycle.run(reactor, log, stop, counters, anew)
+    lifecycle.run(reactor, log, stop, counters, reload)
     return code
 
 
 def _process(
     configuration: Configuration, settings: DistributionSettings, methods: Methods, reactor: Any, log: Log,
-    broken: Callable[[], None],
+    on_broken: Callable[[], None],
 ) -> Process:  # fmt: skip
     """A process imports what its role needs."""
     random = Random(secrets.randbits(64))
     match settings.role:
         case Role.RELAY:
-            return _relay(settings, reactor, log, random, broken)
+            return _relay(settings, reactor, log, random, on_broken)
         case Role.PUBLISHER:
             return _publisher(configuration, settings, methods, reactor, log, random)
         case Role.GATEWAY:
@@ -80,14 +80,14 @@
 
 
 def _relay(
-    settings: DistributionSettings, reactor: Any, log: Log, random: Random, broken: Callable[[], None]
+    settings: DistributionSettings, reactor: Any, log: Log, random: Random, on_broken: Callable[[], None]
 ) -> Process:
     """A relay whose disk cannot be used does not start: the others go on without it."""
     from linenbridge.distribution.errors import RelayStoreError
     from linenbridge.distribution.hosting.relay import Relay
 
     try:
-        return Relay(settings, reactor, log, random, broken)
+        return Relay(settings, reactor, log, random, on_broken)
     except RelayStoreError as error:
         raise ConfigurationError(str(error)) from None
 
@@ -100,11 +100,11 @@
     from linenbridge.distribution.view.values import ValueChecks
     from linenbridge.fleet.configuration import fleet
 
-    told = fleet(configuration)
-    if told is None:
+    fleet_settings = fleet(configuration)
+    if fleet_settings is None:
         raise ConfigurationError(f"{configuration.path}: a publisher needs the element fleet")
-    check = ValueChecks(methods.methods, methods.longest)
-    return PublisherProcess(settings, told, reactor, log, check, random)
+    check = ValueChecks(methods.methods, methods.max_deadline)
+    return PublisherProcess(settings, fleet_settings, reactor, log, check, random)
 
 
 def _gateway(
--- a/tests/distribution/hosting/standins.py
+++ b/tests/distribution/hosting/fakes.py
@@ -1,4 +1,4 @@
-"""Stand-ins for a reactor and its threads, in memory: what is put to a thread runs when the test says so.
+"""Fakes of a reactor and its threads, in memory: a call in a thread runs when the test says so.
 
 Owns nothing of the program. Its clock is the reactor's; the fleet's clock is the machine's.
 """
@@ -12,18 +12,18 @@
 from twisted.python.failure import Failure
 
 
-class StandinThreads:
+class FakeThreads:
     """A pool whose calls wait until `run_all`."""
 
     def __init__(self) -> None:
         self.calls: list[Callable[[], None]] = []
 
     def callInThreadWithCallback(  # noqa: N802
-        self, on_result: Callable[[bool, Any], None], function: Callable, *words: Any, **more: Any
+        self, on_result: Callable[[bool, Any], None], function: Callable, *arguments: Any, **options: Any
     ) -> None:
         def run() -> None:
             try:
-                result = True, function(*words, **more)
+                result = True, function(*arguments, **options)
             except Exception:
                 result = False, Failure()
             on_result(*result)
@@ -39,15 +39,15 @@
         return count
 
 
-class StandinReactor(MemoryReactorClock):
+class FakeReactor(MemoryReactorClock):
     """With threads; a call from one of them is made at once."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.threads = StandinThreads()
+        self.threads = FakeThreads()
 
-    def getThreadPool(self) -> StandinThreads:  # noqa: N802
+    def getThreadPool(self) -> FakeThreads:  # noqa: N802
         return self.threads
 
-    def callFromThread(self, function: Callable, *words: Any, **more: Any) -> None:  # noqa: N802
-        function(*words, **more)
+    def callFromThread(self, function: Callable, *arguments: Any, **options: Any) -> None:  # noqa: N802
+        function(*arguments, **options)
--- a/tests/distribution/hosting/installation.py
+++ b/tests/distribution/hosting/installation.py
@@ -16,15 +16,17 @@
 from pathlib import Path
 from typing import Protocol
 
-from tests.distribution.hosting.processes import begin
+from tests.distribution.hosting.processes import start_program
 from tests.fleet.procs.installation import ROOT, free_ports
 
-PLATFORM = ROOT / "examples" / "config.json"
-START_WAIT = 60.0  # seconds: how long a busy machine takes to load a program is none of what is promised
+PLATFORM_FILE = ROOT / "examples" / "config.json"
+MAX_START_SECONDS = (
+    60.0  # seconds: how long a busy machine takes to load a program is none of what is promised
+)
 ROUTES = 'route a {{ when always method "look" soft {soft}ms }}'
 
 
-SAYS_WHETHER_IT_PUBLISHES = frozenset(
+PUBLISHING_EVENTS = frozenset(
     ("distribution.publishing", "distribution.stopped", "distribution.replaced", "distribution.reading")
 )
 
@@ -48,8 +50,8 @@
 
 
 @dataclass
-class Told:
-    """What an author was told: the command's output and exit code."""
+class PublishResult:
+    """What one `publish` command printed: its output and exit code."""
 
     code: int
     lines: list[str]
@@ -58,12 +60,12 @@
 
 class Installation:
     """Relays eu-1.. of the region eu, its publishers p1 and p2, whose quorum has the witness w as third
-    acceptor, and gateways g-1..; `others` are relays of the region us, which then has the gateway g-us.
+    acceptor, and gateways g-1..; `other_relays` are relays of the region us, which then has the gateway g-us.
     Every member stands for the tasks of `fleet_tasks` (XML) as well. Nothing runs before `start`."""
 
     def __init__(
-        self, folder: Path, relays: int = 3, gateways: int = 2, others: tuple[str, ...] = (),
-        fleet_tasks: str = "", launch: Launch = begin,
+        self, folder: Path, relays: int = 3, gateways: int = 2, other_relays: tuple[str, ...] = (),
+        fleet_tasks: str = "", launch: Launch = start_program,
     ) -> None:  # fmt: skip
         self.folder = folder
         self.fleet_tasks = fleet_tasks
@@ -71,35 +73,35 @@
         self.relays = [f"eu-{number}" for number in range(1, relays + 1)]
         self.publishers = ["p1", "p2"]
         self.gateways = [f"g-{number}" for number in range(1, gateways + 1)]
-        self.others = list(others)
-        self.gateways += ["g-us"] if others else []
+        self.other_relays = list(other_relays)
+        self.gateways += ["g-us"] if other_relays else []
         members = [*self.publishers, "w"]
-        names = [*self.relays, *self.others, *self.publishers]
+        names = [*self.relays, *self.other_relays, *self.publishers]
         ports = free_ports(len(names) + len(members))
         self.ports = dict(zip(names, ports, strict=False))
         self.fleet_ports = dict(zip(members, ports[len(names) :], strict=True))
         self.running: dict[str, RunningProcess] = {}
-        self.stopped: set[str] = set()
-        self.author_numbers = itertools.count(1)
+        self.paused: set[str] = set()
+        self.command_numbers = itertools.count(1)
         self._write_all()
 
     # ---- settings ----------------------------------------------------------------------------------------
 
     def _write_all(self) -> None:
-        for relay in (*self.relays, *self.others):
+        for relay in (*self.relays, *self.other_relays):
             (self.folder / relay).mkdir()
             region = "eu" if relay in self.relays else "us"
             words = f'role="relay" name="{relay}" region="{region}" store="{relay}" {self._listen(relay)}'
             self.write(relay, self.distribution(words))
         for publisher in self.publishers:
-            words = f'role="publisher" name="{publisher}" region="eu" platform="{PLATFORM}" '
+            words = f'role="publisher" name="{publisher}" region="eu" platform="{PLATFORM_FILE}" '
             element = self.distribution(words + self._listen(publisher))
             self.write(publisher, self.fleet(publisher, '<task name="publish-eu"/>') + element)
         self.write("w", self.fleet("w", ""))
         for gateway in self.gateways:
             region = "us" if gateway == "g-us" else "eu"
             words = f'role="gateway" name="{gateway}" region="{region}" store="{gateway}.db" '
-            words += f'platform="{PLATFORM}"'
+            words += f'platform="{PLATFORM_FILE}"'
             self.write(gateway, self.distribution(words))
 
     def write(self, name: str, inside: str) -> None:
@@ -112,8 +114,8 @@
     def distribution(self, words: str) -> str:
         """The element; heartbeats are short so that tests are."""
         rows = [self._region("eu", self.relays, self.publishers)]
-        if self.others:
-            rows.append(self._region("us", self.others, []))
+        if self.other_relays:
+            rows.append(self._region("us", self.other_relays, []))
         return (
             f'<distribution {words} gather="50ms" heartbeat="300ms" silence="900ms">\n'
             + "\n".join(rows)
@@ -143,15 +145,15 @@
 
     # ---- processes ---------------------------------------------------------------------------------------
 
-    def everybody(self) -> list[str]:
-        return [*self.relays, *self.others, *self.publishers, "w", *self.gateways]
+    def process_names(self) -> list[str]:
+        return [*self.relays, *self.other_relays, *self.publishers, "w", *self.gateways]
 
     def start(self, *names: str) -> None:
         for name in names:
             log = self.folder / f"{name}.log"
             self.running[name] = self.launch(["serve", "--settings", f"{name}.xml"], self.folder, log, log)
 
-    def up(self, *names: str) -> None:
+    def wait_until_started(self, *names: str) -> None:
         """Until each has said that it stands, in this life."""
         for name in names:
             event = "member.started" if name == "w" else "distribution.started"
@@ -169,29 +171,29 @@
         """In order, as at SIGTERM; the exit code. What it has logged counts for no later `events`."""
         process = self.running[name]
         process.terminate()
-        process.join(START_WAIT)
+        process.join(MAX_START_SECONDS)
         if process.exitcode is None:
-            raise TimeoutError(f"{name} did not end within {START_WAIT:.0f} s")
+            raise TimeoutError(f"{name} did not end within {MAX_START_SECONDS:.0f} s")
         self._set_log_aside(name)
         return process.exitcode
 
     def _set_log_aside(self, name: str) -> None:
         process = self.running.pop(name)
-        self.stopped.discard(name)
+        self.paused.discard(name)
         process.join()
         (self.folder / f"{name}.log").rename(self.folder / f"{name}.{process.pid}.log")
 
     def pause(self, name: str) -> None:
         os.kill(self.running[name].pid, signal.SIGSTOP)
-        self.stopped.add(name)
+        self.paused.add(name)
 
-    def wake(self, name: str) -> None:
-        self.stopped.discard(name)
+    def resume(self, name: str) -> None:
+        self.paused.discard(name)
         os.kill(self.running[name].pid, signal.SIGCONT)
 
     def close(self) -> None:
-        for name in list(self.stopped):
-            self.wake(name)
+        for name in list(self.paused):
+            self.resume(name)
         for process in self.running.values():
             process.terminate()
         for process in self.running.values():
@@ -212,7 +214,7 @@
         return [row for row in rows if row["event"] == event] if event else rows
 
     @staticmethod
-    def until(found: Callable[[], bool], what: str, wait: float = START_WAIT) -> float:
+    def until(found: Callable[[], bool], what: str, wait: float = MAX_START_SECONDS) -> float:
         """The seconds that it took."""
         began = time.monotonic()
         while not found():
@@ -227,7 +229,7 @@
 
     def publisher_of(self, name: str) -> bool:
         """Whether this one's last word is that it publishes."""
-        rows = [row for row in self.events(name) if row["event"] in SAYS_WHETHER_IT_PUBLISHES]
+        rows = [row for row in self.events(name) if row["event"] in PUBLISHING_EVENTS]
         return name in self.running and bool(rows) and rows[-1]["event"] == "distribution.publishing"
 
     def followed_by(self, gateway: str) -> str:
@@ -246,15 +248,15 @@
         """The newest sequence that a gateway has said to be in force in this life."""
         return max((row["sequence"] for row in self.events(gateway, "distribution.in_force")), default=0)
 
-    def publish(self, name: str, value: str, *more: str, kind: str = "routes") -> Told:
+    def publish(self, name: str, value: str, *more: str, kind: str = "routes") -> PublishResult:
         """As an author does, with the settings of the first gateway; in the end, what was told."""
-        return self.told(self.begin_publish(name, value, *more, kind=kind))
+        return self.publish_result(self.begin_publish(name, value, *more, kind=kind))
 
     def begin_publish(
         self, name: str, value: str, *more: str, kind: str = "routes", launch: Launch | None = None
     ) -> tuple[RunningProcess, Path]:
         """The same without waiting, by another way of starting the command where one is given."""
-        file = self.folder / f"value-{next(self.author_numbers)}"
+        file = self.folder / f"value-{next(self.command_numbers)}"
         file.write_text(value)
         words = ["publish", "--settings", f"{self.gateways[0]}.xml", "--kind", kind, "--name", name]
         out = file.with_suffix(".out")
@@ -265,7 +267,9 @@
         return process, out
 
     @staticmethod
-    def told(author: tuple[RunningProcess, Path]) -> Told:
-        process, out = author
+    def publish_result(command: tuple[RunningProcess, Path]) -> PublishResult:
+        process, out = command
         process.join(90)
-        return Told(process.exitcode, out.read_text().splitlines(), out.with_suffix(".err").read_text())
+        return PublishResult(
+            process.exitcode, out.read_text().splitlines(), out.with_suffix(".err").read_text()
+        )
--- a/tests/distribution/hosting/processes.py
+++ b/tests/distribution/hosting/processes.py
@@ -27,7 +27,7 @@
 )
 
 
-def _run(words: list[str], folder: str, out: str, error: str) -> None:
+def _run(arguments: list[str], folder: str, out: str, error: str) -> None:
     """In the new process: `python -m linenbridge WORDS` in a folder, its output appended to two files."""
     from linenbridge.__main__ import main
 
@@ -37,12 +37,12 @@
         os.dup2(file, number)
         os.close(file)
     os.environ.pop("LB_CONFIG", None)
-    sys.argv = ["linenbridge", *words]
+    sys.argv = ["linenbridge", *arguments]
     sys.exit(main())
 
 
-def begin(words: list[str], folder: Path, out: Path, error: Path) -> BaseProcess:
+def start_program(arguments: list[str], folder: Path, out: Path, error: Path) -> BaseProcess:
     """A process that runs; it is killed, should the test's process end before it."""
-    process = CONTEXT.Process(target=_run, args=(words, str(folder), str(out), str(error)), daemon=True)
+    process = CONTEXT.Process(target=_run, args=(arguments, str(folder), str(out), str(error)), daemon=True)
     process.start()
     return process
--- a/tests/distribution/hosting/test_carrier.py
+++ b/tests/distribution/hosting/test_core_driver.py
@@ -1,4 +1,4 @@
-"""The carrier pulls cores in order with one timer; the writer gathers what waits for a disk."""
+"""The driver pulls state machines in order with one timer; the writer gathers what waits for a disk."""
 
 from __future__ import annotations
 
@@ -11,90 +11,92 @@
 from twisted.python.failure import Failure
 
 from linenbridge.distribution.decisions import Event
-from linenbridge.distribution.hosting.core_driver import Carrier
+from linenbridge.distribution.hosting.core_driver import CoreDriver
 from linenbridge.distribution.hosting.disk_writer import GroupWriter
 from linenbridge.peering import clock
-from tests.distribution.hosting.standins import StandinReactor
+from tests.distribution.hosting.fakes import FakeReactor
 
 
-class Script:
-    """A core that decides what it is told to."""
+class ScriptedStateMachine:
+    """A state machine whose decisions the test sets."""
 
     def __init__(self, *names: str) -> None:
-        self.out = [Event(name, {}) for name in names]
+        self.decisions = [Event(name, {}) for name in names]
         self.wake: int | None = None
         self.pulls = 0
 
     def next_decision(self, now: int) -> Event | None:
         self.pulls += 1
-        return self.out.pop(0) if self.out else None
+        return self.decisions.pop(0) if self.decisions else None
 
     def wake_at(self) -> int | None:
         return self.wake
 
 
-def test_cores_are_pulled_in_order_and_what_a_decision_brings_about_comes_in_the_same_turn():
-    first, second = Script("a", "b"), Script("c")
+def test_state_machines_are_pulled_in_order_and_what_a_decision_brings_about_comes_in_the_same_turn():
+    first, second = ScriptedStateMachine("a", "b"), ScriptedStateMachine("c")
     seen = []
 
-    def carry_out(core: Script, now: int, event: Event) -> None:
+    def execute(state_machine: ScriptedStateMachine, now: int, event: Event) -> None:
         seen.append(event.name)
         if event.name == "c":
-            first.out.append(Event("d", {}))
-            carrier.turn()
+            first.decisions.append(Event("d", {}))
+            driver.turn()
 
-    carrier = Carrier(StandinReactor(), [first, second], carry_out)
-    carrier.turn()
+    driver = CoreDriver(FakeReactor(), [first, second], execute)
+    driver.turn()
     assert seen == ["a", "b", "c", "d"]
 
 
 def test_something_is_looked_at_before_each_pull():
-    core, looks = Script("a", "b"), []
-    carrier = Carrier(StandinReactor(), [core], lambda *row: None, lambda now: looks.append(core.pulls))
-    carrier.turn()
-    assert looks == list(range(core.pulls))
+    state_machine, looks = ScriptedStateMachine("a", "b"), []
+    driver = CoreDriver(
+        FakeReactor(), [state_machine], lambda *row: None, lambda now: looks.append(state_machine.pulls)
+    )
+    driver.turn()
+    assert looks == list(range(state_machine.pulls))
 
 
 def test_one_timer_wakes_the_first_that_wants_to_and_none_after_the_end():
-    reactor, core, other = StandinReactor(), Script(), Script()
-    core.wake, other.wake = clock.now() + 2_000_000, clock.now() + 9_000_000
-    carrier = Carrier(reactor, [core, other], lambda *row: None)
-    carrier.turn()
-    carrier.turn()
+    reactor, state_machine, other = FakeReactor(), ScriptedStateMachine(), ScriptedStateMachine()
+    state_machine.wake, other.wake = clock.now() + 2_000_000, clock.now() + 9_000_000
+    driver = CoreDriver(reactor, [state_machine, other], lambda *row: None)
+    driver.turn()
+    driver.turn()
     (timer,) = reactor.getDelayedCalls()
     assert 1.0 < timer.getTime() <= 2.0
-    core.wake = clock.now() - 5
-    carrier.turn()
+    state_machine.wake = clock.now() - 5
+    driver.turn()
     (timer,) = reactor.getDelayedCalls()
     assert 0 < timer.getTime() < 0.01, "one that is due leaves room for what else there is"
-    carrier.close()
-    carrier.turn()
+    driver.close()
+    driver.turn()
     assert not reactor.getDelayedCalls()
 
 
-def test_a_core_that_fails_is_pulled_again_after_a_while():
-    reactor, core = StandinReactor(), Script("a", "b")
-    core.wake = clock.now()
+def test_a_state_machine_that_fails_is_pulled_again_after_a_while():
+    reactor, state_machine = FakeReactor(), ScriptedStateMachine("a", "b")
+    state_machine.wake = clock.now()
 
-    def carry_out(core: Script, now: int, event: Event) -> None:
+    def execute(state_machine: ScriptedStateMachine, now: int, event: Event) -> None:
         if event.name == "a":
             raise RuntimeError("planted")
 
-    carrier = Carrier(reactor, [core], carry_out)
+    driver = CoreDriver(reactor, [state_machine], execute)
     with pytest.raises(RuntimeError):
-        carrier.turn()
-    assert core.out
+        driver.turn()
+    assert state_machine.decisions
     reactor.advance(0.5)
-    assert core.out, "a fault that lasts costs a line a second"
+    assert state_machine.decisions, "a fault that lasts costs a line a second"
     reactor.advance(0.6)
-    assert not core.out
+    assert not state_machine.decisions
 
 
 class Disk:
     """Writes down what was written together; fails where it is told to."""
 
     def __init__(self) -> None:
-        self.reactor = StandinReactor()
+        self.reactor = FakeReactor()
         self.groups: list[list[str]] = []
         self.done: list[str] = []
         self.failed: list[str] = []
@@ -118,7 +120,7 @@
     assert disk.groups == [["a"], ["b", "c", "d"]] and disk.done == list("abcd")
 
 
-def test_a_write_that_fails_is_said_and_the_next_one_is_tried():
+def test_a_write_that_fails_is_reported_and_the_next_one_is_tried():
     disk = Disk()
     disk.full = True
     disk.writer.put("a")
@@ -137,7 +139,7 @@
             raise RuntimeError("planted")
         disk.done.extend(items)
 
-    disk.writer.done = done
+    disk.writer.on_written = done
     disk.writer.put("a")
     disk.writer.put("b")
     with caught_by_twisted() as failures:
--- a/tests/distribution/hosting/test_hosts.py
+++ b/tests/distribution/hosting/test_hosts.py
@@ -19,8 +19,8 @@
 from linenbridge.distribution.decisions import Apply
 from linenbridge.distribution.errors import RelayStoreError, ViewStoreError
 from linenbridge.distribution.hosting import publisher as hosting
-from linenbridge.distribution.hosting.change_client import ASK_AGAIN, Author
-from linenbridge.distribution.hosting.gateway import STORE_EVERY, Gateway, open_view
+from linenbridge.distribution.hosting.change_client import RETRY_DELAY, ChangeClient
+from linenbridge.distribution.hosting.gateway import STORE_INTERVAL, Gateway, open_view
 from linenbridge.distribution.hosting.methods import Methods
 from linenbridge.distribution.hosting.publisher import PublisherProcess
 from linenbridge.distribution.hosting.relay import Relay
@@ -29,7 +29,7 @@
 )  # fmt: skip
 from linenbridge.peering.connections import Links
 from linenbridge.logging.event_log import Log
-from tests.distribution.hosting.standins import StandinReactor
+from tests.distribution.hosting.fakes import FakeReactor
 from tests.distribution.hosting.test_configuration import GATEWAY, PUBLISHER, RELAY, file, fleet
 from tests.helpers import startup
 
@@ -37,25 +37,25 @@
 _decode = msgspec.msgpack.Decoder(Message).decode
 
 
-class FarEnd:
-    """A peer that is linked; `heard` is what it was told since the last look, reports on progress aside."""
+class ConnectedPeer:
+    """A connected peer; `received()` is what was sent to it since the last call, `Progress` aside."""
 
     def __init__(self, links: Links, name: str) -> None:
-        self.links, self.name, self._said = links, name, []
+        self.links, self.name, self._received = links, name, []
         self.link = links.buildProtocol(None)
         self.link.makeConnection(Wire())
         self.link.far = name
         self.link.quiet.cancel()
         links.met(self.link)
-        self.link.callRemote = lambda command, word: self._said.append(_decode(word))
+        self.link.callRemote = lambda command, word: self._received.append(_decode(word))
 
-    def say(self, message: object) -> None:
+    def send(self, message: object) -> None:
         self.links.hear(self.name, message)
 
-    def heard(self) -> list:
-        said = [message for message in self._said if not isinstance(message, Progress)]
-        self._said.clear()
-        return said
+    def received(self) -> list:
+        received = [message for message in self._received if not isinstance(message, Progress)]
+        self._received.clear()
+        return received
 
 
 class Wire(StringTransport):
@@ -70,61 +70,61 @@
 def relay(tmp_path: Path) -> Relay:
     (tmp_path / "eu-1").mkdir()
     settings = settings_of(RELAY.replace("eu-1.db", "eu-1"), tmp_path)
-    found = Relay(settings, StandinReactor(), Log(io.BytesIO()), Random(1), Mock())
+    found = Relay(settings, FakeReactor(), Log(io.BytesIO()), Random(1), Mock())
     found.reactor.threads.run_all()
     yield found
     found.close(lambda: None)
     found.reactor.threads.run_all()
 
 
-def test_a_relay_answers_a_publisher_after_its_disk_has_it(relay):
-    publisher = FarEnd(relay.downstream, "p1")
-    publisher.say(Prepare("eu", 3))
-    assert publisher.heard() == []
+def test_a_relay_answers_a_publisher_only_after_its_disk_write(relay):
+    publisher = ConnectedPeer(relay.downstream, "p1")
+    publisher.send(Prepare("eu", 3))
+    assert publisher.received() == []
     relay.reactor.threads.run_all()
-    (prepared,) = publisher.heard()
+    (prepared,) = publisher.received()
     assert (prepared.epoch, prepared.code) == (3, "")
     entry = sealed("eu", Version(3, 1), Kind.LOG, "", b"")
-    publisher.say(Append("eu", 3, START, 0, [entry]))
-    assert publisher.heard() == []
+    publisher.send(Append("eu", 3, START, 0, [entry]))
+    assert publisher.received() == []
     relay.reactor.threads.run_all()
-    (appended,) = publisher.heard()
+    (appended,) = publisher.received()
     assert (appended.upto, appended.code) == (1, "")
 
 
-def test_a_relay_whose_disk_fails_answers_no_publisher_any_more_and_says_once_that_it_is_broken(relay):
-    broken = relay._broken
-    publisher = FarEnd(relay.downstream, "p1")
+def test_a_relay_whose_disk_fails_answers_no_publisher_and_reports_the_failure_once(relay):
+    broken = relay._on_broken
+    publisher = ConnectedPeer(relay.downstream, "p1")
 
     def full(keeps: object) -> None:
         raise RelayStoreError("planted", "log.db")
 
     relay.writer.write = full
-    publisher.say(Prepare("eu", 3))
+    publisher.send(Prepare("eu", 3))
     relay.reactor.threads.run_all()
-    publisher.say(Prepare("eu", 4))
+    publisher.send(Prepare("eu", 4))
     relay.reactor.threads.run_all()
     relay.reactor.advance(0)
-    assert publisher.heard() == [] and relay.replica.broken
+    assert publisher.received() == [] and relay.replica.broken
     broken.assert_called_once_with()
     assert b"distribution.store_failed" in relay.log.stream.getvalue()
 
 
-def test_a_relay_takes_no_log_of_one_whom_the_settings_do_not_name(relay):
-    stranger = FarEnd(relay.downstream, "p9")
-    stranger.say(Prepare("eu", 3))
+def test_a_relay_ignores_a_publisher_that_the_settings_do_not_name(relay):
+    unauthorized_peer = ConnectedPeer(relay.downstream, "p9")
+    unauthorized_peer.send(Prepare("eu", 3))
     relay.reactor.threads.run_all()
-    assert stranger.heard() == [] and relay.replica.epoch == 0
-    assert relay.log.counts["distribution.stranger", "publisher"] == 1
+    assert unauthorized_peer.received() == [] and relay.replica.epoch == 0
+    assert relay.log.counts["distribution.unauthorized_peer", "publisher"] == 1
 
 
-def test_a_follower_speaks_under_its_own_name_only(relay):
-    follower = FarEnd(relay.downstream, "g-1")
-    follower.say(Follow("g-2", 7, [], 0, []))
-    follower.say(Progress("g-2", 7, [], []))
-    assert not relay.feed.sessions and relay.log.counts["distribution.misnamed", "follower"] == 2
-    follower.say(Follow("g-1", 7, [], 0, []))
-    assert list(relay.feed.sessions) == ["g-1"] and follower.heard()
+def test_a_relay_ignores_messages_under_another_followers_name(relay):
+    follower = ConnectedPeer(relay.downstream, "g-1")
+    follower.send(Follow("g-2", 7, [], 0, []))
+    follower.send(Progress("g-2", 7, [], []))
+    assert not relay.feed.sessions and relay.log.counts["distribution.name_mismatch", "follower"] == 2
+    follower.send(Follow("g-1", 7, [], 0, []))
+    assert list(relay.feed.sessions) == ["g-1"] and follower.received()
     relay.downstream.lost(follower.link)
     assert not relay.feed.sessions
 
@@ -137,7 +137,7 @@
 # ---- a publisher -------------------------------------------------------------------------------------------
 
 
-class StandinMember:
+class FakeMember:
     """Holds what the test says."""
 
     def __init__(self, *row: object, tasks_changed: Callable[[str], None]) -> None:
@@ -152,46 +152,46 @@
 
 @pytest.fixture
 def publisher(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> PublisherProcess:
-    monkeypatch.setattr(hosting, "Member", StandinMember)
+    monkeypatch.setattr(hosting, "Member", FakeMember)
     data = file(PUBLISHER, before=fleet('<task name="publish-eu"/>'))
     settings = distribution(parse(data, str(tmp_path / "x.xml")))
     return PublisherProcess(
-        settings, None, StandinReactor(), Log(io.BytesIO()), lambda kind, name, value: "", Random(1)
+        settings, None, FakeReactor(), Log(io.BytesIO()), lambda kind, name, value: "", Random(1)
     )
 
 
-def test_a_publisher_sends_nothing_before_it_holds_its_task_nor_after(publisher):
-    relay, author = FarEnd(publisher.relays, "eu-1"), FarEnd(publisher.authors, "author")
-    author.say(Publish(1, "eu", Kind.ZONE, "a", b"x"))
-    (refused,) = author.heard()
-    assert (refused.state, refused.code) == ("refused", "not_publisher") and relay.heard() == []
+def test_a_publisher_sends_to_relays_only_while_it_holds_its_task(publisher):
+    relay, author = ConnectedPeer(publisher.relays, "eu-1"), ConnectedPeer(publisher.clients, "author")
+    author.send(Publish(1, "eu", Kind.ZONE, "a", b"x"))
+    (refused,) = author.received()
+    assert (refused.state, refused.code) == ("refused", "not_publisher") and relay.received() == []
     publisher.member.term = 5
     publisher.member.tasks_changed("another")
-    assert relay.heard() == []
+    assert relay.received() == []
     publisher.member.tasks_changed("publish-eu")
-    (prepare,) = relay.heard()
+    (prepare,) = relay.received()
     assert prepare == Prepare("eu", 5)
     for name in ("eu-1", "eu-2"):
-        end = relay if name == "eu-1" else FarEnd(publisher.relays, name)
-        end.say(Prepared("eu", 5, name, START, 0, life=1))
-    assert publisher.publisher.leading and any(isinstance(one, Append) for one in relay.heard())
-    author.say(Publish(2, "eu", Kind.ZONE, "a", b"x"))
-    assert author.heard() == [], "no majority has it yet"
+        end = relay if name == "eu-1" else ConnectedPeer(publisher.relays, name)
+        end.send(Prepared("eu", 5, name, START, 0, life=1))
+    assert publisher.publisher.leading and any(isinstance(one, Append) for one in relay.received())
+    author.send(Publish(2, "eu", Kind.ZONE, "a", b"x"))
+    assert author.received() == [], "no majority has it yet"
     publisher.member.term = None
-    author.say(Publish(3, "eu", Kind.ZONE, "a", b"x"))
-    assert {(each.request, each.state) for each in author.heard()} == {(2, "unconfirmed"), (3, "refused")}
-    relay.heard()
+    author.send(Publish(3, "eu", Kind.ZONE, "a", b"x"))
+    assert {(each.request, each.state) for each in author.received()} == {(2, "unconfirmed"), (3, "refused")}
+    relay.received()
     for _ in range(5):
         publisher.reactor.advance(1.0)
-    assert relay.heard() == [] and not publisher.publisher.leading
+    assert relay.received() == [] and not publisher.publisher.leading
 
 
-def test_a_relay_speaks_for_itself_only(publisher):
+def test_a_publisher_ignores_messages_under_another_relays_name(publisher):
     publisher.member.term = 5
-    relay = FarEnd(publisher.relays, "eu-1")
-    relay.say(Prepared("eu", 5, "eu-2", START, 0, life=1))
-    relay.say(Progress("eu-2", 1, [], []))
-    assert publisher.log.counts["distribution.misnamed", "relay"] == 2
+    relay = ConnectedPeer(publisher.relays, "eu-1")
+    relay.send(Prepared("eu", 5, "eu-2", START, 0, life=1))
+    relay.send(Progress("eu-2", 1, [], []))
+    assert publisher.log.counts["distribution.name_mismatch", "relay"] == 2
     assert publisher.publisher.reading is None or not publisher.publisher.reading.done
 
 
@@ -200,7 +200,7 @@
 
 def gateway(tmp_path: Path, store: str = 'store="g.db"') -> Gateway:
     settings = settings_of(f"{GATEWAY} {store}", tmp_path)
-    reactor, log = StandinReactor(), Log(io.BytesIO())
+    reactor, log = FakeReactor(), Log(io.BytesIO())
     view, kept = open_view(settings, Methods(startup().methods, 2_000_000), log)
     return Gateway(settings, reactor, log, view, Random(1), kept)
 
@@ -223,7 +223,7 @@
         found._enqueue(Apply("eu", pair[-1].version, pair))
     assert found.view.routes("shop") is None, "it is not in force before its turn"
     turns = []
-    while found.queue:
+    while found.pending:
         found.reactor.calls.pop(0).func()
         turns.append(tuple(found.view.routes(name) is not None for name in names))
     assert list(dict.fromkeys(turns)) == [(False,) * 4, (True, True, False, False), (True,) * 4]
@@ -231,23 +231,23 @@
     assert [position.sequence for position in found.view.positions()] == [4]
 
 
-def test_a_refused_change_is_named_and_the_last_good_one_stays_in_force(tmp_path):
+def test_a_rejected_change_is_logged_and_the_last_good_one_stays_in_force(tmp_path):
     found = gateway(tmp_path, "")
     for apply in (routes(1, GOOD), routes(2, "route {")):
         found._enqueue(apply)
         for _ in range(3):
             found.reactor.advance(0)
-    assert found.view.routes("shop") is not None and found.facts()["keys_refused"] == 1
-    line = next(row for row in found.log.stream.getvalue().splitlines() if b"refused_change" in row)
+    assert found.view.routes("shop") is not None and found.facts()["keys_rejected"] == 1
+    line = next(row for row in found.log.stream.getvalue().splitlines() if b"rejected_change" in row)
     fields = msgspec.json.decode(line)
     assert "routes shop at eu/1/2" in fields["where"] and fields["what"] and fields["do"]
 
 
-def test_a_restarted_gateway_has_what_its_store_holds(tmp_path):
+def test_a_restarted_gateway_restores_its_view_from_the_store(tmp_path):
     found = gateway(tmp_path)
     found._enqueue(routes(1, GOOD))
     found.reactor.advance(0)
-    found.reactor.advance(STORE_EVERY)
+    found.reactor.advance(STORE_INTERVAL)
     found.reactor.threads.run_all()
     ended = []
     found.close(lambda: ended.append(True))
@@ -258,7 +258,7 @@
     again.close()
 
 
-def test_what_is_in_force_at_the_end_is_stored_before_it(tmp_path):
+def test_the_view_is_stored_before_the_gateway_has_closed(tmp_path):
     found = gateway(tmp_path)
     found._enqueue(routes(1, GOOD))
     found.reactor.advance(0)
@@ -269,121 +269,126 @@
     assert ended == [True] and gateway(tmp_path).view.routes("shop") is not None
 
 
-def test_a_store_that_fails_is_left_and_the_gateway_goes_on(tmp_path):
+def test_a_gateway_goes_on_without_a_store_that_fails(tmp_path):
     found = gateway(tmp_path)
-    found.pages.store.connection.close()
+    found.page_writer.store.connection.close()
     for sequence in (1, 2):
         found._enqueue(routes(sequence, GOOD))
         found.reactor.advance(0)
-        found.reactor.advance(STORE_EVERY)
+        found.reactor.advance(STORE_INTERVAL)
         found.reactor.threads.run_all()
-    assert found.view.routes("shop") is not None and found.pages.store.error is not None
+    assert found.view.routes("shop") is not None and found.page_writer.store.error is not None
     assert found.log.stream.getvalue().count(b"distribution.store_lost") == 1
 
 
 def test_a_write_that_raises_is_logged_and_ends_the_store(tmp_path):
     found = gateway(tmp_path)
-    found.pages.store.write = Mock(side_effect=RuntimeError("planted"))
+    found.page_writer.store.write = Mock(side_effect=RuntimeError("planted"))
     for sequence in (1, 2):
         found._enqueue(routes(sequence, GOOD))
         found.reactor.advance(0)
-        found.reactor.advance(STORE_EVERY)
+        found.reactor.advance(STORE_INTERVAL)
         found.reactor.threads.run_all()
-    assert found.pages.store.write.call_count == 1
+    assert found.page_writer.store.write.call_count == 1
     assert b"RuntimeError: planted" in found.log.stream.getvalue()
-    assert isinstance(found.pages.store.error, ViewStoreError)
+    assert isinstance(found.page_writer.store.error, ViewStoreError)
 
 
 def test_many_gateways_share_a_process_and_no_thread(tmp_path):
     settings = settings_of(GATEWAY, tmp_path)
-    reactor, log = StandinReactor(), Log(io.BytesIO())
+    reactor, log = FakeReactor(), Log(io.BytesIO())
     found = []
     for number in range(20):
         view, kept = open_view(settings, Methods(), log)
         own = dataclasses.replace(settings, name=f"g-{number}")
         found.append(Gateway(own, reactor, log, view, Random(number), kept))
-    assert len({one.links.name for one in found}) == 20 and not reactor.threads.calls
+    assert len({one.connections.name for one in found}) == 20 and not reactor.threads.calls
     for one in found:
         one.close()
     assert not reactor.getDelayedCalls()
 
 
-# ---- an author ---------------------------------------------------------------------------------------------
+# ---- a change client ---------------------------------------------------------------------------------------
 
 
-class Asked:
-    """An author with two candidates."""
+class ClientUnderTest:
+    """A change client with two candidates."""
 
     def __init__(self) -> None:
-        self.reactor, self.said, self.ended = StandinReactor(), [], []
+        self.reactor, self.responses, self.ended = FakeReactor(), [], []
         region = Region({}, {"p1": ("127.0.0.1", 1), "p2": ("127.0.0.1", 2)})
         change = Publish(5, "eu", Kind.ZONE, "a", b"\x91\xc3")
-        self.author = Author(
-            region, change, self.reactor, Log(io.BytesIO()), self.said.append, lambda: self.ended.append(True)
+        self.client = ChangeClient(
+            region,
+            change,
+            self.reactor,
+            Log(io.BytesIO()),
+            self.responses.append,
+            lambda: self.ended.append(True),
         )
-        self.ends: dict[str, FarEnd] = {}
-        self.asked: list[str] = []
-        self.author.links.say = lambda to, message: self.asked.append(to)
+        self.ends: dict[str, ConnectedPeer] = {}
+        self.requested: list[str] = []
+        self.client.connections.say = lambda to, message: self.requested.append(to)
 
-    def up(self, name: str) -> None:
-        self.ends[name] = FarEnd(self.author.links, name)
+    def connect(self, name: str) -> None:
+        self.ends[name] = ConnectedPeer(self.client.connections, name)
 
-    def down(self, name: str) -> None:
-        self.author.links.lost(self.ends[name].link)
+    def disconnect(self, name: str) -> None:
+        self.client.connections.lost(self.ends[name].link)
 
     def answer(self, name: str, state: str, code: str = "", request: int = 5) -> None:
-        self.author.links.hear(name, Published(request, state, Version(1, 2), code))
-
-    def later(self) -> None:
-        self.reactor.advance(ASK_AGAIN)
-
-
-def test_an_author_asks_the_next_candidate_where_one_does_not_publish():
-    asked = Asked()
-    asked.up("p1")
-    asked.up("p2")
-    asked.answer("p1", "refused", "not_publisher")
-    asked.later()
-    assert asked.asked == ["p1", "p2"]
-    asked.answer("p1", "accepted")
-    assert asked.author.outcome.accepted is None, "only the one that is asked counts"
-    asked.answer("p2", "accepted", request=4)
-    assert asked.author.outcome.accepted is None, "only this request counts"
-    asked.answer("p2", "accepted")
-    asked.answer("p2", "in_force")
-    assert asked.ended == [True] and [row.state for row in asked.said] == ["accepted", "in_force"]
-    asked.author.close()
-    assert not asked.author.outcome.maybe_kept
-
-
-def test_a_refused_value_ends_it():
-    asked = Asked()
-    asked.up("p1")
-    asked.answer("p1", "refused", "invalid")
-    assert asked.ended == [True] and asked.author.outcome.refused.code == "invalid"
-    assert not asked.author.outcome.maybe_kept
-
-
-@pytest.mark.parametrize("how", ["link lost", "unconfirmed", "time is up"])
-def test_what_may_have_been_kept_is_never_called_refused(how):
-    asked = Asked()
-    asked.up("p1")
-    asked.up("p2")
-    if how == "link lost":
-        asked.down("p1")
+        self.client.connections.hear(name, Published(request, state, Version(1, 2), code))
+
+    def wait_for_retry(self) -> None:
+        self.reactor.advance(RETRY_DELAY)
+
+
+def test_a_change_client_tries_the_next_candidate_where_one_does_not_publish():
+    client = ClientUnderTest()
+    client.connect("p1")
+    client.connect("p2")
+    client.answer("p1", "refused", "not_publisher")
+    client.wait_for_retry()
+    assert client.requested == ["p1", "p2"]
+    client.answer("p1", "accepted")
+    assert client.client.outcome.accepted is None, "only the one that is asked counts"
+    client.answer("p2", "accepted", request=4)
+    assert client.client.outcome.accepted is None, "only this request counts"
+    client.answer("p2", "accepted")
+    client.answer("p2", "in_force")
+    assert client.ended == [True] and [row.state for row in client.responses] == ["accepted", "in_force"]
+    client.client.close()
+    assert not client.client.outcome.maybe_accepted
+
+
+def test_a_rejected_value_ends_the_attempts():
+    client = ClientUnderTest()
+    client.connect("p1")
+    client.answer("p1", "refused", "invalid")
+    assert client.ended == [True] and client.client.outcome.rejected.code == "invalid"
+    assert not client.client.outcome.maybe_accepted
+
+
+@pytest.mark.parametrize("how", ["connection lost", "unconfirmed", "time is up"])
+def test_a_change_that_may_be_accepted_is_never_reported_as_rejected(how):
+    client = ClientUnderTest()
+    client.connect("p1")
+    client.connect("p2")
+    if how == "connection lost":
+        client.disconnect("p1")
     elif how == "unconfirmed":
-        asked.answer("p1", "unconfirmed", "unconfirmed")
+        client.answer("p1", "unconfirmed", "unconfirmed")
     if how != "time is up":
-        asked.later()
-        assert asked.asked == ["p1", "p2"]
-        asked.answer("p2", "refused", "not_publisher")
-    asked.author.close()
-    outcome = asked.author.outcome
-    assert outcome.maybe_kept and outcome.refused is None and outcome.accepted is None
-
-
-def test_one_that_no_candidate_is_linked_to_asks_nobody():
-    asked = Asked()
-    asked.later()
-    asked.author.close()
-    assert not asked.asked and not asked.author.outcome.maybe_kept
+        client.wait_for_retry()
+        assert client.requested == ["p1", "p2"]
+        client.answer("p2", "refused", "not_publisher")
+    client.client.close()
+    outcome = client.client.outcome
+    assert outcome.maybe_accepted and outcome.rejected is None and outcome.accepted is None
+
+
+def test_a_change_client_without_a_connection_sends_nothing():
+    client = ClientUnderTest()
+    client.wait_for_retry()
+    client.client.close()
+    assert not client.requested and not client.client.outcome.maybe_accepted
--- a/tests/distribution/hosting/test_processes.py
+++ b/tests/distribution/hosting/test_processes.py
@@ -1,4 +1,7 @@
-"""Relays, publishers, gateways and authors as processes on loopback: starts, kills, stops and strangers."""
+"""Relays, publishers, gateways and `publish` commands as processes on loopback.
+
+They are started, killed, paused, and sent malformed input.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
 @pytest.fixture(scope="module")
 def shared(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Installation]:
     """One installation for all tests that leave it whole: a start is most of what a test costs."""
-    found = Installation(tmp_path_factory.mktemp("installation"), others=("us-1",))
+    found = Installation(tmp_path_factory.mktemp("installation"), other_relays=("us-1",))
     try:
         yield found
     finally:
@@ -39,38 +42,38 @@
 @pytest.fixture
 def installation(shared: Installation) -> Installation:
     """All of it running, with a publisher, and everybody reached."""
-    make_whole(shared)
+    restore_all(shared)
     return shared
 
 
-def make_whole(found: Installation) -> None:
+def restore_all(found: Installation) -> None:
     """Whoever is stopped or away is brought back, and everybody is reached again."""
-    away = [name for name in found.everybody() if name not in found.running]
-    begins = len(away) == len(found.everybody())
-    whole = not away and not found.stopped
-    for name in list(found.stopped):
-        found.wake(name)
+    away = [name for name in found.process_names() if name not in found.running]
+    begins = len(away) == len(found.process_names())
+    whole = not away and not found.paused
+    for name in list(found.paused):
+        found.resume(name)
     found.start(*away)
-    found.up(*away)
+    found.wait_until_started(*away)
     found.until(lambda: found.publisher() != "", "a publisher")
     if not (whole or begins):
-        found.until(lambda: publish_to_all(found), "everybody to be reached")
+        found.until(lambda: publish_reaches_all(found), "everybody to be reached")
 
 
-def publish_to_all(found: Installation) -> bool:
+def publish_reaches_all(found: Installation) -> bool:
     return found.publish("whole", ROUTES.format(soft=1)).code == 0
 
 
 def publish(installation: Installation, name: str, soft: int) -> int:
     """A change that is accepted and in force; its sequence."""
-    told = installation.publish(name, ROUTES.format(soft=soft), "--json")
-    rows = [json.loads(line) for line in told.lines]
-    assert told.code == 0, told
+    result = installation.publish(name, ROUTES.format(soft=soft), "--json")
+    rows = [json.loads(line) for line in result.lines]
+    assert result.code == 0, result
     assert [row["state"] for row in rows] == ["accepted", "in_force"]
     return rows[0]["version"]["sequence"]
 
 
-def everywhere(installation: Installation, sequence: int) -> float:
+def wait_until_in_force_everywhere(installation: Installation, sequence: int) -> float:
     """How long until all gateways have said that it is in force."""
     return installation.until(
         lambda: all(installation.in_force(gateway) >= sequence for gateway in installation.gateways),
@@ -78,9 +81,9 @@
     )
 
 
-def test_an_author_is_told_of_each_kind_and_gateways_have_it_in_force(installation):
-    told = installation.publish("shop", ROUTES.format(soft=300))
-    assert told.code == 0 and [line.split()[0] for line in told.lines] == ["accepted", "in"], told
+def test_each_kind_of_change_is_acknowledged_and_in_force_at_all_gateways(installation):
+    result = installation.publish("shop", ROUTES.format(soft=300))
+    assert result.code == 0 and [line.split()[0] for line in result.lines] == ["accepted", "in"], result
     assert installation.publish("acme", '{"share": 0.25}', kind="tenant").code == 0
     assert installation.publish("shop/1", json.dumps(INSTANCE), kind="instance").code == 0
     assert installation.publish("a", '{"lost": true}', kind="zone").code == 0
@@ -89,9 +92,9 @@
     assert len(set(versions.values())) == 1 and min(versions.values()) >= 5, versions
 
 
-def test_another_regions_relays_and_gateways_have_it_too(installation):
+def test_a_change_reaches_the_gateways_of_another_region(installation):
     sequence = publish(installation, "shop", 100)
-    assert everywhere(installation, sequence) < IN_FORCE_WITHIN
+    assert wait_until_in_force_everywhere(installation, sequence) < IN_FORCE_WITHIN
     assert installation.followed_by("g-us") == "us-1"
 
 
@@ -106,33 +109,35 @@
         ("planet", "{}", "no kind is named planet; name one of routes"),
     ],
 )
-def test_an_author_hears_what_is_wrong_with_a_value_before_it_is_sent(tmp_path, kind, value, words):
+def test_the_publish_command_rejects_an_invalid_value_before_it_is_sent(tmp_path, kind, value, words):
     """No process of the installation runs."""
-    told = Installation(tmp_path).publish("shop", value, kind=kind)
-    assert told.code == 2 and words in told.error, told
+    result = Installation(tmp_path).publish("shop", value, kind=kind)
+    assert result.code == 2 and words in result.error, result
 
 
-def test_an_author_whom_no_publisher_answers_hears_so(tmp_path):
-    told = Installation(tmp_path).publish("shop", ROUTES.format(soft=1), "--accepted-within", "0.5")
-    assert told.code == 2 and "no publisher of eu took it; ask another candidate" in told.lines[-1], told
+def test_the_publish_command_reports_that_no_publisher_answered(tmp_path):
+    result = Installation(tmp_path).publish("shop", ROUTES.format(soft=1), "--accepted-within", "0.5")
+    assert result.code == 2 and "no publisher of eu took it; ask another candidate" in result.lines[-1], (
+        result
+    )
 
 
-def test_a_publisher_that_was_stopped_and_replaced_brings_nothing_of_its_old_epoch_about(installation):
+def test_a_publisher_paused_and_replaced_commits_nothing_under_its_old_epoch(installation):
     first = publish(installation, "shop", 100)
     old = installation.publisher()
     new = next(name for name in installation.publishers if name != old)
     installation.pause(old)
     waiting = installation.begin_publish("shop", ROUTES.format(soft=200), "--json")
     took = installation.until(lambda: installation.publisher_of(new), f"{new} to publish", REPLACED_WITHIN)
-    told = installation.told(waiting)
-    rows = [json.loads(line) for line in told.lines]
-    assert told.code == 0 and [row["state"] for row in rows] == ["accepted", "in_force"], told
+    result = installation.publish_result(waiting)
+    rows = [json.loads(line) for line in result.lines]
+    assert result.code == 0 and [row["state"] for row in rows] == ["accepted", "in_force"], result
     epoch = rows[0]["version"]["epoch"]
-    installation.wake(old)
+    installation.resume(old)
     installation.until(lambda: not installation.publisher_of(old), f"{old} to say that it has stopped", 5.0)
     last = publish(installation, "shop", 300)
     assert last > rows[0]["version"]["sequence"] > first
-    everywhere(installation, last)
+    wait_until_in_force_everywhere(installation, last)
     for gateway in installation.gateways:
         epochs = [row["epoch"] for row in installation.events(gateway, "distribution.in_force")]
         assert epochs == sorted(epochs) and epochs[-1] == epoch
@@ -143,7 +148,7 @@
 
 
 @pytest.mark.parametrize("how", ["killed", "stopped"])
-def test_a_lost_relays_gateways_go_on_at_another_and_it_comes_back(installation, how):
+def test_gateways_of_a_lost_relay_follow_another_and_the_relay_rejoins(installation, how):
     publish(installation, "shop", 100)
     relay = installation.followed_by("g-1")
     if how == "killed":
@@ -153,29 +158,29 @@
     took = installation.until(
         lambda: installation.followed_by("g-1") not in ("", relay), "g-1 to follow another", MADE_GOOD_WITHIN
     )
-    sequence = publish_without(installation, "shop", 200, unreached=relay)
-    assert everywhere(installation, sequence) < IN_FORCE_WITHIN
+    sequence = publish_with_one_unreached(installation, "shop", 200, unreached=relay)
+    assert wait_until_in_force_everywhere(installation, sequence) < IN_FORCE_WITHIN
     if how == "killed":
         installation.start(relay)
-        installation.up(relay)
+        installation.wait_until_started(relay)
         installation.until(lambda: installation.has_joined(relay), f"{relay} to count again")
     else:
-        installation.wake(relay)
-    make_whole(installation)
+        installation.resume(relay)
+    restore_all(installation)
     print(f"\na {how} relay: made good after {took:.2f} s, bound {MADE_GOOD_WITHIN:.0f} s")
 
 
-def publish_without(installation: Installation, name: str, soft: int, unreached: str) -> int:
+def publish_with_one_unreached(installation: Installation, name: str, soft: int, unreached: str) -> int:
     """A change that is accepted, and in force but for one that is away; its sequence."""
-    told = installation.publish(name, ROUTES.format(soft=soft), "--json")
-    rows = [json.loads(line) for line in told.lines]
-    assert told.code == 1 and rows[-1]["state"] == "in_force", told
+    result = installation.publish(name, ROUTES.format(soft=soft), "--json")
+    rows = [json.loads(line) for line in result.lines]
+    assert result.code == 1 and rows[-1]["state"] == "in_force", result
     assert unreached in rows[-1]["unreached"]
     return rows[-1]["version"]["sequence"]
 
 
 @pytest.mark.parametrize("store", ["kept", "emptied"])
-def test_a_gateway_restarted_has_what_is_in_force(installation, store):
+def test_a_restarted_gateway_has_all_that_is_in_force(installation, store):
     for number in range(1, 4):
         publish(installation, f"shop-{number}", 100 + number)
     time.sleep(1.5)  # the view's pages are written within a second
@@ -183,9 +188,9 @@
     if store == "emptied":
         for file in installation.folder.glob("g-2.db*"):
             file.unlink()
-    last = publish_without(installation, "shop-1", 300, unreached="g-2")
+    last = publish_with_one_unreached(installation, "shop-1", 300, unreached="g-2")
     installation.start("g-2")
-    installation.up("g-2")
+    installation.wait_until_started("g-2")
     (restored,) = installation.events("g-2", "distribution.restored")
     assert bool(restored["positions"]) == (store == "kept")
     installation.until(lambda: installation.in_force("g-2") >= last, "g-2 to have all")
@@ -194,21 +199,23 @@
 
 
 @pytest.mark.parametrize("to", ["relay", "publisher"])
-def test_noise_and_strangers_cost_only_their_own_connections(installation, to):
+def test_malformed_input_costs_only_the_connection_that_sent_it(installation, to):
     publish(installation, "shop", 100)
     port = installation.ports["eu-1" if to == "relay" else installation.publisher()]
-    noises = [
+    malformed = [
         b"GET / HTTP/1.1\r\n\r\n" * 50,
         os.urandom(4_000),
         amp_box(name=b"\xff\xfe"),
         amp_box(name=b"x y"),
     ]
-    noises += [amp_box(name=b"g-9") + amp_word(word) for word in (b"", b"\x93\xa6follow", os.urandom(900))]
-    for noise in noises:
-        with socket.create_connection(("127.0.0.1", port), 5) as stranger:
-            stranger.settimeout(8)
-            stranger.sendall(noise)
-            assert ended(stranger), f"{noise[:20]!r} did not cost its connection"
+    malformed += [
+        amp_box(name=b"g-9") + amp_message(word) for word in (b"", b"\x93\xa6follow", os.urandom(900))
+    ]
+    for data in malformed:
+        with socket.create_connection(("127.0.0.1", port), 5) as connection:
+            connection.settimeout(8)
+            connection.sendall(data)
+            assert is_closed_by_peer(connection), f"{data[:20]!r} did not cost its connection"
     assert publish(installation, "shop", 200)
     assert not [row for name in installation.running for row in installation.events(name, "failed")]
 
@@ -218,7 +225,7 @@
     return _box({b"_command": b"Meet", **{key.encode(): value for key, value in values.items()}})
 
 
-def amp_word(word: bytes) -> bytes:
+def amp_message(word: bytes) -> bytes:
     return _box({b"_command": b"Say", b"word": word})
 
 
@@ -227,10 +234,10 @@
     return b"".join(rows) + b"\0\0"
 
 
-def ended(stranger: socket.socket) -> bool:
+def is_closed_by_peer(connection: socket.socket) -> bool:
     """Whether the far end ends the connection within the socket's time-out."""
     try:
-        while stranger.recv(4096):
+        while connection.recv(4096):
             pass
     except ConnectionResetError:
         return True
@@ -239,30 +246,30 @@
     return True
 
 
-def test_a_gateway_that_stands_still_costs_nobody_else_anything_and_catches_up(installation):
+def test_a_paused_gateway_delays_nobody_else_and_catches_up(installation):
     publish(installation, "shop", 100)
     installation.pause("g-2")
-    told = installation.publish("shop", ROUTES.format(soft=200), "--json")
-    rows = [json.loads(line) for line in told.lines]
+    result = installation.publish("shop", ROUTES.format(soft=200), "--json")
+    rows = [json.loads(line) for line in result.lines]
     assert rows[0]["state"] == "accepted"
     assert installation.in_force("g-1") >= rows[0]["version"]["sequence"]
     if rows[-1]["state"] == "in_force":
-        assert told.code == 1 and "g-2" in rows[-1]["unreached"], told
-    installation.wake("g-2")
+        assert result.code == 1 and "g-2" in rows[-1]["unreached"], result
+    installation.resume("g-2")
     sequence = publish(installation, "shop", 300)
-    assert everywhere(installation, sequence) < IN_FORCE_WITHIN
+    assert wait_until_in_force_everywhere(installation, sequence) < IN_FORCE_WITHIN
 
 
-def test_a_majority_away_accepts_nothing_and_says_so(installation):
+def test_without_a_majority_of_relays_the_outcome_of_a_change_is_unknown(installation):
     """Last of those that share the installation: the two begin with lives that nobody knows yet."""
     publish(installation, "shop", 100)
     for relay in installation.relays[:2]:
         installation.kill(relay)
-    told = installation.publish("shop", ROUTES.format(soft=200), "--accepted-within", "2")
-    assert told.code == 3 and "it may be accepted later; bring back relays" in told.lines[-1], told
+    result = installation.publish("shop", ROUTES.format(soft=200), "--accepted-within", "2")
+    assert result.code == 3 and "it may be accepted later; bring back relays" in result.lines[-1], result
 
 
-def test_in_the_end_the_relays_logs_agree_and_no_older_epoch_follows_a_newer_one(installation):
+def test_the_relays_logs_agree_at_the_end_and_epochs_never_fall(installation):
     """Ends the installation that the tests before have shared."""
     installation.close()
     logs = [RelayLog(str(installation.folder / relay), "eu").read() for relay in installation.relays]
@@ -278,11 +285,11 @@
     assert max(change.epoch for change in logs[0].changes) > 1
 
 
-def test_a_process_that_is_told_to_read_its_settings_anew_says_that_they_count_from_a_start(tmp_path):
+def test_a_process_logs_at_sighup_that_settings_take_effect_at_the_next_start(tmp_path):
     found = Installation(tmp_path)
     try:
         found.start("eu-1")
-        found.up("eu-1")
+        found.wait_until_started("eu-1")
         os.kill(found.running["eu-1"].pid, signal.SIGHUP)
         found.until(lambda: bool(found.events("eu-1", "distribution.not_reloaded")), "a word on the settings")
         found.running["eu-1"].terminate()
--- a/tests/scale/author.py
+++ b/tests/scale/author.py
@@ -20,7 +20,7 @@
 from msgspec import Struct, field
 
 from linenbridge.distribution.errors import NotPublisher, PublisherBusy
-from linenbridge.distribution.hosting.link_messages import AUTHOR_TAKES
+from linenbridge.distribution.hosting.link_messages import CHANGE_CLIENT_DECODER
 from linenbridge.distribution.messages import Publish, Published
 from linenbridge.peering.connections import Links
 from linenbridge.logging.structured import structured
@@ -123,7 +123,7 @@
         self.refused, self.last = dict[str, int](), dict[str, int]()
         self.exit_code = 1
         known = frozenset(name for candidates in spec.publishers.values() for name in candidates)
-        self.links = Links(spec.name, known, reactor, log, self.heard, decoder=AUTHOR_TAKES)
+        self.links = Links(spec.name, known, reactor, log, self.heard, decoder=CHANGE_CLIENT_DECODER)
         self.regions = {
             region: RegionAuthor(self, region, candidates) for region, candidates in spec.publishers.items()
         }
--- a/tests/upgrade/event_names.py
+++ b/tests/upgrade/event_names.py
@@ -6,7 +6,12 @@
 
 from __future__ import annotations
 
-EVENTS: dict[str, str] = {}  # at the base -> in this version
+# At the base -> in this version.
+EVENTS: dict[str, str] = {
+    "distribution.misnamed": "distribution.name_mismatch",
+    "distribution.refused_change": "distribution.rejected_change",
+    "distribution.stranger": "distribution.unauthorized_peer",
+}
 FIELDS: dict[str, str] = {}
 
 
--- a/tests/upgrade/load.py
+++ b/tests/upgrade/load.py
@@ -98,20 +98,20 @@
         command = self._installation.begin_publish(
             wanted.name, wanted.text, *more, kind=wanted.kind.name.lower(), launch=checkout.launch
         )
-        told = self._installation.told(command)
-        rows = [json.loads(line) for line in told.lines]
+        result = self._installation.publish_result(command)
+        rows = [json.loads(line) for line in result.lines]
         accepted = [row["version"] for row in rows if row["state"] == "accepted"]
-        place = f"{wanted.kind.name.lower()} {wanted.name} by {checkout.label}: {told.lines} {told.error}"
+        place = f"{wanted.kind.name.lower()} {wanted.name} by {checkout.label}: {result.lines} {result.error}"
         with self._lock:
             found = self.outcomes
-            found.codes[checkout.label, told.code] = found.codes.get((checkout.label, told.code), 0) + 1
+            found.codes[checkout.label, result.code] = found.codes.get((checkout.label, result.code), 0) + 1
             found.acknowledged += [
                 Acknowledged(wanted.kind, wanted.name, wanted.value, row["epoch"], row["sequence"])
                 for row in accepted
             ]
-            if told.code not in (IN_FORCE, ACCEPTED) and not accepted:
-                (found.unknown if told.code == UNKNOWN else found.rejected).append(place)
-        return told.code
+            if result.code not in (IN_FORCE, ACCEPTED) and not accepted:
+                (found.unknown if result.code == UNKNOWN else found.rejected).append(place)
+        return result.code
 
     def _publish_all(self, thread: int) -> None:
         number = 0
--- a/tests/upgrade/play.py
+++ b/tests/upgrade/play.py
@@ -76,7 +76,7 @@
         task = f'<task name="{TASK}" act="127.0.0.1:{port}" every="{EVERY}"/>'
         super().__init__(folder, relays=2, gateways=2, fleet_tasks=task, launch=first.launch)
         self.lives: list[Life] = []
-        self._checkouts = dict.fromkeys(self.everybody(), first)
+        self._checkouts = dict.fromkeys(self.process_names(), first)
 
     def start(self, *names: str) -> None:
         for name in names:
@@ -132,8 +132,8 @@
     def _replace_all(self, order: list[str]) -> None:
         """From the start of the base's processes to the end in order of this version's."""
         installation = self.installation
-        installation.start(*installation.everybody())
-        installation.up(*installation.everybody())
+        installation.start(*installation.process_names())
+        installation.wait_until_started(*installation.process_names())
         installation.until(lambda: installation.publisher() != "", "a publisher")
         self.load.start()
         try:
@@ -166,7 +166,7 @@
     def _wait_until_served(self, name: str) -> None:
         """Until the process that was started last does its part and the whole serves."""
         installation = self.installation
-        installation.up(name)
+        installation.wait_until_started(name)
         if name in installation.fleet_ports:
             installation.until(lambda: bool(installation.events(name, "seat.returned")), f"{name} to grant")
         if name in installation.relays:
