--- a/linenbridge/distribution/hosting/change_client.py
+++ b/linenbridge/distribution/hosting/change_client.py
@@ -1,8 +1,8 @@
-"""An author of one change: asks the region's publisher for it and hears what becomes of it.
+"""The client of one change: sends it to its region's publisher and collects the responses.
 
-Owns the links to the candidates and which one is asked next: one that does not publish, or whose link is
-lost before it has accepted, is followed by the next. Asking twice is harmless: the same value is published
-again. It must never call a change refused that may have been kept.
+Owns the connections to the candidates and the choice of the next one: a candidate that does not publish, or
+whose connection is lost before it has accepted, is followed by the next. Sending twice is harmless: the same
+value is published again. A change that some candidate may have kept is never reported as rejected.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from linenbridge.distribution.errors import NotPublisher, PublisherBusy
 from linenbridge.distribution.hosting.link_messages import CHANGE_CLIENT_DECODER
 from linenbridge.distribution.messages import Publish, Published
-from linenbridge.peering.connections import Links
 from linenbridge.logging.event_log import Log
+from linenbridge.peering.connections import Links
 
-RETRY_DELAY = 0.3  # seconds before the next candidate is asked
+RETRY_DELAY = 0.3  # seconds before the change is sent to the next candidate
 NEXT_CANDIDATE_CODES = frozenset((NotPublisher.code, PublisherBusy.code))
 
 
 @dataclass
 class Outcome:
-    """What is known of the change in the end. `maybe_accepted`: somebody may have kept it who did not
-    say so."""
+    """What is known of the change in the end: the responses that decide, and whether a candidate may have
+    kept the change without a response."""
 
     accepted: Published | None = None
     in_force: Published | None = None
@@ -36,34 +36,47 @@
 
 
 class ChangeClient:
-    """`on_response(published)` is called with each news of the change; `on_done()` once nothing more
-    will come."""
+    """Sends `change` until a candidate has accepted or rejected it. Calls `on_response(published)` with each
+    response that says something new of the change, and `on_done()` after the last one."""
 
     def __init__(
-        self, region: Region, change: Publish, reactor: Any, log: Log,
-        on_response: Callable[[Published], None], on_done: Callable[[], None],
-    ) -> None:  # fmt: skip
-        self.change, self.reactor, self.on_response, self.on_done = change, reactor, on_response, on_done
+        self,
+        region: Region,
+        change: Publish,
+        reactor: Any,
+        log: Log,
+        on_response: Callable[[Published], None],
+        on_done: Callable[[], None],
+    ) -> None:
+        self.change = change
+        self.reactor = reactor
+        self.on_response = on_response
+        self.on_done = on_done
         self.outcome = Outcome()
         self.candidates = list(region.publishers)
-        self.pending_candidate = ""  # the candidate that is asked
+        self.pending_candidate = ""  # the one whose response counts; "" between two candidates
         self.timer: Any = None
         name = f"author-{os.getpid()}-{secrets.token_hex(4)}"
         self.connections = Links(
-            name, frozenset(self.candidates), reactor, log, self._on_published, decoder=CHANGE_CLIENT_DECODER,
+            name,
+            frozenset(self.candidates),
+            reactor,
+            log,
+            self._on_published,
+            decoder=CHANGE_CLIENT_DECODER,
             changed=self._on_connection_changed,
-        )  # fmt: skip
+        )
         for candidate, address in region.publishers.items():
             self.connections.dial(candidate, address)
 
     def _on_connection_changed(self, peer: str, connected: bool) -> None:
         if connected and not self.pending_candidate:
             self._request(peer)
-        elif not connected and peer == self.pending_candidate and not self._is_over():
+        elif not connected and peer == self.pending_candidate and not self._is_decided():
             self.outcome.maybe_accepted = True
             self._try_next_candidate()
 
-    def _is_over(self) -> bool:
+    def _is_decided(self) -> bool:
         return self.outcome.accepted is not None or self.outcome.rejected is not None
 
     def _request(self, candidate: str) -> None:
@@ -71,16 +84,16 @@
         self.connections.say(candidate, self.change)
 
     def _try_next_candidate(self) -> None:
-        """The next in turn that has a link, after a while."""
-        self.timer = self.reactor.callLater(RETRY_DELAY, self._request_after, self.pending_candidate)
+        """After a delay, send to the next candidate in order that is connected."""
+        self.timer = self.reactor.callLater(RETRY_DELAY, self._request_next, self.pending_candidate)
         self.pending_candidate = ""
 
-    def _request_after(self, last: str) -> None:
-        if self.pending_candidate or self._is_over():
+    def _request_next(self, last: str) -> None:
+        if self.pending_candidate or self._is_decided():
             return
         position = self.candidates.index(last) + 1
-        in_turn = self.candidates[position:] + self.candidates[:position]
-        connected = [candidate for candidate in in_turn if candidate in self.connections.to]
+        in_order = self.candidates[position:] + self.candidates[:position]
+        connected = [candidate for candidate in in_order if candidate in self.connections.to]
         if connected:
             self._request(connected[0])
 
@@ -107,8 +120,8 @@
                 self._try_next_candidate()
 
     def close(self) -> None:
-        """No more is waited for."""
-        self.outcome.maybe_accepted |= bool(self.pending_candidate) and not self._is_over()
+        """Close all connections; a change without a response by now may be accepted later."""
+        self.outcome.maybe_accepted |= bool(self.pending_candidate) and not self._is_decided()
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.connections.close()
--- a/linenbridge/distribution/hosting/disk_writer.py
+++ b/linenbridge/distribution/hosting/disk_writer.py
@@ -1,6 +1,6 @@
-"""Writes to a disk beside the reactor: one call at a time in a thread, in order, what waits goes together.
+"""Writes to a disk beside the reactor: one call at a time in a thread, in order; what waits goes together.
 
-Owns the queue before the thread. It must never look into what is written.
+Owns the queue before the thread. Does not look into what is written.
 """
 
 from __future__ import annotations
@@ -14,25 +14,32 @@
 
 
 class GroupWriter(Generic[Item]):
-    """`write(items)` runs in a thread of the reactor's pool; then `on_written(items)` or
-    `on_failed(items, error)` is called on the reactor's."""
+    """Calls `write(items)` in a thread of the reactor's pool, then `on_written(items)` or
+    `on_failed(items, error)` in the reactor's thread."""
 
     def __init__(
-        self, reactor: Any, write: Callable[[list[Item]], object], on_written: Callable[[list[Item]], None],
+        self,
+        reactor: Any,
+        write: Callable[[list[Item]], object],
+        on_written: Callable[[list[Item]], None],
         on_failed: Callable[[list[Item], BaseException], None],
-    ) -> None:  # fmt: skip
-        self.reactor, self.write, self.on_written, self.on_failed = reactor, write, on_written, on_failed
+    ) -> None:
+        self.reactor = reactor
+        self.write = write
+        self.on_written = on_written
+        self.on_failed = on_failed
         self.pending: list[Item] = []
         self.writing = False
         self._on_idle: Callable[[], None] | None = None
 
     def put(self, item: Item) -> None:
+        """Write an item, together with all that waits once the write under way has ended."""
         self.pending.append(item)
         if not self.writing:
             self._start_write()
 
     def close(self, on_idle: Callable[[], None]) -> None:
-        """`on_idle` is called once all that was put is written."""
+        """Call `on_idle` once all items are written or have failed."""
         self._on_idle = on_idle
         self._notify_if_idle()
 
@@ -46,7 +53,7 @@
         result.addBoth(self._on_write_ended)
 
     def _on_write_ended(self, result: object) -> object:
-        """Also after a callback that raised: its failure is passed on, to the process's log."""
+        """Go on, also after a callback that raised: Twisted logs the failure that is passed on."""
         self.writing = False
         if self.pending:
             self._start_write()
--- a/linenbridge/distribution/hosting/follower_settings.py
+++ b/linenbridge/distribution/hosting/follower_settings.py
@@ -1,18 +1,15 @@
-"""What gateways and relays share as followers: their settings for the core, and messages handed to it.
-
-Owns the translation between links and a `Follower`'s inputs.
-"""
+"""What gateways and relays share as hosts of a `Follower`: its settings, and its inputs for messages."""
 
 from __future__ import annotations
 
 from linenbridge.distribution.configuration import DistributionSettings
 from linenbridge.distribution.dissemination.follower import Follower, FollowerSettings
-from linenbridge.distribution.messages import Batch, Refused, Whole
 from linenbridge.distribution.dissemination.relay_selection import RelayPlace
+from linenbridge.distribution.messages import Batch, Refused, Whole
 
 
 def follower_settings(settings: DistributionSettings, rate: int) -> FollowerSettings:
-    """`rate` in bytes a second; 0: no bound."""
+    """Settings of a `Follower` that takes `rate` bytes a second; 0: no bound."""
     return FollowerSettings(rate=rate, silence=settings.silence, heartbeat=settings.heartbeat)
 
 
@@ -27,7 +24,7 @@
 
 
 def deliver(follower: Follower, now: int, relay: str, message: Batch | Whole | Refused) -> None:
-    """A relay's message to the core's input of its kind."""
+    """Call the input of the follower for a relay's message. `now` in microseconds."""
     match message:
         case Batch():
             follower.on_batch(now, relay, message)
--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -1,71 +1,85 @@
-"""A gateway on a reactor: a follower of relays, its view, and the view's store. No front, no thread.
+"""Hosts a gateway's part in the distribution: a follower of relays, its view, and the view's store.
 
-Owns the wiring, and the queue of what is to come into force: sets of routes are checked in short steps with
-turns of the reactor between, then all of one batch comes into force in one turn, between two requests. Many
-can share a process, each under its own name. It must never decide: what the core says is carried out.
+Owns the connections to relays, and connects the follower, the queue of content that is checked, and the
+writer of the view's pages. Decides nothing. It has no thread of its own, so that many gateways, each under
+its own name, can share a process.
 """
 
 from __future__ import annotations
 
-from collections import deque
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
-from linenbridge.distribution.changes import Change, Kind, Position
+from linenbridge.distribution.changes import Position
 from linenbridge.distribution.configuration import DistributionSettings
 from linenbridge.distribution.decisions import Apply, Decision, Dial, Event, HangUp, ReplaceRange, Send
-from linenbridge.distribution.errors import ViewStoreError
 from linenbridge.distribution.dissemination.follower import Follower
+from linenbridge.distribution.hosting.apply_queue import ApplyQueue, Content
 from linenbridge.distribution.hosting.core_driver import CoreDriver, StateMachine
 from linenbridge.distribution.hosting.follower_settings import (
-    follower_settings,
     deliver,
+    follower_settings,
     relay_names,
     relay_places,
 )
-from linenbridge.distribution.hosting.methods import Methods
 from linenbridge.distribution.hosting.link_messages import FOLLOWER_DECODER
-from linenbridge.distribution.hosting.disk_writer import GroupWriter
-from linenbridge.distribution.view.results import Applied, StoredPage, ViewLimits
+from linenbridge.distribution.hosting.methods import Methods
+from linenbridge.distribution.hosting.page_writer import ViewPageWriter
 from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
+from linenbridge.distribution.view.results import Applied, ViewLimits
 from linenbridge.distribution.view.view import View
+from linenbridge.logging.event_log import Log
 from linenbridge.peering import clock
 from linenbridge.peering.connections import Links
-from linenbridge.logging.event_log import Log
-
-STORE_INTERVAL = 1.0  # seconds between two writes of the view's pages
 
 
 class Gateway:
-    """`view` is what it has in force, from its store where it was restored. `on_applied` is called
-    with each change of it, right after."""
+    """Follows relays and keeps `view` up to date; `store` holds its pages. Calls `on_applied` after each
+    change of the view, in the same turn."""
 
     def __init__(
-        self, settings: DistributionSettings, reactor: Any, log: Log, view: View, random: Random,
-        store: ViewStore | None = None, on_applied: Callable[[Applied], None] = lambda applied: None,
-    ) -> None:  # fmt: skip
-        self.settings, self.reactor, self.log, self.view = settings, reactor, log, view
+        self,
+        settings: DistributionSettings,
+        reactor: Any,
+        log: Log,
+        view: View,
+        random: Random,
+        store: ViewStore | None = None,
+        on_applied: Callable[[Applied], None] = lambda applied: None,
+    ) -> None:
+        self.settings = settings
+        self.reactor = reactor
+        self.log = log
+        self.view = view
         self.on_applied = on_applied
         self.follower = Follower(
-            settings.name, settings.region, relay_places(settings, list(settings.regions)),
-            list(settings.regions), view.positions(), follower_settings(settings, settings.rate), random,
-            clock.now(), view.range_digests,
-        )  # fmt: skip
+            settings.name,
+            settings.region,
+            relay_places(settings, list(settings.regions)),
+            list(settings.regions),
+            view.positions(),
+            follower_settings(settings, settings.rate),
+            random,
+            clock.now(),
+            view.range_digests,
+        )
         self.connections = Links(
-            settings.name, relay_names(settings), reactor, log, self._on_message, decoder=FOLLOWER_DECODER,
+            settings.name,
+            relay_names(settings),
+            reactor,
+            log,
+            self._on_message,
+            decoder=FOLLOWER_DECODER,
             changed=self._on_connection_changed,
-        )  # fmt: skip
+        )
         self.page_writer = None if store is None else ViewPageWriter(reactor, log, view, store)
-        self.pending: deque[Apply | ReplaceRange] = deque()
-        self.unchecked: deque[Change] = deque()  # sets of routes of the queue's first
-        self.check_steps: Iterator[None] = iter(())  # of the check of one of them
-        self.closed = False
+        self.apply_queue = ApplyQueue(reactor, view, self._put_in_force)
         self.driver = CoreDriver(reactor, [self.follower], self._execute)
         log.event("distribution.started", role="gateway", name=settings.name, region=settings.region)
         self.driver.turn()
 
-    # ---- links -------------------------------------------------------------------------------------------
+    # ---- connections -----------------------------------------------------------------------------------
 
     def _on_message(self, peer: str, message: Any) -> None:
         deliver(self.follower, clock.now(), peer, message)
@@ -75,14 +89,14 @@
         self.follower.on_link(clock.now(), peer, connected)
         self.driver.turn()
 
-    # ---- decisions ---------------------------------------------------------------------------------------
+    # ---- decisions -------------------------------------------------------------------------------------
 
-    def _execute(self, state_machine: StateMachine, now: int, decision: Decision) -> None:
+    def _execute(self, _state_machine: StateMachine, _now: int, decision: Decision) -> None:
         match decision:
             case Send():
                 self.connections.say(decision.to, decision.message)
             case Apply() | ReplaceRange():
-                self._enqueue(decision)
+                self.apply_queue.put(decision)
             case Dial():
                 address = self.settings.relay_address(decision.relay)
                 if address is not None:
@@ -92,42 +106,14 @@
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
-    # ---- what comes into force ---------------------------------------------------------------------------
-
-    def _enqueue(self, content: Apply | ReplaceRange) -> None:
-        self.pending.append(content)
-        if len(self.pending) == 1:
-            self._start_checks()
-
-    def _start_checks(self) -> None:
-        """Only checks of routes take long enough to be spread over turns."""
-        changes = self.pending[0].changes
-        self.unchecked = deque(change for change in changes if change.kind == Kind.ROUTES and change.value)
-        self._check_pending()
-
-    def _check_pending(self) -> None:
-        if self.closed or not self.pending:
-            return
-        if self._run_check_step():
-            self.reactor.callLater(0, self._check_pending)
-            return
-        self._put_in_force(self.pending[0])
-        self.pending.popleft()
-        if self.pending:
-            self.reactor.callLater(0, self._start_checks)
-
-    def _run_check_step(self) -> bool:
-        """One step of the checks, a millisecond or so; False once all are done."""
-        for _ in self.check_steps:
-            return True
-        if not self.unchecked:
-            return False
-        self.check_steps = self.view.examining(self.unchecked.popleft())
-        return True
-
-    def _put_in_force(self, content: Apply | ReplaceRange) -> None:
-        view = self.view
-        applied = view.apply(content) if isinstance(content, Apply) else view.replace(content)
+    # ---- content ---------------------------------------------------------------------------------------
+
+    def _put_in_force(self, content: Content) -> None:
+        match content:
+            case Apply():
+                applied = self.view.apply(content)
+            case ReplaceRange():
+                applied = self.view.replace(content)
         self.follower.on_applied(clock.now(), applied.region, applied.upto, applied.digest)
         self._log_applied(applied)
         self.on_applied(applied)
@@ -139,14 +125,20 @@
         for rejected in applied.refused:
             self.log.event("distribution.rejected_change", **rejected.error().fields())
         if applied.taken:
-            place = {"region": applied.region, "epoch": applied.upto.epoch, "sequence": applied.upto.sequence}
-            self.log.event("distribution.in_force", changes=applied.taken, **place)
+            self.log.event(
+                "distribution.in_force",
+                changes=applied.taken,
+                region=applied.region,
+                epoch=applied.upto.epoch,
+                sequence=applied.upto.sequence,
+            )
 
-    # ---- the process -------------------------------------------------------------------------------------
+    # ---- the process -----------------------------------------------------------------------------------
 
     def facts(self) -> dict[str, int]:
-        """For the counters' line."""
-        counters, view = self.follower.counters, self.view
+        """The gateway's fields of the counters' line."""
+        counters = self.follower.counters
+        view = self.view
         return {
             "following": int(self.follower.following),
             "sessions": counters.sessions,
@@ -164,12 +156,12 @@
         }
 
     def reload(self, path: str) -> None:
-        """At SIGHUP: settings of the distribution count from the next start."""
+        """SIGHUP: settings of the distribution take effect at the next start; log that."""
         self.log.event("distribution.not_reloaded", path=path, do="restart the process to take them up")
 
     def close(self, closed: Callable[[], None] = lambda: None) -> None:
-        """In order: links, then turns, then the last pages on disk; `closed()` at the end."""
-        self.closed = True
+        """End checks and turns, close connections, write the last pages; then call `closed`."""
+        self.apply_queue.close()
         self.driver.close()
         self.connections.close()
         if self.page_writer is None:
@@ -178,66 +170,31 @@
             self.page_writer.close(closed)
 
 
-class ViewPageWriter:
-    """Brings a view's changed pages to its store, every now and then and all of them together."""
-
-    def __init__(self, reactor: Any, log: Log, view: View, store: ViewStore) -> None:
-        self.reactor, self.log, self.view, self.store = reactor, log, view, store
-        self.writer = GroupWriter[list[StoredPage]](reactor, self._write, self._on_written, self._on_failed)
-        self.timer: Any = None
-
-    def on_changed(self) -> None:
-        """The view has changed."""
-        if self.timer is None and self.store.error is None:
-            self.timer = self.reactor.callLater(STORE_INTERVAL, self._write_changed)
-
-    def _write_changed(self) -> None:
-        self.timer = None
-        if self.store.error is None:
-            self.writer.put(self.view.dirty())
-
-    def _write(self, groups: list[list[StoredPage]]) -> None:
-        for pages in groups:
-            self.store.write(pages)
-
-    def _on_written(self, groups: list[list[StoredPage]]) -> None:
-        """The store says itself what went wrong."""
-
-    def _on_failed(self, groups: list[list[StoredPage]], error: BaseException) -> None:
-        self.log.failed("distribution.store", error)
-        if self.store.error is None:
-            self.store.error = ViewStoreError(f"{type(error).__name__}: {error}", self.store.path)
-
-    def close(self, closed: Callable[[], None]) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-            self._write_changed()
-        self.writer.close(lambda: self._close_store(closed))
+class OpenedView(NamedTuple):
+    """A view and the store that it came from, if the settings name one."""
 
-    def _close_store(self, closed: Callable[[], None]) -> None:
-        self.store.close()
-        closed()
+    view: View
+    store: ViewStore | None
 
 
-def open_view(
-    settings: DistributionSettings, methods: Methods, log: Log, unix_offset: int = 0
-) -> tuple[View, ViewStore | None]:
-    """The view of the last life where the settings name a store that holds one, else a new one. `unix_offset`
-    is the view's."""
+def open_view(settings: DistributionSettings, methods: Methods, log: Log, unix_offset: int = 0) -> OpenedView:
+    """Open the view of the last life where the settings name a store that holds one, else a new one.
 
+    `unix_offset` is the view's: the microseconds that make Unix time of the gateway's clock.
+    """
     limits = ViewLimits(compiled_bytes=settings.compiled_routes)
 
     def new_view() -> View:
         return View(methods.methods, methods.max_deadline, unix_offset, limits)
 
     if not settings.store:
-        return new_view(), None
+        return OpenedView(new_view(), None)
     store = ViewStore(settings.store, fingerprint(method.name for method in methods.methods), log.event)
     view = restored(store, new_view)
     log.event(
         "distribution.restored", positions=[_position_fields(position) for position in view.positions()]
     )
-    return view, store
+    return OpenedView(view, store)
 
 
 def _position_fields(position: Position) -> dict[str, object]:
--- a/linenbridge/distribution/hosting/link_messages.py
+++ b/linenbridge/distribution/hosting/link_messages.py
@@ -1,19 +1,29 @@
-"""Which messages each side of a link takes; any other costs its sender the connection.
-
-Owns the decoders of the distribution's links (`fleet/hosting/links.py`).
-"""
+"""Decoders of the messages that each end of a connection takes; any other message costs its sender the
+connection (`linenbridge/peering/connections.py`)."""
 
 from __future__ import annotations
 
 from msgspec.msgpack import Decoder
 
 from linenbridge.distribution.messages import (
-    Append, Appended, Batch, Digests, Fetch, Fetched, Follow, Prepare, Prepared, Progress, Publish, Published,
-    Refused, Whole,
-)  # fmt: skip
+    Append,
+    Appended,
+    Batch,
+    Digests,
+    Fetch,
+    Fetched,
+    Follow,
+    Prepare,
+    Prepared,
+    Progress,
+    Publish,
+    Published,
+    Refused,
+    Whole,
+)
 
 RELAY_DECODER = Decoder(Prepare | Fetch | Append | Follow | Progress | Digests)
 FOLLOWER_DECODER = Decoder(Batch | Whole | Refused)
-PUBLISHER_DECODER = Decoder(Prepared | Fetched | Appended | Progress)
-CHANGE_REQUEST_DECODER = Decoder(Publish)
+PUBLISHER_DECODER = Decoder(Prepared | Fetched | Appended | Progress)  # from relays
+CHANGE_REQUEST_DECODER = Decoder(Publish)  # a publisher's, from change clients
 CHANGE_CLIENT_DECODER = Decoder(Published)
--- a/linenbridge/distribution/hosting/methods.py
+++ b/linenbridge/distribution/hosting/methods.py
@@ -1,7 +1,5 @@
-"""Which methods routes may name, and the longest deadline: from the platform's configuration.
-
-Owns the way from the settings' attribute `platform` to both. It must never know what they are used for.
-"""
+"""Which methods routes may name, and the longest deadline: both from the platform's configuration, which the
+settings' attribute `platform` names."""
 
 from __future__ import annotations
 
@@ -16,24 +14,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Methods:
-    """`max_deadline` is the longest deadline, in microseconds."""
+    """The methods of a platform and the longest deadline of its profiles, in microseconds."""
 
     methods: tuple[Method, ...] = ()
     max_deadline: int = 0
 
 
-def methods_in(at: ProcessConfiguration) -> Methods:
-    """Of a configuration that is read already."""
-    max_deadline = micros(max(profile.give_up for profile in at.settings.profiles))
-    return Methods(tuple(startup(at.settings).methods), max_deadline)
+def methods_in(platform: ProcessConfiguration) -> Methods:
+    """The methods of a configuration that is read already."""
+    max_deadline = micros(max(profile.give_up for profile in platform.settings.profiles))
+    return Methods(tuple(startup(platform.settings).methods), max_deadline)
 
 
 def methods_of(settings: DistributionSettings) -> Methods:
-    """Of the file that the settings name; none where they name none: then no set of routes passes its
-    checks. ConfigurationError where the file cannot be used."""
+    """The methods of the file that the settings name; none where they name no file: no set of routes passes
+    its checks then. Raises ConfigurationError where the file cannot be used."""
     if not settings.platform:
         return Methods()
     try:
         return methods_in(load({"LB_CONFIG": settings.platform}))
     except (ValueError, OSError) as error:
-        raise ConfigurationError(str(error)) from None
+        raise ConfigurationError(str(error)) from error
--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -1,47 +1,60 @@
-"""A candidate for a region's publisher on a reactor: a member of the fleet, the core, relays and authors.
+"""Hosts a candidate for its region's publisher: a member of the fleet, the state machine, and connections.
 
-Owns the wiring. The lease is looked at before each pull of decisions, so that one that was lost while the
-process stood still sends nothing more. It must never decide: what the core says is carried out.
+Owns the connections to relays and from change clients. The lease's term is read before each pull of
+decisions, so that a process that lost the lease while it was paused sends nothing more. Decides nothing.
 """
 
 from __future__ import annotations
 
 import secrets
+from collections.abc import Callable
 from random import Random
 from typing import Any
 
 from linenbridge.distribution.configuration import DistributionSettings, publishers_task
 from linenbridge.distribution.decisions import Decision, Event, Send
 from linenbridge.distribution.hosting.core_driver import CoreDriver, StateMachine
-from linenbridge.distribution.hosting.link_messages import PUBLISHER_DECODER, CHANGE_REQUEST_DECODER
-from linenbridge.distribution.messages import Appended, Fetched, Prepared, Progress, Publish, Published
-from linenbridge.distribution.log.replication import PublisherPace
+from linenbridge.distribution.hosting.link_messages import CHANGE_REQUEST_DECODER, PUBLISHER_DECODER
 from linenbridge.distribution.log.publisher import Check, Publisher
+from linenbridge.distribution.log.replication import PublisherPace
+from linenbridge.distribution.messages import Appended, Fetched, Prepared, Progress, Publish, Published
 from linenbridge.fleet.configuration import FleetTold
-from linenbridge.peering import clock
-from linenbridge.peering.connections import Links, WellFormedNames
 from linenbridge.fleet.hosting.member import Member
 from linenbridge.fleet.hosting.quorum_member import again
 from linenbridge.logging.event_log import Log
+from linenbridge.peering import clock
+from linenbridge.peering.connections import Links, WellFormedNames
 
 
 class PublisherProcess:
-    """One candidate; it publishes while it holds its region's task. `check` is asked of each value."""
+    """One candidate; it publishes while it holds its region's task. `check` examines each value."""
 
     def __init__(
-        self, settings: DistributionSettings, fleet_settings: FleetTold, reactor: Any, log: Log, check: Check,
+        self,
+        settings: DistributionSettings,
+        fleet_settings: FleetTold,
+        reactor: Any,
+        log: Log,
+        check: Check,
         random: Random,
-    ) -> None:  # fmt: skip
-        self.settings, self.reactor, self.log = settings, reactor, log
+    ) -> None:
+        self.settings = settings
+        self.reactor = reactor
+        self.log = log
         self.task = publishers_task(settings.region)
         relays = settings.home.relays
         self.publisher = Publisher(
             settings.region, settings.name, tuple(relays), PublisherPace(), random, check
         )
         self.clients = Links(
-            settings.name, WellFormedNames(), reactor, log, self._on_change_request,
-            decoder=CHANGE_REQUEST_DECODER, connections=settings.authors,
-        )  # fmt: skip
+            settings.name,
+            WellFormedNames(),
+            reactor,
+            log,
+            self._on_change_request,
+            decoder=CHANGE_REQUEST_DECODER,
+            connections=settings.authors,
+        )
         self.relays = Links(
             settings.name, frozenset(relays), reactor, log, self._on_relay_message, decoder=PUBLISHER_DECODER
         )
@@ -58,8 +71,9 @@
         self.driver.turn()
 
     def _refresh_term(self, now: int) -> None:
-        held_slot = self.member.holds(self.task)
-        self.publisher.on_term(now, None if held_slot is None else held_slot[0])
+        grant = self.member.holds(self.task)
+        term = None if grant is None else grant[0]
+        self.publisher.on_term(now, term)
 
     def _tasks_changed(self, task: str) -> None:
         if task == self.task:
@@ -86,7 +100,7 @@
                 self.log.rarely("distribution.name_mismatch", "relay", peer=peer)
         self.driver.turn()
 
-    def _execute(self, state_machine: StateMachine, now: int, decision: Decision) -> None:
+    def _execute(self, _state_machine: StateMachine, _now: int, decision: Decision) -> None:
         match decision:
             case Send(to, Published() as answer):
                 self.clients.say(to, answer)
@@ -96,7 +110,7 @@
                 self.log.event(decision.name, **decision.fields)
 
     def facts(self) -> dict[str, int]:
-        """For the counters' line."""
+        """The publisher's fields of the counters' line."""
         publisher = self.publisher
         return {
             **self.member.facts(),
@@ -109,15 +123,15 @@
         }
 
     def reload(self, path: str) -> None:
-        """At SIGHUP: the fleet's part counts at once, the distribution's from the next start."""
+        """SIGHUP: settings of the fleet take effect at once, those of the distribution at the next start."""
         again(path, self.member, self.log)
 
-    def close(self, closed: Any) -> None:
-        """The lease is given back; `closed()` at the end."""
+    def close(self, closed: Callable[[], None]) -> None:
+        """Release the lease, then close all connections; then call `closed`."""
         self.port.stopListening()
         self.member.leave(lambda: self._close(closed))
 
-    def _close(self, closed: Any) -> None:
+    def _close(self, closed: Callable[[], None]) -> None:
         self.driver.turn()
         self.driver.close()
         self.clients.close()
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -1,8 +1,9 @@
-"""A relay on a reactor: its region's replica with its disk, the feed, and a follower of each other region.
+"""Hosts a relay: its region's replica with its disk, the feed, and a follower of each other region.
 
-Owns the wiring. The log is written by one thread at a time, in order, and answers leave after it. A message
-counts only from whom it may come: appends from publishers that the settings name, a follower's words under
-its own name. It must never decide: what the cores say is carried out.
+Owns two sets of connections: downstream (followers and publishers connect to it) and upstream (it connects to
+relays of other regions). The log is written by one thread at a time, in order, and responses leave after the
+write. A message is taken only from a peer that may send it: appends from publishers that the settings name, a
+follower's messages under its own name. Decides nothing.
 """
 
 from __future__ import annotations
@@ -13,48 +14,68 @@
 
 from linenbridge.distribution.configuration import DistributionSettings
 from linenbridge.distribution.decisions import (
-    Apply, Committed, Decision, Dial, Event, HangUp, Keep, ReplaceRange, Send, SumsBelow,
-)  # fmt: skip
-from linenbridge.distribution.errors import RelayStoreError
+    Apply,
+    Committed,
+    Decision,
+    Dial,
+    Event,
+    HangUp,
+    Keep,
+    ReplaceRange,
+    Send,
+    SumsBelow,
+)
 from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
 from linenbridge.distribution.dissemination.follower import Follower
+from linenbridge.distribution.errors import RelayStoreError
 from linenbridge.distribution.hosting.core_driver import CoreDriver, StateMachine
+from linenbridge.distribution.hosting.disk_writer import GroupWriter
 from linenbridge.distribution.hosting.follower_settings import (
-    follower_settings,
     deliver,
+    follower_settings,
     relay_names,
     relay_places,
 )
 from linenbridge.distribution.hosting.link_messages import FOLLOWER_DECODER, RELAY_DECODER
-from linenbridge.distribution.hosting.disk_writer import GroupWriter
-from linenbridge.distribution.messages import Append, Digests, Fetch, Follow, Prepare, Progress
 from linenbridge.distribution.log.replica import Replica
+from linenbridge.distribution.messages import Append, Digests, Fetch, Follow, Prepare, Progress
 from linenbridge.distribution.storage.log_store import RelayLog
+from linenbridge.logging.event_log import Log
 from linenbridge.peering import clock
 from linenbridge.peering.connections import Links, WellFormedNames, later
-from linenbridge.logging.event_log import Log
 
 RESERVED_CONNECTIONS = 64  # for relays of other regions and publishers, beside two for each follower
-EXTRA_SILENT_HEARTBEATS = 2  # a follower is let go when it has been silent so much longer than relays may be
+EXTRA_SILENT_HEARTBEATS = 2  # a follower may be silent for so many heartbeats more than a relay
 
 
 class Relay:
-    """One relay of `settings.region`. RelayStoreError where its disk cannot be used. A relay whose disk fails
-    later on gets nothing newer for its followers: `on_broken` is called once, for the process to end."""
+    """One relay of `settings.region`. Raises RelayStoreError where its disk cannot be used. A disk that fails
+    later on ends the relay's use, so `on_broken` is called once, for the process to end."""
 
     def __init__(
-        self, settings: DistributionSettings, reactor: Any, log: Log, random: Random,
+        self,
+        settings: DistributionSettings,
+        reactor: Any,
+        log: Log,
+        random: Random,
         on_broken: Callable[[], None] = lambda: None,
-    ) -> None:  # fmt: skip
-        self.settings, self.reactor, self.log = settings, reactor, log
+    ) -> None:
+        self.settings = settings
+        self.reactor = reactor
+        self.log = log
         self._on_broken: Callable[[], None] | None = on_broken
         now = clock.now()
         self.disk = RelayLog(settings.store, settings.region)
         self.replica = Replica(settings.region, settings.name, self.disk.read(), settings.trusted, random)
         self.feed = Feed(
-            settings.name, settings.region, list(settings.regions), _feed_settings(settings), random, now,
+            settings.name,
+            settings.region,
+            list(settings.regions),
+            _feed_settings(settings),
+            random,
+            now,
             relay_names(settings),
-        )  # fmt: skip
+        )
         self.followers = {
             region: self._follower(region, random, now)
             for region in settings.regions
@@ -65,14 +86,24 @@
         }
         self.writer = GroupWriter[Keep](reactor, self.disk.keep, self._on_persisted, self._on_persist_failed)
         self.downstream = Links(
-            settings.name, WellFormedNames(), reactor, log, self._on_downstream_message,
-            decoder=RELAY_DECODER, connections=2 * settings.followers + RESERVED_CONNECTIONS,
+            settings.name,
+            WellFormedNames(),
+            reactor,
+            log,
+            self._on_downstream_message,
+            decoder=RELAY_DECODER,
+            connections=2 * settings.followers + RESERVED_CONNECTIONS,
             changed=self._on_downstream_changed,
-        )  # fmt: skip
+        )
         self.upstream = Links(
-            settings.name, relay_names(settings), reactor, log, self._on_upstream_message,
-            decoder=FOLLOWER_DECODER, changed=self._on_upstream_changed,
-        )  # fmt: skip
+            settings.name,
+            relay_names(settings),
+            reactor,
+            log,
+            self._on_upstream_message,
+            decoder=FOLLOWER_DECODER,
+            changed=self._on_upstream_changed,
+        )
         state_machines = [self.replica, *self.followers.values(), self.feed]
         self.driver = CoreDriver(reactor, state_machines, self._execute, on_turn_end=self._report_broken_disk)
         if settings.listen is None:
@@ -82,14 +113,22 @@
         self.driver.turn()
 
     def _follower(self, region: str, random: Random, now: int) -> Follower:
-        """Of another region. What the feed's tables hold is not kept on disk: it is asked for anew."""
+        """The follower of another region. What the feed holds of it is not on disk, so it starts from the
+        beginning."""
         settings = self.settings
         return Follower(
-            settings.name, region, relay_places(settings, [region]), [region], [],
-            follower_settings(settings, settings.rate_between_regions), random, now, self.feed.range_digests,
-        )  # fmt: skip
+            settings.name,
+            region,
+            relay_places(settings, [region]),
+            [region],
+            [],
+            follower_settings(settings, settings.rate_between_regions),
+            random,
+            now,
+            self.feed.range_digests,
+        )
 
-    # ---- links -------------------------------------------------------------------------------------------
+    # ---- connections -----------------------------------------------------------------------------------
 
     def _on_downstream_message(self, peer: str, message: Any) -> None:
         now = clock.now()
@@ -138,7 +177,7 @@
             follower.on_link(clock.now(), peer, connected)
             self.driver.turn()
 
-    # ---- decisions ---------------------------------------------------------------------------------------
+    # ---- decisions -------------------------------------------------------------------------------------
 
     def _execute(self, state_machine: StateMachine, now: int, decision: Decision) -> None:
         match decision:
@@ -150,12 +189,8 @@
             case Committed():
                 settled = self.replica.log.settled
                 self.feed.on_committed(now, decision.region, decision.changes, settled)
-            case Apply():
-                digest = self.feed.on_apply(now, decision)
-                self.followers[decision.region].on_applied(now, decision.region, decision.upto, digest)
-            case ReplaceRange():
-                digest = self.feed.on_range(now, decision)
-                self.followers[decision.region].on_applied(now, decision.region, decision.upto, digest)
+            case Apply() | ReplaceRange():
+                self._put_into_feed(now, decision)
             case SumsBelow():
                 for follower in self.followers.values():
                     follower.on_progress_below(now, decision.summaries)
@@ -166,6 +201,15 @@
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
+    def _put_into_feed(self, now: int, content: Apply | ReplaceRange) -> None:
+        """What a follower of another region brings goes to the feed, which then is where the follower is."""
+        match content:
+            case Apply():
+                digest = self.feed.on_apply(now, content)
+            case ReplaceRange():
+                digest = self.feed.on_range(now, content)
+        self.followers[content.region].on_applied(now, content.region, content.upto, digest)
+
     def _report_broken_disk(self) -> None:
         if self.replica.broken and self._on_broken is not None:
             on_broken, self._on_broken = self._on_broken, None
@@ -182,16 +226,16 @@
                 self.downstream.say(send.to, send.message)
         self.driver.turn()
 
-    def _on_persist_failed(self, persists: list[Keep], error: BaseException) -> None:
+    def _on_persist_failed(self, _persists: list[Keep], error: BaseException) -> None:
         if not isinstance(error, RelayStoreError):
             error = RelayStoreError(f"{type(error).__name__}: {error}", self.settings.store)
         self.replica.on_store_failed(clock.now(), error)
         self.driver.turn()
 
-    # ---- the process -------------------------------------------------------------------------------------
+    # ---- the process -----------------------------------------------------------------------------------
 
     def facts(self) -> dict[str, int]:
-        """For the counters' line."""
+        """The relay's fields of the counters' line."""
         counters = self.feed.counters
         return {
             "followers": len(self.feed.sessions),
@@ -209,11 +253,11 @@
         }
 
     def reload(self, path: str) -> None:
-        """At SIGHUP: settings of the distribution count from the next start."""
+        """SIGHUP: settings of the distribution take effect at the next start; log that."""
         self.log.event("distribution.not_reloaded", path=path, do="restart the process to take them up")
 
     def close(self, closed: Callable[[], None]) -> None:
-        """In order: no connection, then no turn, then the disk; `closed()` at the end."""
+        """Close connections, end turns, then close the disk after its last write; then call `closed`."""
         self.port.stopListening()
         self.driver.close()
         self.downstream.close()
@@ -227,7 +271,8 @@
 
 def _feed_settings(settings: DistributionSettings) -> FeedSettings:
     return FeedSettings(
-        gather=settings.gather, heartbeat=settings.heartbeat,
+        gather=settings.gather,
+        heartbeat=settings.heartbeat,
         silent=settings.silence + EXTRA_SILENT_HEARTBEATS * settings.heartbeat,
         followers_most=settings.followers,
-    )  # fmt: skip
+    )
--- /dev/null
+++ b/tests/distribution/hosting/test_disk_writer.py
@@ -0,0 +1,101 @@
+"""Writes beside the reactor: what waits goes together, in order, and a failure stops no later write."""
+
+from __future__ import annotations
+
+import gc
+from collections.abc import Iterator
+from contextlib import contextmanager
+
+from twisted.logger import globalLogPublisher
+from twisted.python.failure import Failure
+
+from linenbridge.distribution.hosting.disk_writer import GroupWriter
+from tests.distribution.hosting.fakes import FakeReactor
+
+
+class Disk:
+    """Writes down what was written together; fails while `full` is set."""
+
+    def __init__(self) -> None:
+        self.reactor = FakeReactor()
+        self.groups: list[list[str]] = []
+        self.done: list[str] = []
+        self.failed: list[str] = []
+        self.full = False
+        self.writer = GroupWriter(
+            self.reactor, self._write, self.done.extend, lambda items, error: self.failed.extend(items)
+        )
+
+    def _write(self, items: list[str]) -> None:
+        if self.full:
+            raise OSError("full")
+        self.groups.append(items)
+
+
+def test_items_that_wait_for_a_write_are_written_together_in_order():
+    disk = Disk()
+    for item in "abcd":
+        disk.writer.put(item)
+    assert not disk.done, "nothing counts before it is written"
+    disk.reactor.threads.run_all()
+    assert disk.groups == [["a"], ["b", "c", "d"]] and disk.done == list("abcd")
+
+
+def test_a_write_that_fails_is_reported_and_the_next_one_is_tried():
+    disk = Disk()
+    disk.full = True
+    disk.writer.put("a")
+    disk.reactor.threads.run_all()
+    disk.full = False
+    disk.writer.put("b")
+    disk.reactor.threads.run_all()
+    assert disk.failed == ["a"] and disk.done == ["b"]
+
+
+def test_a_callback_that_raises_stops_no_later_write():
+    disk = Disk()
+
+    def done(items: list[str]) -> None:
+        if items == ["a"]:
+            raise RuntimeError("planted")
+        disk.done.extend(items)
+
+    disk.writer.on_written = done
+    disk.writer.put("a")
+    disk.writer.put("b")
+    with failures_logged_by_twisted() as failures:
+        disk.reactor.threads.run_all()
+        gc.collect()
+    assert disk.groups == [["a"], ["b"]] and disk.done == ["b"]
+    assert any("planted" in str(failure.value) for failure in failures)
+
+
+@contextmanager
+def failures_logged_by_twisted() -> Iterator[list[Failure]]:
+    """Failures that Twisted logs because nobody handled them."""
+    failures = list[Failure]()
+
+    def observe(event: dict) -> None:
+        if event.get("log_failure") is not None:
+            failures.append(event["log_failure"])
+
+    globalLogPublisher.addObserver(observe)
+    try:
+        yield failures
+    finally:
+        globalLogPublisher.removeObserver(observe)
+
+
+def test_close_ends_after_the_last_write():
+    disk = Disk()
+    ends = []
+    disk.writer.put("a")
+    disk.writer.put("b")
+    disk.writer.close(lambda: ends.append(list(disk.done)))
+    assert not ends
+    disk.reactor.threads.run_all()
+    assert ends == [["a", "b"]]
+    idle = Disk()
+    at_once = []
+    idle.writer.close(lambda: at_once.append(True))
+    assert at_once == [True]
--- /dev/null
+++ b/tests/distribution/hosting/test_publisher.py
@@ -0,0 +1,42 @@
+"""A candidate for publisher around its state machine: the lease, and messages of relays."""
+
+from __future__ import annotations
+
+from linenbridge.distribution.changes import START, Kind
+from linenbridge.distribution.messages import Append, Prepare, Prepared, Progress, Publish
+from tests.distribution.hosting.fakes import ConnectedPeer
+
+
+def test_a_publisher_sends_to_relays_only_under_its_lease(publisher):
+    relay, author = ConnectedPeer(publisher.relays, "eu-1"), ConnectedPeer(publisher.clients, "author")
+    author.send(Publish(1, "eu", Kind.ZONE, "a", b"x"))
+    (rejection,) = author.received()
+    assert (rejection.state, rejection.code) == ("refused", "not_publisher") and relay.received() == []
+    publisher.member.term = 5
+    publisher.member.tasks_changed("another")
+    assert relay.received() == []
+    publisher.member.tasks_changed("publish-eu")
+    (prepare,) = relay.received()
+    assert prepare == Prepare("eu", 5)
+    for name in ("eu-1", "eu-2"):
+        end = relay if name == "eu-1" else ConnectedPeer(publisher.relays, name)
+        end.send(Prepared("eu", 5, name, START, 0, life=1))
+    assert publisher.publisher.leading and any(isinstance(one, Append) for one in relay.received())
+    author.send(Publish(2, "eu", Kind.ZONE, "a", b"x"))
+    assert author.received() == [], "no majority has it yet"
+    publisher.member.term = None
+    author.send(Publish(3, "eu", Kind.ZONE, "a", b"x"))
+    assert {(each.request, each.state) for each in author.received()} == {(2, "unconfirmed"), (3, "refused")}
+    relay.received()
+    for _ in range(5):
+        publisher.reactor.advance(1.0)
+    assert relay.received() == [] and not publisher.publisher.leading
+
+
+def test_a_publisher_ignores_messages_under_another_relays_name(publisher):
+    publisher.member.term = 5
+    relay = ConnectedPeer(publisher.relays, "eu-1")
+    relay.send(Prepared("eu", 5, "eu-2", START, 0, life=1))
+    relay.send(Progress("eu-2", 1, [], []))
+    assert publisher.log.counts["distribution.name_mismatch", "relay"] == 2
+    assert publisher.publisher.reading is None or not publisher.publisher.reading.done
