--- a/linenbridge/processor/distributed.py
+++ b/linenbridge/processor/distributed.py
@@ -25,24 +25,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Distributed:
+class DistributedState:
     """What a gateway of the distribution holds: the view, from its store if there is one, and what the module
-    is given with it. `follow` takes up the relays, once all else stands."""
+    is given with it. `start_following` takes up the relays, once all else stands."""
 
     view: View
     start: Startup
-    follow: Callable[[], Gateway]
+    start_following: Callable[[], Gateway]
 
 
-def distributed(
-    configuration: Configuration, at: ProcessConfiguration, log: Log, reactor: Any
-) -> Distributed | None:
+def open_distributed_state(
+    configuration: Configuration, platform: ProcessConfiguration, log: Log, reactor: Any
+) -> DistributedState | None:
     """This process's part in the distribution; ConfigurationError where that is not a gateway's."""
     settings = distribution(configuration)
     if settings is None:
         return None
-    view, store = open_view(settings, methods_in(at), log)
-    start = startup(at.settings)
+    view, store = open_view(settings, methods_in(platform), log)
+    start = startup(platform.settings)
     start = replace(start, tenant_shares=TenantShares(view, start.tenant_shares))
     random = Random(secrets.randbits(64))
-    return Distributed(view, start, lambda: Gateway(settings, reactor, log, view, random, store))
+    return DistributedState(view, start, lambda: Gateway(settings, reactor, log, view, random, store))
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -36,7 +36,7 @@
 
 if TYPE_CHECKING:
     from linenbridge.distribution.view.view import View
-    from linenbridge.processor.distributed import Distributed
+    from linenbridge.processor.distributed import DistributedState
 
 PROCESS = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 HEALTH = b"/grpc.health.v1.Health/"
@@ -153,13 +153,13 @@
 
 def _distributed(
     configuration: Configuration, at: ProcessConfiguration, log: Log, reactor: Any
-) -> Distributed | None:
+) -> DistributedState | None:
     """What is spread to this process, where the settings have a distribution."""
     if configuration.part("distribution") is None:
         return None
-    from linenbridge.processor.distributed import distributed
+    from linenbridge.processor.distributed import open_distributed_state
 
-    return distributed(configuration, at, log, reactor)
+    return open_distributed_state(configuration, at, log, reactor)
 
 
 def _member(configuration: Configuration, log: Log, reactor: Any, loop: Loop):  # noqa: ANN202  (imported where it is used)
@@ -194,7 +194,7 @@
     server.listen()
     if resp:
         parts.clients.listen(reactor, *host_port(at.listen))
-    follower = None if distributed is None else distributed.follow()
+    follower = None if distributed is None else distributed.start_following()
     log.event("started", gateway=at.name, listen=at.listen if resp else "")
     left = {"processor"} | ({"resp"} if resp else set()) | ({"view"} if follower is not None else set())
 
--- a/tests/distribution/view/test_serving.py
+++ b/tests/distribution/view/test_serving.py
@@ -28,7 +28,7 @@
 from linenbridge.distribution.view.view import View
 from linenbridge.faults.process import free_port
 from linenbridge.process.configuration import load
-from linenbridge.processor.distributed import distributed
+from linenbridge.processor.distributed import open_distributed_state
 from linenbridge.routes.table import table
 from linenbridge.startup import startup as started
 from tests.distribution.view.helpers import LONGEST, METHODS, new_view
@@ -227,7 +227,7 @@
     (tmp_path / "view.db").mkdir()
     (tmp_path / "s.xml").write_text(words.replace('name="g1"', 'name="eu-1"'))
     with pytest.raises(ConfigurationError, match="serves no proxies"):
-        distributed(read(str(tmp_path / "s.xml")), None, None, None)
+        open_distributed_state(read(str(tmp_path / "s.xml")), None, None, None)
 
 
 def test_a_processor_serves_its_last_version_from_the_store_while_no_relay_answers(tmp_path):
