--- a/linenbridge/processor/distributed.py
+++ b/linenbridge/processor/distributed.py
@@ -1,7 +1,7 @@
-"""A processor's gateway as a follower of the distribution: its view, its routes and its tenants' shares.
+"""A processor's part in the distribution: its view, and the routes and tenants' quotas that come from it.
 
-Imported only where the settings have the element `distribution`. Owns the wiring. It must never decide, nor
-change the view.
+Imported only where the settings have the element `distribution`. Connects the parts; the view belongs to the
+gateway of the distribution, which alone changes it.
 """
 
 from __future__ import annotations
@@ -26,8 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DistributedState:
-    """What a gateway of the distribution holds: the view, from its store if there is one, and what the module
-    is given with it. `start_following` takes up the relays, once all else stands."""
+    """The view, from its store if there is one, and start values of the decision module with its quotas.
+
+    `start_following` connects to relays; the process calls it once everything else is running.
+    """
 
     view: View
     start: Startup
@@ -37,12 +39,18 @@
 def open_distributed_state(
     configuration: Configuration, platform: ProcessConfiguration, log: Log, reactor: Any
 ) -> DistributedState | None:
-    """This process's part in the distribution; ConfigurationError where that is not a gateway's."""
+    """Open the view of this process; None where the settings have no distribution.
+
+    Raises ConfigurationError where the element `distribution` has faults or is not a gateway's.
+    """
     settings = distribution(configuration)
     if settings is None:
         return None
     view, store = open_view(settings, methods_in(platform), log)
     start = startup(platform.settings)
     start = replace(start, tenant_shares=TenantShares(view, start.tenant_shares))
-    random = Random(secrets.randbits(64))
-    return DistributedState(view, start, lambda: Gateway(settings, reactor, log, view, random, store))
+
+    def start_following() -> Gateway:
+        return Gateway(settings, reactor, log, view, Random(secrets.randbits(64)), store)
+
+    return DistributedState(view, start, start_following)
