--- /dev/null
+++ b/tests/compatibility/processor/test_processor.py
@@ -0,0 +1,135 @@
+"""Responses to proxies have the bytes of the base, and a store that the base wrote goes on being used."""
+
+from __future__ import annotations
+
+import json
+import shutil
+from collections.abc import Callable
+from pathlib import Path
+
+import apsw
+import pytest
+
+from linenbridge.processor import codec
+from linenbridge.processor.responses import AnswerForm
+from linenbridge.processor.store import Store, digest
+
+HERE = Path(__file__).parent
+NOW = 1_000_000.0  # Unix seconds of the clock that the base's store read
+KINDS = (
+    "request_headers",
+    "request_body",
+    "request_trailers",
+    "response_headers",
+    "response_body",
+    "response_trailers",
+)
+BASE_RESPONSES = json.loads((HERE / "responses.json").read_text())
+
+
+def responses() -> dict[str, bytes]:
+    """The responses that `record_processor.py` recorded, made by this version."""
+    form = AnswerForm()
+    plain = AnswerForm(metadata="")
+    found = {
+        "dispatch": form.hand_out(False, "10.0.0.1:7001", "0123456789abcdef.7", 900_000, 100_000),
+        "dispatch, gRPC": form.hand_out(True, "[::1]:7001", "0123456789abcdef.7", 900_999, 999),
+        "dispatch, no metadata": plain.hand_out(False, "10.0.0.1:7001", "a.1", 1, 0),
+        "dispatch, late": form.hand_out(False, "10.0.0.1:7001", "a.1", -5, -5),
+        "reject": form.pushed_back_by(False, 0, "try again"),
+        "reject, wait": form.pushed_back_by(False, 1_500_001, "try again"),
+        "reject, gRPC": form.pushed_back_by(True, 250_000, "try again"),
+        "fail": form.final(False, form.aborted, {form.outcome: "aborted"}, "aborted"),
+        "fail, gRPC": form.final(True, form.aborted, {form.outcome: "aborted"}, "aborted"),
+        "timed out": form.final(False, form.timed_out, {form.outcome: "timed_out"}, "aborted"),
+        "unrouted": form.final(False, form.unrouted, {}, "no route takes this request"),
+        "unrouted, gRPC": form.final(True, form.unrouted, {}, "no route takes this request"),
+    }
+    for kind in KINDS:
+        found[f"continue {kind}"] = codec.go_on(kind)
+        if "body" not in kind:
+            found[f"continue {kind}, headers"] = codec.go_on(
+                kind, {"x-linenbridge-again": "1", "x-b": "\xe9"}
+            )
+    return found
+
+
+def test_every_recorded_response_is_made():
+    assert set(responses()) == set(BASE_RESPONSES) and len(BASE_RESPONSES) == 22
+
+
+@pytest.mark.parametrize("name", sorted(BASE_RESPONSES))
+def test_a_response_has_the_bytes_of_the_base(name):
+    assert responses()[name].hex() == BASE_RESPONSES[name]
+
+
+@pytest.fixture
+def base_store(tmp_path: Path) -> Path:
+    """A copy of the store that the base wrote."""
+    return Path(shutil.copy(HERE / "reservations.db", tmp_path))
+
+
+def opened(path: Path, log: Callable[..., None] | None = None) -> Store:
+    def fail(*line: object, **fields: object) -> None:
+        raise AssertionError(f"{line} {fields}")
+
+    store = Store(str(path), "power", log or fail, lambda: NOW)
+    assert store.open()
+    return store
+
+
+def rows(path: Path) -> list[tuple[str, float]]:
+    """What the file holds, read without the program."""
+    connection = apsw.Connection(str(path))
+    try:
+        return list(connection.execute("SELECT id, until FROM handed ORDER BY until"))
+    finally:
+        connection.close()
+
+
+def test_the_ids_of_a_store_of_the_base_are_given_back(base_store):
+    store = opened(base_store)
+    found = list(store.recall())
+    store.close()
+    expected = [(digest("\udcff no text"), NOW + 0.5)]
+    expected += [(digest(f"request-{number}"), NOW + 60.0 * number) for number in range(1, 5)]
+    assert found == expected
+
+
+def test_a_store_of_the_base_is_written_on(base_store):
+    store = opened(base_store)
+    assert store.keep([(digest("new"), NOW + 600.0), (digest("request-1"), NOW + 700.0)])
+    store.forget([digest("request-2")])
+    store.close()
+    again = opened(base_store)
+    found = dict(again.recall())
+    again.close()
+    assert found[digest("new")] == NOW + 600.0 and found[digest("request-1")] == NOW + 700.0
+    assert digest("request-2") not in found and len(found) == 5
+
+
+def test_the_form_of_the_file_stays_so_that_the_base_reads_it(base_store, tmp_path):
+    def form(path: Path) -> tuple[object, ...]:
+        connection = apsw.Connection(str(path))
+        try:
+            tables = list(connection.execute("SELECT type, name, sql FROM sqlite_schema ORDER BY name"))
+            return connection.pragma("user_version"), tables
+        finally:
+            connection.close()
+
+    new = tmp_path / "new.db"
+    store = opened(new)
+    store.keep([(digest("request-1"), NOW + 60.0)])
+    store.close()
+    assert form(new) == form(base_store)
+    assert rows(new) == [row for row in rows(base_store) if row[0] == digest("request-1")]
+
+
+def test_a_store_of_another_form_is_set_aside(base_store):
+    connection = apsw.Connection(str(base_store))
+    connection.pragma("user_version", 2)
+    connection.close()
+    lines = []
+    store = opened(base_store, lambda *line, **fields: lines.append(line[0]))
+    assert list(store.recall()) == [] and lines == ["store.set_aside"]
+    store.close()
