--- a/linenbridge/processor/stream_phases.py
+++ b/linenbridge/processor/stream_phases.py
@@ -13,8 +13,8 @@
     REQUEST_HEADERS, REQUEST_BODY, REQUEST_TRAILERS, RESPONSE_HEADERS, RESPONSE_BODY, RESPONSE_TRAILERS,
 )  # fmt: skip
 
-# Where a stream stands.
-OPENED, ASKED, HANDED, REPORTED, REFUSED, WATCHED = (
+# Where a stream state.
+OPENED, AWAITING_DECISION, DISPATCHED, REPORTED, REJECTED, OBSERVED = (
     "opened",
     "asked",
     "handed",
@@ -22,74 +22,74 @@
     "refused",
     "watched",
 )
-STANDS = (OPENED, ASKED, HANDED, REPORTED, REFUSED, WATCHED)
+STATES = (OPENED, AWAITING_DECISION, DISPATCHED, REPORTED, REJECTED, OBSERVED)
 
 # What is to be done with a message.
-DECIDE, REPORT, PASS, WAIT, IGNORE = "decide", "report", "pass", "wait", "ignore"
+DECIDE, REPORT, CONTINUE, DEFER, IGNORE = "decide", "report", "pass", "wait", "ignore"
 
-# A row a standing: what each kind brings, and where the stream stands then. A body or trailers while a
+# A row a standing: what each kind brings, and where the stream state then. A body or trailers while a
 # decision is awaited wait behind it: a proxy that streams both ways need not wait for the answer.
-TABLE: dict[str, dict[str, tuple[str, str]]] = {
-    OPENED: {REQUEST_HEADERS: (DECIDE, ASKED)},
-    ASKED: {REQUEST_BODY: (WAIT, ASKED), REQUEST_TRAILERS: (WAIT, ASKED)},
-    HANDED: {
-        REQUEST_BODY: (PASS, HANDED), REQUEST_TRAILERS: (PASS, HANDED), RESPONSE_HEADERS: (REPORT, REPORTED),
+TRANSITIONS: dict[str, dict[str, tuple[str, str]]] = {
+    OPENED: {REQUEST_HEADERS: (DECIDE, AWAITING_DECISION)},
+    AWAITING_DECISION: {REQUEST_BODY: (DEFER, AWAITING_DECISION), REQUEST_TRAILERS: (DEFER, AWAITING_DECISION)},
+    DISPATCHED: {
+        REQUEST_BODY: (CONTINUE, DISPATCHED), REQUEST_TRAILERS: (CONTINUE, DISPATCHED), RESPONSE_HEADERS: (REPORT, REPORTED),
     },
     REPORTED: {
-        REQUEST_BODY: (PASS, REPORTED), REQUEST_TRAILERS: (PASS, REPORTED), RESPONSE_BODY: (PASS, REPORTED),
+        REQUEST_BODY: (CONTINUE, REPORTED), REQUEST_TRAILERS: (CONTINUE, REPORTED), RESPONSE_BODY: (CONTINUE, REPORTED),
         RESPONSE_TRAILERS: (REPORT, REPORTED),
     },
-    REFUSED: {REQUEST_BODY: (IGNORE, REFUSED), REQUEST_TRAILERS: (IGNORE, REFUSED)},
-    WATCHED: {kind: (IGNORE, WATCHED) for kind in KINDS},
+    REJECTED: {REQUEST_BODY: (IGNORE, REJECTED), REQUEST_TRAILERS: (IGNORE, REJECTED)},
+    OBSERVED: {kind: (IGNORE, OBSERVED) for kind in KINDS},
 }  # fmt: skip
 ONCE = frozenset((REQUEST_HEADERS, REQUEST_TRAILERS, RESPONSE_HEADERS, RESPONSE_TRAILERS))
-WAIT_MOST = 8  # messages that wait for one decision
+MAX_DEFERRED = 8  # messages that wait for one decision
 
 
 class OutOfOrderError(ValueError):
     """A message that may not come now; the text goes to the proxy."""
 
 
-class Phases:
-    """One stream's standing. `step` takes each message, `handed` and `refused` what was decided."""
+class StreamPhases:
+    """One stream's standing. `on_message` takes each message, `on_dispatched` and `on_rejected` the decision."""
 
-    __slots__ = ("seen", "stands", "waiting")
+    __slots__ = ("seen", "state", "deferred")
 
     def __init__(self) -> None:
-        self.stands = OPENED
+        self.state = OPENED
         self.seen: set[str] = set()
-        self.waiting: list[str] = []
+        self.deferred: list[str] = []
 
-    def step(self, kind: str | None, watched: bool = False) -> str:
-        """What to do with a message of this kind; `watched` where the proxy takes no answers on it."""
+    def on_message(self, kind: str | None, observed: bool = False) -> str:
+        """What to do with a message of this kind; `observed` where the proxy takes no answers on it."""
         if kind is None:
             raise OutOfOrderError("the message holds no phase that is known here")
-        if watched != (self.stands == WATCHED) and self.stands != OPENED:
+        if observed != (self.state == OBSERVED) and self.state != OPENED:
             raise OutOfOrderError("a stream is watched from its first message on, or never")
-        if watched:
-            self.stands = WATCHED
+        if observed:
+            self.state = OBSERVED
         if kind in self.seen and kind in ONCE:
             raise OutOfOrderError(f"{kind} came twice")
-        if (row := TABLE[self.stands].get(kind)) is None:
-            raise OutOfOrderError(f"{kind} cannot come now: the stream is {self.stands}")
+        if (row := TRANSITIONS[self.state].get(kind)) is None:
+            raise OutOfOrderError(f"{kind} cannot come now: the stream is {self.state}")
         self.seen.add(kind)
-        what, self.stands = row
-        if what == WAIT:
-            if len(self.waiting) >= WAIT_MOST:
+        what, self.state = row
+        if what == DEFER:
+            if len(self.deferred) >= MAX_DEFERRED:
                 raise OutOfOrderError("too much came before the decision")
-            self.waiting.append(kind)
+            self.deferred.append(kind)
         return what
 
-    def handed(self) -> list[str]:
+    def on_dispatched(self) -> list[str]:
         """The request may go on; returns what has waited for that, to be answered after it."""
-        return self._decided(HANDED)
+        return self._end_decision(DISPATCHED)
 
-    def refused(self) -> None:
+    def on_rejected(self) -> None:
         """The request was answered here. What waited gets no answer: the proxy has its final one."""
-        self._decided(REFUSED)
+        self._end_decision(REJECTED)
 
-    def _decided(self, stands: str) -> list[str]:
-        if self.stands != ASKED:
-            raise OutOfOrderError(f"nothing was to be decided: the stream is {self.stands}")
-        waited, self.stands, self.waiting = self.waiting, stands, []
+    def _end_decision(self, state: str) -> list[str]:
+        if self.state != AWAITING_DECISION:
+            raise OutOfOrderError(f"nothing was to be decided: the stream is {self.state}")
+        waited, self.state, self.deferred = self.deferred, state, []
         return waited
--- a/linenbridge/processor/stream_session.py
+++ b/linenbridge/processor/stream_session.py
@@ -50,7 +50,7 @@
 
     def __init__(self, handler: Handler, partner: Partner, call: http2.Call) -> None:
         self.handler, self.partner, self.call = handler, partner, call
-        self.phases = stream_phases.Phases()
+        self.phases = stream_phases.StreamPhases()
         self.entry: Entry | None = None
         self.ticket: Ticket | None = None
         self.grpc = self.later = False
@@ -59,7 +59,7 @@
         handler = self.handler
         try:
             heard = codec.read(data)
-            what = self.phases.step(heard.kind, heard.watched)
+            what = self.phases.on_message(heard.kind, heard.watched)
         except codec.MalformedError as error:
             handler.log.rarely("malformed", "message", error=str(error), proxy=self.partner.name)
             self.fail(http2.INVALID_ARGUMENT, str(error))
@@ -72,7 +72,7 @@
             handler.asked(self, heard)
         elif what == stream_phases.REPORT:
             handler.reported(self, heard)
-        elif what == stream_phases.PASS:
+        elif what == stream_phases.CONTINUE:
             self.call.send(codec.go_on(heard.kind or ""))
 
     def fail(self, status: int, text: str) -> None:
@@ -82,7 +82,7 @@
 
     def half_closed(self) -> None:
         """The proxy says no more: an answer still owed is given, else the stream ends well."""
-        if self.phases.stands != stream_phases.ASKED and not self.handler.owes(self):
+        if self.phases.state != stream_phases.AWAITING_DECISION and not self.handler.owes(self):
             self.handler.left(self)
             self.call.finish(http2.OK)
 
@@ -91,7 +91,7 @@
 
     def handed(self, answer: bytes) -> None:
         """The request goes on, and so does what has waited behind it."""
-        waited = self.phases.handed()
+        waited = self.phases.on_dispatched()
         self.call.send(answer)
         for kind in waited:
             self.call.send(codec.go_on(kind))
@@ -100,7 +100,7 @@
 
     def refused(self, answer: bytes) -> None:
         """The final answer from here; the stream has served."""
-        self.phases.refused()
+        self.phases.on_rejected()
         self.entry = None
         self.call.send(answer)
         self.call.finish(http2.OK)
