--- a/linenbridge/faults/fake_grpc.py
+++ b/linenbridge/faults/fake_grpc.py
@@ -8,7 +8,8 @@
 
 import grpc
 
-from linenbridge.processor import codec, stream_phases
+from linenbridge.processor import codec
+from linenbridge.processor.stream_phases import MessageKind
 
 
 async def serve(port: int, endpoint: str) -> None:
@@ -17,10 +18,10 @@
     async def process(messages, context):  # noqa: ANN001, ANN202
         async for data in messages:
             heard = codec.read(data)
-            if heard.kind == stream_phases.REQUEST_HEADERS:
+            if heard.kind == MessageKind.REQUEST_HEADERS:
                 yield codec.hand_out(headers, ("envoy.lb", headers), False)
             else:
-                yield codec.go_on(heard.kind or stream_phases.RESPONSE_HEADERS)
+                yield codec.go_on(heard.kind or MessageKind.RESPONSE_HEADERS)
 
     server = grpc.aio.server()
     handler = grpc.stream_stream_rpc_method_handler(process)
--- a/linenbridge/faults/fake_processor.py
+++ b/linenbridge/faults/fake_processor.py
@@ -13,9 +13,10 @@
 
 from linenbridge.logging.event_log import Log
 from linenbridge.net.reactor import Reactor
-from linenbridge.processor import codec, http2, stream_phases
+from linenbridge.processor import codec, http2
 from linenbridge.processor.connection_limits import Bounds
 from linenbridge.processor.server import PROCESS
+from linenbridge.processor.stream_phases import MessageKind
 
 BOUNDS = Bounds(1000, 65536, 16384, 1 << 20, 2_000_000, 5_000_000, 600_000_000)
 
@@ -28,11 +29,11 @@
 
     def message(self, data: memoryview) -> None:
         heard = codec.read(data)
-        if heard.kind == stream_phases.REQUEST_HEADERS:
+        if heard.kind == MessageKind.REQUEST_HEADERS:
             headers = {"x-gateway-destination-endpoint": self.endpoint}
             self.call.send(codec.hand_out(headers, ("envoy.lb", headers), False))
         else:
-            self.call.send(codec.go_on(heard.kind or stream_phases.RESPONSE_HEADERS))
+            self.call.send(codec.go_on(heard.kind or MessageKind.RESPONSE_HEADERS))
 
     def half_closed(self) -> None:
         self.call.finish(http2.OK)
--- a/linenbridge/processor/codec.py
+++ b/linenbridge/processor/codec.py
@@ -11,11 +11,11 @@
 from google.protobuf.message import DecodeError
 from google.protobuf.struct_pb2 import Struct
 
-from linenbridge.processor import stream_phases
 from linenbridge.processor import wire_pb2 as wire
+from linenbridge.processor.stream_phases import MessageKind
 
 HEADERS_MOST = 256  # headers of one message
-KIND_HEADERS = {stream_phases.REQUEST_HEADERS, stream_phases.RESPONSE_HEADERS}
+KIND_HEADERS = {MessageKind.REQUEST_HEADERS, MessageKind.RESPONSE_HEADERS}
 Overwrite = wire.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
 
 
@@ -27,7 +27,7 @@
 class Heard:
     """One message of a proxy in plain words."""
 
-    kind: str | None
+    kind: MessageKind
     headers: dict[str, str] = field(default_factory=dict)
     attributes: dict[str, str] = field(default_factory=dict)
     ended: bool = False
@@ -41,14 +41,15 @@
         message.ParseFromString(bytes(data))
     except (DecodeError, RecursionError, ValueError):
         raise MalformedError("the message is no ProcessingRequest") from None
-    kind = message.WhichOneof("request")
+    name = message.WhichOneof("request")
+    kind = MessageKind(name or "")
     heard = Heard(kind, watched=message.observability_mode)
-    if kind is None:
+    if kind == MessageKind.UNKNOWN:
         return heard
     part = getattr(message, kind)
     if kind in KIND_HEADERS:
         heard.headers, heard.ended = _headers(part.headers), part.end_of_stream
-    elif kind in (stream_phases.REQUEST_TRAILERS, stream_phases.RESPONSE_TRAILERS):
+    elif kind in (MessageKind.REQUEST_TRAILERS, MessageKind.RESPONSE_TRAILERS):
         heard.headers, heard.ended = _headers(part.trailers), True
     else:
         heard.ended = part.end_of_stream
@@ -116,10 +117,10 @@
     return answer.SerializeToString()
 
 
-def go_on(kind: str, headers: dict[str, str] | None = None) -> bytes:
+def go_on(kind: MessageKind, headers: dict[str, str] | None = None) -> bytes:
     """The answer to any other message: it passes, with these headers set where it is headers."""
     answer = wire.ProcessingResponse()
-    if kind in (stream_phases.REQUEST_TRAILERS, stream_phases.RESPONSE_TRAILERS):
+    if kind in (MessageKind.REQUEST_TRAILERS, MessageKind.RESPONSE_TRAILERS):
         part = getattr(answer, kind)
         part.SetInParent()
         if headers:
--- a/linenbridge/processor/external_processor.py
+++ b/linenbridge/processor/external_processor.py
@@ -14,8 +14,9 @@
 from linenbridge import interface as face
 from linenbridge.net.upstream import load_report
 from linenbridge.net.decision_loop import Loop, Taken
-from linenbridge.processor import codec, http2, reservations, stream_phases
+from linenbridge.processor import codec, http2, reservations
 from linenbridge.processor.responses import AnswerForm, seconds
+from linenbridge.processor.stream_phases import MessageKind
 from linenbridge.processor.stream_session import Conversation
 from linenbridge.processor.evidence import Evidence
 from linenbridge.processor.store import Store, digest
@@ -98,7 +99,7 @@
         if asked is None:
             self.log.count("unrouted", partner.name)
             if self.passes_unrouted:
-                conversation.handed(codec.go_on(stream_phases.REQUEST_HEADERS))
+                conversation.handed(codec.go_on(MessageKind.REQUEST_HEADERS))
                 return
             conversation.refused(
                 self.form.final(conversation.grpc, self.form.unrouted, {}, "no route takes this request")
@@ -151,8 +152,8 @@
 
     def reported(self, conversation: Conversation, heard: codec.Heard) -> None:
         """The response's headers, or its trailers where these tell how it went."""
-        entry, ticket, kind = conversation.entry, conversation.ticket, heard.kind or ""
-        if kind == stream_phases.RESPONSE_TRAILERS:
+        entry, ticket, kind = conversation.entry, conversation.ticket, heard.kind
+        if kind == MessageKind.RESPONSE_TRAILERS:
             if not conversation.later or entry is None or ticket is None or ticket.outcome is not None:
                 conversation.call.send(codec.go_on(kind))
                 return
@@ -173,12 +174,12 @@
         self, conversation: Conversation, entry: Entry, ticket: Ticket, outcome: str, heard: codec.Heard
     ) -> None:
         """One that failed may be tried again by its proxy: then the module says first what it means."""
-        partner, kind, now = conversation.partner, heard.kind or "", self.loop.now()
+        partner, kind, now = conversation.partner, heard.kind, self.loop.now()
         told = self.evidence.heard(
             now, partner.name, ticket.build, self._method(entry), entry.effect, outcome
         )
         again = (
-            outcome != face.OK and kind == stream_phases.RESPONSE_HEADERS and entry.attempt < partner.attempts
+            outcome != face.OK and kind == MessageKind.RESPONSE_HEADERS and entry.attempt < partner.attempts
         )
         load = load_report(heard.headers.get(self.form.load, "").encode("latin-1", "replace") or None)
         self.log.count("reported", outcome)
@@ -395,6 +396,6 @@
     def _tell(self, conversation: Conversation, headers: dict[str, str]) -> None:
         """A failure goes on to the proxy with what it means."""
         conversation.entry = conversation.ticket = None
-        conversation.call.send(codec.go_on(stream_phases.RESPONSE_HEADERS, headers))
+        conversation.call.send(codec.go_on(MessageKind.RESPONSE_HEADERS, headers))
         if conversation.call.half:
             conversation.half_closed()
--- a/linenbridge/processor/stream_session.py
+++ b/linenbridge/processor/stream_session.py
@@ -10,8 +10,9 @@
 from typing import Protocol
 
 from linenbridge.logging.event_log import Log
-from linenbridge.processor import codec, http2, stream_phases
+from linenbridge.processor import codec, http2
 from linenbridge.processor.reservations import Entry, Ticket
+from linenbridge.processor.stream_phases import Action, OutOfOrderError, StreamPhases, StreamState
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +51,7 @@
 
     def __init__(self, handler: Handler, partner: Partner, call: http2.Call) -> None:
         self.handler, self.partner, self.call = handler, partner, call
-        self.phases = stream_phases.StreamPhases()
+        self.phases = StreamPhases()
         self.entry: Entry | None = None
         self.ticket: Ticket | None = None
         self.grpc = self.later = False
@@ -59,21 +60,21 @@
         handler = self.handler
         try:
             heard = codec.read(data)
-            what = self.phases.on_message(heard.kind, heard.watched)
+            what = self.phases.on_message(heard.kind, observed=heard.watched)
         except codec.MalformedError as error:
             handler.log.rarely("malformed", "message", error=str(error), proxy=self.partner.name)
             self.fail(http2.INVALID_ARGUMENT, str(error))
             return
-        except stream_phases.OutOfOrderError as error:
+        except OutOfOrderError as error:
             handler.log.rarely("malformed", "order", error=str(error), proxy=self.partner.name)
             self.fail(http2.FAILED_PRECONDITION, str(error))
             return
-        if what == stream_phases.DECIDE:
+        if what == Action.DECIDE:
             handler.asked(self, heard)
-        elif what == stream_phases.REPORT:
+        elif what == Action.REPORT:
             handler.reported(self, heard)
-        elif what == stream_phases.CONTINUE:
-            self.call.send(codec.go_on(heard.kind or ""))
+        elif what == Action.CONTINUE:
+            self.call.send(codec.go_on(heard.kind))
 
     def fail(self, status: int, text: str) -> None:
         """The stream ends here; what it was about is settled as if the proxy had left."""
@@ -82,7 +83,7 @@
 
     def half_closed(self) -> None:
         """The proxy says no more: an answer still owed is given, else the stream ends well."""
-        if self.phases.state != stream_phases.AWAITING_DECISION and not self.handler.owes(self):
+        if self.phases.state != StreamState.AWAITING_DECISION and not self.handler.owes(self):
             self.handler.left(self)
             self.call.finish(http2.OK)
 
