--- a/linenbridge/cli/commands.py
+++ b/linenbridge/cli/commands.py
@@ -22,6 +22,15 @@
 from linenbridge.routes.table import Request
 
 FOUND, UNUSABLE = 1, 2
+SHOWN_LIMITS = {  # names of the settings, as `settings show` prints them, and of the attributes
+    "streams": "max_streams",
+    "message": "max_message_bytes",
+    "headers": "max_header_bytes",
+    "backlog": "max_unsent_bytes",
+    "first_word": "first_message_timeout",
+    "unread": "unsent_timeout",
+    "idle": "idle_timeout",
+}
 
 app = typer.Typer(
     name="linenbridge", no_args_is_help=True, add_completion=True, rich_markup_mode=None,
@@ -262,7 +271,7 @@
     }
     rows["tls"] = None if told.tls is None else told.tls.certificate
     rows["bounds.connections"] = told.connections
-    rows |= {f"bounds.{name}": getattr(told.bounds, name) for name in told.bounds.__slots__}
+    rows |= {f"bounds.{name}": getattr(told.limits, attribute) for name, attribute in SHOWN_LIMITS.items()}
     rows |= {f"tickets.{name}": getattr(told.terms, name) for name in told.terms.__slots__}
     rows["store"] = None if told.store is None else " ".join(told.store)
     rows |= {f"answer.{name}": getattr(told.form, name) for name in AnswerForm.__slots__}
--- a/linenbridge/faults/fake_processor.py
+++ b/linenbridge/faults/fake_processor.py
@@ -14,11 +14,11 @@
 from linenbridge.logging.event_log import Log
 from linenbridge.net.reactor import Reactor
 from linenbridge.processor import codec, http2
-from linenbridge.processor.connection_limits import Bounds
+from linenbridge.processor.connection_limits import ConnectionLimits
 from linenbridge.processor.server import PROCESS
 from linenbridge.processor.stream_phases import MessageKind
 
-BOUNDS = Bounds(1000, 65536, 16384, 1 << 20, 2_000_000, 5_000_000, 600_000_000)
+LIMITS = ConnectionLimits(1000, 65536, 16384, 1 << 20, 2_000_000, 5_000_000, 600_000_000)
 
 
 class Echo:
@@ -46,7 +46,7 @@
     reactor = Reactor()
     installReactor(reactor)
     log = Log(sys.stderr.buffer)
-    server = http2.Server(reactor, lambda: time.monotonic_ns() // 1000, BOUNDS, 64, log)
+    server = http2.Server(reactor, lambda: time.monotonic_ns() // 1000, LIMITS, 64, log)
     server.services = {PROCESS: lambda call: Echo(call, endpoint)}
     reactor.listenTCP(port, server, interface="127.0.0.1")
     log.event("started")
--- a/linenbridge/processor/configuration.py
+++ b/linenbridge/processor/configuration.py
@@ -20,7 +20,7 @@
 from linenbridge.processor.responses import AnswerForm
 from linenbridge.processor.stream_session import Partner
 from linenbridge.processor.tls import KeyFiles
-from linenbridge.processor.connection_limits import Bounds
+from linenbridge.processor.connection_limits import ConnectionLimits
 from linenbridge.processor.reservations import TicketTerms
 from linenbridge.processor.response_classification import Proof
 from linenbridge.routes.language import RouteError
@@ -38,7 +38,7 @@
     port: int
     passes_unrouted: bool
     tls: KeyFiles | None
-    bounds: Bounds
+    limits: ConnectionLimits
     connections: int
     terms: TicketTerms
     store: tuple[str, str] | None
@@ -99,7 +99,7 @@
         port=port,
         passes_unrouted=element.get("unrouted") == "pass",
         tls=None if tls is None else KeyFiles(*(configuration.beside(tls.get(n, "")) for n in TLS_FILES)),
-        bounds=Bounds(
+        limits=ConnectionLimits(
             int(bounds["streams"]), size(bounds["message"]), size(bounds["headers"]), size(bounds["backlog"]),
             duration(bounds["first-word"]), duration(bounds["unread"]), duration(bounds["idle"]),
         ),
--- a/linenbridge/processor/connection_limits.py
+++ b/linenbridge/processor/connection_limits.py
@@ -13,87 +13,92 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Bounds:
+class ConnectionLimits:
     """The bounds of one connection, from the settings; times in microseconds, sizes in bytes."""
 
-    streams: int  # open at once
-    message: int  # the largest message taken
-    headers: int  # of one request to us, all names and values
-    backlog: int  # what may wait to be written, over all streams
-    first_word: int  # from a stream's opening to its first message
-    unread: int  # how long the backlog may stand still
-    idle: int  # how long a connection may have no stream at all
+    max_streams: int  # open at once
+    max_message_bytes: int  # the largest message taken
+    max_header_bytes: int  # of one request to us, all names and values
+    max_unsent_bytes: int  # what may wait to be written, over all streams
+    first_message_timeout: int  # from a stream's opening to its first message
+    unsent_timeout: int  # how long the backlog may stand still
+    idle_timeout: int  # how long a connection may have no stream at all
 
 
 # Frames a second that a sound peer may send beside its requests, and how many at once.
-CONTROL = {"ping": (10, 50), "settings": (5, 20), "window": (2_000, 20_000), "priority": (200, 2_000),
+CONTROL_FRAME_RATES = {"ping": (10, 50), "settings": (5, 20), "window": (2_000, 20_000), "priority": (200, 2_000),
            "empty": (50, 500), "unknown": (50, 500)}  # fmt: skip
-RESETS_FREE = 200  # resets before a connection must have finished streams to show for more
-RESETS_PER_END = 4  # and how many each finished stream allows
+FREE_RESETS = 200  # resets before a connection must have finished streams to show for more
+RESETS_PER_FINISHED_STREAM = 4  # and how many each finished stream allows
 
 
-class Bucket:
+class TokenBucket:
     """Tokens that come back with time."""
 
-    __slots__ = ("at", "most", "per_second", "tokens")
+    __slots__ = ("capacity", "per_second", "tokens", "updated_at")
 
-    def __init__(self, per_second: float, most: float, now: int) -> None:
-        self.per_second, self.most, self.tokens, self.at = per_second, most, float(most), now
+    def __init__(self, per_second: float, capacity: float, now: int) -> None:
+        self.per_second, self.capacity, self.tokens, self.updated_at = (
+            per_second,
+            capacity,
+            float(capacity),
+            now,
+        )
 
     def take(self, now: int) -> bool:
-        gained = max(0, now - self.at) * self.per_second / SECOND
-        self.tokens, self.at = min(self.most, self.tokens + gained), max(now, self.at)
+        gained = max(0, now - self.updated_at) * self.per_second / SECOND
+        self.tokens, self.updated_at = min(self.capacity, self.tokens + gained), max(now, self.updated_at)
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
         return True
 
 
-class Account:
+class ConnectionBudget:
     """One connection's counts. Each call returns why the connection must end, or None."""
 
-    __slots__ = ("bounds", "buckets", "ends", "moved", "open", "quiet_since", "resets", "waiting")
+    __slots__ = ("limits", "buckets", "finished", "last_progress", "open", "idle_since", "resets", "unsent")
 
-    def __init__(self, bounds: Bounds, now: int) -> None:
-        self.bounds = bounds
-        self.buckets = {kind: Bucket(*figures, now) for kind, figures in CONTROL.items()}
-        self.open = self.resets = self.ends = self.waiting = 0
-        self.quiet_since, self.moved = now, now
+    def __init__(self, limits: ConnectionLimits, now: int) -> None:
+        self.limits = limits
+        self.buckets = {kind: TokenBucket(*figures, now) for kind, figures in CONTROL_FRAME_RATES.items()}
+        self.open = self.resets = self.finished = self.unsent = 0
+        self.idle_since, self.last_progress = now, now
 
-    def control(self, kind: str, now: int) -> str | None:
+    def on_control_frame(self, kind: str, now: int) -> str | None:
         return None if self.buckets[kind].take(now) else f"too many {kind} frames"
 
-    def opened(self) -> str | None:
+    def on_stream_opened(self) -> str | None:
         self.open += 1
-        return "more streams than were allowed" if self.open > self.bounds.streams else None
+        return "more streams than were allowed" if self.open > self.limits.max_streams else None
 
-    def ended(self, now: int) -> None:
+    def on_stream_ended(self, now: int) -> None:
         """A stream ran to its end, whoever ended it well."""
-        self.ends += 1
+        self.finished += 1
         self._closed(now)
 
-    def reset(self, now: int) -> str | None:
+    def on_stream_reset(self, now: int) -> str | None:
         """The peer reset a stream. Proxies do so when clients leave; one that does little else floods."""
         self.resets += 1
         self._closed(now)
-        allowed = RESETS_FREE + RESETS_PER_END * self.ends
+        allowed = FREE_RESETS + RESETS_PER_FINISHED_STREAM * self.finished
         return "streams are opened only to be reset" if self.resets > allowed else None
 
     def _closed(self, now: int) -> None:
         self.open -= 1
         if not self.open:
-            self.quiet_since = now
+            self.idle_since = now
 
-    def wrote(self, waiting: int, now: int) -> str | None:
+    def on_written(self, unsent: int, now: int) -> str | None:
         """What waits to be written after an attempt to write it."""
-        if waiting < self.waiting or not waiting:
-            self.moved = now
-        self.waiting = waiting
-        return "the peer leaves too much unread" if waiting > self.bounds.backlog else None
+        if unsent < self.unsent or not unsent:
+            self.last_progress = now
+        self.unsent = unsent
+        return "the peer leaves too much unread" if unsent > self.limits.max_unsent_bytes else None
 
-    def overdue(self, now: int) -> str | None:
-        if self.waiting and now - self.moved > self.bounds.unread:
+    def check_timeouts(self, now: int) -> str | None:
+        if self.unsent and now - self.last_progress > self.limits.unsent_timeout:
             return "the peer reads nothing"
-        if not self.open and now - self.quiet_since > self.bounds.idle:
+        if not self.open and now - self.idle_since > self.limits.idle_timeout:
             return "idle"
         return None
--- a/linenbridge/processor/http2/connection.py
+++ b/linenbridge/processor/http2/connection.py
@@ -1,6 +1,6 @@
 """One peer's HTTP/2 connection: its streams from their opening to their status, and what waits to be written.
 
-Owns the connection's HTTP/2 state (by `h2`) and its account of what the peer costs. It must never read a
+Owns the connection's HTTP/2 state (by `h2`) and its budget for what the peer costs. It must never read a
 message: a service is handed each whole one. Whatever a peer sends or withholds costs this connection alone.
 """
 
@@ -22,7 +22,7 @@
 from linenbridge.processor.goaway_filter import PREFACE, GoAways
 from linenbridge.processor.http2.status import INVALID_ARGUMENT, UNAVAILABLE, UNIMPLEMENTED, percent_encoded
 from linenbridge.processor.http2.stream import Call, MessageError, Peer, Receiver, framed
-from linenbridge.processor.connection_limits import Account, Bounds
+from linenbridge.processor.connection_limits import ConnectionBudget, ConnectionLimits
 
 WINDOW = 1 << 20  # bytes that a whole connection may send before they are read
 GOAWAYS_MOST = 8
@@ -34,7 +34,7 @@
     """What a connection needs of its server."""
 
     log: Log
-    bounds: Bounds
+    limits: ConnectionLimits
     services: dict[bytes, Callable[[Call], Receiver]]
     names: Callable[[Any], tuple[str, ...]]  # by the transport: the names in the peer's certificate
     now: Callable[[], int]  # microseconds
@@ -58,19 +58,19 @@
         self.stalled: dict[int, Call] = {}
         self.paused = self.lost = self.dirty = self.ending = self.greeted = False
         self.born = server.now()
-        self.account = Account(server.bounds, server.now())
+        self.budget = ConnectionBudget(server.limits, server.now())
         self.goaways = GoAways(PREFACE)
         config = h2.config.H2Configuration(client_side=False, header_encoding=None)
         self.h2 = h2.connection.H2Connection(config)
         self.h2.local_settings = h2.settings.Settings(
             client=False,
             initial_values={
-                h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: server.bounds.streams,
-                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: server.bounds.headers,
+                h2.settings.SettingCodes.MAX_CONCURRENT_STREAMS: server.limits.max_streams,
+                h2.settings.SettingCodes.MAX_HEADER_LIST_SIZE: server.limits.max_header_bytes,
                 h2.settings.SettingCodes.ENABLE_CONNECT_PROTOCOL: 0,
             },
         )
-        self.h2.decoder.max_header_list_size = server.bounds.headers
+        self.h2.decoder.max_header_list_size = server.limits.max_header_bytes
         self.h2.decoder.max_allowed_table_size = self.h2.local_settings.header_table_size
 
     # ---- the connection --------------------------------------------------------------------------
@@ -117,7 +117,7 @@
         self.paused = False
         if not self.lost and not self.ending:
             self.transport.resumeProducing()
-            self.account.wrote(self._queued(), self.server.now())
+            self.budget.on_written(self._queued(), self.server.now())
 
     def stopProducing(self) -> None:
         self.paused = True
@@ -170,21 +170,21 @@
                         call.receiver.half_closed()
             case h2.events.StreamReset():
                 if (call := self.calls.get(event.stream_id)) is not None:
-                    self._bound(self.account.reset(now))
+                    self._bound(self.budget.on_stream_reset(now))
                     self._over(call, gone=True, counted=True)
             case h2.events.WindowUpdated():
-                self._bound(self.account.control("window", now))
+                self._bound(self.budget.on_control_frame("window", now))
                 self._unstall(event.stream_id)
             case h2.events.PingReceived():
-                self._bound(self.account.control("ping", now))
+                self._bound(self.budget.on_control_frame("ping", now))
             case h2.events.RemoteSettingsChanged():
                 self.greeted = True
-                self._bound(self.account.control("settings", now))
+                self._bound(self.budget.on_control_frame("settings", now))
                 self._unstall(0)
             case h2.events.PriorityUpdated():
-                self._bound(self.account.control("priority", now))
+                self._bound(self.budget.on_control_frame("priority", now))
             case h2.events.UnknownFrameReceived():
-                self._bound(self.account.control("unknown", now))
+                self._bound(self.budget.on_control_frame("unknown", now))
             case h2.events.TrailersReceived():
                 if (call := self.calls.get(event.stream_id)) is not None:
                     self.finish(call, INVALID_ARGUMENT, "a request has no trailers here")
@@ -196,7 +196,7 @@
     def _opened(self, event: Any, now: int) -> None:
         call = self.calls[event.stream_id] = Call(self, event.stream_id, now)
         call.half = event.stream_ended is not None
-        if (why := self.account.opened()) is not None:
+        if (why := self.budget.on_stream_opened()) is not None:
             self.end(why)
             return
         self.server.silent[call] = None
@@ -222,11 +222,11 @@
             self.h2.acknowledge_received_data(size, event.stream_id)
         call = self.calls.get(event.stream_id)
         if not event.data and event.stream_ended is None:
-            self._bound(self.account.control("empty", now))
+            self._bound(self.budget.on_control_frame("empty", now))
         if call is None or call.ended or not event.data:
             return
         try:
-            for message in call.read(event.data, self.server.bounds.message):
+            for message in call.read(event.data, self.server.limits.max_message_bytes):
                 if not call.spoke:
                     call.spoke = True
                     self.server.silent.pop(call, None)
@@ -317,7 +317,7 @@
         call.queue.clear()
         call.rest = b""
         if not counted:
-            self.account.ended(self.server.now())
+            self.budget.on_stream_ended(self.server.now())
         if gone and call.receiver is not None:
             call.receiver.gone()
         call.receiver = None
@@ -342,7 +342,7 @@
             return
         if data := self.h2.data_to_send():
             self.transport.write(data)
-        self._bound(self.account.wrote(self._queued(), self.server.now()))
+        self._bound(self.budget.on_written(self._queued(), self.server.now()))
 
     # ---- the planned end -------------------------------------------------------------------------
 
--- a/linenbridge/processor/http2/server.py
+++ b/linenbridge/processor/http2/server.py
@@ -16,7 +16,7 @@
 from linenbridge.processor.http2.connection import Connection
 from linenbridge.processor.http2.status import DEADLINE_EXCEEDED
 from linenbridge.processor.http2.stream import Call, Receiver
-from linenbridge.processor.connection_limits import Bounds
+from linenbridge.processor.connection_limits import ConnectionLimits
 
 LAST_STREAM = (1 << 31) - 1  # in a first GOAWAY: streams that are under way are still taken
 SWEEP = 0.5  # seconds between two looks at what is overdue
@@ -29,10 +29,10 @@
     noisy = False
 
     def __init__(
-        self, reactor: Any, now: Callable[[], int], bounds: Bounds, connections: int, log: Log,
+        self, reactor: Any, now: Callable[[], int], limits: ConnectionLimits, connections: int, log: Log,
         names: Callable[[Any], tuple[str, ...]] = lambda transport: (),
     ) -> None:  # fmt: skip
-        self.reactor, self.now, self.bounds, self.most, self.log = reactor, now, bounds, connections, log
+        self.reactor, self.now, self.limits, self.most, self.log = reactor, now, limits, connections, log
         self.names = names
         self.services: dict[bytes, Callable[[Call], Receiver]] = {}
         self.open: dict[Connection, None] = {}
@@ -76,12 +76,12 @@
     def _sweep(self) -> None:
         """Streams on which nothing was said, connections that are idle or do not read."""
         self.sweeping, now = None, self.now()
-        before = now - self.bounds.first_word
+        before = now - self.limits.first_message_timeout
         for call in [call for call in self.silent if call.opened <= before]:
             self.log.count("stream.silent")
             call.finish(DEADLINE_EXCEEDED, "nothing was said on this stream in time")
         for connection in list(self.open):
-            if (why := connection.account.overdue(now)) is not None:
+            if (why := connection.budget.check_timeouts(now)) is not None:
                 connection.end(why, h2.errors.ErrorCodes.NO_ERROR if why == "idle" else None)
             elif not connection.greeted and connection.born <= before:
                 connection.end("it does not begin as HTTP/2 does")
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -83,7 +83,7 @@
         )  # fmt: skip
         front.start()
         named = tls.names if self.keys is not None else lambda transport: ()
-        self.server = Server(self.reactor, loop.now, settings.bounds, settings.connections, self.log, named)
+        self.server = Server(self.reactor, loop.now, settings.limits, settings.connections, self.log, named)
         self.server.services = {
             PROCESS: self._converse,
             HEALTH + b"Check": self.health.check,
--- a/tests/peer_script.py
+++ b/tests/peer_script.py
@@ -23,7 +23,7 @@
 from linenbridge.processor.external_processor import Front
 from linenbridge.processor.health import Health
 from linenbridge.processor.http2 import Server
-from linenbridge.processor.connection_limits import Bounds
+from linenbridge.processor.connection_limits import ConnectionLimits
 from linenbridge.processor.store import Store
 from linenbridge.processor.reservations import Ledger, TicketTerms
 from linenbridge.processor.response_classification import Proof, Verdicts
@@ -37,7 +37,7 @@
 route charge { when path starts "/charge/" method "charge"  tenant header("x-tenant") else "none" }
 """
 TERMS = TicketTerms(100 * MS, 100 * MS, 60_000 * MS, 1_000, 2_000)
-BOUNDS = Bounds(100, 65536, 16384, 1 << 18, 2_000_000, 5_000_000, 600_000_000)
+LIMITS = ConnectionLimits(100, 65536, 16384, 1 << 18, 2_000_000, 5_000_000, 600_000_000)
 ADDRESSES = [(entry(n), ("10.0.0.1", 7000 + n)) for n in (1, 2, 3)]
 
 
@@ -230,7 +230,8 @@
 
     def __init__(
         self, *, attempts: int = 3, fail_open: bool = False, ours: bool = True, store: Store | None = None,
-        module: object = None, bounds: Bounds = BOUNDS, terms: TicketTerms = TERMS, connections: int = 8,
+        module: object = None, limits: ConnectionLimits = LIMITS, terms: TicketTerms = TERMS,
+        connections: int = 8,
         passes: bool = False, instances: int = 3, **changes: object,
     ) -> None:  # fmt: skip
         self.reactor = MemoryReactorClock()
@@ -248,7 +249,7 @@
             AnswerForm(), store, passes, lambda: 1_000_000 + self.reactor.seconds(),
         )  # fmt: skip
         self.front.start()
-        self.server = Server(self.reactor, self.now, bounds, connections, self.log)
+        self.server = Server(self.reactor, self.now, limits, connections, self.log)
         self.health = Health()
         self.server.services = {
             PATH: lambda call: Conversation(self.front, self.partners[0], call),
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -32,7 +32,7 @@
 
 def test_a_plain_file_gets_the_schemas_defaults():
     told = processor_settings(parse(file(), "x.xml"))
-    assert (told.host, told.port, told.connections, told.bounds.streams) == (
+    assert (told.host, told.port, told.connections, told.limits.max_streams) == (
         "127.0.0.1",
         9001,
         256,
@@ -51,7 +51,7 @@
     )
     told = processor_settings(parse(file(inside), "/etc/lb/x.xml"))
     assert told.tls.key == "/etc/lb/k.pem" and told.store == ("/etc/lb/h.db", "power")
-    assert (told.bounds.streams, told.bounds.message) == (7, 2 << 20)
+    assert (told.limits.max_streams, told.limits.max_message_bytes) == (7, 2 << 20)
     assert (told.form.endpoint, told.form.pushed_back, told.form.aborted) == ("x-to", 429, 504)
     partner = told.partners[0].partner
     assert (partner.ours, partner.attempts, partner.fail_open) == (True, 4, False)
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -8,8 +8,13 @@
 
 from linenbridge.processor import http2
 from linenbridge.processor import wire_pb2 as wire
-from linenbridge.processor.connection_limits import CONTROL, RESETS_FREE, Account, Bounds
-from tests.peer_script import ADDRESSES, BOUNDS, Bench, Pipe, asking, seeded
+from linenbridge.processor.connection_limits import (
+    CONTROL_FRAME_RATES,
+    FREE_RESETS,
+    ConnectionBudget,
+    ConnectionLimits,
+)
+from tests.peer_script import ADDRESSES, LIMITS, Bench, Pipe, asking, seeded
 
 SERVING = wire.HealthCheckResponse.SERVING
 
@@ -26,11 +31,11 @@
 def test_more_streams_than_allowed_end_that_connection_alone():
     bench = Bench()
     good, bad = bench.peer(), bench.peer()
-    for _ in range(BOUNDS.streams):
+    for _ in range(LIMITS.max_streams):
         bad.open()
     bad.deliver()
     assert not bad.goaways and well(bench, good)
-    for number in range(2 * BOUNDS.streams + 1, 20_000, 2):
+    for number in range(2 * LIMITS.max_streams + 1, 20_000, 2):
         head = HeadersFrame(number)
         head.data = Encoder().encode(
             [(":method", "POST"), (":scheme", "http"), (":path", "/"), (":authority", "x")]
@@ -79,7 +84,7 @@
 def test_rapid_resets_end_the_connection():
     bench = Bench()
     good, bad = bench.peer(), bench.peer()
-    for n in range(RESETS_FREE + 50):
+    for n in range(FREE_RESETS + 50):
         stream = bad.open()
         bad.h2.reset_stream(stream.number)
         if n % 40 == 0:
@@ -91,13 +96,13 @@
 
 
 def test_a_proxy_whose_clients_often_leave_is_no_flood():
-    account = Account(BOUNDS, 0)
+    budget = ConnectionBudget(LIMITS, 0)
     for n in range(5_000):
-        account.opened()
+        budget.on_stream_opened()
         if n % 4:
-            assert account.reset(0) is None
+            assert budget.on_stream_reset(0) is None
         else:
-            account.ended(0)
+            budget.on_stream_ended(0)
 
 
 @pytest.mark.parametrize(
@@ -107,7 +112,7 @@
 def test_floods_of_control_frames_end_the_connection(frame):
     bench = Bench()
     good, bad = bench.peer(), bench.peer()
-    most = max(most for _, most in CONTROL.values())
+    most = max(most for _, most in CONTROL_FRAME_RATES.values())
     data = frame.serialize() * 1_000
     for _ in range(most // 1_000 + 2):
         bad.pipe.protocol.dataReceived(data)
@@ -161,9 +166,9 @@
 
 
 def test_a_backlog_over_its_bound_ends_the_connection():
-    account = Account(Bounds(10, 1, 1, 1_000, 1, 1, 1), 0)
-    assert account.wrote(1_000, 0) is None
-    assert account.wrote(1_001, 0) == "the peer leaves too much unread"
+    budget = ConnectionBudget(ConnectionLimits(10, 1, 1, 1_000, 1, 1, 1), 0)
+    assert budget.on_written(1_000, 0) is None
+    assert budget.on_written(1_001, 0) == "the peer leaves too much unread"
 
 
 def test_what_is_no_http2_no_grpc_or_compressed_gets_its_answer():
@@ -224,7 +229,7 @@
 
 
 def test_an_idle_connection_is_closed_and_one_with_a_stream_is_not():
-    bench = Bench(bounds=Bounds(100, 65536, 16384, 1 << 18, 2_000_000, 5_000_000, 3_000_000))
+    bench = Bench(limits=ConnectionLimits(100, 65536, 16384, 1 << 18, 2_000_000, 5_000_000, 3_000_000))
     idle, busy = bench.peer(), bench.peer()
     stream = busy.ask()
     bench.turn(1.0)
