--- a/linenbridge/processor/http2/connection.py
+++ b/linenbridge/processor/http2/connection.py
@@ -22,7 +22,7 @@
 from linenbridge.processor.goaway_filter import PREFACE, GoAways
 from linenbridge.processor.http2.status import INVALID_ARGUMENT, UNAVAILABLE, UNIMPLEMENTED, percent_encoded
 from linenbridge.processor.http2.stream import Call, MessageError, Peer, Receiver, framed
-from linenbridge.processor.connection_limits import ConnectionBudget, ConnectionLimits
+from linenbridge.processor.connection_limits import ConnectionBudget, ConnectionLimits, ControlFrame
 
 WINDOW = 1 << 20  # bytes that a whole connection may send before they are read
 GOAWAYS_MOST = 8
@@ -173,18 +173,18 @@
                     self._bound(self.budget.on_stream_reset(now))
                     self._over(call, gone=True, counted=True)
             case h2.events.WindowUpdated():
-                self._bound(self.budget.on_control_frame("window", now))
+                self._bound(self.budget.on_control_frame(ControlFrame.WINDOW, now))
                 self._unstall(event.stream_id)
             case h2.events.PingReceived():
-                self._bound(self.budget.on_control_frame("ping", now))
+                self._bound(self.budget.on_control_frame(ControlFrame.PING, now))
             case h2.events.RemoteSettingsChanged():
                 self.greeted = True
-                self._bound(self.budget.on_control_frame("settings", now))
+                self._bound(self.budget.on_control_frame(ControlFrame.SETTINGS, now))
                 self._unstall(0)
             case h2.events.PriorityUpdated():
-                self._bound(self.budget.on_control_frame("priority", now))
+                self._bound(self.budget.on_control_frame(ControlFrame.PRIORITY, now))
             case h2.events.UnknownFrameReceived():
-                self._bound(self.budget.on_control_frame("unknown", now))
+                self._bound(self.budget.on_control_frame(ControlFrame.UNKNOWN, now))
             case h2.events.TrailersReceived():
                 if (call := self.calls.get(event.stream_id)) is not None:
                     self.finish(call, INVALID_ARGUMENT, "a request has no trailers here")
@@ -222,7 +222,7 @@
             self.h2.acknowledge_received_data(size, event.stream_id)
         call = self.calls.get(event.stream_id)
         if not event.data and event.stream_ended is None:
-            self._bound(self.budget.on_control_frame("empty", now))
+            self._bound(self.budget.on_control_frame(ControlFrame.EMPTY, now))
         if call is None or call.ended or not event.data:
             return
         try:
