--- a/linenbridge/processor/external_processor.py
+++ b/linenbridge/processor/external_processor.py
@@ -19,7 +19,7 @@
 from linenbridge.processor.stream_phases import MessageKind
 from linenbridge.processor.stream_session import Conversation
 from linenbridge.processor.evidence import Evidence
-from linenbridge.processor.store import Store, digest
+from linenbridge.processor.store import ReservationStore, request_digest
 from linenbridge.processor.reservations import Entry, Ledger, Ticket
 from linenbridge.processor.response_classification import LATER, Verdicts
 from linenbridge.routes.table import Request, Routing
@@ -33,7 +33,7 @@
 
     def __init__(
         self, loop: Loop, reactor: Any, table: Routing, ledger: Ledger, evidence: Evidence,
-        verdicts: Verdicts, form: AnswerForm, store: Store | None, passes_unrouted: bool,
+        verdicts: Verdicts, form: AnswerForm, store: ReservationStore | None, passes_unrouted: bool,
         unix: Callable[[], float],
     ) -> None:  # fmt: skip
         self.loop, self.reactor, self.log = loop, reactor, loop.log
@@ -58,8 +58,8 @@
             return
         if self.store.open():
             now, wall = self.loop.now(), self.unix()
-            rows = ((one, now + round((until - wall) * 1e6)) for one, until in self.store.recall())
-            self.log.event("store.recalled", ids=self.ledger.recall(rows))
+            rows = ((one, now + round((until - wall) * 1e6)) for one, until in self.store.load())
+            self.log.event("store.loaded", ids=self.ledger.recall(rows))
 
     # ---- the list --------------------------------------------------------------------------------
 
@@ -108,7 +108,7 @@
         name = headers.get(self.form.request_id, "")
         method = self.table.methods[asked.method]
         what, entry = self.ledger.admit(
-            self.loop.now(), partner.name, digest(name) if name else "", int(count), method.effect
+            self.loop.now(), partner.name, request_digest(name) if name else "", int(count), method.effect
         )
         self.log.count("admitted", what)
         if what == reservations.TAKE and entry is not None:
@@ -226,8 +226,8 @@
         if entry.effect != face.IDEMPOTENT and conversation.partner.fail_open:
             until = self.ledger.terms.remember
             self.ledger.remember(entry.request, self.loop.now() + until, True)
-            if self.store is not None and self.store.serves:
-                self.store.keep([(entry.request, self.unix() + until / 1e6)])
+            if self.store is not None and self.store.is_open:
+                self.store.persist([(entry.request, self.unix() + until / 1e6)])
 
     def owes(self, conversation: Conversation) -> bool:
         entry = conversation.entry
@@ -291,14 +291,14 @@
             for conversation, entry, _ in giving
             if entry.effect != face.IDEMPOTENT and not conversation.call.ended
         }
-        if kept and self.store is not None and self.store.serves:
-            self.store.keep(kept.items())
+        if kept and self.store is not None and self.store.is_open:
+            self.store.persist(kept.items())
         for conversation, entry, ticket in giving:
             self._give(conversation, entry, ticket)
         if self.forgetting:
             ids, self.forgetting = self.forgetting, []
-            if self.store is not None and self.store.serves:
-                self.store.forget([one for one in ids if not self.ledger.ran(one)])
+            if self.store is not None and self.store.is_open:
+                self.store.delete([one for one in ids if not self.ledger.ran(one)])
         for note in self.evidence.notes:
             self.log.event("mode", text=note)
         self.evidence.notes.clear()
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -28,7 +28,7 @@
 from linenbridge.processor.health import Health
 from linenbridge.processor.http2 import PERMISSION_DENIED, Call, Server
 from linenbridge.processor.configuration import Directory, ProcessorSettings, processor_settings, routes
-from linenbridge.processor.store import Store
+from linenbridge.processor.store import ReservationStore
 from linenbridge.processor.reservations import Ledger
 from linenbridge.processor.response_classification import Verdicts
 from linenbridge.routes.table import Routing, Table
@@ -76,7 +76,7 @@
         """The front on this loop; it listens only when told to."""
         settings = self.settings
         ours = frozenset(known.partner.name for known in settings.partners if known.partner.ours)
-        store = None if settings.store is None else Store(*settings.store, self.log.event)
+        store = None if settings.store is None else ReservationStore(*settings.store, self.log.event)
         front = self.front = Front(
             loop, self.reactor, self.routing, Ledger(settings.terms), Evidence(ours),
             Verdicts(settings.proofs), settings.form, store, settings.passes_unrouted, time.time,
--- a/linenbridge/processor/store.py
+++ b/linenbridge/processor/store.py
@@ -17,32 +17,37 @@
 
 FORM = 1  # of the tables; a file with another is set aside
 ID_BYTES = 16
-PAGES = 4  # of the cache, in MB
-SWEEP_EVERY = 30.0  # seconds between two looks for ids whose time is over
+CACHE_MEGABYTES = 4  # of the cache, in MB
+SWEEP_INTERVAL = 30.0  # seconds between two looks for ids whose time is over
 
 # What says nothing against the file itself: no place for it, or somebody else has it.
-LOST = (
+UNAVAILABLE_ERRORS = (
     apsw.BusyError, apsw.LockedError, apsw.FullError, apsw.IOError, apsw.CantOpenError, apsw.ReadOnlyError,
     apsw.PermissionsError, apsw.NoMemError, OSError,
 )  # fmt: skip
 
-POWER, PROCESS = "power", "process"
+POWER = "power"  # durability: the store outlives a loss of power
+PROCESS = "process"  # the store outlives the process alone
 
 
-def digest(request: str) -> str:
+def request_digest(request: str) -> str:
     """The id as it is kept: of one length, whatever a proxy names."""
     return blake2b(request.encode("utf-8", "surrogatepass"), digest_size=ID_BYTES).hexdigest()
 
 
-class Store:
+class ReservationStore:
     """One file. `durability` says what it outlives: the process, or a loss of power too."""
 
     def __init__(
-        self, path: str, durability: str, say: Callable[..., None], clock: Callable[[], float] = time.time
+        self,
+        path: str,
+        durability: str,
+        log_event: Callable[..., None],
+        clock: Callable[[], float] = time.time,
     ) -> None:
-        self.path, self.durability, self.say, self.clock = path, durability, say, clock
+        self.path, self.durability, self.log_event, self.clock = path, durability, log_event, clock
         self.connection: apsw.Connection | None = None
-        self.swept = 0.0
+        self.swept_at = 0.0
 
     def open(self) -> bool:
         """Take the file up; a damaged one is moved aside under its name and the time. False: no store."""
@@ -50,12 +55,12 @@
             try:
                 self._open()
                 return True
-            except LOST as error:
-                self._leave(error)
-                self.say("store.lost", path=self.path, error=f"{type(error).__name__}: {error}")
+            except UNAVAILABLE_ERRORS as error:
+                self._disconnect(error)
+                self.log_event("store.lost", path=self.path, error=f"{type(error).__name__}: {error}")
                 return False
             except (apsw.Error, _WrongFormError) as error:
-                self._leave(error)
+                self._disconnect(error)
                 if not self._set_aside(error):
                     return False
         return False
@@ -66,7 +71,7 @@
         connection.pragma("locking_mode", "exclusive")  # Two processes on one file would each miss half.
         connection.pragma("journal_mode", "wal")
         connection.pragma("synchronous", "full" if self.durability == POWER else "normal")
-        connection.pragma("cache_size", -PAGES * 1024)
+        connection.pragma("cache_size", -CACHE_MEGABYTES * 1024)
         form = connection.pragma("user_version")
         if form not in (0, FORM):
             raise _WrongFormError(f"its form is {form}, this is {FORM}")
@@ -87,49 +92,49 @@
                 if os.path.exists(self.path + ending):
                     os.replace(self.path + ending, aside + ending)
         except OSError as why:
-            self.say("store.lost", path=self.path, error=str(why))
+            self.log_event("store.lost", path=self.path, error=str(why))
             return False
-        self.say("store.set_aside", path=self.path, now=aside, error=f"{type(error).__name__}: {error}")
+        self.log_event("store.set_aside", path=self.path, now=aside, error=f"{type(error).__name__}: {error}")
         return True
 
-    def _leave(self, error: Exception) -> None:
+    def _disconnect(self, error: Exception) -> None:
         connection, self.connection = self.connection, None
         if connection is not None:
             try:
                 connection.close(True)
             except apsw.Error:
-                self.say("store.close", error=str(error))
+                self.log_event("store.close", error=str(error))
 
     @property
-    def serves(self) -> bool:
+    def is_open(self) -> bool:
         return self.connection is not None
 
-    def recall(self) -> Iterator[tuple[str, float]]:
+    def load(self) -> Iterator[tuple[str, float]]:
         """Ids of earlier lives that still count, with the Unix time until which they do."""
         if self.connection is None:
             return
-        rows = self._tried(
+        rows = self._attempt(
             lambda connection: connection.execute(
                 "SELECT id, until FROM handed WHERE until > ? ORDER BY until", (self.clock(),)
             ).fetchall()
         )
         yield from rows or ()
 
-    def keep(self, ids: Iterable[tuple[str, float]]) -> bool:
+    def persist(self, ids: Iterable[tuple[str, float]]) -> bool:
         """All of them or none, before their tickets leave; False where there is no store (any more)."""
         rows = list(ids)
 
         def write(connection: apsw.Connection) -> bool:
             with connection:
                 connection.executemany("INSERT OR REPLACE INTO handed VALUES (?, ?)", rows)
-                if self.clock() - self.swept > SWEEP_EVERY:
-                    self.swept = self.clock()
-                    connection.execute("DELETE FROM handed WHERE until <= ?", (self.swept,))
+                if self.clock() - self.swept_at > SWEEP_INTERVAL:
+                    self.swept_at = self.clock()
+                    connection.execute("DELETE FROM handed WHERE until <= ?", (self.swept_at,))
             return True
 
-        return bool(self._tried(write))
+        return bool(self._attempt(write))
 
-    def forget(self, ids: Iterable[str]) -> None:
+    def delete(self, ids: Iterable[str]) -> None:
         """Ids that are known never to have run."""
         rows = [(one,) for one in ids]
 
@@ -137,17 +142,17 @@
             with connection:
                 connection.executemany("DELETE FROM handed WHERE id = ?", rows)
 
-        self._tried(write)
+        self._attempt(write)
 
-    def _tried(self, work: Callable[[apsw.Connection], object]) -> object:
+    def _attempt(self, work: Callable[[apsw.Connection], object]) -> object:
         """What fails once is left for this life: half a record would be worse than none that says so."""
         if self.connection is None:
             return None
         try:
             return work(self.connection)
         except (apsw.Error, OSError) as error:
-            self._leave(error)
-            self.say("store.lost", path=self.path, error=f"{type(error).__name__}: {error}")
+            self._disconnect(error)
+            self.log_event("store.lost", path=self.path, error=f"{type(error).__name__}: {error}")
             return None
 
     def close(self) -> None:
--- a/tests/compatibility/processor/test_processor.py
+++ b/tests/compatibility/processor/test_processor.py
@@ -12,7 +12,7 @@
 
 from linenbridge.processor import codec
 from linenbridge.processor.responses import AnswerForm
-from linenbridge.processor.store import Store, digest
+from linenbridge.processor.store import ReservationStore, request_digest
 
 HERE = Path(__file__).parent
 NOW = 1_000_000.0  # Unix seconds of the clock that the base's store read
@@ -69,11 +69,11 @@
     return Path(shutil.copy(HERE / "reservations.db", tmp_path))
 
 
-def opened(path: Path, log: Callable[..., None] | None = None) -> Store:
+def opened(path: Path, log: Callable[..., None] | None = None) -> ReservationStore:
     def fail(*line: object, **fields: object) -> None:
         raise AssertionError(f"{line} {fields}")
 
-    store = Store(str(path), "power", log or fail, lambda: NOW)
+    store = ReservationStore(str(path), "power", log or fail, lambda: NOW)
     assert store.open()
     return store
 
@@ -89,23 +89,23 @@
 
 def test_the_ids_of_a_store_of_the_base_are_given_back(base_store):
     store = opened(base_store)
-    found = list(store.recall())
+    found = list(store.load())
     store.close()
-    expected = [(digest("\udcff no text"), NOW + 0.5)]
-    expected += [(digest(f"request-{number}"), NOW + 60.0 * number) for number in range(1, 5)]
+    expected = [(request_digest("\udcff no text"), NOW + 0.5)]
+    expected += [(request_digest(f"request-{number}"), NOW + 60.0 * number) for number in range(1, 5)]
     assert found == expected
 
 
 def test_a_store_of_the_base_is_written_on(base_store):
     store = opened(base_store)
-    assert store.keep([(digest("new"), NOW + 600.0), (digest("request-1"), NOW + 700.0)])
-    store.forget([digest("request-2")])
+    assert store.persist([(request_digest("new"), NOW + 600.0), (request_digest("request-1"), NOW + 700.0)])
+    store.delete([request_digest("request-2")])
     store.close()
     again = opened(base_store)
-    found = dict(again.recall())
+    found = dict(again.load())
     again.close()
-    assert found[digest("new")] == NOW + 600.0 and found[digest("request-1")] == NOW + 700.0
-    assert digest("request-2") not in found and len(found) == 5
+    assert found[request_digest("new")] == NOW + 600.0 and found[request_digest("request-1")] == NOW + 700.0
+    assert request_digest("request-2") not in found and len(found) == 5
 
 
 def test_the_form_of_the_file_stays_so_that_the_base_reads_it(base_store, tmp_path):
@@ -119,10 +119,10 @@
 
     new = tmp_path / "new.db"
     store = opened(new)
-    store.keep([(digest("request-1"), NOW + 60.0)])
+    store.persist([(request_digest("request-1"), NOW + 60.0)])
     store.close()
     assert form(new) == form(base_store)
-    assert rows(new) == [row for row in rows(base_store) if row[0] == digest("request-1")]
+    assert rows(new) == [row for row in rows(base_store) if row[0] == request_digest("request-1")]
 
 
 def test_a_store_of_another_form_is_set_aside(base_store):
@@ -131,5 +131,5 @@
     connection.close()
     lines = []
     store = opened(base_store, lambda *line, **fields: lines.append(line[0]))
-    assert list(store.recall()) == [] and lines == ["store.set_aside"]
+    assert list(store.load()) == [] and lines == ["store.set_aside"]
     store.close()
--- a/tests/peer_script.py
+++ b/tests/peer_script.py
@@ -24,7 +24,7 @@
 from linenbridge.processor.health import Health
 from linenbridge.processor.http2 import Server
 from linenbridge.processor.connection_limits import ConnectionLimits
-from linenbridge.processor.store import Store
+from linenbridge.processor.store import ReservationStore
 from linenbridge.processor.reservations import Ledger, TicketTerms
 from linenbridge.processor.response_classification import Proof, Verdicts
 from linenbridge.routes.table import table
@@ -229,8 +229,9 @@
     """One processor around the real module, on a clock in hand."""
 
     def __init__(
-        self, *, attempts: int = 3, fail_open: bool = False, ours: bool = True, store: Store | None = None,
-        module: object = None, limits: ConnectionLimits = LIMITS, terms: TicketTerms = TERMS,
+        self, *, attempts: int = 3, fail_open: bool = False, ours: bool = True,
+        store: ReservationStore | None = None, module: object = None,
+        limits: ConnectionLimits = LIMITS, terms: TicketTerms = TERMS,
         connections: int = 8,
         passes: bool = False, instances: int = 3, **changes: object,
     ) -> None:  # fmt: skip
--- a/tests/processor/helpers.py
+++ b/tests/processor/helpers.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from linenbridge.processor import wire_pb2 as wire
-from linenbridge.processor.store import Store
+from linenbridge.processor.store import ReservationStore
 from tests.peer_script import ADDRESSES
 
 READY = {f"{host}:{port}" for _, (host, port) in ADDRESSES}
 
 
-def store(tmp_path, bench_clock=lambda: 1_000_000.0) -> Store:
-    return Store(str(tmp_path / "handed.db"), "process", lambda *_, **__: None, bench_clock)
+def store(tmp_path, bench_clock=lambda: 1_000_000.0) -> ReservationStore:
+    return ReservationStore(str(tmp_path / "handed.db"), "process", lambda *_, **__: None, bench_clock)
 
 
 def body() -> wire.ProcessingRequest:
--- a/tests/processor/test_resets.py
+++ b/tests/processor/test_resets.py
@@ -37,7 +37,7 @@
     bench.turn()
     peer.read()
     assert stream.endpoint is None and bench.empty()
-    kept = list(bench.front.store.recall())
+    kept = list(bench.front.store.load())
     assert bool(kept) == fail_open
     assert (peer.ask("/charge/1").endpoint is None) == fail_open
 
--- a/tests/processor/test_restarts.py
+++ b/tests/processor/test_restarts.py
@@ -31,7 +31,7 @@
     peer = bench.peer()
     bench.front.store.connection.close(True)
     assert peer.ask("/charge/1").endpoint in READY
-    assert not bench.front.store.serves
+    assert not bench.front.store.is_open
     assert peer.ask("/charge/2", "r2").endpoint in READY
 
 
