--- a/linenbridge/processor/store.py
+++ b/linenbridge/processor/store.py
@@ -1,9 +1,9 @@
-"""What outlives the process: ids of requests with an effect that were handed out.
+"""The store of dispatched requests: ids of those with an effect, which outlive the process.
 
 Owns one file of an embedded store (SQLite by `apsw`) and every transaction on it. An id is in the store
-before its ticket leaves the gateway, so that whatever ends the process, the next life knows it. It must never
-stop the gateway: a store that cannot be used is set aside or left, with one loud line, and the ledger then
-goes by attempt counts alone.
+before its reservation leaves the gateway, so that the next process knows it, whatever ends this one. An error
+of the store never stops the gateway: a damaged file is set aside, a file that cannot be used is left, each
+with one warning, and the reservation ledger then relies on the proxies' attempt counts alone.
 """
 
 from __future__ import annotations
@@ -15,28 +15,36 @@
 
 import apsw
 
-FORM = 1  # of the tables; a file with another is set aside
+FORM = 1  # version of the tables; a file with another one is set aside
 ID_BYTES = 16
-CACHE_MEGABYTES = 4  # of the cache, in MB
-SWEEP_INTERVAL = 30.0  # seconds between two looks for ids whose time is over
+CACHE_MEGABYTES = 4
+SWEEP_INTERVAL = 30.0  # seconds between two deletions of expired ids
 
-# What says nothing against the file itself: no place for it, or somebody else has it.
+# Errors that say nothing against the file itself: there is no place for it, or another process has it.
 UNAVAILABLE_ERRORS = (
-    apsw.BusyError, apsw.LockedError, apsw.FullError, apsw.IOError, apsw.CantOpenError, apsw.ReadOnlyError,
-    apsw.PermissionsError, apsw.NoMemError, OSError,
-)  # fmt: skip
+    apsw.BusyError,
+    apsw.LockedError,
+    apsw.FullError,
+    apsw.IOError,
+    apsw.CantOpenError,
+    apsw.ReadOnlyError,
+    apsw.PermissionsError,
+    apsw.NoMemError,
+    OSError,
+)
 
 POWER = "power"  # durability: the store outlives a loss of power
 PROCESS = "process"  # the store outlives the process alone
 
 
 def request_digest(request: str) -> str:
-    """The id as it is kept: of one length, whatever a proxy names."""
+    """The id as it is stored: of one length, whatever a proxy sends."""
     return blake2b(request.encode("utf-8", "surrogatepass"), digest_size=ID_BYTES).hexdigest()
 
 
 class ReservationStore:
-    """One file. `durability` says what it outlives: the process, or a loss of power too."""
+    """One file at `path`. `durability` is what it outlives: PROCESS, or POWER as well. `log_event` writes a
+    line of the log; `clock` gives Unix seconds."""
 
     def __init__(
         self,
@@ -45,12 +53,15 @@
         log_event: Callable[..., None],
         clock: Callable[[], float] = time.time,
     ) -> None:
-        self.path, self.durability, self.log_event, self.clock = path, durability, log_event, clock
+        self.path = path
+        self.durability = durability
+        self.log_event = log_event
+        self.clock = clock
         self.connection: apsw.Connection | None = None
         self.swept_at = 0.0
 
     def open(self) -> bool:
-        """Take the file up; a damaged one is moved aside under its name and the time. False: no store."""
+        """Open the file; a damaged one is renamed with the time and replaced. False: there is no store."""
         for _ in range(2):
             try:
                 self._open()
@@ -68,7 +79,7 @@
     def _open(self) -> None:
         connection = self.connection = apsw.Connection(self.path)
         connection.set_busy_timeout(0)
-        connection.pragma("locking_mode", "exclusive")  # Two processes on one file would each miss half.
+        connection.pragma("locking_mode", "exclusive")  # two processes on one file would each miss half
         connection.pragma("journal_mode", "wal")
         connection.pragma("synchronous", "full" if self.durability == POWER else "normal")
         connection.pragma("cache_size", -CACHE_MEGABYTES * 1024)
@@ -98,19 +109,22 @@
         return True
 
     def _disconnect(self, error: Exception) -> None:
-        connection, self.connection = self.connection, None
-        if connection is not None:
-            try:
-                connection.close(True)
-            except apsw.Error:
-                self.log_event("store.close", error=str(error))
+        connection = self.connection
+        self.connection = None
+        if connection is None:
+            return
+        try:
+            connection.close(True)
+        except apsw.Error:
+            self.log_event("store.close", error=str(error))
 
     @property
     def is_open(self) -> bool:
+        """Whether there is a store (any more)."""
         return self.connection is not None
 
     def load(self) -> Iterator[tuple[str, float]]:
-        """Ids of earlier lives that still count, with the Unix time until which they do."""
+        """Ids of earlier processes that have not expired, each with its expiry in Unix seconds."""
         if self.connection is None:
             return
         rows = self._attempt(
@@ -121,7 +135,7 @@
         yield from rows or ()
 
     def persist(self, ids: Iterable[tuple[str, float]]) -> bool:
-        """All of them or none, before their tickets leave; False where there is no store (any more)."""
+        """Write ids with their expiry, all of them or none; False where there is no store (any more)."""
         rows = list(ids)
 
         def write(connection: apsw.Connection) -> bool:
@@ -135,7 +149,7 @@
         return bool(self._attempt(write))
 
     def delete(self, ids: Iterable[str]) -> None:
-        """Ids that are known never to have run."""
+        """Delete ids whose requests are known not to have run."""
         rows = [(one,) for one in ids]
 
         def write(connection: apsw.Connection) -> None:
@@ -145,7 +159,8 @@
         self._attempt(write)
 
     def _attempt(self, work: Callable[[apsw.Connection], object]) -> object:
-        """What fails once is left for this life: half a record would be worse than none that says so."""
+        """The result of `work`; None where it fails. After an error the store is not used again in this
+        process: half a record would be worse than none that says so."""
         if self.connection is None:
             return None
         try:
@@ -156,10 +171,12 @@
             return None
 
     def close(self) -> None:
-        if self.connection is not None:
-            connection, self.connection = self.connection, None
+        """Close the file."""
+        connection = self.connection
+        self.connection = None
+        if connection is not None:
             connection.close(True)
 
 
 class _WrongFormError(Exception):
-    """A file of another form."""
+    """The file has tables of another version."""
