--- a/linenbridge/processor/configuration.py
+++ b/linenbridge/processor/configuration.py
@@ -22,7 +22,7 @@
 from linenbridge.processor.tls import KeyFiles
 from linenbridge.processor.connection_limits import ConnectionLimits
 from linenbridge.processor.reservations import TicketTerms
-from linenbridge.processor.response_classification import Proof
+from linenbridge.processor.response_classification import NonExecutionRule
 from linenbridge.routes.language import RouteError
 from linenbridge.routes.table import FaultsError, Table, table
 
@@ -43,7 +43,7 @@
     terms: TicketTerms
     store: tuple[str, str] | None
     form: AnswerForm
-    proofs: tuple[Proof, ...]
+    non_execution_rules: tuple[NonExecutionRule, ...]
     partners: tuple[Known, ...]
     routes: str
     routes_file: str
@@ -109,8 +109,8 @@
         ),
         store=kept,
         form=_form(element.find(f"{SPACE}answer")),
-        proofs=tuple(
-            Proof(int(found.get("status")), found.get("header"), found.get("value"))
+        non_execution_rules=tuple(
+            NonExecutionRule(int(found.get("status")), found.get("header"), found.get("value"))
             for found in element.iter(f"{SPACE}proof")
         ),
         partners=partners,
--- a/linenbridge/processor/external_processor.py
+++ b/linenbridge/processor/external_processor.py
@@ -21,7 +21,7 @@
 from linenbridge.processor.evidence import Evidence
 from linenbridge.processor.store import ReservationStore, request_digest
 from linenbridge.processor.reservations import Entry, Ledger, Ticket
-from linenbridge.processor.response_classification import LATER, Verdicts
+from linenbridge.processor.response_classification import PENDING_TRAILERS, ResponseClassifier
 from linenbridge.routes.table import Request, Routing
 
 ATTEMPT_DIGITS = 4
@@ -33,11 +33,11 @@
 
     def __init__(
         self, loop: Loop, reactor: Any, table: Routing, ledger: Ledger, evidence: Evidence,
-        verdicts: Verdicts, form: AnswerForm, store: ReservationStore | None, passes_unrouted: bool,
-        unix: Callable[[], float],
+        classifier: ResponseClassifier, form: AnswerForm, store: ReservationStore | None,
+        passes_unrouted: bool, unix: Callable[[], float],
     ) -> None:  # fmt: skip
         self.loop, self.reactor, self.log = loop, reactor, loop.log
-        self.table, self.ledger, self.evidence, self.verdicts = table, ledger, evidence, verdicts
+        self.table, self.ledger, self.evidence, self.classifier = table, ledger, evidence, classifier
         self.form, self.store, self.unix = form, store, unix
         self.passes_unrouted = passes_unrouted
         self.addresses: dict[face.Id, tuple[str, int]] = {}
@@ -157,14 +157,14 @@
             if not conversation.later or entry is None or ticket is None or ticket.outcome is not None:
                 conversation.call.send(codec.go_on(kind))
                 return
-            outcome: str | None = self.verdicts.of_trailers(heard.headers, heard.attributes)
+            outcome: str | None = self.classifier.classify_trailers(heard.headers, heard.attributes)
         elif entry is None or ticket is None or ticket.outcome is not None:
             conversation.call.send(codec.go_on(kind))  # Its RPC went on, or ended, without it.
             return
         else:
-            outcome = self.verdicts.of_headers(heard.headers, heard.attributes, heard.ended)
-        if outcome is None or outcome == LATER:
-            conversation.later = outcome == LATER
+            outcome = self.classifier.classify_headers(heard.headers, heard.attributes, heard.ended)
+        if outcome is None or outcome == PENDING_TRAILERS:
+            conversation.later = outcome == PENDING_TRAILERS
             conversation.call.send(codec.go_on(kind))
             return
         conversation.later = False
--- a/linenbridge/processor/response_classification.py
+++ b/linenbridge/processor/response_classification.py
@@ -13,7 +13,7 @@
 from linenbridge.interface import ERROR, FULL, OK, UNREACHED
 
 # Published response code details of proxies whose request has provably not left them.
-NOT_SENT = {
+NOT_EXECUTED_DETAILS = {
     "no_healthy_upstream": UNREACHED,
     "cluster_not_found": UNREACHED,
     "route_not_found": UNREACHED,
@@ -21,15 +21,15 @@
     "upstream_reset_before_response_started{connection_timeout}": UNREACHED,
     "upstream_reset_before_response_started{overflow}": FULL,
 }
-DETAILS = "response.code_details"
+DETAILS_ATTRIBUTE = "response.code_details"
 # gRPC statuses that the caller has brought about: the instance has answered as it should.
-GRPC_CALLER = frozenset((0, 1, 3, 5, 6, 7, 9, 11, 16))
-GRPC_TYPE = "application/grpc"
-LATER = "later"  # only the trailers will tell
+GRPC_CALLER_STATUSES = frozenset((0, 1, 3, 5, 6, 7, 9, 11, 16))
+GRPC_CONTENT_TYPE = "application/grpc"
+PENDING_TRAILERS = "later"  # only the trailers will tell
 
 
 @dataclass(frozen=True, slots=True)
-class Proof:
+class NonExecutionRule:
     """A response by which instances say that they did not run the RPC: a status and a header's value."""
 
     status: int
@@ -37,44 +37,46 @@
     value: str
 
 
-class Verdicts:
-    """Reads responses by the proofs of the settings."""
+class ResponseClassifier:
+    """Reads responses by the rules of the settings."""
 
-    def __init__(self, proofs: tuple[Proof, ...]) -> None:
-        self.proofs = proofs
+    def __init__(self, rules: tuple[NonExecutionRule, ...]) -> None:
+        self.rules = rules
 
-    def of_headers(
+    def classify_headers(
         self, headers: Mapping[str, str], attributes: Mapping[str, str], ended: bool
     ) -> str | None:
-        """The outcome that response headers tell; LATER for a gRPC answer that goes on; None for a response
+        """The outcome that headers tell; PENDING_TRAILERS for a gRPC answer that goes on; None for a response
         that is only on its way (1xx) or holds no status that can be read."""
         status = headers.get(":status", "")
         if not (len(status) == 3 and status.isascii() and status.isdigit()) or status < "200":
             return None
         code = int(status)
-        if (found := self._not_run(code, headers, attributes)) is not None:
+        if (found := self._not_executed(code, headers, attributes)) is not None:
             return found
-        if headers.get("content-type", "").startswith(GRPC_TYPE) and code == 200:
-            said = headers.get("grpc-status")
-            if said is None:
-                return ERROR if ended else LATER
-            return grpc_outcome(said)
+        if headers.get("content-type", "").startswith(GRPC_CONTENT_TYPE) and code == 200:
+            grpc_status = headers.get("grpc-status")
+            if grpc_status is None:
+                return ERROR if ended else PENDING_TRAILERS
+            return grpc_outcome(grpc_status)
         return OK if code < 500 else ERROR
 
-    def of_trailers(self, trailers: Mapping[str, str], attributes: Mapping[str, str]) -> str:
-        if (found := self._not_run(200, trailers, attributes)) is not None:
+    def classify_trailers(self, trailers: Mapping[str, str], attributes: Mapping[str, str]) -> str:
+        if (found := self._not_executed(200, trailers, attributes)) is not None:
             return found
         return grpc_outcome(trailers.get("grpc-status", ""))
 
-    def _not_run(self, code: int, headers: Mapping[str, str], attributes: Mapping[str, str]) -> str | None:
-        for proof in self.proofs:
-            if code == proof.status and headers.get(proof.header) == proof.value:
+    def _not_executed(
+        self, code: int, headers: Mapping[str, str], attributes: Mapping[str, str]
+    ) -> str | None:
+        for rule in self.rules:
+            if code == rule.status and headers.get(rule.header) == rule.value:
                 return FULL
-        details = attributes.get(DETAILS, "")
-        return NOT_SENT.get(details) if code >= 500 else None
+        details = attributes.get(DETAILS_ATTRIBUTE, "")
+        return NOT_EXECUTED_DETAILS.get(details) if code >= 500 else None
 
 
 def grpc_outcome(status: str) -> str:
     """A gRPC status as an outcome; one that is no number is a failure."""
     known = status.isascii() and status.isdigit() and len(status) <= 3
-    return OK if known and int(status) in GRPC_CALLER else ERROR
+    return OK if known and int(status) in GRPC_CALLER_STATUSES else ERROR
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -30,7 +30,7 @@
 from linenbridge.processor.configuration import Directory, ProcessorSettings, processor_settings, routes
 from linenbridge.processor.store import ReservationStore
 from linenbridge.processor.reservations import Ledger
-from linenbridge.processor.response_classification import Verdicts
+from linenbridge.processor.response_classification import ResponseClassifier
 from linenbridge.routes.table import Routing, Table
 from linenbridge.startup import micros, startup
 
@@ -79,7 +79,8 @@
         store = None if settings.store is None else ReservationStore(*settings.store, self.log.event)
         front = self.front = Front(
             loop, self.reactor, self.routing, Ledger(settings.terms), Evidence(ours),
-            Verdicts(settings.proofs), settings.form, store, settings.passes_unrouted, time.time,
+            ResponseClassifier(settings.non_execution_rules), settings.form, store,
+            settings.passes_unrouted, time.time,
         )  # fmt: skip
         front.start()
         named = tls.names if self.keys is not None else lambda transport: ()
--- a/tests/peer_script.py
+++ b/tests/peer_script.py
@@ -26,7 +26,7 @@
 from linenbridge.processor.connection_limits import ConnectionLimits
 from linenbridge.processor.store import ReservationStore
 from linenbridge.processor.reservations import Ledger, TicketTerms
-from linenbridge.processor.response_classification import Proof, Verdicts
+from linenbridge.processor.response_classification import NonExecutionRule, ResponseClassifier
 from linenbridge.routes.table import table
 from tests.helpers import MS, entry, startup
 
@@ -246,7 +246,8 @@
         self.partners = [self.partner]
         self.front = Front(
             self.loop, self.reactor, table(ROUTES, start.methods, 900 * MS), Ledger(terms),
-            Evidence(frozenset({"desk"} if ours else ())), Verdicts((Proof(503, "x-never-ran", "1"),)),
+            Evidence(frozenset({"desk"} if ours else ())),
+            ResponseClassifier((NonExecutionRule(503, "x-never-ran", "1"),)),
             AnswerForm(), store, passes, lambda: 1_000_000 + self.reactor.seconds(),
         )  # fmt: skip
         self.front.start()
