--- a/linenbridge/processor/response_classification.py
+++ b/linenbridge/processor/response_classification.py
@@ -1,8 +1,8 @@
-"""What a response at a proxy says of the pick behind it. Decides without I/O, from the response's own words.
+"""The outcome of an attempt, from the response that a proxy shows. Decides without I/O.
 
-It must never take a refusal for a proof: a 503 may come from an instance that ran the RPC, from a proxy that
-never sent it, or from one that lost the answer. Only what the settings or the proxy's published details name
-as a proof counts as one.
+A status never proves that an RPC was not executed: a 503 may come from an instance that executed it, from a
+proxy that never sent it, or from one that lost the response. Only a response that a rule of the settings
+names, or a response code detail that proxies publish for it, counts as such a proof.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from linenbridge.interface import ERROR, FULL, OK, UNREACHED
 
-# Published response code details of proxies whose request has provably not left them.
+# Response code details that Envoy publishes for requests that have not left it, and their outcomes.
 NOT_EXECUTED_DETAILS = {
     "no_healthy_upstream": UNREACHED,
     "cluster_not_found": UNREACHED,
@@ -22,15 +22,18 @@
     "upstream_reset_before_response_started{overflow}": FULL,
 }
 DETAILS_ATTRIBUTE = "response.code_details"
-# gRPC statuses that the caller has brought about: the instance has answered as it should.
+# gRPC statuses that the caller has brought about: the instance has served the RPC as it should.
 GRPC_CALLER_STATUSES = frozenset((0, 1, 3, 5, 6, 7, 9, 11, 16))
 GRPC_CONTENT_TYPE = "application/grpc"
-PENDING_TRAILERS = "later"  # only the trailers will tell
+MAX_GRPC_STATUS_DIGITS = 3
+MIN_FINAL_STATUS = 200  # lower ones are interim responses (RFC 9110, section 15.2)
+MIN_SERVER_ERROR = 500
+PENDING_TRAILERS = "later"  # in place of an outcome: the trailers will tell it
 
 
 @dataclass(frozen=True, slots=True)
 class NonExecutionRule:
-    """A response by which instances say that they did not run the RPC: a status and a header's value."""
+    """A response by which instances say that they have not executed an RPC: a status and a header."""
 
     status: int
     header: str
@@ -38,7 +41,7 @@
 
 
 class ResponseClassifier:
-    """Reads responses by the rules of the settings."""
+    """Classifies responses by the rules of the settings."""
 
     def __init__(self, rules: tuple[NonExecutionRule, ...]) -> None:
         self.rules = rules
@@ -46,37 +49,47 @@
     def classify_headers(
         self, headers: Mapping[str, str], attributes: Mapping[str, str], ended: bool
     ) -> str | None:
-        """The outcome that headers tell; PENDING_TRAILERS for a gRPC answer that goes on; None for a response
-        that is only on its way (1xx) or holds no status that can be read."""
-        status = headers.get(":status", "")
-        if not (len(status) == 3 and status.isascii() and status.isdigit()) or status < "200":
+        """The outcome that response headers tell; `ended`: nothing follows them.
+
+        PENDING_TRAILERS for a gRPC response that goes on; None for an interim response, or one without a
+        status that can be read.
+        """
+        status = _http_status(headers.get(":status", ""))
+        if status is None or status < MIN_FINAL_STATUS:
             return None
-        code = int(status)
-        if (found := self._not_executed(code, headers, attributes)) is not None:
-            return found
-        if headers.get("content-type", "").startswith(GRPC_CONTENT_TYPE) and code == 200:
+        outcome = self._not_executed(status, headers, attributes)
+        if outcome is not None:
+            return outcome
+        if status == 200 and headers.get("content-type", "").startswith(GRPC_CONTENT_TYPE):
             grpc_status = headers.get("grpc-status")
-            if grpc_status is None:
-                return ERROR if ended else PENDING_TRAILERS
-            return grpc_outcome(grpc_status)
-        return OK if code < 500 else ERROR
+            if grpc_status is not None:
+                return grpc_outcome(grpc_status)
+            return ERROR if ended else PENDING_TRAILERS
+        return OK if status < MIN_SERVER_ERROR else ERROR
 
     def classify_trailers(self, trailers: Mapping[str, str], attributes: Mapping[str, str]) -> str:
-        if (found := self._not_executed(200, trailers, attributes)) is not None:
-            return found
-        return grpc_outcome(trailers.get("grpc-status", ""))
+        """The outcome that the trailers of a gRPC response tell."""
+        outcome = self._not_executed(200, trailers, attributes)
+        return grpc_outcome(trailers.get("grpc-status", "")) if outcome is None else outcome
 
     def _not_executed(
-        self, code: int, headers: Mapping[str, str], attributes: Mapping[str, str]
+        self, status: int, headers: Mapping[str, str], attributes: Mapping[str, str]
     ) -> str | None:
+        """The outcome where the response proves that the RPC was not executed."""
         for rule in self.rules:
-            if code == rule.status and headers.get(rule.header) == rule.value:
+            if status == rule.status and headers.get(rule.header) == rule.value:
                 return FULL
-        details = attributes.get(DETAILS_ATTRIBUTE, "")
-        return NOT_EXECUTED_DETAILS.get(details) if code >= 500 else None
+        if status < MIN_SERVER_ERROR:
+            return None
+        return NOT_EXECUTED_DETAILS.get(attributes.get(DETAILS_ATTRIBUTE, ""))
+
+
+def _http_status(text: str) -> int | None:
+    """Three digits as a number; None for anything else."""
+    return int(text) if len(text) == 3 and text.isascii() and text.isdigit() else None
 
 
 def grpc_outcome(status: str) -> str:
-    """A gRPC status as an outcome; one that is no number is a failure."""
-    known = status.isascii() and status.isdigit() and len(status) <= 3
-    return OK if known and int(status) in GRPC_CALLER_STATUSES else ERROR
+    """The outcome of a gRPC status; one that is no number is a failure."""
+    is_number = status.isascii() and status.isdigit() and len(status) <= MAX_GRPC_STATUS_DIGITS
+    return OK if is_number and int(status) in GRPC_CALLER_STATUSES else ERROR
--- /dev/null
+++ b/tests/processor/test_response_classification.py
@@ -0,0 +1,76 @@
+"""Outcomes of responses: statuses, gRPC trailers, and what proves that an RPC was not executed."""
+
+from __future__ import annotations
+
+import pytest
+
+from linenbridge.interface import ERROR, FULL, OK, UNREACHED
+from linenbridge.processor.response_classification import (
+    DETAILS_ATTRIBUTE,
+    PENDING_TRAILERS,
+    NonExecutionRule,
+    ResponseClassifier,
+    grpc_outcome,
+)
+
+CLASSIFIER = ResponseClassifier((NonExecutionRule(503, "x-never-ran", "1"),))
+GRPC = {"content-type": "application/grpc+proto"}
+
+
+def headers(status: str, **more: str) -> dict[str, str]:
+    return {":status": status, **{name.replace("_", "-"): value for name, value in more.items()}}
+
+
+@pytest.mark.parametrize(
+    ("status", "outcome"),
+    [("200", OK), ("301", OK), ("404", OK), ("499", OK), ("500", ERROR), ("503", ERROR), ("599", ERROR)],
+)
+def test_a_status_alone_says_whether_the_instance_failed(status, outcome):
+    assert CLASSIFIER.classify_headers(headers(status), {}, ended=True) == outcome
+
+
+@pytest.mark.parametrize("status", ["", "100", "199", "20", "2000", "2x0", "٢٠٠"])
+def test_an_interim_or_unreadable_status_tells_nothing(status):
+    assert CLASSIFIER.classify_headers(headers(status), {}, ended=True) is None
+
+
+def test_a_rule_of_the_settings_proves_that_the_rpc_was_not_executed():
+    assert CLASSIFIER.classify_headers(headers("503", x_never_ran="1"), {}, ended=True) == FULL
+    assert CLASSIFIER.classify_headers(headers("503", x_never_ran="2"), {}, ended=True) == ERROR
+    assert CLASSIFIER.classify_headers(headers("500", x_never_ran="1"), {}, ended=True) == ERROR
+
+
+@pytest.mark.parametrize(
+    ("details", "outcome"),
+    [
+        ("no_healthy_upstream", UNREACHED),
+        ("upstream_reset_before_response_started{connection_timeout}", UNREACHED),
+        ("upstream_reset_before_response_started{overflow}", FULL),
+        ("upstream_reset_before_response_started{connection_termination}", ERROR),
+        ("via_upstream", ERROR),
+    ],
+)
+def test_only_published_details_of_unsent_requests_prove_it(details, outcome):
+    assert CLASSIFIER.classify_headers(headers("503"), {DETAILS_ATTRIBUTE: details}, ended=True) == outcome
+
+
+def test_details_of_a_successful_response_prove_nothing():
+    attributes = {DETAILS_ATTRIBUTE: "no_healthy_upstream"}
+    assert CLASSIFIER.classify_headers(headers("200"), attributes, ended=True) == OK
+
+
+def test_a_grpc_response_is_told_by_its_status_in_headers_or_trailers():
+    assert CLASSIFIER.classify_headers(headers("200") | GRPC, {}, ended=False) == PENDING_TRAILERS
+    assert CLASSIFIER.classify_headers(headers("200") | GRPC, {}, ended=True) == ERROR
+    assert CLASSIFIER.classify_headers(headers("200", grpc_status="14") | GRPC, {}, ended=True) == ERROR
+    assert CLASSIFIER.classify_headers(headers("500") | GRPC, {}, ended=False) == ERROR
+    assert CLASSIFIER.classify_trailers({"grpc-status": "0"}, {}) == OK
+    assert CLASSIFIER.classify_trailers({}, {}) == ERROR
+
+
+@pytest.mark.parametrize(
+    ("status", "outcome"),
+    [("0", OK), ("5", OK), ("16", OK), ("2", ERROR), ("8", ERROR), ("14", ERROR), ("", ERROR), ("x", ERROR)],
+)
+def test_statuses_that_the_caller_brings_about_are_no_failure_of_the_instance(status, outcome):
+    assert grpc_outcome(status) == outcome
