--- a/linenbridge/processor/evidence.py
+++ b/linenbridge/processor/evidence.py
@@ -1,145 +1,194 @@
-"""What a proxy's report is worth. Decides without I/O, from reports alone, in the design's way of thinking.
+"""What a proxy's report counts for. Decides without I/O, from reports alone.
 
-A partner's proxy says what came of each ticket, and nothing makes it say the truth. So the decision module
-hears of a report only what cannot be turned against others:
+A proxy reports what came of each attempt, and nothing makes it report the truth. So the decision module is
+given of a report only what cannot be turned against others:
 
-- From a proxy that the settings do not call our own: that the pick is over. Nothing of the instance, nothing
-  of the build; and no proof that a method with an effect has not run.
-- From one of our own: the outcome, as long as it reports on what it is given, in time, and does not
-  contradict the others. Two cumulative sums for each proxy say so: one rises with each ok where the others
-  see failures, the other with each failure where the others see none; each starts anew when the proxy says
-  the contrary.
-  Above five nats the proxy is set aside for a while, and its reports count like a partner's.
+- From a proxy that is not one of our own by the settings: that the attempt is over. Nothing of the instance,
+  nothing of the build, and no proof that a method with an effect was not executed.
+- From one of our own: the outcome, as long as the proxy reports on what is dispatched to it, in time, and
+  does not contradict the others. Two cumulative sums for each proxy say so (as for builds, docs/design.md):
+  one rises with each success where the others see failures, the other with each failure where the others see
+  none; each starts again at 0 when the proxy reports the contrary. Above the threshold the proxy is
+  distrusted for a while, and its reports count like those of any other proxy.
 
-It must never say more than was reported, and never keeps a word about single requests.
+Nothing is kept about single requests.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from math import exp, log
+from typing import NamedTuple
 
 from linenbridge.interface import CANCELLED, ERROR, IDEMPOTENT, NEVER_RAN, OK, UNSENT
 
-LEVEL = 5.0  # nats, as the design's least threshold
-FLOOR, MOST, ENOUGH, PLAIN = 0.01, 0.95, 20.0, 0.05
-BLEAK_STEP = (
-    1.25  # a failure where others see none: five in a row, as an honest proxy may meet one sick instance
-)
-MEMORY = 30_000_000  # microseconds after which a count weighs 1/e
-ASIDE = 60_000_000
-MISSING_MOST, MISSING_LEAST = 0.2, 20.0
-PROXIES_MOST, ROWS_MOST = 256, 64
+MAX_SUM = 5.0  # nats: the least threshold of the design
+MIN_FAILURE_SHARE = 0.01  # the others' share of failures is taken within these bounds
+MAX_FAILURE_SHARE = 0.95
+MIN_OTHERS_REPORTS = 20.0  # of the same method at the same build; with fewer nothing is compared
+CLEAR_FAILURE_SHARE = 0.05  # from here on the others see failures, below it they see none
+PESSIMISM_STEP = 1.25  # nats a failure: five in a row, as an honest proxy may meet one sick instance
+DECAY_TIME = 30_000_000  # microseconds after which a count weighs 1/e
+DISTRUST_TIME = 60_000_000  # microseconds
+MAX_MISSING_SHARE = 0.2  # of the reports that were due
+MIN_DUE_REPORTS = 20.0  # with fewer, missing ones count for nothing
+MAX_PROXIES = 256
+MAX_COUNTED_METHODS = 64  # pairs of build and method, for all proxies and for each
+
+
+class BuildMethod(NamedTuple):
+    """A method at a build."""
+
+    build: int
+    method: str
+
+
+class Counts(NamedTuple):
+    """Decayed numbers of successes and failures, or of reports that came and that did not."""
+
+    good: float
+    bad: float
+
+
+class Distrusted(NamedTuple):
+    """A proxy whose reports count for nothing from now on, and why, in words for operators."""
+
+    proxy: str
+    reason: str
 
 
 @dataclass(slots=True)
-class Fading:
-    """Counts that fade."""
+class DecayingCounts:
+    """Counts that decay exponentially. Times are microseconds."""
 
     good: float = 0.0
     bad: float = 0.0
-    at: int = 0
+    updated_at: int = 0
 
     def add(self, now: int, good: float, bad: float) -> None:
-        keep = exp(min(0, self.at - now) / MEMORY)
-        self.good, self.bad, self.at = self.good * keep + good, self.bad * keep + bad, max(now, self.at)
+        """Decay until now, then add."""
+        decayed = self.at(now)
+        self.good = decayed.good + good
+        self.bad = decayed.bad + bad
+        self.updated_at = max(now, self.updated_at)
 
-    def seen(self, now: int) -> tuple[float, float]:
-        keep = exp(min(0, self.at - now) / MEMORY)
-        return self.good * keep, self.bad * keep
+    def at(self, now: int) -> Counts:
+        """The counts, decayed until now."""
+        weight = exp(min(0, self.updated_at - now) / DECAY_TIME)
+        return Counts(self.good * weight, self.bad * weight)
 
 
-class Witness:
-    """What is known of one proxy's reports."""
+Rows = OrderedDict[BuildMethod, DecayingCounts]
 
-    __slots__ = ("aside_until", "outcomes", "reports", "sums", "why")
 
-    def __init__(self) -> None:
-        self.reports = Fading()  # good: came in time; bad: late or never
-        self.outcomes: OrderedDict[tuple[int, str], Fading] = OrderedDict()
-        self.sums = {"rosy": 0.0, "bleak": 0.0}
-        self.aside_until, self.why = 0, ""
+@dataclass(slots=True)
+class ProxyRecord:
+    """What is known of one proxy's reports. The sums are in nats."""
+
+    reports: DecayingCounts = field(default_factory=DecayingCounts)  # good: in time; bad: missing
+    outcomes: Rows = field(default_factory=OrderedDict)
+    optimism: float = 0.0  # successes where the others see failures
+    pessimism: float = 0.0  # failures where the others see none
+    distrusted_until: int = 0
 
 
 class Evidence:
-    """All proxies' standing. `ours` names those whose reports may be evidence."""
-
-    def __init__(self, ours: frozenset[str]) -> None:
-        self.ours = ours
-        self.witnesses: OrderedDict[str, Witness] = OrderedDict()
-        self.all: OrderedDict[tuple[int, str], Fading] = OrderedDict()
-        self.notes: list[str] = []
-
-    def _witness(self, proxy: str) -> Witness:
-        witness = self.witnesses.get(proxy)
-        if witness is None:
-            witness = self.witnesses[proxy] = Witness()
-            if len(self.witnesses) > PROXIES_MOST:
-                self.witnesses.popitem(last=False)
-        self.witnesses.move_to_end(proxy)
-        return witness
-
-    def missed(self, now: int, proxy: str) -> None:
-        """A ticket of which the proxy said nothing in time."""
-        if proxy in self.ours:
-            self._witness(proxy).reports.add(now, 0.0, 1.0)
-
-    def heard(self, now: int, proxy: str, build: int, method: str, effect: str, outcome: str) -> str:
-        """The outcome that the module is told for one that a proxy reports in time."""
-        if proxy not in self.ours:
-            return self._partner(effect, outcome)
-        witness = self._witness(proxy)
-        witness.reports.add(now, 1.0, 0.0)
+    """The reports of all proxies; `own_proxies` are those whose reports may be evidence. `notices` holds the
+    proxies that were distrusted since the caller last emptied it."""
+
+    def __init__(self, own_proxies: frozenset[str]) -> None:
+        self.own_proxies = own_proxies
+        self.proxies: OrderedDict[str, ProxyRecord] = OrderedDict()  # the one used last is last
+        self.all: Rows = OrderedDict()
+        self.notices: list[Distrusted] = []
+
+    def on_missing_report(self, now: int, proxy: str) -> None:
+        """A proxy has not reported on an attempt in time."""
+        if proxy in self.own_proxies:
+            self._record(proxy).reports.add(now, 0.0, 1.0)
+
+    def on_report(self, now: int, proxy: str, build: int, method: str, effect: str, outcome: str) -> str:
+        """The outcome that the decision module is given for one that a proxy reports in time."""
+        if proxy not in self.own_proxies:
+            return _untrusted_outcome(effect, outcome)
+        record = self._record(proxy)
+        record.reports.add(now, 1.0, 0.0)
         if outcome in (OK, ERROR):
-            self._compare(now, proxy, witness, (build, method), outcome == OK)
-        came, missed = witness.reports.seen(now)
-        if came + missed >= MISSING_LEAST and missed > MISSING_MOST * (came + missed):
-            self._set_aside(now, proxy, witness, f"leaves out {missed:.0f} of {came + missed:.0f} reports")
-        return self._partner(effect, outcome) if now < witness.aside_until else outcome
-
-    def counts(self, now: int, proxy: str) -> bool:
+            self._compare(now, proxy, record, BuildMethod(build, method), succeeded=outcome == OK)
+        came, missing = record.reports.at(now)
+        due = came + missing
+        if due >= MIN_DUE_REPORTS and missing > MAX_MISSING_SHARE * due:
+            self._distrust(now, proxy, record, f"leaves out {missing:.0f} of {due:.0f} reports")
+        return _untrusted_outcome(effect, outcome) if now < record.distrusted_until else outcome
+
+    def is_trusted(self, now: int, proxy: str) -> bool:
         """Whether the proxy's reports are evidence at present."""
-        witness = self.witnesses.get(proxy)
-        return proxy in self.ours and (witness is None or now >= witness.aside_until)
-
-    @staticmethod
-    def _partner(effect: str, outcome: str) -> str:
-        return UNSENT if outcome in NEVER_RAN and effect == IDEMPOTENT else CANCELLED
-
-    @staticmethod
-    def _add(now: int, rows: OrderedDict[tuple[int, str], Fading], key: tuple[int, str], ok: bool) -> None:
-        rows.setdefault(key, Fading(at=now)).add(now, float(ok), float(not ok))
-        rows.move_to_end(key)
-        if len(rows) > ROWS_MOST:
-            rows.popitem(last=False)
-
-    def _compare(self, now: int, proxy: str, witness: Witness, key: tuple[int, str], ok: bool) -> None:
-        """Against what all others saw of the same method at the same build, where that is enough."""
-        good, bad = self.all[key].seen(now) if key in self.all else (0.0, 0.0)
-        mine = witness.outcomes[key].seen(now) if key in witness.outcomes else (0.0, 0.0)
-        good, bad = max(0.0, good - mine[0]), max(0.0, bad - mine[1])
-        self._add(now, self.all, key, ok)
-        self._add(now, witness.outcomes, key, ok)
-        if good + bad < ENOUGH:
+        record = self.proxies.get(proxy)
+        return proxy in self.own_proxies and (record is None or now >= record.distrusted_until)
+
+    def _record(self, proxy: str) -> ProxyRecord:
+        record = self.proxies.get(proxy)
+        if record is None:
+            record = self.proxies[proxy] = ProxyRecord()
+            if len(self.proxies) > MAX_PROXIES:
+                self.proxies.popitem(last=False)
+        self.proxies.move_to_end(proxy)
+        return record
+
+    def _compare(
+        self, now: int, proxy: str, record: ProxyRecord, key: BuildMethod, *, succeeded: bool
+    ) -> None:
+        """Compare with what all others have reported of the same method at the same build, if that is
+        enough."""
+        others = self._others(now, record, key)
+        _add(now, self.all, key, succeeded=succeeded)
+        _add(now, record.outcomes, key, succeeded=succeeded)
+        reports = others.good + others.bad
+        if reports < MIN_OTHERS_REPORTS:
             return
-        share = min(max(bad / (good + bad), FLOOR), MOST)
-        if ok:
-            # One that says ok for everything never says otherwise; an honest one does, at the others' share.
-            witness.sums["rosy"] += log(1 / (1 - share)) if share >= PLAIN else 0.0
-            witness.sums["bleak"] = 0.0
+        share = min(max(others.bad / reports, MIN_FAILURE_SHARE), MAX_FAILURE_SHARE)
+        if succeeded:
+            # A proxy that always reports success never reports otherwise; an honest one does, at the others'
+            # share.
+            record.optimism += log(1 / (1 - share)) if share >= CLEAR_FAILURE_SHARE else 0.0
+            record.pessimism = 0.0
         else:
-            witness.sums["bleak"] += BLEAK_STEP if share < PLAIN else 0.0
-            witness.sums["rosy"] = 0.0
-        for name, what in (("rosy", "ok"), ("bleak", "failed")):
-            if witness.sums[name] > LEVEL:
-                others = f"the others see {share:.2f} fail"
-                self._set_aside(
-                    now, proxy, witness, f"says {what} where {others}, W {witness.sums[name]:.1f}"
-                )
-                witness.sums[name] = 0.0
-
-    def _set_aside(self, now: int, proxy: str, witness: Witness, why: str) -> None:
-        if now >= witness.aside_until:
-            self.notes.append(f"set aside {proxy}: {why}")
-        witness.aside_until, witness.why = now + ASIDE, why
+            record.pessimism += PESSIMISM_STEP if share < CLEAR_FAILURE_SHARE else 0.0
+            record.optimism = 0.0
+        if record.optimism > MAX_SUM:
+            reason = f"says ok where the others see {share:.2f} fail, W {record.optimism:.1f}"
+            self._distrust(now, proxy, record, reason)
+            record.optimism = 0.0
+        if record.pessimism > MAX_SUM:
+            reason = f"says failed where the others see {share:.2f} fail, W {record.pessimism:.1f}"
+            self._distrust(now, proxy, record, reason)
+            record.pessimism = 0.0
+
+    def _others(self, now: int, record: ProxyRecord, key: BuildMethod) -> Counts:
+        """The reports of all proxies without this one's."""
+        everybody = _counts_at(now, self.all, key)
+        own = _counts_at(now, record.outcomes, key)
+        return Counts(max(0.0, everybody.good - own.good), max(0.0, everybody.bad - own.bad))
+
+    def _distrust(self, now: int, proxy: str, record: ProxyRecord, reason: str) -> None:
+        if now >= record.distrusted_until:
+            self.notices.append(Distrusted(proxy, reason))
+        record.distrusted_until = now + DISTRUST_TIME
+
+
+def _untrusted_outcome(effect: str, outcome: str) -> str:
+    """An outcome without evidence: an attempt that can be repeated harmlessly may count as not sent."""
+    return UNSENT if outcome in NEVER_RAN and effect == IDEMPOTENT else CANCELLED
+
+
+def _counts_at(now: int, rows: Rows, key: BuildMethod) -> Counts:
+    return rows[key].at(now) if key in rows else Counts(0.0, 0.0)
+
+
+def _add(now: int, rows: Rows, key: BuildMethod, *, succeeded: bool) -> None:
+    """Count one report; the row that was used longest ago goes beyond the bound."""
+    rows.setdefault(key, DecayingCounts(updated_at=now)).add(now, float(succeeded), float(not succeeded))
+    rows.move_to_end(key)
+    if len(rows) > MAX_COUNTED_METHODS:
+        rows.popitem(last=False)
--- a/linenbridge/processor/external_processor.py
+++ b/linenbridge/processor/external_processor.py
@@ -175,7 +175,7 @@
     ) -> None:
         """One that failed may be tried again by its proxy: then the module says first what it means."""
         partner, kind, now = conversation.partner, heard.kind, self.loop.now()
-        told = self.evidence.heard(
+        told = self.evidence.on_report(
             now, partner.name, ticket.build, self._method(entry), entry.effect, outcome
         )
         again = (
@@ -299,9 +299,9 @@
             ids, self.forgetting = self.forgetting, []
             if self.store is not None and self.store.is_open:
                 self.store.delete([one for one in ids if not self.ledger.ran(one)])
-        for note in self.evidence.notes:
-            self.log.event("mode", text=note)
-        self.evidence.notes.clear()
+        for distrusted in self.evidence.notices:
+            self.log.event("proxy.distrusted", proxy=distrusted.proxy, reason=distrusted.reason)
+        self.evidence.notices.clear()
         self._arm()
 
     def _give(self, conversation: Conversation, entry: Entry, ticket: Ticket) -> None:
@@ -348,7 +348,7 @@
     def _unreported(self, entry: Entry, ticket: Ticket, proxy: str) -> None:
         """Nothing was said of a ticket: it may have run, and tells nothing of its instance."""
         self.log.count("unreported", proxy)
-        self.evidence.missed(self.loop.now(), proxy)
+        self.evidence.on_missing_report(self.loop.now(), proxy)
         self.loop.gone(self.taken[entry.id])
         self._ended(entry, ticket, face.CANCELLED)
         self._over(self.loop.now(), entry, answered=False)
--- a/tests/processor/test_evidence.py
+++ b/tests/processor/test_evidence.py
@@ -1,11 +1,11 @@
-"""Which reports count as evidence of a build, and which proxies are set aside."""
+"""Which reports count as evidence of a build, and which proxies are distrusted."""
 
 from __future__ import annotations
 
 import pytest
 
 from linenbridge import interface as face
-from linenbridge.processor.evidence import ASIDE, ENOUGH, Evidence
+from linenbridge.processor.evidence import DISTRUST_TIME, MIN_OTHERS_REPORTS, Evidence
 from tests.helpers import MS, entry
 from tests.peer_script import ADDRESSES, Bench, seeded
 
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize(("ours", "moves"), [(True, True), (False, False)])
-def test_failures_that_a_partner_reports_move_no_release_ours_do(ours, moves):
+def test_only_failures_that_an_own_proxy_reports_affect_a_rollout(ours, moves):
     bench = Bench(ours=ours, attempts=1)
     _trial(bench)
     peer = bench.peer()
@@ -29,7 +29,7 @@
     assert bool(bench.module.outcomes) == moves
 
 
-def test_a_partner_that_lies_shuns_no_instance():
+def test_false_reports_of_a_foreign_proxy_eject_no_instance():
     bench = Bench(ours=False, attempts=1)
     peer = bench.peer()
     for n in range(60):
@@ -39,42 +39,44 @@
     assert not any(fleet.strikes) and not any(fleet.failing)
 
 
-def test_a_proxy_that_says_ok_for_everything_is_set_aside():
-    evidence, now = Evidence(frozenset(("rosy", "plain", "other"))), 0
+def test_a_proxy_that_always_reports_success_is_distrusted():
+    evidence = Evidence(frozenset(("optimist", "plain", "other")))
+    now = 0
     chance = seeded(1)
     for _ in range(60):
         now += 50 * MS
         for proxy in ("plain", "other"):
             outcome = face.ERROR if chance.random() < 0.3 else face.OK
-            assert evidence.heard(now, proxy, 2, "look", face.IDEMPOTENT, outcome) == outcome
-        told = evidence.heard(now, "rosy", 2, "look", face.IDEMPOTENT, face.OK)
-    assert told == face.CANCELLED and not evidence.counts(now, "rosy")
-    assert evidence.counts(now, "plain") and evidence.counts(now, "other")
-    assert any("set aside rosy" in note for note in evidence.notes)
-    assert evidence.counts(now + ASIDE + 1, "rosy")
+            assert evidence.on_report(now, proxy, 2, "look", face.IDEMPOTENT, outcome) == outcome
+        given = evidence.on_report(now, "optimist", 2, "look", face.IDEMPOTENT, face.OK)
+    assert given == face.CANCELLED and not evidence.is_trusted(now, "optimist")
+    assert evidence.is_trusted(now, "plain") and evidence.is_trusted(now, "other")
+    assert [(one.proxy, "says ok where" in one.reason) for one in evidence.notices] == [("optimist", True)]
+    assert evidence.is_trusted(now + DISTRUST_TIME + 1, "optimist")
 
 
-def test_a_proxy_that_alone_sees_failures_is_set_aside_and_an_honest_one_is_not():
-    evidence, now = Evidence(frozenset(("bleak", "plain"))), 0
+def test_a_proxy_that_alone_sees_failures_is_distrusted_and_an_honest_one_is_not():
+    evidence = Evidence(frozenset(("pessimist", "plain")))
+    now = 0
     for n in range(40):
         now += 50 * MS
-        evidence.heard(now, "plain", 2, "look", face.IDEMPOTENT, face.OK)
-        if n > ENOUGH:
-            evidence.heard(now, "bleak", 2, "look", face.IDEMPOTENT, face.ERROR)
-    assert not evidence.counts(now, "bleak") and evidence.counts(now, "plain")
+        evidence.on_report(now, "plain", 2, "look", face.IDEMPOTENT, face.OK)
+        if n > MIN_OTHERS_REPORTS:
+            evidence.on_report(now, "pessimist", 2, "look", face.IDEMPOTENT, face.ERROR)
+    assert not evidence.is_trusted(now, "pessimist") and evidence.is_trusted(now, "plain")
 
 
-def test_a_proxy_that_leaves_out_reports_is_set_aside():
+def test_a_proxy_that_leaves_out_reports_is_distrusted():
     evidence = Evidence(frozenset(("desk",)))
     for n in range(40):
-        evidence.missed(n, "desk") if n % 2 else evidence.heard(
+        evidence.on_missing_report(n, "desk") if n % 2 else evidence.on_report(
             n, "desk", 1, "look", face.IDEMPOTENT, face.OK
         )
-    assert not evidence.counts(40, "desk")
+    assert not evidence.is_trusted(40, "desk")
 
 
-def test_a_partners_word_proves_nothing_for_a_method_with_an_effect():
+def test_a_foreign_report_proves_nothing_for_a_method_with_an_effect():
     evidence = Evidence(frozenset())
-    assert evidence.heard(0, "p", 1, "charge", face.NON_IDEMPOTENT, face.FULL) == face.CANCELLED
-    assert evidence.heard(0, "p", 1, "look", face.IDEMPOTENT, face.FULL) == face.UNSENT
-    assert evidence.heard(0, "p", 1, "look", face.IDEMPOTENT, face.OK) == face.CANCELLED
+    assert evidence.on_report(0, "p", 1, "charge", face.NON_IDEMPOTENT, face.FULL) == face.CANCELLED
+    assert evidence.on_report(0, "p", 1, "look", face.IDEMPOTENT, face.FULL) == face.UNSENT
+    assert evidence.on_report(0, "p", 1, "look", face.IDEMPOTENT, face.OK) == face.CANCELLED
