--- a/linenbridge/cli/commands.py
+++ b/linenbridge/cli/commands.py
@@ -31,6 +31,13 @@
     "unread": "unsent_timeout",
     "idle": "idle_timeout",
 }
+SHOWN_TERMS = {
+    "use_within": "use_within",
+    "retry_within": "retry_within",
+    "remember": "remember_for",
+    "open_most": "max_open",
+    "remember_most": "max_remembered",
+}
 
 app = typer.Typer(
     name="linenbridge", no_args_is_help=True, add_completion=True, rich_markup_mode=None,
@@ -272,7 +279,7 @@
     rows["tls"] = None if told.tls is None else told.tls.certificate
     rows["bounds.connections"] = told.connections
     rows |= {f"bounds.{name}": getattr(told.limits, attribute) for name, attribute in SHOWN_LIMITS.items()}
-    rows |= {f"tickets.{name}": getattr(told.terms, name) for name in told.terms.__slots__}
+    rows |= {f"tickets.{name}": getattr(told.terms, attribute) for name, attribute in SHOWN_TERMS.items()}
     rows["store"] = None if told.store is None else " ".join(told.store)
     rows |= {f"answer.{name}": getattr(told.form, name) for name in AnswerForm.__slots__}
     for known in told.partners:
--- a/linenbridge/processor/configuration.py
+++ b/linenbridge/processor/configuration.py
@@ -21,7 +21,7 @@
 from linenbridge.processor.stream_session import Partner
 from linenbridge.processor.tls import KeyFiles
 from linenbridge.processor.connection_limits import ConnectionLimits
-from linenbridge.processor.reservations import TicketTerms
+from linenbridge.processor.reservations import ReservationTerms
 from linenbridge.processor.response_classification import NonExecutionRule
 from linenbridge.routes.language import RouteError
 from linenbridge.routes.table import FaultsError, Table, table
@@ -40,7 +40,7 @@
     tls: KeyFiles | None
     limits: ConnectionLimits
     connections: int
-    terms: TicketTerms
+    terms: ReservationTerms
     store: tuple[str, str] | None
     form: AnswerForm
     non_execution_rules: tuple[NonExecutionRule, ...]
@@ -104,7 +104,7 @@
             duration(bounds["first-word"]), duration(bounds["unread"]), duration(bounds["idle"]),
         ),
         connections=int(bounds["connections"]),
-        terms=TicketTerms(
+        terms=ReservationTerms(
             use_within, use_within, duration(terms["remember"]), int(terms["open"]), int(terms["ids"])
         ),
         store=kept,
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -29,7 +29,7 @@
 from linenbridge.processor.http2 import PERMISSION_DENIED, Call, Server
 from linenbridge.processor.configuration import Directory, ProcessorSettings, processor_settings, routes
 from linenbridge.processor.store import ReservationStore
-from linenbridge.processor.reservations import Ledger
+from linenbridge.processor.reservations import ReservationLedger
 from linenbridge.processor.response_classification import ResponseClassifier
 from linenbridge.routes.table import Routing, Table
 from linenbridge.startup import micros, startup
@@ -78,7 +78,7 @@
         ours = frozenset(known.partner.name for known in settings.partners if known.partner.ours)
         store = None if settings.store is None else ReservationStore(*settings.store, self.log.event)
         front = self.front = Front(
-            loop, self.reactor, self.routing, Ledger(settings.terms), Evidence(ours),
+            loop, self.reactor, self.routing, ReservationLedger(settings.terms), Evidence(ours),
             ResponseClassifier(settings.non_execution_rules), settings.form, store,
             settings.passes_unrouted, time.time,
         )  # fmt: skip
@@ -139,7 +139,7 @@
         return {
             "proxies": len(server.open),
             "tickets": len(front.ledger.by_id),
-            "ids": len(front.ledger.known),
+            "ids": len(front.ledger.ended),
         }
 
 
--- a/linenbridge/processor/stream_session.py
+++ b/linenbridge/processor/stream_session.py
@@ -11,7 +11,7 @@
 
 from linenbridge.logging.event_log import Log
 from linenbridge.processor import codec, http2
-from linenbridge.processor.reservations import Entry, Ticket
+from linenbridge.processor.reservations import AttemptReservation, RpcEntry
 from linenbridge.processor.stream_phases import Action, OutOfOrderError, StreamPhases, StreamState
 
 
@@ -47,13 +47,13 @@
 class Conversation:
     """One stream: the receiver of its messages, and the RPC that it is about while it is."""
 
-    __slots__ = ("call", "entry", "grpc", "handler", "later", "partner", "phases", "ticket")
+    __slots__ = ("call", "entry", "grpc", "handler", "later", "partner", "phases", "reservation")
 
     def __init__(self, handler: Handler, partner: Partner, call: http2.Call) -> None:
         self.handler, self.partner, self.call = handler, partner, call
         self.phases = StreamPhases()
-        self.entry: Entry | None = None
-        self.ticket: Ticket | None = None
+        self.entry: RpcEntry | None = None
+        self.reservation: AttemptReservation | None = None
         self.grpc = self.later = False
 
     def message(self, data: memoryview) -> None:
--- a/tests/peer_script.py
+++ b/tests/peer_script.py
@@ -25,7 +25,7 @@
 from linenbridge.processor.http2 import Server
 from linenbridge.processor.connection_limits import ConnectionLimits
 from linenbridge.processor.store import ReservationStore
-from linenbridge.processor.reservations import Ledger, TicketTerms
+from linenbridge.processor.reservations import ReservationLedger, ReservationTerms
 from linenbridge.processor.response_classification import NonExecutionRule, ResponseClassifier
 from linenbridge.routes.table import table
 from tests.helpers import MS, entry, startup
@@ -36,7 +36,7 @@
 route store  { when path starts "/store/"  method "store"   key segment(2) }
 route charge { when path starts "/charge/" method "charge"  tenant header("x-tenant") else "none" }
 """
-TERMS = TicketTerms(100 * MS, 100 * MS, 60_000 * MS, 1_000, 2_000)
+TERMS = ReservationTerms(100 * MS, 100 * MS, 60_000 * MS, 1_000, 2_000)
 LIMITS = ConnectionLimits(100, 65536, 16384, 1 << 18, 2_000_000, 5_000_000, 600_000_000)
 ADDRESSES = [(entry(n), ("10.0.0.1", 7000 + n)) for n in (1, 2, 3)]
 
@@ -231,7 +231,7 @@
     def __init__(
         self, *, attempts: int = 3, fail_open: bool = False, ours: bool = True,
         store: ReservationStore | None = None, module: object = None,
-        limits: ConnectionLimits = LIMITS, terms: TicketTerms = TERMS,
+        limits: ConnectionLimits = LIMITS, terms: ReservationTerms = TERMS,
         connections: int = 8,
         passes: bool = False, instances: int = 3, **changes: object,
     ) -> None:  # fmt: skip
@@ -245,7 +245,7 @@
         self.partner = Partner("desk", ours, attempts, fail_open)
         self.partners = [self.partner]
         self.front = Front(
-            self.loop, self.reactor, table(ROUTES, start.methods, 900 * MS), Ledger(terms),
+            self.loop, self.reactor, table(ROUTES, start.methods, 900 * MS), ReservationLedger(terms),
             Evidence(frozenset({"desk"} if ours else ())),
             ResponseClassifier((NonExecutionRule(503, "x-never-ran", "1"),)),
             AnswerForm(), store, passes, lambda: 1_000_000 + self.reactor.seconds(),
--- a/tests/processor/test_bounds.py
+++ b/tests/processor/test_bounds.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from linenbridge.processor.reservations import TicketTerms
+from linenbridge.processor.reservations import ReservationTerms
 from tests.helpers import MS
 from tests.peer_script import Bench
 from tests.processor.helpers import READY
 
 
 def test_a_full_ledger_pushes_back_and_keeps_a_place_for_the_other_proxy():
-    bench = Bench(terms=TicketTerms(100 * MS, 100 * MS, 60_000 * MS, 10, 20))
+    bench = Bench(terms=ReservationTerms(100 * MS, 100 * MS, 60_000 * MS, 10, 20))
     peer = bench.peer()
     streams = [peer.ask(request=f"r{n}") for n in range(12)]
     assert [stream.immediate for stream in streams[10:]] == [503, 503]
@@ -21,7 +21,7 @@
 
 
 def test_ids_that_may_have_run_are_never_forgotten_for_room():
-    bench = Bench(terms=TicketTerms(100 * MS, 100 * MS, 60_000 * MS, 100, 5), attempts=1)
+    bench = Bench(terms=ReservationTerms(100 * MS, 100 * MS, 60_000 * MS, 100, 5), attempts=1)
     peer = bench.peer()
     for n in range(5):
         peer.report(peer.ask("/charge/1", f"r{n}"), 200)
--- a/tests/processor/test_deadlines.py
+++ b/tests/processor/test_deadlines.py
@@ -61,7 +61,7 @@
     for n in range(8):
         peer.ask(request=f"r{n}")
     for found in bench.front.ledger.by_id.values():
-        assert found.last().use_by - found.last().decided <= 100 * MS
+        assert found.reservations[-1].use_by - found.reservations[-1].decided_at <= 100 * MS
 
 
 def test_a_stage_and_a_list_that_change_between_decision_and_outcome():
--- a/tests/scale/measure/processor.py
+++ b/tests/scale/measure/processor.py
@@ -9,7 +9,7 @@
 import time
 
 from linenbridge.policy import dispatch
-from linenbridge.processor.reservations import TicketTerms
+from linenbridge.processor.reservations import ReservationTerms
 
 from tests.helpers import MS, entry
 from tests.peer_script import Bench, PeerScript
@@ -21,7 +21,7 @@
 SIZES = (1, 10, 100)  # a connection takes 100 streams at once
 REQUESTS = 1_000
 INSTANCES = 22  # of one service: 200,000 instances in 8,900 services
-TERMS = TicketTerms(100 * MS, 100 * MS, 60_000 * MS, 1_000, 100_000)
+TERMS = ReservationTerms(100 * MS, 100 * MS, 60_000 * MS, 1_000, 100_000)
 ADDRESSES = [(entry(number), ("10.0.0.1", 7_000 + number)) for number in range(1, INSTANCES + 1)]
 
 
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -38,7 +38,7 @@
         256,
         1000,
     )
-    assert told.terms.use_within == 100_000 and told.terms.remember == 600_000_000
+    assert told.terms.use_within == 100_000 and told.terms.remember_for == 600_000_000
     assert told.form.endpoint == "x-gateway-destination-endpoint" and told.partners[0].partner.fail_open
 
 
