--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -104,7 +104,7 @@
             decoder=FOLLOWER_DECODER,
             changed=self._on_upstream_changed,
         )
-        state_machines = [self.replica, *self.followers.values(), self.feed]
+        state_machines: list[StateMachine] = [self.replica, *self.followers.values(), self.feed]
         self.driver = CoreDriver(reactor, state_machines, self._execute, on_turn_end=self._report_broken_disk)
         if settings.listen is None:
             raise ValueError("a relay listens")
--- a/linenbridge/processor/store.py
+++ b/linenbridge/processor/store.py
@@ -12,6 +12,7 @@
 import time
 from collections.abc import Callable, Iterable, Iterator
 from hashlib import blake2b
+from typing import TypeVar, cast
 
 import apsw
 
@@ -37,6 +38,9 @@
 PROCESS = "process"  # the store outlives the process alone
 
 
+Result = TypeVar("Result")
+
+
 def request_digest(request: str) -> str:
     """The id as it is stored: of one length, whatever a proxy sends."""
     return blake2b(request.encode("utf-8", "surrogatepass"), digest_size=ID_BYTES).hexdigest()
@@ -127,12 +131,12 @@
         """Ids of earlier processes that have not expired, each with its expiry in Unix seconds."""
         if self.connection is None:
             return
-        rows = self._attempt(
-            lambda connection: connection.execute(
-                "SELECT id, until FROM handed WHERE until > ? ORDER BY until", (self.clock(),)
-            ).fetchall()
-        )
-        yield from rows or ()
+
+        def read(connection: apsw.Connection) -> list[tuple[str, float]]:
+            query = "SELECT id, until FROM handed WHERE until > ? ORDER BY until"
+            return cast(list[tuple[str, float]], connection.execute(query, (self.clock(),)).fetchall())
+
+        yield from self._attempt(read) or ()
 
     def persist(self, ids: Iterable[tuple[str, float]]) -> bool:
         """Write ids with their expiry, all of them or none; False where there is no store (any more)."""
@@ -158,7 +162,7 @@
 
         self._attempt(write)
 
-    def _attempt(self, work: Callable[[apsw.Connection], object]) -> object:
+    def _attempt(self, work: Callable[[apsw.Connection], Result]) -> Result | None:
         """The result of `work`; None where it fails. After an error the store is not used again in this
         process: half a record would be worse than none that says so."""
         if self.connection is None:
--- a/tests/processor/test_attempts.py
+++ b/tests/processor/test_attempts.py
@@ -7,7 +7,7 @@
 from tests.processor.helpers import READY
 
 
-def test_a_request_is_handed_out_reported_and_forgotten():
+def test_a_request_is_dispatched_reported_and_removed():
     bench = Bench()
     peer = bench.peer()
     stream = peer.ask()
@@ -21,7 +21,7 @@
     assert bench.empty() and bench.counts("answered", "look", "ok") == 1
 
 
-def test_a_failure_is_told_with_what_it_means_and_the_next_attempt_goes_elsewhere():
+def test_a_failed_attempt_is_answered_with_retry_and_the_next_one_goes_elsewhere():
     bench = Bench()
     peer = bench.peer()
     first = peer.ask()
@@ -33,7 +33,7 @@
     assert bench.empty() and bench.counts("taken", "look") == 1
 
 
-def test_a_failed_request_with_an_effect_is_aborted_and_no_attempt_of_it_goes_out():
+def test_a_failed_request_with_an_effect_fails_and_is_not_dispatched_again():
     bench = Bench()
     peer = bench.peer()
     first = peer.ask("/charge/1")
--- a/tests/processor/test_bounds.py
+++ b/tests/processor/test_bounds.py
@@ -1,4 +1,4 @@
-"""A full ledger: it pushes back, keeps room for other proxies, and forgets nothing that may have run."""
+"""A full ledger: it rejects, leaves a share to other proxies, and drops no id that may have been executed."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from tests.processor.helpers import READY
 
 
-def test_a_full_ledger_pushes_back_and_keeps_a_place_for_the_other_proxy():
+def test_a_full_ledger_rejects_and_leaves_a_share_to_the_other_proxy():
     bench = Bench(terms=ReservationTerms(100 * MS, 100 * MS, 60_000 * MS, 10, 20))
     peer = bench.peer()
     streams = [peer.ask(request=f"r{n}") for n in range(12)]
     assert [stream.immediate for stream in streams[10:]] == [503, 503]
     bench.turn(1.0)
-    held = [peer.ask(request=f"s{n}") for n in range(6)]
+    later = [peer.ask(request=f"s{n}") for n in range(6)]
     bench.partners[0] = type(bench.partner)("other", True, 3, False)
     others = [peer.ask(request=f"o{n}") for n in range(2)]
-    assert all(stream.endpoint for stream in held + others)
+    assert all(stream.endpoint for stream in later + others)
 
 
-def test_ids_that_may_have_run_are_never_forgotten_for_room():
+def test_ids_that_may_have_been_executed_are_never_dropped_for_new_ones():
     bench = Bench(terms=ReservationTerms(100 * MS, 100 * MS, 60_000 * MS, 100, 5), attempts=1)
     peer = bench.peer()
     for n in range(5):
--- a/tests/processor/test_deadlines.py
+++ b/tests/processor/test_deadlines.py
@@ -8,7 +8,7 @@
 from tests.processor.helpers import READY
 
 
-def test_what_is_given_up_is_answered_at_once_and_says_when_to_return():
+def test_a_rejected_request_is_answered_at_once_with_the_time_to_retry():
     bench = Bench(instances=0)
     peer = bench.peer()
     stream = peer.ask(x_wait="200")
@@ -19,7 +19,7 @@
     assert bench.empty()
 
 
-def test_a_ticket_of_which_nothing_is_said_may_have_run_and_tells_nothing_of_its_instance():
+def test_an_unreported_attempt_may_have_been_executed_and_is_no_evidence_of_its_instance():
     bench = Bench()
     peer = bench.peer()
     stream = peer.ask("/charge/1")
@@ -32,7 +32,7 @@
     assert stream.answers[-1].HasField("response_headers")
 
 
-def test_a_pick_kept_for_the_next_attempt_is_given_back_when_none_comes_in_time():
+def test_an_attempt_reserved_for_a_retry_is_released_when_none_comes_in_time():
     bench = Bench()
     peer = bench.peer()
     first = peer.ask()
@@ -49,13 +49,13 @@
     peer = bench.peer()
     first = peer.ask()
     peer.report(first, 500)
-    kept = next(iter(bench.front.ledger.by_id.values())).reserved().instance
-    bench.list([(entry(kept, state=face.DRAINING), ("10.0.0.1", 7000 + kept))], whole=False)
+    instance = next(iter(bench.front.ledger.by_id.values())).reserved().instance
+    bench.list([(entry(instance, state=face.DRAINING), ("10.0.0.1", 7000 + instance))], whole=False)
     second = peer.ask(attempt=2)
-    assert second.endpoint in READY - {f"10.0.0.1:{7000 + kept}"}
+    assert second.endpoint in READY - {f"10.0.0.1:{7000 + instance}"}
 
 
-def test_every_ticket_must_be_used_well_within_the_grace_for_drains():
+def test_every_reservation_must_be_used_well_within_the_grace_for_drains():
     bench = Bench()
     peer = bench.peer()
     for n in range(8):
@@ -75,20 +75,20 @@
     assert bench.empty() and bench.counts("answered", "look", "ok") == 8
 
 
-def test_the_cap_on_a_build_on_trial_holds_for_what_is_handed_out():
+def test_the_cap_on_a_build_on_trial_bounds_dispatched_attempts():
     bench = Bench(closed_stages=1)
-    peer, trial, taken = bench.peer(), 0, 0
+    peer, trial, requests = bench.peer(), 0, 0
     bench.list([*ADDRESSES, (entry(9, build=2), ("10.0.0.1", 7009))])
     bench.stage(2, 0, face.ON_TRIAL, 0.2)
     for n in range(300):
         path = ("/look/1", "/charge/1")[n % 2]
         stream = peer.ask(path, f"r{n}")
-        taken += 1
+        requests += 1
         if stream.endpoint == "10.0.0.1:7009":
             trial += 1
             assert path == "/look/1"
-        assert trial <= 2 + 0.2 * taken
+        assert trial <= 2 + 0.2 * requests
         peer.report(stream, 200)
         peer.done(stream)
         bench.turn(0.01)
-    assert trial > 0.1 * taken
+    assert trial > 0.1 * requests
--- a/tests/processor/test_identity.py
+++ b/tests/processor/test_identity.py
@@ -6,9 +6,9 @@
 from tests.processor.helpers import READY
 
 
-def test_an_unrouted_request_is_refused_or_passed_as_the_settings_say():
-    refused = Bench().peer().ask("/nowhere")
-    assert refused.immediate == 404
+def test_an_unrouted_request_is_rejected_or_passed_by_the_settings():
+    rejected = Bench().peer().ask("/nowhere")
+    assert rejected.immediate == 404
     bench = Bench(passes=True)
     peer = bench.peer()
     passed = peer.ask("/nowhere")
@@ -17,7 +17,7 @@
     assert len(passed.answers) == 2
 
 
-def test_a_request_with_an_effect_and_no_id_is_not_handed_out():
+def test_a_request_with_an_effect_and_no_id_is_not_dispatched():
     assert Bench().peer().ask("/charge/1", request="").immediate == 502
     assert Bench().peer().ask("/look/1", request="").endpoint in READY
 
--- a/tests/processor/test_messages.py
+++ b/tests/processor/test_messages.py
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize(
-    "said",
+    "messages",
     [
         [body()],
         [answered()],
@@ -21,11 +21,11 @@
         [wire.ProcessingRequest()],
     ],
 )
-def test_out_of_order_ends_that_stream_alone(said):
+def test_out_of_order_ends_that_stream_alone(messages):
     bench = Bench()
     peer = bench.peer()
     good, bad = peer.ask(request="good"), peer.open()
-    for message in said:
+    for message in messages:
         if bad.status is None:
             peer.say(bad, message)
     assert bad.status == str(http2.FAILED_PRECONDITION)
@@ -44,7 +44,7 @@
         (b"\x0a" * 70_000, http2.RESOURCE_EXHAUSTED),
     ],
 )
-def test_what_cannot_be_read_gets_a_status_and_no_pick(message, status):
+def test_an_unreadable_message_gets_a_status_and_no_attempt(message, status):
     bench = Bench()
     peer = bench.peer()
     stream = peer.open()
@@ -60,7 +60,7 @@
     assert stream.endpoint in READY
 
 
-def test_a_watched_stream_gets_no_answer_and_no_pick():
+def test_an_observed_stream_gets_no_answer_and_no_attempt():
     bench = Bench()
     peer = bench.peer()
     stream = peer.open()
--- a/tests/processor/test_resets.py
+++ b/tests/processor/test_resets.py
@@ -1,4 +1,4 @@
-"""A proxy that resets its stream at any point: what has an effect is handed out once."""
+"""A proxy that resets its stream at any point: a request with an effect is dispatched once."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 
 @pytest.mark.parametrize("fail_open", [False, True])
-def test_reset_before_the_ask_was_read(fail_open):
-    """Both lie in one read: nothing is handed out. A proxy that fails open may have sent it by itself."""
+def test_reset_before_the_request_was_read(fail_open):
+    """Both lie in one read: nothing is dispatched. A proxy that fails open may have sent it by itself."""
     bench = Bench(fail_open=fail_open)
     peer = bench.peer()
     stream = peer.ask("/charge/1", deliver=False)
@@ -24,7 +24,7 @@
 
 @pytest.mark.parametrize("fail_open", [False, True])
 def test_reset_after_the_decision_and_before_its_answer_left(fail_open, tmp_path):
-    """The turn that decides has run, what it hands over has not: the ticket is taken back."""
+    """The turn that decides has run, what it hands over has not: the reservation is released."""
     bench = Bench(fail_open=fail_open, store=store(tmp_path))
     peer = bench.peer()
     hooks, bench.loop.settled = bench.loop.settled, []
@@ -37,8 +37,8 @@
     bench.turn()
     peer.read()
     assert stream.endpoint is None and bench.empty()
-    kept = list(bench.front.store.load())
-    assert bool(kept) == fail_open
+    stored = list(bench.front.store.load())
+    assert bool(stored) == fail_open
     assert (peer.ask("/charge/1").endpoint is None) == fail_open
 
 
@@ -54,10 +54,10 @@
     assert bench.empty()
 
 
-def test_whatever_the_proxy_does_a_request_with_an_effect_is_handed_out_once():
+def test_whatever_the_proxy_does_a_request_with_an_effect_is_dispatched_once():
     """Seeded: attempts, counts that jump and lie, resets at any point, two connections, failures, time."""
     for seed in range(30):
-        chance, bench, handed = seeded(seed), Bench(fail_open=seed % 2 == 0), {}
+        chance, bench, dispatched = seeded(seed), Bench(fail_open=seed % 2 == 0), {}
         peers = [bench.peer(), bench.peer()]
         live = []
         for step in range(60):
@@ -76,8 +76,8 @@
                     peer.report(stream, chance.choice((200, 500, 503, 504)))
             for request, _, stream in live:
                 if stream.endpoint:
-                    handed.setdefault(request, set()).add((id(_), stream.number))
-            assert all(len(streams) == 1 for streams in handed.values()), (seed, step, handed)
+                    dispatched.setdefault(request, set()).add((id(_), stream.number))
+            assert all(len(streams) == 1 for streams in dispatched.values()), (seed, step, dispatched)
         for peer in peers:
             peer.close()
         bench.turn(3.0)
--- a/tests/processor/test_response_classification.py
+++ b/tests/processor/test_response_classification.py
@@ -25,12 +25,12 @@
     ("status", "outcome"),
     [("200", OK), ("301", OK), ("404", OK), ("499", OK), ("500", ERROR), ("503", ERROR), ("599", ERROR)],
 )
-def test_a_status_alone_says_whether_the_instance_failed(status, outcome):
+def test_a_status_alone_shows_whether_the_instance_failed(status, outcome):
     assert CLASSIFIER.classify_headers(headers(status), {}, ended=True) == outcome
 
 
 @pytest.mark.parametrize("status", ["", "100", "199", "20", "2000", "2x0", "٢٠٠"])
-def test_an_interim_or_unreadable_status_tells_nothing(status):
+def test_an_interim_or_unreadable_status_gives_no_outcome(status):
     assert CLASSIFIER.classify_headers(headers(status), {}, ended=True) is None
 
 
@@ -59,7 +59,7 @@
     assert CLASSIFIER.classify_headers(headers("200"), attributes, ended=True) == OK
 
 
-def test_a_grpc_response_is_told_by_its_status_in_headers_or_trailers():
+def test_a_grpc_response_is_classified_by_its_status_in_headers_or_trailers():
     assert CLASSIFIER.classify_headers(headers("200") | GRPC, {}, ended=False) == PENDING_TRAILERS
     assert CLASSIFIER.classify_headers(headers("200") | GRPC, {}, ended=True) == ERROR
     assert CLASSIFIER.classify_headers(headers("200", grpc_status="14") | GRPC, {}, ended=True) == ERROR
--- a/tests/processor/test_restarts.py
+++ b/tests/processor/test_restarts.py
@@ -7,7 +7,7 @@
 from tests.processor.helpers import READY, store
 
 
-def test_what_an_earlier_life_handed_out_is_refused_after_a_kill(tmp_path):
+def test_a_request_dispatched_by_an_earlier_process_is_rejected_after_a_kill(tmp_path):
     first = Bench(store=store(tmp_path))
     given = first.peer().ask("/charge/1", "r1")
     assert given.endpoint in READY  # No close, no end: the process is gone.
@@ -19,7 +19,7 @@
     assert peer.ask("/look/1", "r1").endpoint in READY
 
 
-def test_without_a_store_a_repeat_is_refused_by_its_count_and_the_log_says_so():
+def test_without_a_store_a_repeat_is_rejected_by_its_count_and_logged():
     bench = Bench()
     assert "store.none" in bench.events()
     assert bench.peer().ask("/charge/1", attempt=2).immediate == 502
@@ -35,7 +35,7 @@
     assert peer.ask("/charge/2", "r2").endpoint in READY
 
 
-def test_a_planned_stop_says_goodbye_and_lets_streams_end():
+def test_a_planned_stop_sends_goaway_and_lets_streams_end():
     bench = Bench()
     peer, ended = bench.peer(), []
     stream = peer.ask()
@@ -54,11 +54,11 @@
     assert stream.status == "0" and ended and bench.empty()
 
 
-def test_a_stream_that_opens_after_goodbye_hears_unavailable():
+def test_a_stream_that_opens_after_goaway_gets_unavailable():
     bench = Bench()
     peer = bench.peer()
-    kept = peer.ask()
+    open_stream = peer.ask()
     bench.server.leave(3.0, lambda: None)
     bench.turn(0.05)
     late = peer.ask(request="late")
-    assert late.status == str(http2.UNAVAILABLE) and kept.status is None
+    assert late.status == str(http2.UNAVAILABLE) and open_stream.status is None
--- a/tests/processor/test_stream_phases.py
+++ b/tests/processor/test_stream_phases.py
@@ -86,14 +86,14 @@
         phases.on_message(kind)
 
 
-def test_only_a_due_decision_is_taken():
+def test_a_decision_is_accepted_only_while_one_is_due():
     with pytest.raises(OutOfOrderError, match="nothing was to be decided: the stream is opened"):
         StreamPhases().on_dispatched()
     with pytest.raises(OutOfOrderError, match="nothing was to be decided: the stream is handed"):
         dispatched().on_rejected()
 
 
-def test_the_texts_that_proxies_get_keep_the_names_of_earlier_versions():
+def test_the_texts_that_proxies_get_have_the_names_of_earlier_versions():
     assert [state.value for state in StreamState] == [
         "opened",
         "asked",
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -70,17 +70,17 @@
 
 def test_a_write_torn_at_any_byte_leaves_what_was_persisted_before(tmp_path):
     """The log of writes is cut at every length it may have had: what was there before the cut is there."""
-    whole = tmp_path / "whole.db"
-    store = opened(whole)
+    complete = tmp_path / "complete.db"
+    store = opened(complete)
     store.persist([(request_digest("first"), NOW + 50)])
-    before = os.path.getsize(f"{whole}-wal")
+    before = os.path.getsize(f"{complete}-wal")
     store.persist([(request_digest("second"), NOW + 50)])
-    log = Path(f"{whole}-wal").read_bytes()
+    log = Path(f"{complete}-wal").read_bytes()
     assert len(log) > before
-    for cut in range(before, len(log), 97):
+    for length in range(before, len(log), 97):
         torn = tmp_path / "torn.db"
-        shutil.copy(whole, torn)
-        Path(f"{torn}-wal").write_bytes(log[:cut])
+        shutil.copy(complete, torn)
+        Path(f"{torn}-wal").write_bytes(log[:length])
         logged = LoggedEvents()
         found = opened(torn, logged)
         names = {one for one, _ in found.load()}
@@ -148,6 +148,6 @@
 
 
 @pytest.mark.parametrize("durability", ["process", "power"])
-def test_both_durabilities_keep(tmp_path, durability):
+def test_both_durabilities_persist(tmp_path, durability):
     store = ReservationStore(str(tmp_path / "a.db"), durability, LoggedEvents(), lambda: NOW)
     assert store.open() and store.persist([(request_digest("one"), NOW + 1)])
