--- a/linenbridge/cli/commands.py
+++ b/linenbridge/cli/commands.py
@@ -17,7 +17,7 @@
 from rich.table import Table as Grid
 
 from linenbridge.configuration.read import Configuration, ConfigurationError, read, schema_text
-from linenbridge.processor.responses import AnswerForm
+from linenbridge.processor.responses import ResponseFormat
 from linenbridge.processor.configuration import processor_settings, routes
 from linenbridge.routes.table import Request
 
@@ -274,18 +274,18 @@
         return rows
     rows |= {
         "listen": f"{told.host}:{told.port}",
-        "unrouted": "pass" if told.passes_unrouted else "refuse",
+        "unrouted": "pass" if told.pass_unrouted else "refuse",
     }
     rows["tls"] = None if told.tls is None else told.tls.certificate
     rows["bounds.connections"] = told.connections
     rows |= {f"bounds.{name}": getattr(told.limits, attribute) for name, attribute in SHOWN_LIMITS.items()}
     rows |= {f"tickets.{name}": getattr(told.terms, attribute) for name, attribute in SHOWN_TERMS.items()}
     rows["store"] = None if told.store is None else " ".join(told.store)
-    rows |= {f"answer.{name}": getattr(told.form, name) for name in AnswerForm.__slots__}
-    for known in told.partners:
-        partner, by = known.partner, known.identity or str(known.network)
-        said = f"{by}, {partner.attempts} attempts, fail {'open' if partner.fail_open else 'closed'}"
-        rows[f"partner.{partner.name}"] = said + (", ours" if partner.ours else "")
+    rows |= {f"answer.{name}": getattr(told.response_format, name) for name in ResponseFormat.__slots__}
+    for known in told.peers:
+        peer, by = known.peer, known.identity or str(known.network)
+        said = f"{by}, {peer.attempts} attempts, fail {'open' if peer.fail_open else 'closed'}"
+        rows[f"partner.{peer.name}"] = said + (", ours" if peer.is_own else "")
     return rows
 
 
--- a/linenbridge/faults/fake_grpc.py
+++ b/linenbridge/faults/fake_grpc.py
@@ -17,11 +17,11 @@
 
     async def process(messages, context):  # noqa: ANN001, ANN202
         async for data in messages:
-            heard = codec.read(data)
+            heard = codec.decode(data)
             if heard.kind == MessageKind.REQUEST_HEADERS:
-                yield codec.hand_out(headers, ("envoy.lb", headers), False)
+                yield codec.dispatch_response(headers, ("envoy.lb", headers), False)
             else:
-                yield codec.go_on(heard.kind or MessageKind.RESPONSE_HEADERS)
+                yield codec.continue_response(heard.kind or MessageKind.RESPONSE_HEADERS)
 
     server = grpc.aio.server()
     handler = grpc.stream_stream_rpc_method_handler(process)
--- a/linenbridge/faults/fake_processor.py
+++ b/linenbridge/faults/fake_processor.py
@@ -27,18 +27,18 @@
     def __init__(self, call: http2.Call, endpoint: str) -> None:
         self.call, self.endpoint = call, endpoint
 
-    def message(self, data: memoryview) -> None:
-        heard = codec.read(data)
+    def on_message(self, data: memoryview) -> None:
+        heard = codec.decode(data)
         if heard.kind == MessageKind.REQUEST_HEADERS:
             headers = {"x-gateway-destination-endpoint": self.endpoint}
-            self.call.send(codec.hand_out(headers, ("envoy.lb", headers), False))
+            self.call.send(codec.dispatch_response(headers, ("envoy.lb", headers), False))
         else:
-            self.call.send(codec.go_on(heard.kind or MessageKind.RESPONSE_HEADERS))
+            self.call.send(codec.continue_response(heard.kind or MessageKind.RESPONSE_HEADERS))
 
-    def half_closed(self) -> None:
+    def on_half_closed(self) -> None:
         self.call.finish(http2.OK)
 
-    def gone(self) -> None: ...
+    def on_closed(self) -> None: ...
 
 
 def main(port: int, endpoint: str) -> None:
--- a/linenbridge/processor/codec.py
+++ b/linenbridge/processor/codec.py
@@ -14,9 +14,9 @@
 from linenbridge.processor import wire_pb2 as wire
 from linenbridge.processor.stream_phases import MessageKind
 
-HEADERS_MOST = 256  # headers of one message
-KIND_HEADERS = {MessageKind.REQUEST_HEADERS, MessageKind.RESPONSE_HEADERS}
-Overwrite = wire.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
+MAX_HEADERS = 256  # headers of one message
+HEADER_KINDS = {MessageKind.REQUEST_HEADERS, MessageKind.RESPONSE_HEADERS}
+OVERWRITE = wire.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
 
 
 class MalformedError(ValueError):
@@ -24,17 +24,17 @@
 
 
 @dataclass(slots=True)
-class Heard:
+class ProxyMessage:
     """One message of a proxy in plain words."""
 
     kind: MessageKind
     headers: dict[str, str] = field(default_factory=dict)
     attributes: dict[str, str] = field(default_factory=dict)
     ended: bool = False
-    watched: bool = False
+    observed: bool = False
 
 
-def read(data: bytes | memoryview) -> Heard:
+def decode(data: bytes | memoryview) -> ProxyMessage:
     """One ProcessingRequest."""
     message = wire.ProcessingRequest()
     try:
@@ -43,25 +43,25 @@
         raise MalformedError("the message is no ProcessingRequest") from None
     name = message.WhichOneof("request")
     kind = MessageKind(name or "")
-    heard = Heard(kind, watched=message.observability_mode)
+    decoded = ProxyMessage(kind, observed=message.observability_mode)
     if kind == MessageKind.UNKNOWN:
-        return heard
+        return decoded
     part = getattr(message, kind)
-    if kind in KIND_HEADERS:
-        heard.headers, heard.ended = _headers(part.headers), part.end_of_stream
+    if kind in HEADER_KINDS:
+        decoded.headers, decoded.ended = _headers(part.headers), part.end_of_stream
     elif kind in (MessageKind.REQUEST_TRAILERS, MessageKind.RESPONSE_TRAILERS):
-        heard.headers, heard.ended = _headers(part.trailers), True
+        decoded.headers, decoded.ended = _headers(part.trailers), True
     else:
-        heard.ended = part.end_of_stream
+        decoded.ended = part.end_of_stream
     if message.attributes:
-        heard.attributes = _attributes(message.attributes)
-    return heard
+        decoded.attributes = _attributes(message.attributes)
+    return decoded
 
 
 def _headers(found: wire.HeaderMap) -> dict[str, str]:
     """Several of one name are joined by a comma, as HTTP reads them; of pseudo headers there is one."""
-    if len(found.headers) > HEADERS_MOST:
-        raise MalformedError(f"more than {HEADERS_MOST} headers")
+    if len(found.headers) > MAX_HEADERS:
+        raise MalformedError(f"more than {MAX_HEADERS} headers")
     named: dict[str, str] = {}
     for header in found.headers:
         name = header.key.lower()
@@ -93,20 +93,22 @@
 # ---- answers -------------------------------------------------------------------------------------------
 
 
-def _mutation(mutation: wire.HeaderMutation, headers: dict[str, str]) -> None:
+def _set_headers(mutation: wire.HeaderMutation, headers: dict[str, str]) -> None:
     for name, value in headers.items():
         option = mutation.set_headers.add()
         option.header.key = name
         option.header.raw_value = value.encode("latin-1", "replace")
-        option.append_action = Overwrite
+        option.append_action = OVERWRITE
 
 
-def hand_out(headers: dict[str, str], metadata: tuple[str, dict[str, str]] | None, trailers: bool) -> bytes:
+def dispatch_response(
+    headers: dict[str, str], metadata: tuple[str, dict[str, str]] | None, trailers: bool
+) -> bytes:
     """The answer to request headers that go on; `metadata` is a namespace with its values. The proxy is asked
     to show the response's headers, and its trailers where only they tell how it went."""
     answer = wire.ProcessingResponse()
     common = answer.request_headers.response
-    _mutation(common.header_mutation, headers)
+    _set_headers(common.header_mutation, headers)
     common.clear_route_cache = True
     if metadata is not None:
         answer.dynamic_metadata[metadata[0]] = metadata[1]
@@ -117,28 +119,28 @@
     return answer.SerializeToString()
 
 
-def go_on(kind: MessageKind, headers: dict[str, str] | None = None) -> bytes:
+def continue_response(kind: MessageKind, headers: dict[str, str] | None = None) -> bytes:
     """The answer to any other message: it passes, with these headers set where it is headers."""
     answer = wire.ProcessingResponse()
     if kind in (MessageKind.REQUEST_TRAILERS, MessageKind.RESPONSE_TRAILERS):
         part = getattr(answer, kind)
         part.SetInParent()
         if headers:
-            _mutation(part.header_mutation, headers)
+            _set_headers(part.header_mutation, headers)
     else:
         part = getattr(answer, kind)
         part.response.SetInParent()
         if headers:
-            _mutation(part.response.header_mutation, headers)
+            _set_headers(part.response.header_mutation, headers)
     return answer.SerializeToString()
 
 
-def immediate(code: int, headers: dict[str, str], details: str, grpc: int | None) -> bytes:
+def immediate_response(code: int, headers: dict[str, str], details: str, grpc: int | None) -> bytes:
     """A final answer from here; `grpc` is the status for callers that speak gRPC."""
     answer = wire.ProcessingResponse()
     part = answer.immediate_response
     part.status.code = code
-    _mutation(part.headers, headers)
+    _set_headers(part.headers, headers)
     part.details = details
     if grpc is None:
         part.body = f"{details}\n".encode()
--- a/linenbridge/processor/configuration.py
+++ b/linenbridge/processor/configuration.py
@@ -17,8 +17,8 @@
 from linenbridge.configuration.read import (
     FILE_MOST, SPACE, Configuration, ConfigurationError, duration, said, size,
 )  # fmt: skip
-from linenbridge.processor.responses import AnswerForm
-from linenbridge.processor.stream_session import Partner
+from linenbridge.processor.responses import ResponseFormat
+from linenbridge.processor.stream_session import ProxyPeer
 from linenbridge.processor.tls import KeyFiles
 from linenbridge.processor.connection_limits import ConnectionLimits
 from linenbridge.processor.reservations import ReservationTerms
@@ -36,25 +36,25 @@
 
     host: str
     port: int
-    passes_unrouted: bool
+    pass_unrouted: bool
     tls: KeyFiles | None
     limits: ConnectionLimits
     connections: int
     terms: ReservationTerms
     store: tuple[str, str] | None
-    form: AnswerForm
+    response_format: ResponseFormat
     non_execution_rules: tuple[NonExecutionRule, ...]
-    partners: tuple[Known, ...]
+    peers: tuple[PeerIdentity, ...]
     routes: str
     routes_file: str
     routes_line: int
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class PeerIdentity:
     """How a partner is known: by a name in its certificate, or by where it connects from."""
 
-    partner: Partner
+    peer: ProxyPeer
     identity: str
     network: ipaddress.IPv4Network | ipaddress.IPv6Network | None
 
@@ -71,8 +71,8 @@
     if use_within > USE_WITHIN_MOST:
         most = USE_WITHIN_MOST // 1000
         raise configuration.refused(element.find(f"{SPACE}tickets"), f"use-within is {most}ms at most")
-    partners = tuple(_partner(configuration, found) for found in element.iter(f"{SPACE}partner"))
-    names = [known.partner.name for known in partners]
+    peers = tuple(_peer(configuration, found) for found in element.iter(f"{SPACE}partner"))
+    names = [known.peer.name for known in peers]
     for found in element.iter(f"{SPACE}partner"):
         if names.count(found.get("name")) > 1:
             raise configuration.refused(found, f"two are named {found.get('name')}")
@@ -97,7 +97,7 @@
     return ProcessorSettings(
         host=host,
         port=port,
-        passes_unrouted=element.get("unrouted") == "pass",
+        pass_unrouted=element.get("unrouted") == "pass",
         tls=None if tls is None else KeyFiles(*(configuration.beside(tls.get(n, "")) for n in TLS_FILES)),
         limits=ConnectionLimits(
             int(bounds["streams"]), size(bounds["message"]), size(bounds["headers"]), size(bounds["backlog"]),
@@ -108,19 +108,19 @@
             use_within, use_within, duration(terms["remember"]), int(terms["open"]), int(terms["ids"])
         ),
         store=kept,
-        form=_form(element.find(f"{SPACE}answer")),
+        response_format=_response_format(element.find(f"{SPACE}answer")),
         non_execution_rules=tuple(
             NonExecutionRule(int(found.get("status")), found.get("header"), found.get("value"))
             for found in element.iter(f"{SPACE}proof")
         ),
-        partners=partners,
+        peers=peers,
         routes=text,
         routes_file=file,
         routes_line=line,
     )  # fmt: skip
 
 
-def _form(element: etree._Element | None) -> AnswerForm:
+def _response_format(element: etree._Element | None) -> ResponseFormat:
     said = {
         name.replace("-", "_"): value
         for name, value in (element.attrib if element is not None else {}).items()
@@ -128,10 +128,10 @@
     codes = {
         name: int(value) for name, value in said.items() if name in ("pushed_back", "aborted", "timed_out")
     }
-    return replace(AnswerForm(), **{**said, **codes})
+    return replace(ResponseFormat(), **{**said, **codes})
 
 
-def _partner(configuration: Configuration, element: etree._Element) -> Known:
+def _peer(configuration: Configuration, element: etree._Element) -> PeerIdentity:
     refuse = partial(configuration.refused, element)
     identity, address, network = element.get("identity", ""), element.get("address", ""), None
     if bool(identity) == bool(address):
@@ -146,13 +146,13 @@
         raise refuse(
             "one of ours is known by its certificate, or comes from this machine: addresses can be taken"
         )
-    partner = Partner(
+    peer = ProxyPeer(
         element.get("name"),
         ours,
         int(element.get("attempts", "1")),
         element.get("fail-open") not in ("false", "0"),
     )
-    return Known(partner, identity, network)
+    return PeerIdentity(peer, identity, network)
 
 
 def routes(settings: ProcessorSettings, methods: list[Method], longest: int) -> Table:
@@ -173,14 +173,14 @@
 class Directory:
     """Who a connection is: the first partner whose identity or network fits."""
 
-    def __init__(self, partners: tuple[Known, ...]) -> None:
-        self.partners = partners
+    def __init__(self, peers: tuple[PeerIdentity, ...]) -> None:
+        self.peers = peers
 
-    def find(self, address: str, names: tuple[str, ...]) -> Partner | None:
-        for known in self.partners:
+    def find(self, address: str, names: tuple[str, ...]) -> ProxyPeer | None:
+        for known in self.peers:
             if known.identity:
                 if known.identity in names:
-                    return known.partner
+                    return known.peer
             elif known.network is not None and ipaddress.ip_address(address) in known.network:
-                return known.partner
+                return known.peer
         return None
--- a/linenbridge/processor/external_processor.py
+++ b/linenbridge/processor/external_processor.py
@@ -1,6 +1,6 @@
 """The external processor's front: streams of proxies become RPCs, decisions become answers on them.
 
-Owns each conversation with a proxy, what waits for the turn's end, and the ledger's one timer. It carries the
+Owns each session with a proxy, what waits for the turn's end, and the ledger's one timer. It carries the
 picks of its RPCs by handing them out: it opens no connection to an instance. It must never choose, nor hand
 out what the ledger does not admit, nor let a reservation leave before the store has its id.
 """
@@ -15,9 +15,9 @@
 from linenbridge.net.upstream import load_report
 from linenbridge.net.decision_loop import Loop, Taken
 from linenbridge.processor import codec, http2
-from linenbridge.processor.responses import AnswerForm, seconds
+from linenbridge.processor.responses import ResponseFormat, retry_after_seconds
 from linenbridge.processor.stream_phases import MessageKind
-from linenbridge.processor.stream_session import Conversation
+from linenbridge.processor.stream_session import StreamSession
 from linenbridge.processor.evidence import Evidence
 from linenbridge.processor.store import ReservationStore, request_digest
 from linenbridge.processor.reservations import (
@@ -30,12 +30,12 @@
 from linenbridge.processor.response_classification import PENDING_TRAILERS, ResponseClassifier
 from linenbridge.routes.table import Request, Routing
 
-ATTEMPT_DIGITS = 4
-LATE = 20_000  # microseconds before the deadline from which an abort is said to be one for time
+MAX_ATTEMPT_DIGITS = 4
+LATE_MARGIN = 20_000  # microseconds before the deadline from which an abort is said to be one for time
 
 
-class Front:
-    """All conversations of one gateway; what the loop calls when the module has decided."""
+class ExternalProcessor:
+    """All sessions of one gateway; what the loop calls when the module has decided."""
 
     def __init__(
         self,
@@ -45,25 +45,25 @@
         ledger: ReservationLedger,
         evidence: Evidence,
         classifier: ResponseClassifier,
-        form: AnswerForm,
+        response_format: ResponseFormat,
         store: ReservationStore | None,
-        passes_unrouted: bool,
+        pass_unrouted: bool,
         unix: Callable[[], float],
     ) -> None:
         self.loop, self.reactor, self.log = loop, reactor, loop.log
         self.table, self.ledger, self.evidence, self.classifier = table, ledger, evidence, classifier
-        self.form, self.store, self.unix = form, store, unix
-        self.passes_unrouted = passes_unrouted
+        self.format, self.store, self.unix = response_format, store, unix
+        self.pass_unrouted = pass_unrouted
         self.addresses: dict[face.Id, tuple[str, int]] = {}
         self.builds: dict[face.Id, int] = {}
-        self.deciding: dict[str, Conversation] = {}  # by RPC: who waits for its first answer
-        self.telling: dict[str, Conversation] = {}  # by RPC: who waits to hear what a failure means
+        self.awaiting_decision: dict[str, StreamSession] = {}  # by RPC: who waits for its first answer
+        self.awaiting_retry: dict[str, StreamSession] = {}  # by RPC: who waits to hear what a failure means
         self.taken: dict[str, Taken] = {}
-        self.giving: list[tuple[Conversation, RpcEntry, AttemptReservation]] = []
-        self.forgetting: list[str] = []
+        self.dispatching: list[tuple[StreamSession, RpcEntry, AttemptReservation]] = []
+        self.forgettable: list[str] = []
         self.timer: Any = None
         self.timer_at = 0
-        loop.settled.append(self.turned)
+        loop.settled.append(self.on_turn_end)
 
     def start(self) -> None:
         """What earlier lives handed out is known again before anyone can ask."""
@@ -77,14 +77,14 @@
 
     # ---- the list --------------------------------------------------------------------------------
 
-    def listed(self, listed: Iterable[tuple[face.ListEntry, tuple[str, int]]], whole: bool) -> None:
+    def listed(self, endpoints: Iterable[tuple[face.ListEntry, tuple[str, int]]], is_snapshot: bool) -> None:
         """Addresses as discovery has them; an instance that leaves the list is not handed out any more."""
-        listed = list(listed)
-        if whole:
-            named = {entry.instance for entry, _ in listed}
+        endpoints = list(endpoints)
+        if is_snapshot:
+            named = {entry.instance for entry, _ in endpoints}
             for instance in [instance for instance in self.addresses if instance not in named]:
                 self._forget_instance(instance)
-        for entry, address in listed:
+        for entry, address in endpoints:
             if entry.state == face.READY:
                 self.addresses[entry.instance], self.builds[entry.instance] = address, entry.build
             else:
@@ -96,14 +96,14 @@
 
     # ---- what proxies say ------------------------------------------------------------------------
 
-    def asked(self, conversation: Conversation, heard: codec.Heard) -> None:
+    def on_request_headers(self, session: StreamSession, message: codec.ProxyMessage) -> None:
         """Request headers: an RPC, a further attempt of one, or what must not go out."""
-        partner, headers = conversation.partner, heard.headers
-        conversation.grpc = headers.get("content-type", "").startswith("application/grpc")
-        count = headers.get(self.form.attempt, "1")
-        if not (count.isascii() and count.isdigit() and len(count) <= ATTEMPT_DIGITS):
+        peer, headers = session.peer, message.headers
+        session.grpc = headers.get("content-type", "").startswith("application/grpc")
+        count = headers.get(self.format.attempt, "1")
+        if not (count.isascii() and count.isdigit() and len(count) <= MAX_ATTEMPT_DIGITS):
             self.log.count("unfit", "attempt")
-            conversation.fail(http2.INVALID_ARGUMENT, f"{self.form.attempt} is no number")
+            session.fail(http2.INVALID_ARGUMENT, f"{self.format.attempt} is no number")
             return
         request = Request(
             headers.get(":authority", headers.get("host", "")),
@@ -111,161 +111,161 @@
             headers.get(":method", "GET"),
             headers.get(":scheme", "http"),
             headers,
-            heard.attributes,
+            message.attributes,
         )
         asked = self.table.find(request)
         if asked is None:
-            self.log.count("unrouted", partner.name)
-            if self.passes_unrouted:
-                conversation.handed(codec.go_on(MessageKind.REQUEST_HEADERS))
+            self.log.count("unrouted", peer.name)
+            if self.pass_unrouted:
+                session.dispatch(codec.continue_response(MessageKind.REQUEST_HEADERS))
                 return
-            conversation.refused(
-                self.form.final(conversation.grpc, self.form.unrouted, {}, "no route takes this request")
+            session.reject(
+                self.format.final_response(
+                    session.grpc, self.format.unrouted, {}, "no route takes this request"
+                )
             )
             return
-        name = headers.get(self.form.request_id, "")
+        name = headers.get(self.format.request_id, "")
         method = self.table.methods[asked.method]
         admission, entry = self.ledger.admit(
-            self.loop.now(), partner.name, request_digest(name) if name else "", int(count), method.effect
+            self.loop.now(), peer.name, request_digest(name) if name else "", int(count), method.effect
         )
         self.log.count("admitted", admission)
         if admission == Admission.ACCEPTED and entry is not None:
-            self._take(conversation, entry, asked)
+            self._accept(session, entry, asked)
         elif admission == Admission.RETRY and entry is not None:
-            self._again(conversation, entry)
+            self._retry(session, entry)
         elif admission == Admission.CAPACITY_EXHAUSTED:
             wait, text = self.ledger.terms.retry_within, "too many requests are open"
-            conversation.refused(self.form.pushed_back_by(conversation.grpc, wait, text))
+            session.reject(self.format.rejection(session.grpc, wait, text))
         else:
-            self.log.rarely("refused", admission, proxy=partner.name, request=name[:64], attempt=int(count))
+            self.log.rarely("refused", admission, proxy=peer.name, request=name[:64], attempt=int(count))
             text = (
                 "the request has no id" if admission == Admission.NO_ID else "an earlier attempt may have run"
             )
-            conversation.refused(self.form.final(conversation.grpc, self.form.aborted, {}, text))
+            session.reject(self.format.final_response(session.grpc, self.format.aborted, {}, text))
 
-    def _take(self, conversation: Conversation, entry: RpcEntry, asked: Any) -> None:
-        conversation.entry = entry
+    def _accept(self, session: StreamSession, entry: RpcEntry, asked: Any) -> None:
+        session.entry = entry
         taken = self.taken[entry.id] = Taken(
             entry.id, asked.method, self, entry, partial(self.answered, entry)
         )
-        self.deciding[entry.id] = conversation
+        self.awaiting_decision[entry.id] = session
         self.loop.take(taken, asked.deadline, asked.cost, asked.tenant, asked.key or "")
 
-    def _again(self, conversation: Conversation, entry: RpcEntry) -> None:
+    def _retry(self, session: StreamSession, entry: RpcEntry) -> None:
         """A further attempt. What is still out of the one before may have run; a pick already decided on goes
         out if it may still be used, else the module decides anew."""
         now = self.loop.now()
-        conversation.entry = entry
-        self.deciding[entry.id] = conversation
+        session.entry = entry
+        self.awaiting_decision[entry.id] = session
         if (reservation := entry.in_flight()) is not None:
-            self._ended(entry, reservation, face.CANCELLED)
+            self._on_attempt_ended(entry, reservation, face.CANCELLED)
         elif (reservation := entry.reserved()) is not None:
             if now < reservation.use_by and reservation.instance in self.addresses:
-                del self.deciding[entry.id]
+                del self.awaiting_decision[entry.id]
                 self.ledger.dispatch(entry, reservation)
-                self.giving.append((conversation, entry, reservation))
+                self.dispatching.append((session, entry, reservation))
                 self.loop.gather(lambda _: None)  # So that a turn comes, and its end.
             else:
-                self._ended(entry, reservation, face.UNSENT)
+                self._on_attempt_ended(entry, reservation, face.UNSENT)
 
-    def reported(self, conversation: Conversation, heard: codec.Heard) -> None:
+    def on_response(self, session: StreamSession, message: codec.ProxyMessage) -> None:
         """The response's headers, or its trailers where these tell how it went."""
-        entry, reservation, kind = conversation.entry, conversation.reservation, heard.kind
+        entry, reservation, kind = session.entry, session.reservation, message.kind
         if kind == MessageKind.RESPONSE_TRAILERS:
             if (
-                not conversation.later
+                not session.awaits_trailers
                 or entry is None
                 or reservation is None
                 or reservation.outcome is not None
             ):
-                conversation.call.send(codec.go_on(kind))
+                session.call.send(codec.continue_response(kind))
                 return
-            outcome: str | None = self.classifier.classify_trailers(heard.headers, heard.attributes)
+            outcome: str | None = self.classifier.classify_trailers(message.headers, message.attributes)
         elif entry is None or reservation is None or reservation.outcome is not None:
-            conversation.call.send(codec.go_on(kind))  # Its RPC went on, or ended, without it.
+            session.call.send(codec.continue_response(kind))  # Its RPC went on, or ended, without it.
             return
         else:
-            outcome = self.classifier.classify_headers(heard.headers, heard.attributes, heard.ended)
+            outcome = self.classifier.classify_headers(message.headers, message.attributes, message.ended)
         if outcome is None or outcome == PENDING_TRAILERS:
-            conversation.later = outcome == PENDING_TRAILERS
-            conversation.call.send(codec.go_on(kind))
+            session.awaits_trailers = outcome == PENDING_TRAILERS
+            session.call.send(codec.continue_response(kind))
             return
-        conversation.later = False
-        self._report(conversation, entry, reservation, outcome, heard)
+        session.awaits_trailers = False
+        self._report(session, entry, reservation, outcome, message)
 
     def _report(
         self,
-        conversation: Conversation,
+        session: StreamSession,
         entry: RpcEntry,
         reservation: AttemptReservation,
         outcome: str,
-        heard: codec.Heard,
+        message: codec.ProxyMessage,
     ) -> None:
         """One that failed may be tried again by its proxy: then the module says first what it means."""
-        partner, kind, now = conversation.partner, heard.kind, self.loop.now()
-        told = self.evidence.on_report(
-            now, partner.name, reservation.build, self._method(entry), entry.effect, outcome
+        peer, kind, now = session.peer, message.kind, self.loop.now()
+        module_outcome = self.evidence.on_report(
+            now, peer.name, reservation.build, self._method(entry), entry.effect, outcome
         )
-        again = (
-            outcome != face.OK and kind == MessageKind.RESPONSE_HEADERS and entry.attempt < partner.attempts
-        )
-        load = load_report(heard.headers.get(self.form.load, "").encode("latin-1", "replace") or None)
+        again = outcome != face.OK and kind == MessageKind.RESPONSE_HEADERS and entry.attempt < peer.attempts
+        load = load_report(message.headers.get(self.format.load, "").encode("latin-1", "replace") or None)
         self.log.count("reported", outcome)
         if self.log.detail is not None:
             self.log.detail(
                 "reported",
                 request=entry.request[:16],
                 ticket=reservation.number,
-                proxy=partner.name,
+                proxy=peer.name,
                 outcome=outcome,
-                told=told,
+                module_outcome=module_outcome,
             )
         if again:
-            self.telling[entry.id] = conversation
-            self._ended(entry, reservation, told, load)
+            self.awaiting_retry[entry.id] = session
+            self._on_attempt_ended(entry, reservation, module_outcome, load)
             self.ledger.await_retry(now, entry)
             return
         # The proxy passes the upstream's answer on: that is the RPC's final answer.
         self.loop.settle(self.taken[entry.id], outcome)
-        self._ended(entry, reservation, told, load)
-        self._over(now, entry, answered=told not in face.NEVER_RAN)
-        conversation.entry = conversation.reservation = None
-        conversation.call.send(codec.go_on(kind))
+        self._on_attempt_ended(entry, reservation, module_outcome, load)
+        self._finish(now, entry, answered=module_outcome not in face.NEVER_RAN)
+        session.entry = session.reservation = None
+        session.call.send(codec.continue_response(kind))
 
-    def left(self, conversation: Conversation) -> None:
-        """The one place where a conversation is given back. A reservation without a report stays in flight: a
+    def on_stream_ended(self, session: StreamSession) -> None:
+        """The one place where a session is given back. A reservation without a report stays in flight: a
         further attempt may come, or its time is over."""
-        entry, conversation.entry = conversation.entry, None
-        reservation, conversation.reservation = conversation.reservation, None
+        entry, session.entry = session.entry, None
+        reservation, session.reservation = session.reservation, None
         if entry is None or entry.ended:
             return
         now = self.loop.now()
-        if self.telling.get(entry.id) is conversation:
-            del self.telling[entry.id]
+        if self.awaiting_retry.get(entry.id) is session:
+            del self.awaiting_retry[entry.id]
             return
-        if self.deciding.get(entry.id) is conversation:
-            del self.deciding[entry.id]
-            self._not_given(conversation, entry)
+        if self.awaiting_decision.get(entry.id) is session:
+            del self.awaiting_decision[entry.id]
+            self._on_not_dispatched(session, entry)
         elif reservation is not None and entry.in_flight() is reservation:
-            if entry.attempt < conversation.partner.attempts:
+            if entry.attempt < session.peer.attempts:
                 self.ledger.await_retry(now, entry)
-                self._arm()
+                self._set_timer()
             else:
-                self._unreported(entry, reservation, conversation.partner.name)
+                self._on_unreported(entry, reservation, session.peer.name)
 
-    def _not_given(self, conversation: Conversation, entry: RpcEntry) -> None:
+    def _on_not_dispatched(self, session: StreamSession, entry: RpcEntry) -> None:
         """The stream ended before its answer left. A proxy that fails open may have sent the request all the
         same: then it is known as one that may have run."""
-        self._give_up(entry)
-        if entry.effect != face.IDEMPOTENT and conversation.partner.fail_open:
+        self._abandon(entry)
+        if entry.effect != face.IDEMPOTENT and session.peer.fail_open:
             until = self.ledger.terms.remember_for
             self.ledger.remember(entry.request, self.loop.now() + until, maybe_executed=True)
             if self.store is not None and self.store.is_open:
                 self.store.persist([(entry.request, self.unix() + until / 1e6)])
 
-    def owes(self, conversation: Conversation) -> bool:
-        entry = conversation.entry
-        return entry is not None and self.telling.get(entry.id) is conversation
+    def owes_response(self, session: StreamSession) -> bool:
+        entry = session.entry
+        return entry is not None and self.awaiting_retry.get(entry.id) is session
 
     # ---- what the loop calls ---------------------------------------------------------------------
 
@@ -275,7 +275,7 @@
         if instance not in self.addresses:
             self.loop.pick_ended(taken, number, now, face.UNSENT, {})
             return
-        conversation = self.deciding.pop(entry.id, None)
+        session = self.awaiting_decision.pop(entry.id, None)
         reservation = self.ledger.reserve(
             now,
             entry,
@@ -283,12 +283,12 @@
             instance,
             self.builds[instance],
             time_out,
-            dispatch=conversation is not None,
+            dispatch=session is not None,
         )
-        if conversation is not None:
-            self.giving.append((conversation, entry, reservation))
-        if (told := self.telling.pop(entry.id, None)) is not None:
-            self._tell(told, {self.form.outcome: "again", self.form.again: "1"})
+        if session is not None:
+            self.dispatching.append((session, entry, reservation))
+        if (reporting := self.awaiting_retry.pop(entry.id, None)) is not None:
+            self._answer_report(reporting, {self.format.outcome: "again", self.format.again: "1"})
 
     def cancel(self, taken: Taken, number: int) -> None:
         """A proxy cannot be called back: the pick goes on, and the module hears of its end as of any."""
@@ -299,61 +299,63 @@
     def answered(self, entry: RpcEntry, outcome: str, retry_after: int, value: object) -> None:
         """The module's final answer, to whichever stream still waits for one."""
         now = self.loop.now()
-        conversation = self.deciding.pop(entry.id, None)
-        told = self.telling.pop(entry.id, None)
+        session = self.awaiting_decision.pop(entry.id, None)
+        reporting = self.awaiting_retry.pop(entry.id, None)
         pushed = outcome == "pushed_back"
-        if conversation is not None:
+        if session is not None:
             if pushed:
                 text = "pushed back: trying again is harmless"
-                answer = self.form.pushed_back_by(conversation.grpc, retry_after, text)
+                answer = self.format.rejection(session.grpc, retry_after, text)
             else:
-                late = bool(entry.reservations) and now >= entry.reservations[0].report_by - LATE
-                status = self.form.timed_out if late else self.form.aborted
-                answer = self.form.final(conversation.grpc, status, {self.form.outcome: outcome}, "aborted")
-            conversation.refused(answer)
-        if told is not None:
-            headers = {self.form.outcome: outcome}
+                late = bool(entry.reservations) and now >= entry.reservations[0].report_by - LATE_MARGIN
+                status = self.format.timed_out if late else self.format.aborted
+                answer = self.format.final_response(
+                    session.grpc, status, {self.format.outcome: outcome}, "aborted"
+                )
+            session.reject(answer)
+        if reporting is not None:
+            headers = {self.format.outcome: outcome}
             if pushed and retry_after:
-                headers["retry-after"] = seconds(retry_after)
-            self._tell(told, headers)
+                headers["retry-after"] = retry_after_seconds(retry_after)
+            self._answer_report(reporting, headers)
         if (reservation := entry.in_flight()) is not None:
             # Its time is up at the proxy too; what comes now is late and tells nothing.
-            self._ended(entry, reservation, face.CANCELLED)
+            self._on_attempt_ended(entry, reservation, face.CANCELLED)
         elif (reservation := entry.reserved()) is not None:
-            self._ended(entry, reservation, face.UNSENT)
-        self._over(now, entry, answered=not pushed)
+            self._on_attempt_ended(entry, reservation, face.UNSENT)
+        self._finish(now, entry, answered=not pushed)
 
-    def turned(self) -> None:
+    def on_turn_end(self) -> None:
         """The turn's end: ids go to the store in one go, then the tickets leave, then all is written."""
-        giving, self.giving = self.giving, []
+        dispatching, self.dispatching = self.dispatching, []
         kept = {
             entry.request: self.unix() + self.ledger.terms.remember_for / 1e6
-            for conversation, entry, _ in giving
-            if entry.effect != face.IDEMPOTENT and not conversation.call.ended
+            for session, entry, _ in dispatching
+            if entry.effect != face.IDEMPOTENT and not session.call.ended
         }
         if kept and self.store is not None and self.store.is_open:
             self.store.persist(kept.items())
-        for conversation, entry, reservation in giving:
-            self._give(conversation, entry, reservation)
-        if self.forgetting:
-            ids, self.forgetting = self.forgetting, []
+        for session, entry, reservation in dispatching:
+            self._dispatch(session, entry, reservation)
+        if self.forgettable:
+            ids, self.forgettable = self.forgettable, []
             if self.store is not None and self.store.is_open:
                 self.store.delete([one for one in ids if not self.ledger.maybe_executed(one)])
         for distrusted in self.evidence.notices:
             self.log.event("proxy.distrusted", proxy=distrusted.proxy, reason=distrusted.reason)
         self.evidence.notices.clear()
-        self._arm()
+        self._set_timer()
 
-    def _give(self, conversation: Conversation, entry: RpcEntry, reservation: AttemptReservation) -> None:
+    def _dispatch(self, session: StreamSession, entry: RpcEntry, reservation: AttemptReservation) -> None:
         """The reservation leaves, unless its stream has ended in this very turn."""
-        if conversation.call.ended or conversation.entry is not entry or reservation.outcome is not None:
+        if session.call.ended or session.entry is not entry or reservation.outcome is not None:
             if reservation.outcome is None:
                 reservation.dispatched = False
-                self._not_given(conversation, entry)
+                self._on_not_dispatched(session, entry)
             return
         now = self.loop.now()
         host, port = self.addresses.get(reservation.instance, ("", 0))
-        conversation.reservation = reservation
+        session.reservation = reservation
         if self.log.detail is not None:
             self.log.detail(
                 "handed",
@@ -365,17 +367,17 @@
                 build=reservation.build,
             )
         named = f"{entry.request[:16]}.{reservation.number}"
-        answer = self.form.hand_out(
-            conversation.grpc, f"{host}:{port}", named, reservation.report_by - now, reservation.use_by - now
+        answer = self.format.dispatch(
+            session.grpc, f"{host}:{port}", named, reservation.report_by - now, reservation.use_by - now
         )
-        conversation.handed(answer)
+        session.dispatch(answer)
 
     # ---- ends ------------------------------------------------------------------------------------
 
     def _method(self, entry: RpcEntry) -> str:
         return self.taken[entry.id].method
 
-    def _ended(
+    def _on_attempt_ended(
         self,
         entry: RpcEntry,
         reservation: AttemptReservation,
@@ -390,31 +392,31 @@
             if entry.ended:
                 self.taken.pop(entry.id, None)
 
-    def _give_up(self, entry: RpcEntry) -> None:
+    def _abandon(self, entry: RpcEntry) -> None:
         """Nobody waits for it any more: nothing is owed, and what was not handed out never ran."""
         self.loop.gone(self.taken[entry.id])
         reservation = entry.reserved()
         if reservation is not None:
-            self._ended(entry, reservation, face.UNSENT)
-        self._over(self.loop.now(), entry, answered=False)
+            self._on_attempt_ended(entry, reservation, face.UNSENT)
+        self._finish(self.loop.now(), entry, answered=False)
 
-    def _unreported(self, entry: RpcEntry, reservation: AttemptReservation, proxy: str) -> None:
+    def _on_unreported(self, entry: RpcEntry, reservation: AttemptReservation, proxy: str) -> None:
         """Nothing was said of a reservation: it may have run, and tells nothing of its instance."""
         self.log.count("unreported", proxy)
         self.evidence.on_missing_report(self.loop.now(), proxy)
         self.loop.gone(self.taken[entry.id])
-        self._ended(entry, reservation, face.CANCELLED)
-        self._over(self.loop.now(), entry, answered=False)
+        self._on_attempt_ended(entry, reservation, face.CANCELLED)
+        self._finish(self.loop.now(), entry, answered=False)
 
-    def _over(self, now: int, entry: RpcEntry, answered: bool) -> None:
+    def _finish(self, now: int, entry: RpcEntry, answered: bool) -> None:
         """The one place where an RPC is given back here; whoever still waits on it is told."""
         if entry.ended:
             return
         self.ledger.finish(now, entry, answered=answered)
-        if (conversation := self.deciding.pop(entry.id, None)) is not None:
-            conversation.refused(self.form.final(conversation.grpc, self.form.aborted, {}, "aborted"))
-        if (told := self.telling.pop(entry.id, None)) is not None:
-            self._tell(told, {})
+        if (session := self.awaiting_decision.pop(entry.id, None)) is not None:
+            session.reject(self.format.final_response(session.grpc, self.format.aborted, {}, "aborted"))
+        if (reporting := self.awaiting_retry.pop(entry.id, None)) is not None:
+            self._answer_report(reporting, {})
         if not self.taken[entry.id].out:
             del self.taken[entry.id]
         if (
@@ -423,37 +425,37 @@
             and not answered
             and not entry.maybe_executed()
         ):
-            self.forgetting.append(entry.request)
+            self.forgettable.append(entry.request)
 
     # ---- time ------------------------------------------------------------------------------------
 
-    def _arm(self) -> None:
+    def _set_timer(self) -> None:
         due = self.ledger.wake_at()
         if due is None or (self.timer is not None and self.timer_at <= due):
             return
         if self.timer is not None:
             self.timer.cancel()
         self.timer_at = due
-        self.timer = self.reactor.callLater(max(0, due - self.loop.now()) / 1e6, self._woken)
+        self.timer = self.reactor.callLater(max(0, due - self.loop.now()) / 1e6, self._on_timer)
 
-    def _woken(self) -> None:
+    def _on_timer(self) -> None:
         self.timer = None
         for reason, entry, reservation in list(self.ledger.take_expired(self.loop.now())):
             if entry.ended:
                 continue
             if reason == ExpiryReason.UNREPORTED and reservation is not None:
-                self._unreported(entry, reservation, entry.proxy)
+                self._on_unreported(entry, reservation, entry.proxy)
             elif reason == ExpiryReason.NOT_RETRIED and (in_flight := entry.in_flight()) is not None:
-                self._unreported(entry, in_flight, entry.proxy)
-            elif entry.id not in self.deciding:
-                self._give_up(entry)
-        self._arm()
+                self._on_unreported(entry, in_flight, entry.proxy)
+            elif entry.id not in self.awaiting_decision:
+                self._abandon(entry)
+        self._set_timer()
 
     # ---- wording ---------------------------------------------------------------------------------
 
-    def _tell(self, conversation: Conversation, headers: dict[str, str]) -> None:
+    def _answer_report(self, session: StreamSession, headers: dict[str, str]) -> None:
         """A failure goes on to the proxy with what it means."""
-        conversation.entry = conversation.reservation = None
-        conversation.call.send(codec.go_on(MessageKind.RESPONSE_HEADERS, headers))
-        if conversation.call.half:
-            conversation.half_closed()
+        session.entry = session.reservation = None
+        session.call.send(codec.continue_response(MessageKind.RESPONSE_HEADERS, headers))
+        if session.call.half:
+            session.on_half_closed()
--- a/linenbridge/processor/health.py
+++ b/linenbridge/processor/health.py
@@ -45,7 +45,7 @@
     def __init__(self, health: Health, call: http2.Call, watches: bool) -> None:
         self.health, self.call, self.watches = health, call, watches
 
-    def message(self, data: memoryview) -> None:
+    def on_message(self, data: memoryview) -> None:
         try:
             asked = wire.HealthCheckRequest.FromString(bytes(data))
         except DecodeError:
@@ -63,8 +63,8 @@
         if known:
             self.health.watching[self] = None
 
-    def half_closed(self) -> None:
+    def on_half_closed(self) -> None:
         """A watch goes on when its question has been asked."""
 
-    def gone(self) -> None:
+    def on_closed(self) -> None:
         self.health.watching.pop(self, None)
--- a/linenbridge/processor/http2/connection.py
+++ b/linenbridge/processor/http2/connection.py
@@ -167,7 +167,7 @@
                     if call.rest:
                         self.finish(call, INVALID_ARGUMENT, "the stream ends within a message")
                     elif call.receiver is not None:
-                        call.receiver.half_closed()
+                        call.receiver.on_half_closed()
             case h2.events.StreamReset():
                 if (call := self.calls.get(event.stream_id)) is not None:
                     self._bound(self.budget.on_stream_reset(now))
@@ -230,7 +230,7 @@
                 if not call.spoke:
                     call.spoke = True
                     self.server.silent.pop(call, None)
-                call.receiver.message(message)
+                call.receiver.on_message(message)
                 if call.ended:
                     return
         except MessageError as error:
@@ -319,7 +319,7 @@
         if not counted:
             self.budget.on_stream_ended(self.server.now())
         if gone and call.receiver is not None:
-            call.receiver.gone()
+            call.receiver.on_closed()
         call.receiver = None
         if self.server.leaving and not self.calls:
             self._soon()
--- a/linenbridge/processor/responses.py
+++ b/linenbridge/processor/responses.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerForm:
+class ResponseFormat:
     """How a decision is worded for proxies: names of headers, and statuses of final answers."""
 
     endpoint: str = "x-gateway-destination-endpoint"
@@ -29,23 +29,23 @@
     timed_out: int = 504
     unrouted: int = 404
 
-    def pushed_back_by(self, grpc: bool, retry_after: int, text: str) -> bytes:
+    def rejection(self, grpc: bool, retry_after: int, text: str) -> bytes:
         """The pushback, with when to come again where that was said."""
         headers = {self.outcome: "pushed_back"}
         if retry_after:
-            headers["retry-after"] = seconds(retry_after)
+            headers["retry-after"] = retry_after_seconds(retry_after)
             headers["x-linenbridge-retry-after-ms"] = str(-(-retry_after // 1000))
-        return self.final(grpc, self.pushed_back, headers, text)
+        return self.final_response(grpc, self.pushed_back, headers, text)
 
-    def final(self, grpc: bool, code: int, headers: dict[str, str], text: str) -> bytes:
+    def final_response(self, grpc: bool, code: int, headers: dict[str, str], text: str) -> bytes:
         """A final answer from here, in the proxy's stead."""
         status = None
         if grpc:
             status = http2.UNAVAILABLE if code == self.pushed_back else http2.INTERNAL
             status = http2.NOT_FOUND if code == self.unrouted else status
-        return codec.immediate(code, headers, text, status)
+        return codec.immediate_response(code, headers, text, status)
 
-    def hand_out(self, grpc: bool, endpoint: str, ticket: str, left: int, use_within: int) -> bytes:
+    def dispatch(self, grpc: bool, endpoint: str, ticket: str, left: int, use_within: int) -> bytes:
         """Where the request goes, under which ticket, for how long; times in microseconds."""
         headers = {
             self.endpoint: endpoint,
@@ -54,9 +54,9 @@
             self.use_within: str(max(1, use_within // 1000)),
         }
         metadata = (self.metadata, {self.endpoint: endpoint}) if self.metadata else None
-        return codec.hand_out(headers, metadata, grpc)
+        return codec.dispatch_response(headers, metadata, grpc)
 
 
-def seconds(micros: int) -> str:
+def retry_after_seconds(micros: int) -> str:
     """`retry-after` knows whole seconds alone: never sooner than was said."""
     return str(max(1, -(-micros // 1_000_000)))
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -23,8 +23,8 @@
 from linenbridge.process.configuration import ProcessConfiguration
 from linenbridge.processor import tls
 from linenbridge.processor.evidence import Evidence
-from linenbridge.processor.stream_session import Conversation
-from linenbridge.processor.external_processor import Front
+from linenbridge.processor.stream_session import StreamSession
+from linenbridge.processor.external_processor import ExternalProcessor
 from linenbridge.processor.health import Health
 from linenbridge.processor.http2 import PERMISSION_DENIED, Call, Server
 from linenbridge.processor.configuration import Directory, ProcessorSettings, processor_settings, routes
@@ -43,15 +43,15 @@
 LEAVE_MORE = 1.0  # seconds after the longest deadline within which streams have ended on a planned stop
 
 
-class Stranger:
+class UnauthorizedStream:
     """The receiver of a stream from nobody that the settings name."""
 
     def __init__(self, call: Call) -> None:
         call.finish(PERMISSION_DENIED, "no partner of these settings")
 
-    def message(self, data: memoryview) -> None: ...
-    def half_closed(self) -> None: ...
-    def gone(self) -> None: ...
+    def on_message(self, data: memoryview) -> None: ...
+    def on_half_closed(self) -> None: ...
+    def on_closed(self) -> None: ...
 
 
 class ProcessorServer:
@@ -66,39 +66,39 @@
         self.longest = micros(max(profile.give_up for profile in at.settings.profiles))
         self.table = routes(settings, list(start.methods), self.longest)
         self.routing = _routing(self.table, view)
-        self.directory = Directory(settings.partners)
+        self.directory = Directory(settings.peers)
         self.health = Health()
         self.keys = tls.Keys(settings.tls) if settings.tls is not None else None
-        self.front: Front | None = None
+        self.processor: ExternalProcessor | None = None
         self.server: Server | None = None
 
-    def open(self, loop: Loop) -> Front:
+    def open(self, loop: Loop) -> ExternalProcessor:
         """The front on this loop; it listens only when told to."""
         settings = self.settings
-        ours = frozenset(known.partner.name for known in settings.partners if known.partner.ours)
+        ours = frozenset(known.peer.name for known in settings.peers if known.peer.is_own)
         store = None if settings.store is None else ReservationStore(*settings.store, self.log.event)
-        front = self.front = Front(
+        processor = self.processor = ExternalProcessor(
             loop, self.reactor, self.routing, ReservationLedger(settings.terms), Evidence(ours),
-            ResponseClassifier(settings.non_execution_rules), settings.form, store,
-            settings.passes_unrouted, time.time,
+            ResponseClassifier(settings.non_execution_rules), settings.response_format, store,
+            settings.pass_unrouted, time.time,
         )  # fmt: skip
-        front.start()
+        processor.start()
         named = tls.names if self.keys is not None else lambda transport: ()
         self.server = Server(self.reactor, loop.now, settings.limits, settings.connections, self.log, named)
         self.server.services = {
-            PROCESS: self._converse,
+            PROCESS: self._open_session,
             HEALTH + b"Check": self.health.check,
             HEALTH + b"Watch": self.health.watch,
         }
         loop.settled.append(self.server.flush)
-        return front
+        return processor
 
-    def _converse(self, call: Call) -> Conversation | Stranger:
-        partner = self.directory.find(call.peer.address, call.peer.names or ())
-        if partner is None or self.front is None:
-            self.log.rarely("stranger", call.peer.address, names=call.peer.names)
-            return Stranger(call)
-        return Conversation(self.front, partner, call)
+    def _open_session(self, call: Call) -> StreamSession | UnauthorizedStream:
+        peer = self.directory.find(call.peer.address, call.peer.names or ())
+        if peer is None or self.processor is None:
+            self.log.rarely("unauthorized_peer", call.peer.address, names=call.peer.names)
+            return UnauthorizedStream(call)
+        return StreamSession(self.processor, peer, call)
 
     def listen(self) -> None:
         server, settings = self.server, self.settings
@@ -127,19 +127,19 @@
         self.server.leave(self.longest / 1e6 + LEAVE_MORE, partial(self._left, stopped))
 
     def _left(self, stopped: Any) -> None:
-        if self.front is not None and self.front.store is not None:
-            self.front.store.close()
+        if self.processor is not None and self.processor.store is not None:
+            self.processor.store.close()
         stopped()
 
     def open_now(self) -> dict[str, int]:
         """What stands open at present, for the counters' line."""
-        front, server = self.front, self.server
-        if front is None or server is None:
+        processor, server = self.processor, self.server
+        if processor is None or server is None:
             return {}
         return {
             "proxies": len(server.open),
-            "tickets": len(front.ledger.by_id),
-            "ids": len(front.ledger.ended),
+            "tickets": len(processor.ledger.by_id),
+            "ids": len(processor.ledger.ended),
         }
 
 
--- a/linenbridge/processor/stream_session.py
+++ b/linenbridge/processor/stream_session.py
@@ -16,90 +16,90 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Partner:
-    """One proxy, or a group that counts as one. `ours`: its reports may be evidence. `attempts`: how often it
-    sends one request. `fail_open`: it sends a request on when it hears nothing from here."""
+class ProxyPeer:
+    """One proxy, or a group that counts as one. `is_own`: its reports may be evidence. `attempts`: how often
+    it sends one request. `fail_open`: it sends a request on when it gets no response from here."""
 
     name: str
-    ours: bool = False
+    is_own: bool = False
     attempts: int = 1
     fail_open: bool = True
 
 
 class Handler(Protocol):
-    """What a conversation needs from whoever decides: `front.Front` outside of tests."""
+    """What a session needs from whoever decides: `external_processor.ExternalProcessor` outside of tests."""
 
     log: Log
 
-    def asked(self, conversation: Conversation, heard: codec.Heard) -> None:
+    def on_request_headers(self, session: StreamSession, message: codec.ProxyMessage) -> None:
         """Request headers have come; an answer is owed."""
 
-    def reported(self, conversation: Conversation, heard: codec.Heard) -> None:
+    def on_response(self, session: StreamSession, message: codec.ProxyMessage) -> None:
         """Response headers or trailers have come; an answer is owed."""
 
-    def left(self, conversation: Conversation) -> None:
+    def on_stream_ended(self, session: StreamSession) -> None:
         """The stream is over, or its request is settled as if it were."""
 
-    def owes(self, conversation: Conversation) -> bool:
+    def owes_response(self, session: StreamSession) -> bool:
         """Whether an answer to a report is still to come on this stream."""
 
 
-class Conversation:
+class StreamSession:
     """One stream: the receiver of its messages, and the RPC that it is about while it is."""
 
-    __slots__ = ("call", "entry", "grpc", "handler", "later", "partner", "phases", "reservation")
+    __slots__ = ("call", "entry", "grpc", "handler", "awaits_trailers", "peer", "phases", "reservation")
 
-    def __init__(self, handler: Handler, partner: Partner, call: http2.Call) -> None:
-        self.handler, self.partner, self.call = handler, partner, call
+    def __init__(self, handler: Handler, peer: ProxyPeer, call: http2.Call) -> None:
+        self.handler, self.peer, self.call = handler, peer, call
         self.phases = StreamPhases()
         self.entry: RpcEntry | None = None
         self.reservation: AttemptReservation | None = None
-        self.grpc = self.later = False
+        self.grpc = self.awaits_trailers = False
 
-    def message(self, data: memoryview) -> None:
+    def on_message(self, data: memoryview) -> None:
         handler = self.handler
         try:
-            heard = codec.read(data)
-            what = self.phases.on_message(heard.kind, observed=heard.watched)
+            message = codec.decode(data)
+            action = self.phases.on_message(message.kind, observed=message.observed)
         except codec.MalformedError as error:
-            handler.log.rarely("malformed", "message", error=str(error), proxy=self.partner.name)
+            handler.log.rarely("malformed", "message", error=str(error), proxy=self.peer.name)
             self.fail(http2.INVALID_ARGUMENT, str(error))
             return
         except OutOfOrderError as error:
-            handler.log.rarely("malformed", "order", error=str(error), proxy=self.partner.name)
+            handler.log.rarely("malformed", "order", error=str(error), proxy=self.peer.name)
             self.fail(http2.FAILED_PRECONDITION, str(error))
             return
-        if what == Action.DECIDE:
-            handler.asked(self, heard)
-        elif what == Action.REPORT:
-            handler.reported(self, heard)
-        elif what == Action.CONTINUE:
-            self.call.send(codec.go_on(heard.kind))
+        if action == Action.DECIDE:
+            handler.on_request_headers(self, message)
+        elif action == Action.REPORT:
+            handler.on_response(self, message)
+        elif action == Action.CONTINUE:
+            self.call.send(codec.continue_response(message.kind))
 
     def fail(self, status: int, text: str) -> None:
         """The stream ends here; what it was about is settled as if the proxy had left."""
-        self.handler.left(self)
+        self.handler.on_stream_ended(self)
         self.call.finish(status, text)
 
-    def half_closed(self) -> None:
+    def on_half_closed(self) -> None:
         """The proxy says no more: an answer still owed is given, else the stream ends well."""
-        if self.phases.state != StreamState.AWAITING_DECISION and not self.handler.owes(self):
-            self.handler.left(self)
+        if self.phases.state != StreamState.AWAITING_DECISION and not self.handler.owes_response(self):
+            self.handler.on_stream_ended(self)
             self.call.finish(http2.OK)
 
-    def gone(self) -> None:
-        self.handler.left(self)
+    def on_closed(self) -> None:
+        self.handler.on_stream_ended(self)
 
-    def handed(self, answer: bytes) -> None:
-        """The request goes on, and so does what has waited behind it."""
-        waited = self.phases.on_dispatched()
+    def dispatch(self, answer: bytes) -> None:
+        """The request goes on, and so does what has deferred behind it."""
+        deferred = self.phases.on_dispatched()
         self.call.send(answer)
-        for kind in waited:
-            self.call.send(codec.go_on(kind))
+        for kind in deferred:
+            self.call.send(codec.continue_response(kind))
         if self.call.half:
-            self.half_closed()
+            self.on_half_closed()
 
-    def refused(self, answer: bytes) -> None:
+    def reject(self, answer: bytes) -> None:
         """The final answer from here; the stream has served."""
         self.phases.on_rejected()
         self.entry = None
--- a/tests/compatibility/processor/test_processor.py
+++ b/tests/compatibility/processor/test_processor.py
@@ -11,7 +11,7 @@
 import pytest
 
 from linenbridge.processor import codec
-from linenbridge.processor.responses import AnswerForm
+from linenbridge.processor.responses import ResponseFormat
 from linenbridge.processor.store import ReservationStore, request_digest
 
 HERE = Path(__file__).parent
@@ -29,26 +29,26 @@
 
 def responses() -> dict[str, bytes]:
     """The responses that `record_processor.py` recorded, made by this version."""
-    form = AnswerForm()
-    plain = AnswerForm(metadata="")
+    form = ResponseFormat()
+    plain = ResponseFormat(metadata="")
     found = {
-        "dispatch": form.hand_out(False, "10.0.0.1:7001", "0123456789abcdef.7", 900_000, 100_000),
-        "dispatch, gRPC": form.hand_out(True, "[::1]:7001", "0123456789abcdef.7", 900_999, 999),
-        "dispatch, no metadata": plain.hand_out(False, "10.0.0.1:7001", "a.1", 1, 0),
-        "dispatch, late": form.hand_out(False, "10.0.0.1:7001", "a.1", -5, -5),
-        "reject": form.pushed_back_by(False, 0, "try again"),
-        "reject, wait": form.pushed_back_by(False, 1_500_001, "try again"),
-        "reject, gRPC": form.pushed_back_by(True, 250_000, "try again"),
-        "fail": form.final(False, form.aborted, {form.outcome: "aborted"}, "aborted"),
-        "fail, gRPC": form.final(True, form.aborted, {form.outcome: "aborted"}, "aborted"),
-        "timed out": form.final(False, form.timed_out, {form.outcome: "timed_out"}, "aborted"),
-        "unrouted": form.final(False, form.unrouted, {}, "no route takes this request"),
-        "unrouted, gRPC": form.final(True, form.unrouted, {}, "no route takes this request"),
+        "dispatch": form.dispatch(False, "10.0.0.1:7001", "0123456789abcdef.7", 900_000, 100_000),
+        "dispatch, gRPC": form.dispatch(True, "[::1]:7001", "0123456789abcdef.7", 900_999, 999),
+        "dispatch, no metadata": plain.dispatch(False, "10.0.0.1:7001", "a.1", 1, 0),
+        "dispatch, late": form.dispatch(False, "10.0.0.1:7001", "a.1", -5, -5),
+        "reject": form.rejection(False, 0, "try again"),
+        "reject, wait": form.rejection(False, 1_500_001, "try again"),
+        "reject, gRPC": form.rejection(True, 250_000, "try again"),
+        "fail": form.final_response(False, form.aborted, {form.outcome: "aborted"}, "aborted"),
+        "fail, gRPC": form.final_response(True, form.aborted, {form.outcome: "aborted"}, "aborted"),
+        "timed out": form.final_response(False, form.timed_out, {form.outcome: "timed_out"}, "aborted"),
+        "unrouted": form.final_response(False, form.unrouted, {}, "no route takes this request"),
+        "unrouted, gRPC": form.final_response(True, form.unrouted, {}, "no route takes this request"),
     }
     for kind in KINDS:
-        found[f"continue {kind}"] = codec.go_on(kind)
+        found[f"continue {kind}"] = codec.continue_response(kind)
         if "body" not in kind:
-            found[f"continue {kind}, headers"] = codec.go_on(
+            found[f"continue {kind}, headers"] = codec.continue_response(
                 kind, {"x-linenbridge-again": "1", "x-b": "\xe9"}
             )
     return found
--- a/tests/peer_script.py
+++ b/tests/peer_script.py
@@ -18,9 +18,9 @@
 from linenbridge.processor import wire_pb2 as wire
 from linenbridge.processor.evidence import Evidence
 from linenbridge.processor.goaway_filter import GoAways
-from linenbridge.processor.responses import AnswerForm
-from linenbridge.processor.stream_session import Conversation, Partner
-from linenbridge.processor.external_processor import Front
+from linenbridge.processor.responses import ResponseFormat
+from linenbridge.processor.stream_session import StreamSession, ProxyPeer
+from linenbridge.processor.external_processor import ExternalProcessor
 from linenbridge.processor.health import Health
 from linenbridge.processor.http2 import Server
 from linenbridge.processor.connection_limits import ConnectionLimits
@@ -242,19 +242,19 @@
         start = startup(second_copies=False, **changes)
         self.module = module or Choice(start, 7, self.now())
         self.loop = Loop(self.module, self.reactor, self.now, self.log)
-        self.partner = Partner("desk", ours, attempts, fail_open)
-        self.partners = [self.partner]
-        self.front = Front(
+        self.proxy_peer = ProxyPeer("desk", ours, attempts, fail_open)
+        self.proxy_peers = [self.proxy_peer]
+        self.processor = ExternalProcessor(
             self.loop, self.reactor, table(ROUTES, start.methods, 900 * MS), ReservationLedger(terms),
             Evidence(frozenset({"desk"} if ours else ())),
             ResponseClassifier((NonExecutionRule(503, "x-never-ran", "1"),)),
-            AnswerForm(), store, passes, lambda: 1_000_000 + self.reactor.seconds(),
+            ResponseFormat(), store, passes, lambda: 1_000_000 + self.reactor.seconds(),
         )  # fmt: skip
-        self.front.start()
+        self.processor.start()
         self.server = Server(self.reactor, self.now, limits, connections, self.log)
         self.health = Health()
         self.server.services = {
-            PATH: lambda call: Conversation(self.front, self.partners[0], call),
+            PATH: lambda call: StreamSession(self.processor, self.proxy_peers[0], call),
             b"/grpc.health.v1.Health/Check": self.health.check,
             b"/grpc.health.v1.Health/Watch": self.health.watch,
         }
@@ -262,7 +262,7 @@
         self.list(ADDRESSES[:instances])
 
     def list(self, listed: list, whole: bool = True) -> None:
-        self.front.listed(listed, whole)
+        self.processor.listed(listed, whole)
         entries = [found for found, _ in listed]
         self.loop.gather(lambda now: self.module.on_list(now, entries, whole=whole, answers=True))
         self.turn()
@@ -287,13 +287,19 @@
         return self.log.counts[names]
 
     def empty(self) -> bool:
-        """Whether nothing is left of any RPC: in the module, the loop, the ledger and the front."""
-        front = self.front
+        """Whether nothing is left of any RPC: in the module, the loop, the ledger and the processor."""
+        processor = self.processor
         module = not getattr(self.module, "rpcs", None)
         return module and not (
-            self.loop.open or front.ledger.by_id or front.ledger.open or front.taken or front.deciding
-            or front.telling or front.giving or front.ledger.per_proxy
-        )  # fmt: skip
+            self.loop.open
+            or processor.ledger.by_id
+            or processor.ledger.open
+            or processor.taken
+            or processor.awaiting_decision
+            or processor.awaiting_retry
+            or processor.dispatching
+            or processor.ledger.per_proxy
+        )
 
     def events(self) -> str:
         return self.lines.getvalue().decode()
--- a/tests/processor/test_bounds.py
+++ b/tests/processor/test_bounds.py
@@ -15,7 +15,7 @@
     assert [stream.immediate for stream in streams[10:]] == [503, 503]
     bench.turn(1.0)
     later = [peer.ask(request=f"s{n}") for n in range(6)]
-    bench.partners[0] = type(bench.partner)("other", True, 3, False)
+    bench.proxy_peers[0] = type(bench.proxy_peer)("other", True, 3, False)
     others = [peer.ask(request=f"o{n}") for n in range(2)]
     assert all(stream.endpoint for stream in later + others)
 
--- a/tests/processor/test_deadlines.py
+++ b/tests/processor/test_deadlines.py
@@ -49,7 +49,7 @@
     peer = bench.peer()
     first = peer.ask()
     peer.report(first, 500)
-    instance = next(iter(bench.front.ledger.by_id.values())).reserved().instance
+    instance = next(iter(bench.processor.ledger.by_id.values())).reserved().instance
     bench.list([(entry(instance, state=face.DRAINING), ("10.0.0.1", 7000 + instance))], whole=False)
     second = peer.ask(attempt=2)
     assert second.endpoint in READY - {f"10.0.0.1:{7000 + instance}"}
@@ -60,7 +60,7 @@
     peer = bench.peer()
     for n in range(8):
         peer.ask(request=f"r{n}")
-    for found in bench.front.ledger.by_id.values():
+    for found in bench.processor.ledger.by_id.values():
         assert found.reservations[-1].use_by - found.reservations[-1].decided_at <= 100 * MS
 
 
--- a/tests/processor/test_identity.py
+++ b/tests/processor/test_identity.py
@@ -26,7 +26,7 @@
     bench = Bench()
     first, second = bench.peer(), bench.peer()
     assert first.ask("/charge/1", "same").endpoint in READY
-    bench.partners[0] = type(bench.partner)("other", True, 3, False)
+    bench.proxy_peers[0] = type(bench.proxy_peer)("other", True, 3, False)
     assert second.ask("/charge/1", "same").immediate == 502
     assert second.ask("/charge/1", "same", attempt=2).immediate == 502
     assert first.ask("/look/1", "shared").endpoint in READY
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -39,7 +39,7 @@
         1000,
     )
     assert told.terms.use_within == 100_000 and told.terms.remember_for == 600_000_000
-    assert told.form.endpoint == "x-gateway-destination-endpoint" and told.partners[0].partner.fail_open
+    assert told.response_format.endpoint == "x-gateway-destination-endpoint" and told.peers[0].peer.fail_open
 
 
 def test_what_is_said_counts():
@@ -52,9 +52,9 @@
     told = processor_settings(parse(file(inside), "/etc/lb/x.xml"))
     assert told.tls.key == "/etc/lb/k.pem" and told.store == ("/etc/lb/h.db", "power")
     assert (told.limits.max_streams, told.limits.max_message_bytes) == (7, 2 << 20)
-    assert (told.form.endpoint, told.form.pushed_back, told.form.aborted) == ("x-to", 429, 504)
-    partner = told.partners[0].partner
-    assert (partner.ours, partner.attempts, partner.fail_open) == (True, 4, False)
+    assert (told.response_format.endpoint, told.response_format.pushed_back, told.response_format.aborted) == ("x-to", 429, 504)
+    partner = told.peers[0].peer
+    assert (partner.is_own, partner.attempts, partner.fail_open) == (True, 4, False)
 
 
 @pytest.mark.parametrize(
@@ -108,7 +108,7 @@
 
 def test_a_partner_is_known_by_its_certificate_or_its_network():
     inside = '<partner name="a" identity="desk.example"/><partner name="b" address="10.1.0.0/16"/>' + ROUTES
-    directory = Directory(processor_settings(parse(file(inside), "x.xml")).partners)
+    directory = Directory(processor_settings(parse(file(inside), "x.xml")).peers)
     assert directory.find("9.9.9.9", ("other", "desk.example")).name == "a"
     assert directory.find("10.1.2.3", ()).name == "b"
     assert directory.find("10.2.2.3", ("else",)) is None
