--- a/linenbridge/distribution/hosting/change_client.py
+++ b/linenbridge/distribution/hosting/change_client.py
@@ -18,7 +18,7 @@
 from linenbridge.distribution.hosting.link_messages import CHANGE_CLIENT_DECODER
 from linenbridge.distribution.messages import Publish, Published
 from linenbridge.logging.event_log import Log
-from linenbridge.peering.connections import Links
+from linenbridge.peering.connections import PeerConnections
 
 RETRY_DELAY = 0.3  # seconds before the change is sent to the next candidate
 NEXT_CANDIDATE_CODES = frozenset((NotPublisher.code, PublisherBusy.code))
@@ -57,19 +57,19 @@
         self.pending_candidate = ""  # the one whose response counts; "" between two candidates
         self.timer: Any = None
         name = f"author-{os.getpid()}-{secrets.token_hex(4)}"
-        self.connections = Links(
+        self.connections = PeerConnections(
             name,
             frozenset(self.candidates),
             reactor,
             log,
             self._on_published,
             decoder=CHANGE_CLIENT_DECODER,
-            changed=self._on_connection_changed,
+            on_peer_changed=self._on_connection_changed,
         )
         for candidate, address in region.publishers.items():
             self.connections.dial(candidate, address)
 
-    def _on_connection_changed(self, peer: str, connected: bool) -> None:
+    def _on_connection_changed(self, peer: str, *, connected: bool) -> None:
         if connected and not self.pending_candidate:
             self._request(peer)
         elif not connected and peer == self.pending_candidate and not self._is_decided():
@@ -81,7 +81,7 @@
 
     def _request(self, candidate: str) -> None:
         self.pending_candidate = candidate
-        self.connections.say(candidate, self.change)
+        self.connections.send(candidate, self.change)
 
     def _try_next_candidate(self) -> None:
         """After a delay, send to the next candidate in order that is connected."""
@@ -93,7 +93,7 @@
             return
         position = self.candidates.index(last) + 1
         in_order = self.candidates[position:] + self.candidates[:position]
-        connected = [candidate for candidate in in_order if candidate in self.connections.to]
+        connected = [candidate for candidate in in_order if candidate in self.connections.by_peer]
         if connected:
             self._request(connected[0])
 
--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -20,8 +20,8 @@
 from linenbridge.distribution.hosting.follower_settings import (
     deliver,
     follower_settings,
+    relay_locations,
     relay_names,
-    relay_places,
 )
 from linenbridge.distribution.hosting.link_messages import FOLLOWER_DECODER
 from linenbridge.distribution.hosting.methods import Methods
@@ -31,7 +31,7 @@
 from linenbridge.distribution.view.view import View
 from linenbridge.logging.event_log import Log
 from linenbridge.peering import clock
-from linenbridge.peering.connections import Links
+from linenbridge.peering.connections import PeerConnections
 
 
 class Gateway:
@@ -56,7 +56,7 @@
         self.follower = Follower(
             settings.name,
             settings.region,
-            relay_places(settings, list(settings.regions)),
+            relay_locations(settings, list(settings.regions)),
             list(settings.regions),
             view.positions(),
             follower_settings(settings, settings.rate),
@@ -64,14 +64,14 @@
             clock.now(),
             view.range_digests,
         )
-        self.connections = Links(
+        self.connections = PeerConnections(
             settings.name,
             relay_names(settings),
             reactor,
             log,
             self._on_message,
             decoder=FOLLOWER_DECODER,
-            changed=self._on_connection_changed,
+            on_peer_changed=self._on_connection_changed,
         )
         self.page_writer = None if store is None else ViewPageWriter(reactor, log, view, store)
         self.apply_queue = ApplyQueue(reactor, view, self._put_in_force)
@@ -85,8 +85,8 @@
         deliver(self.follower, clock.now(), peer, message)
         self.driver.turn()
 
-    def _on_connection_changed(self, peer: str, connected: bool) -> None:
-        self.follower.on_link(clock.now(), peer, connected)
+    def _on_connection_changed(self, peer: str, *, connected: bool) -> None:
+        self.follower.on_link(clock.now(), peer, connected=connected)
         self.driver.turn()
 
     # ---- decisions -------------------------------------------------------------------------------------
@@ -94,7 +94,7 @@
     def _execute(self, _state_machine: StateMachine, _now: int, decision: Decision) -> None:
         match decision:
             case Send():
-                self.connections.say(decision.to, decision.message)
+                self.connections.send(decision.to, decision.message)
             case Apply() | ReplaceRange():
                 self.apply_queue.put(decision)
             case Dial():
@@ -102,7 +102,7 @@
                 if address is not None:
                     self.connections.dial(decision.relay, address)
             case HangUp():
-                self.connections.drop(decision.relay)
+                self.connections.disconnect(decision.relay)
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
@@ -144,12 +144,12 @@
             "sessions": counters.sessions,
             "batches": counters.batches,
             "ranges": counters.ranges,
-            "skipped": counters.passed_over,
+            "skipped": counters.ignored,
             "gaps": counters.gaps,
-            "corrupt": counters.spoilt,
-            "digests_differed": counters.differed,
+            "corrupt": counters.malformed,
+            "digests_differed": counters.digest_mismatches,
             "relays_lost": counters.lost,
-            "relays_silent": counters.silences,
+            "relays_silent": counters.silent,
             "changes_applied": view.counts["taken"],
             "changes_rejected": view.counts["refused"],
             "keys_rejected": len(view.refused()),
--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -18,12 +18,12 @@
 from linenbridge.distribution.log.publisher import Check, Publisher
 from linenbridge.distribution.log.replication import PublisherPace
 from linenbridge.distribution.messages import Appended, Fetched, Prepared, Progress, Publish, Published
-from linenbridge.fleet.configuration import FleetTold
+from linenbridge.fleet.configuration import FleetSettings
 from linenbridge.fleet.hosting.member import Member
-from linenbridge.fleet.hosting.quorum_member import again
+from linenbridge.fleet.hosting.quorum_member import reload_settings
 from linenbridge.logging.event_log import Log
 from linenbridge.peering import clock
-from linenbridge.peering.connections import Links, WellFormedNames
+from linenbridge.peering.connections import PeerConnections, WellFormedNames
 
 
 class PublisherProcess:
@@ -32,7 +32,7 @@
     def __init__(
         self,
         settings: DistributionSettings,
-        fleet_settings: FleetTold,
+        fleet_settings: FleetSettings,
         reactor: Any,
         log: Log,
         check: Check,
@@ -46,21 +46,21 @@
         self.publisher = Publisher(
             settings.region, settings.name, tuple(relays), PublisherPace(), random, check
         )
-        self.clients = Links(
+        self.clients = PeerConnections(
             settings.name,
             WellFormedNames(),
             reactor,
             log,
             self._on_change_request,
             decoder=CHANGE_REQUEST_DECODER,
-            connections=settings.authors,
+            max_connections=settings.authors,
         )
-        self.relays = Links(
+        self.relays = PeerConnections(
             settings.name, frozenset(relays), reactor, log, self._on_relay_message, decoder=PUBLISHER_DECODER
         )
         self.driver = CoreDriver(reactor, [self.publisher], self._execute, self._refresh_term)
         self.member = Member(
-            fleet_settings, reactor, log, secrets.randbits(60), tasks_changed=self._tasks_changed
+            fleet_settings, reactor, log, secrets.randbits(60), on_task_changed=self._on_task_changed
         )
         if settings.listen is None:
             raise ValueError("a publisher listens")
@@ -71,11 +71,11 @@
         self.driver.turn()
 
     def _refresh_term(self, now: int) -> None:
-        grant = self.member.holds(self.task)
+        grant = self.member.held_lease(self.task)
         term = None if grant is None else grant[0]
         self.publisher.on_term(now, term)
 
-    def _tasks_changed(self, task: str) -> None:
+    def _on_task_changed(self, task: str) -> None:
         if task == self.task:
             self.driver.turn()
 
@@ -103,9 +103,9 @@
     def _execute(self, _state_machine: StateMachine, _now: int, decision: Decision) -> None:
         match decision:
             case Send(to, Published() as answer):
-                self.clients.say(to, answer)
+                self.clients.send(to, answer)
             case Send(to, message):
-                self.relays.say(to, message)
+                self.relays.send(to, message)
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
@@ -114,8 +114,8 @@
         publisher = self.publisher
         return {
             **self.member.facts(),
-            "change_clients": len(self.clients.to),
-            "relays": len(self.relays.to),
+            "change_clients": len(self.clients.by_peer),
+            "relays": len(self.relays.by_peer),
             "epoch": publisher.epoch,
             "publishing": int(publisher.leading),
             "committed": publisher.log.committed,
@@ -124,7 +124,7 @@
 
     def reload(self, path: str) -> None:
         """SIGHUP: settings of the fleet take effect at once, those of the distribution at the next start."""
-        again(path, self.member, self.log)
+        reload_settings(path, self.member, self.log)
 
     def close(self, closed: Callable[[], None]) -> None:
         """Release the lease, then close all connections; then call `closed`."""
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -25,16 +25,17 @@
     Send,
     SumsBelow,
 )
-from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
+from linenbridge.distribution.dissemination.feed import Feed
 from linenbridge.distribution.dissemination.follower import Follower
+from linenbridge.distribution.dissemination.settings import FeedSettings
 from linenbridge.distribution.errors import RelayStoreError
 from linenbridge.distribution.hosting.core_driver import CoreDriver, StateMachine
 from linenbridge.distribution.hosting.disk_writer import GroupWriter
 from linenbridge.distribution.hosting.follower_settings import (
     deliver,
     follower_settings,
+    relay_locations,
     relay_names,
-    relay_places,
 )
 from linenbridge.distribution.hosting.link_messages import FOLLOWER_DECODER, RELAY_DECODER
 from linenbridge.distribution.log.replica import Replica
@@ -42,7 +43,7 @@
 from linenbridge.distribution.storage.log_store import RelayLog
 from linenbridge.logging.event_log import Log
 from linenbridge.peering import clock
-from linenbridge.peering.connections import Links, WellFormedNames, later
+from linenbridge.peering.connections import PeerConnections, WellFormedNames, call_soon
 
 RESERVED_CONNECTIONS = 64  # for relays of other regions and publishers, beside two for each follower
 EXTRA_SILENT_HEARTBEATS = 2  # a follower may be silent for so many heartbeats more than a relay
@@ -85,24 +86,24 @@
             relay: region for region, found in settings.regions.items() for relay in found.relays
         }
         self.writer = GroupWriter[Keep](reactor, self.disk.keep, self._on_persisted, self._on_persist_failed)
-        self.downstream = Links(
+        self.downstream = PeerConnections(
             settings.name,
             WellFormedNames(),
             reactor,
             log,
             self._on_downstream_message,
             decoder=RELAY_DECODER,
-            connections=2 * settings.followers + RESERVED_CONNECTIONS,
-            changed=self._on_downstream_changed,
+            max_connections=2 * settings.followers + RESERVED_CONNECTIONS,
+            on_peer_changed=self._on_downstream_changed,
         )
-        self.upstream = Links(
+        self.upstream = PeerConnections(
             settings.name,
             relay_names(settings),
             reactor,
             log,
             self._on_upstream_message,
             decoder=FOLLOWER_DECODER,
-            changed=self._on_upstream_changed,
+            on_peer_changed=self._on_upstream_changed,
         )
         state_machines: list[StateMachine] = [self.replica, *self.followers.values(), self.feed]
         self.driver = CoreDriver(reactor, state_machines, self._execute, on_turn_end=self._report_broken_disk)
@@ -119,7 +120,7 @@
         return Follower(
             settings.name,
             region,
-            relay_places(settings, [region]),
+            relay_locations(settings, [region]),
             [region],
             [],
             follower_settings(settings, settings.rate_between_regions),
@@ -160,7 +161,7 @@
                 self.replica.on_append(now, peer, message)
         self.feed.on_publisher(now, self.replica.publisher)
 
-    def _on_downstream_changed(self, peer: str, connected: bool) -> None:
+    def _on_downstream_changed(self, peer: str, *, connected: bool) -> None:
         if not connected:
             self.feed.on_lost(clock.now(), peer)
             self.driver.turn()
@@ -171,10 +172,10 @@
             deliver(follower, clock.now(), peer, message)
             self.driver.turn()
 
-    def _on_upstream_changed(self, peer: str, connected: bool) -> None:
+    def _on_upstream_changed(self, peer: str, *, connected: bool) -> None:
         follower = self.followers.get(self.region_of[peer])
         if follower is not None:
-            follower.on_link(clock.now(), peer, connected)
+            follower.on_link(clock.now(), peer, connected=connected)
             self.driver.turn()
 
     # ---- decisions -------------------------------------------------------------------------------------
@@ -182,8 +183,8 @@
     def _execute(self, state_machine: StateMachine, now: int, decision: Decision) -> None:
         match decision:
             case Send():
-                links = self.upstream if isinstance(state_machine, Follower) else self.downstream
-                links.say(decision.to, decision.message)
+                connections = self.upstream if isinstance(state_machine, Follower) else self.downstream
+                connections.send(decision.to, decision.message)
             case Keep():
                 self.writer.put(decision)
             case Committed():
@@ -197,7 +198,7 @@
             case Dial():
                 self.upstream.dial(decision.relay, self._address(decision.relay))
             case HangUp():
-                self.upstream.drop(decision.relay)
+                self.upstream.disconnect(decision.relay)
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
@@ -213,7 +214,7 @@
     def _report_broken_disk(self) -> None:
         if self.replica.broken and self._on_broken is not None:
             on_broken, self._on_broken = self._on_broken, None
-            later(self.reactor, on_broken)
+            call_soon(self.reactor, on_broken)
 
     def _address(self, relay: str) -> tuple[str, int]:
         return self.settings.regions[self.region_of[relay]].relays[relay]
@@ -223,7 +224,7 @@
         for persist in persists:
             self.replica.on_kept(now, persist.number)
             for send in persist.then:
-                self.downstream.say(send.to, send.message)
+                self.downstream.send(send.to, send.message)
         self.driver.turn()
 
     def _on_persist_failed(self, _persists: list[Keep], error: BaseException) -> None:
@@ -239,7 +240,7 @@
         counters = self.feed.counters
         return {
             "followers": len(self.feed.sessions),
-            "connections": len(self.downstream.to),
+            "connections": len(self.downstream.by_peer),
             "epoch": self.replica.epoch,
             "member": int(self.replica.member),
             "committed": self.replica.log.committed,
@@ -248,7 +249,7 @@
             "batches_encoded": counters.encoded,
             "ranges": counters.ranges,
             "bytes": counters.bytes,
-            "rejected_followers": counters.refused,
+            "rejected_followers": counters.rejected,
             "silent_followers": counters.silent,
         }
 
@@ -271,8 +272,8 @@
 
 def _feed_settings(settings: DistributionSettings) -> FeedSettings:
     return FeedSettings(
-        gather=settings.gather,
+        batch_interval=settings.gather,
         heartbeat=settings.heartbeat,
-        silent=settings.silence + EXTRA_SILENT_HEARTBEATS * settings.heartbeat,
-        followers_most=settings.followers,
+        follower_timeout=settings.silence + EXTRA_SILENT_HEARTBEATS * settings.heartbeat,
+        max_followers=settings.followers,
     )
--- a/linenbridge/distribution/hosting/server.py
+++ b/linenbridge/distribution/hosting/server.py
@@ -69,13 +69,13 @@
     def _start_publisher(self, settings: DistributionSettings, methods: Methods) -> HostedRole:
         from linenbridge.distribution.hosting.publisher import PublisherProcess
         from linenbridge.distribution.view.values import ValueChecks
-        from linenbridge.fleet.configuration import fleet
+        from linenbridge.fleet.configuration import fleet_settings
 
-        fleet_settings = fleet(self.configuration)
-        if fleet_settings is None:
+        member_settings = fleet_settings(self.configuration)
+        if member_settings is None:
             raise ConfigurationError(f"{self.configuration.path}: a publisher needs the element fleet")
         check = ValueChecks(methods.methods, methods.max_deadline)
-        return PublisherProcess(settings, fleet_settings, self.reactor, self.log, check, self.random)
+        return PublisherProcess(settings, member_settings, self.reactor, self.log, check, self.random)
 
     def _start_gateway(self, settings: DistributionSettings, methods: Methods) -> HostedRole:
         from linenbridge.distribution.hosting.gateway import Gateway, open_view
--- a/linenbridge/processor/configuration.py
+++ b/linenbridge/processor/configuration.py
@@ -12,17 +12,23 @@
 
 from lxml import etree
 
-from linenbridge.interface import Method
-from linenbridge.net.discovery import host_port
 from linenbridge.configuration.read import (
-    FILE_MOST, SPACE, Configuration, ConfigurationError, duration, said, size,
+    FILE_MOST,
+    SPACE,
+    Configuration,
+    ConfigurationError,
+    duration,
+    said,
+    size,
 )  # fmt: skip
-from linenbridge.processor.responses import ResponseFormat
-from linenbridge.processor.stream_session import ProxyPeer
-from linenbridge.processor.tls import KeyFiles
+from linenbridge.interface import Method
+from linenbridge.net.discovery import host_port
 from linenbridge.processor.connection_limits import ConnectionLimits
 from linenbridge.processor.reservations import ReservationTerms
 from linenbridge.processor.response_classification import NonExecutionRule
+from linenbridge.processor.responses import ResponseFormat
+from linenbridge.processor.stream_session import ProxyPeer
+from linenbridge.processor.tls import KeyFiles
 from linenbridge.routes.language import RouteError
 from linenbridge.routes.table import FaultsError, Table, table
 
--- a/linenbridge/processor/distributed.py
+++ b/linenbridge/processor/distributed.py
@@ -48,7 +48,7 @@
         return None
     view, store = open_view(settings, methods_in(platform), log)
     start = startup(platform.settings)
-    start = replace(start, tenant_shares=TenantShares(view, start.tenant_shares))
+    start = replace(start, tenant_quotas=TenantShares(view, start.tenant_quotas))
 
     def start_following() -> Gateway:
         return Gateway(settings, reactor, log, view, Random(secrets.randbits(64)), store)
--- a/linenbridge/processor/evidence.py
+++ b/linenbridge/processor/evidence.py
@@ -21,7 +21,7 @@
 from math import exp, log
 from typing import NamedTuple
 
-from linenbridge.interface import CANCELLED, ERROR, IDEMPOTENT, NEVER_RAN, OK, UNSENT
+from linenbridge.interface import NOT_EXECUTED, Idempotency, Outcome
 
 MAX_SUM = 5.0  # nats: the least threshold of the design
 MIN_FAILURE_SHARE = 0.01  # the others' share of failures is taken within these bounds
@@ -114,8 +114,8 @@
             return _untrusted_outcome(effect, outcome)
         record = self._record(proxy)
         record.reports.add(now, 1.0, 0.0)
-        if outcome in (OK, ERROR):
-            self._compare(now, proxy, record, BuildMethod(build, method), succeeded=outcome == OK)
+        if outcome in (Outcome.OK, Outcome.ERROR):
+            self._compare(now, proxy, record, BuildMethod(build, method), succeeded=outcome == Outcome.OK)
         came, missing = record.reports.at(now)
         due = came + missing
         if due >= MIN_DUE_REPORTS and missing > MAX_MISSING_SHARE * due:
@@ -179,7 +179,8 @@
 
 def _untrusted_outcome(effect: str, outcome: str) -> str:
     """An outcome without evidence: an attempt that can be repeated harmlessly may count as not sent."""
-    return UNSENT if outcome in NEVER_RAN and effect == IDEMPOTENT else CANCELLED
+    can_repeat = outcome in NOT_EXECUTED and effect == Idempotency.IDEMPOTENT
+    return Outcome.NOT_SENT if can_repeat else Outcome.CANCELLED
 
 
 def _counts_at(now: int, rows: Rows, key: BuildMethod) -> Counts:
--- a/linenbridge/processor/external_processor.py
+++ b/linenbridge/processor/external_processor.py
@@ -11,15 +11,11 @@
 from functools import partial
 from typing import Any
 
-from linenbridge import interface as face
+from linenbridge.interface import NOT_EXECUTED, EndpointEntry, Id, Idempotency, InstanceState, Outcome
+from linenbridge.net.decision_loop import REJECTED, ActiveRequest, DecisionLoop
 from linenbridge.net.upstream import load_report
-from linenbridge.net.decision_loop import Loop, Taken
 from linenbridge.processor import codec, http2
-from linenbridge.processor.responses import ResponseFormat, retry_after_seconds
-from linenbridge.processor.stream_phases import MessageKind
-from linenbridge.processor.stream_session import StreamSession
 from linenbridge.processor.evidence import Evidence
-from linenbridge.processor.store import ReservationStore, request_digest
 from linenbridge.processor.reservations import (
     Admission,
     AttemptReservation,
@@ -28,6 +24,10 @@
     RpcEntry,
 )
 from linenbridge.processor.response_classification import PENDING_TRAILERS, ResponseClassifier
+from linenbridge.processor.responses import ResponseFormat, retry_after_seconds
+from linenbridge.processor.store import ReservationStore, request_digest
+from linenbridge.processor.stream_phases import MessageKind
+from linenbridge.processor.stream_session import StreamSession
 from linenbridge.routes.table import Request, Routing
 
 MAX_ATTEMPT_DIGITS = 4
@@ -39,7 +39,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: DecisionLoop,
         reactor: Any,
         table: Routing,
         ledger: ReservationLedger,
@@ -54,16 +54,16 @@
         self.table, self.ledger, self.evidence, self.classifier = table, ledger, evidence, classifier
         self.format, self.store, self.unix = response_format, store, unix
         self.pass_unrouted = pass_unrouted
-        self.addresses: dict[face.Id, tuple[str, int]] = {}
-        self.builds: dict[face.Id, int] = {}
+        self.addresses: dict[Id, tuple[str, int]] = {}
+        self.builds: dict[Id, int] = {}
         self.awaiting_decision: dict[str, StreamSession] = {}  # by RPC: who waits for its first answer
         self.awaiting_retry: dict[str, StreamSession] = {}  # by RPC: who waits to hear what a failure means
-        self.taken: dict[str, Taken] = {}
+        self.taken: dict[str, ActiveRequest] = {}
         self.dispatching: list[tuple[StreamSession, RpcEntry, AttemptReservation]] = []
         self.forgettable: list[str] = []
         self.timer: Any = None
         self.timer_at = 0
-        loop.settled.append(self.on_turn_end)
+        loop.on_turn_end.append(self.on_turn_end)
 
     def start(self) -> None:
         """What earlier lives handed out is known again before anyone can ask."""
@@ -77,7 +77,7 @@
 
     # ---- the list --------------------------------------------------------------------------------
 
-    def listed(self, endpoints: Iterable[tuple[face.ListEntry, tuple[str, int]]], is_snapshot: bool) -> None:
+    def listed(self, endpoints: Iterable[tuple[EndpointEntry, tuple[str, int]]], is_snapshot: bool) -> None:
         """Addresses as discovery has them; an instance that leaves the list is not handed out any more."""
         endpoints = list(endpoints)
         if is_snapshot:
@@ -85,12 +85,12 @@
             for instance in [instance for instance in self.addresses if instance not in named]:
                 self._forget_instance(instance)
         for entry, address in endpoints:
-            if entry.state == face.READY:
+            if entry.state == InstanceState.READY:
                 self.addresses[entry.instance], self.builds[entry.instance] = address, entry.build
             else:
                 self._forget_instance(entry.instance)
 
-    def _forget_instance(self, instance: face.Id) -> None:
+    def _forget_instance(self, instance: Id) -> None:
         self.addresses.pop(instance, None)
         self.builds.pop(instance, None)
 
@@ -128,7 +128,7 @@
         name = headers.get(self.format.request_id, "")
         method = self.table.methods[asked.method]
         admission, entry = self.ledger.admit(
-            self.loop.now(), peer.name, request_digest(name) if name else "", int(count), method.effect
+            self.loop.now(), peer.name, request_digest(name) if name else "", int(count), method.idempotency
         )
         self.log.count("admitted", admission)
         if admission == Admission.ACCEPTED and entry is not None:
@@ -147,11 +147,11 @@
 
     def _accept(self, session: StreamSession, entry: RpcEntry, asked: Any) -> None:
         session.entry = entry
-        taken = self.taken[entry.id] = Taken(
+        taken = self.taken[entry.id] = ActiveRequest(
             entry.id, asked.method, self, entry, partial(self.answered, entry)
         )
         self.awaiting_decision[entry.id] = session
-        self.loop.take(taken, asked.deadline, asked.cost, asked.tenant, asked.key or "")
+        self.loop.accept(taken, asked.deadline, asked.cost, asked.tenant, asked.key or "")
 
     def _retry(self, session: StreamSession, entry: RpcEntry) -> None:
         """A further attempt. What is still out of the one before may have run; a pick already decided on goes
@@ -160,15 +160,15 @@
         session.entry = entry
         self.awaiting_decision[entry.id] = session
         if (reservation := entry.in_flight()) is not None:
-            self._on_attempt_ended(entry, reservation, face.CANCELLED)
+            self._on_attempt_ended(entry, reservation, Outcome.CANCELLED)
         elif (reservation := entry.reserved()) is not None:
             if now < reservation.use_by and reservation.instance in self.addresses:
                 del self.awaiting_decision[entry.id]
                 self.ledger.dispatch(entry, reservation)
                 self.dispatching.append((session, entry, reservation))
-                self.loop.gather(lambda _: None)  # So that a turn comes, and its end.
+                self.loop.enqueue(lambda _: None)  # So that a turn comes, and its end.
             else:
-                self._on_attempt_ended(entry, reservation, face.UNSENT)
+                self._on_attempt_ended(entry, reservation, Outcome.NOT_SENT)
 
     def on_response(self, session: StreamSession, message: codec.ProxyMessage) -> None:
         """The response's headers, or its trailers where these tell how it went."""
@@ -208,7 +208,9 @@
         module_outcome = self.evidence.on_report(
             now, peer.name, reservation.build, self._method(entry), entry.effect, outcome
         )
-        again = outcome != face.OK and kind == MessageKind.RESPONSE_HEADERS and entry.attempt < peer.attempts
+        again = (
+            outcome != Outcome.OK and kind == MessageKind.RESPONSE_HEADERS and entry.attempt < peer.attempts
+        )
         load = load_report(message.headers.get(self.format.load, "").encode("latin-1", "replace") or None)
         self.log.count("reported", outcome)
         if self.log.detail is not None:
@@ -226,9 +228,9 @@
             self.ledger.await_retry(now, entry)
             return
         # The proxy passes the upstream's answer on: that is the RPC's final answer.
-        self.loop.settle(self.taken[entry.id], outcome)
+        self.loop.mark_answered(self.taken[entry.id], outcome)
         self._on_attempt_ended(entry, reservation, module_outcome, load)
-        self._finish(now, entry, answered=module_outcome not in face.NEVER_RAN)
+        self._finish(now, entry, answered=module_outcome not in NOT_EXECUTED)
         session.entry = session.reservation = None
         session.call.send(codec.continue_response(kind))
 
@@ -257,7 +259,7 @@
         """The stream ended before its answer left. A proxy that fails open may have sent the request all the
         same: then it is known as one that may have run."""
         self._abandon(entry)
-        if entry.effect != face.IDEMPOTENT and session.peer.fail_open:
+        if entry.effect != Idempotency.IDEMPOTENT and session.peer.fail_open:
             until = self.ledger.terms.remember_for
             self.ledger.remember(entry.request, self.loop.now() + until, maybe_executed=True)
             if self.store is not None and self.store.is_open:
@@ -269,11 +271,11 @@
 
     # ---- what the loop calls ---------------------------------------------------------------------
 
-    def pick(self, now: int, taken: Taken, number: int, instance: face.Id, time_out: int) -> None:
+    def send(self, now: int, taken: ActiveRequest, number: int, instance: Id, time_out: int) -> None:
         """The module's pick: to the stream that waits for it, or kept for the attempt that is to come."""
-        entry: RpcEntry = taken.load
+        entry: RpcEntry = taken.payload
         if instance not in self.addresses:
-            self.loop.pick_ended(taken, number, now, face.UNSENT, {})
+            self.loop.attempt_finished(taken, number, now, Outcome.NOT_SENT, {})
             return
         session = self.awaiting_decision.pop(entry.id, None)
         reservation = self.ledger.reserve(
@@ -290,10 +292,10 @@
         if (reporting := self.awaiting_retry.pop(entry.id, None)) is not None:
             self._answer_report(reporting, {self.format.outcome: "again", self.format.again: "1"})
 
-    def cancel(self, taken: Taken, number: int) -> None:
+    def cancel(self, taken: ActiveRequest, number: int) -> None:
         """A proxy cannot be called back: the pick goes on, and the module hears of its end as of any."""
 
-    def withdraw(self, taken: Taken) -> None:
+    def withdraw_unsent(self, taken: ActiveRequest) -> None:
         """Nothing waits here to be sent: what is reserved and not yet handed out is ended with the answer."""
 
     def answered(self, entry: RpcEntry, outcome: str, retry_after: int, value: object) -> None:
@@ -301,7 +303,7 @@
         now = self.loop.now()
         session = self.awaiting_decision.pop(entry.id, None)
         reporting = self.awaiting_retry.pop(entry.id, None)
-        pushed = outcome == "pushed_back"
+        pushed = outcome == REJECTED
         if session is not None:
             if pushed:
                 text = "pushed back: trying again is harmless"
@@ -310,19 +312,19 @@
                 late = bool(entry.reservations) and now >= entry.reservations[0].report_by - LATE_MARGIN
                 status = self.format.timed_out if late else self.format.aborted
                 answer = self.format.final_response(
-                    session.grpc, status, {self.format.outcome: outcome}, "aborted"
+                    session.grpc, status, {self.format.outcome: self.format.outcome_value(outcome)}, "aborted"
                 )
             session.reject(answer)
         if reporting is not None:
-            headers = {self.format.outcome: outcome}
+            headers = {self.format.outcome: self.format.outcome_value(outcome)}
             if pushed and retry_after:
                 headers["retry-after"] = retry_after_seconds(retry_after)
             self._answer_report(reporting, headers)
         if (reservation := entry.in_flight()) is not None:
             # Its time is up at the proxy too; what comes now is late and tells nothing.
-            self._on_attempt_ended(entry, reservation, face.CANCELLED)
+            self._on_attempt_ended(entry, reservation, Outcome.CANCELLED)
         elif (reservation := entry.reserved()) is not None:
-            self._on_attempt_ended(entry, reservation, face.UNSENT)
+            self._on_attempt_ended(entry, reservation, Outcome.NOT_SENT)
         self._finish(now, entry, answered=not pushed)
 
     def on_turn_end(self) -> None:
@@ -331,7 +333,7 @@
         kept = {
             entry.request: self.unix() + self.ledger.terms.remember_for / 1e6
             for session, entry, _ in dispatching
-            if entry.effect != face.IDEMPOTENT and not session.call.ended
+            if entry.effect != Idempotency.IDEMPOTENT and not session.call.ended
         }
         if kept and self.store is not None and self.store.is_open:
             self.store.persist(kept.items())
@@ -386,7 +388,7 @@
     ) -> None:
         """The first word on a reservation counts, and the module hears it once."""
         if self.ledger.record_outcome(reservation, outcome):
-            self.loop.pick_ended(
+            self.loop.attempt_finished(
                 self.taken[entry.id], reservation.number, reservation.decided_at, outcome, load or {}
             )
             if entry.ended:
@@ -394,18 +396,18 @@
 
     def _abandon(self, entry: RpcEntry) -> None:
         """Nobody waits for it any more: nothing is owed, and what was not handed out never ran."""
-        self.loop.gone(self.taken[entry.id])
+        self.loop.client_disconnected(self.taken[entry.id])
         reservation = entry.reserved()
         if reservation is not None:
-            self._on_attempt_ended(entry, reservation, face.UNSENT)
+            self._on_attempt_ended(entry, reservation, Outcome.NOT_SENT)
         self._finish(self.loop.now(), entry, answered=False)
 
     def _on_unreported(self, entry: RpcEntry, reservation: AttemptReservation, proxy: str) -> None:
         """Nothing was said of a reservation: it may have run, and tells nothing of its instance."""
         self.log.count("unreported", proxy)
         self.evidence.on_missing_report(self.loop.now(), proxy)
-        self.loop.gone(self.taken[entry.id])
-        self._on_attempt_ended(entry, reservation, face.CANCELLED)
+        self.loop.client_disconnected(self.taken[entry.id])
+        self._on_attempt_ended(entry, reservation, Outcome.CANCELLED)
         self._finish(self.loop.now(), entry, answered=False)
 
     def _finish(self, now: int, entry: RpcEntry, answered: bool) -> None:
@@ -417,10 +419,10 @@
             session.reject(self.format.final_response(session.grpc, self.format.aborted, {}, "aborted"))
         if (reporting := self.awaiting_retry.pop(entry.id, None)) is not None:
             self._answer_report(reporting, {})
-        if not self.taken[entry.id].out:
+        if not self.taken[entry.id].in_flight:
             del self.taken[entry.id]
         if (
-            entry.effect != face.IDEMPOTENT
+            entry.effect != Idempotency.IDEMPOTENT
             and entry.reservations
             and not answered
             and not entry.maybe_executed()
--- a/linenbridge/processor/reservations.py
+++ b/linenbridge/processor/reservations.py
@@ -20,7 +20,7 @@
 from itertools import count
 from typing import NamedTuple
 
-from linenbridge.interface import IDEMPOTENT, NEVER_RAN, Id
+from linenbridge.interface import NOT_EXECUTED, Id, Idempotency
 
 MAX_ATTEMPT = 1_000  # an attempt count beyond it is taken for this
 UNSHARED_FRACTION = 0.5  # of the ledger: up to here no proxy is held to a share
@@ -98,7 +98,7 @@
 
     def maybe_executed(self) -> bool:
         """Whether any attempt may have been executed."""
-        return any(one.dispatched and one.outcome not in NEVER_RAN for one in self.reservations)
+        return any(one.dispatched and one.outcome not in NOT_EXECUTED for one in self.reservations)
 
 
 class EndedRequest(NamedTuple):
@@ -154,7 +154,7 @@
         gap in the counts.
         """
         attempt = min(max(1, attempt), MAX_ATTEMPT)
-        if effect == IDEMPOTENT:
+        if effect == Idempotency.IDEMPOTENT:
             entry = self.open.get((proxy, request)) if request else None
             if entry is not None and attempt > entry.attempt:
                 entry.attempt = attempt
@@ -261,7 +261,7 @@
             self.per_proxy[entry.proxy] = left
         else:
             del self.per_proxy[entry.proxy]
-        if entry.effect != IDEMPOTENT and entry.reservations:
+        if entry.effect != Idempotency.IDEMPOTENT and entry.reservations:
             executed = answered or entry.maybe_executed()
             self.remember(entry.request, now + self.terms.remember_for, maybe_executed=executed)
 
@@ -325,4 +325,4 @@
 
 def _key(entry: RpcEntry) -> tuple[str, str]:
     """Whichever proxy names it, a request with an effect is one."""
-    return entry.proxy if entry.effect == IDEMPOTENT else "", entry.request
+    return entry.proxy if entry.effect == Idempotency.IDEMPOTENT else "", entry.request
--- a/linenbridge/processor/response_classification.py
+++ b/linenbridge/processor/response_classification.py
@@ -10,16 +10,16 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from linenbridge.interface import ERROR, FULL, OK, UNREACHED
+from linenbridge.interface import Outcome
 
 # Response code details that Envoy publishes for requests that have not left it, and their outcomes.
 NOT_EXECUTED_DETAILS = {
-    "no_healthy_upstream": UNREACHED,
-    "cluster_not_found": UNREACHED,
-    "route_not_found": UNREACHED,
-    "upstream_reset_before_response_started{connection_failure}": UNREACHED,
-    "upstream_reset_before_response_started{connection_timeout}": UNREACHED,
-    "upstream_reset_before_response_started{overflow}": FULL,
+    "no_healthy_upstream": Outcome.CONNECT_FAILED,
+    "cluster_not_found": Outcome.CONNECT_FAILED,
+    "route_not_found": Outcome.CONNECT_FAILED,
+    "upstream_reset_before_response_started{connection_failure}": Outcome.CONNECT_FAILED,
+    "upstream_reset_before_response_started{connection_timeout}": Outcome.CONNECT_FAILED,
+    "upstream_reset_before_response_started{overflow}": Outcome.OVERLOADED,
 }
 DETAILS_ATTRIBUTE = "response.code_details"
 # gRPC statuses that the caller has brought about: the instance has served the RPC as it should.
@@ -64,8 +64,8 @@
             grpc_status = headers.get("grpc-status")
             if grpc_status is not None:
                 return grpc_outcome(grpc_status)
-            return ERROR if ended else PENDING_TRAILERS
-        return OK if status < MIN_SERVER_ERROR else ERROR
+            return Outcome.ERROR if ended else PENDING_TRAILERS
+        return Outcome.OK if status < MIN_SERVER_ERROR else Outcome.ERROR
 
     def classify_trailers(self, trailers: Mapping[str, str], attributes: Mapping[str, str]) -> str:
         """The outcome that the trailers of a gRPC response tell."""
@@ -78,7 +78,7 @@
         """The outcome where the response proves that the RPC was not executed."""
         for rule in self.rules:
             if status == rule.status and headers.get(rule.header) == rule.value:
-                return FULL
+                return Outcome.OVERLOADED
         if status < MIN_SERVER_ERROR:
             return None
         return NOT_EXECUTED_DETAILS.get(attributes.get(DETAILS_ATTRIBUTE, ""))
@@ -92,4 +92,4 @@
 def grpc_outcome(status: str) -> str:
     """The outcome of a gRPC status; one that is no number is a failure."""
     is_number = status.isascii() and status.isdigit() and len(status) <= MAX_GRPC_STATUS_DIGITS
-    return OK if is_number and int(status) in GRPC_CALLER_STATUSES else ERROR
+    return Outcome.OK if is_number and int(status) in GRPC_CALLER_STATUSES else Outcome.ERROR
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -13,24 +13,24 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
+from linenbridge.configuration.read import Configuration, ConfigurationError
+from linenbridge.logging.event_log import Log
 from linenbridge.logging.structured import structured
+from linenbridge.net.decision_loop import DecisionLoop
 from linenbridge.net.discovery import host_port
-from linenbridge.logging.event_log import Log
-from linenbridge.net.decision_loop import Loop
-from linenbridge.configuration.read import Configuration, ConfigurationError
 from linenbridge.process import lifecycle
 from linenbridge.process.components import build, reload
 from linenbridge.process.configuration import ProcessConfiguration
 from linenbridge.processor import tls
+from linenbridge.processor.configuration import Directory, ProcessorSettings, processor_settings, routes
 from linenbridge.processor.evidence import Evidence
-from linenbridge.processor.stream_session import StreamSession
 from linenbridge.processor.external_processor import ExternalProcessor
 from linenbridge.processor.health import Health
 from linenbridge.processor.http2 import PERMISSION_DENIED, Call, Server
-from linenbridge.processor.configuration import Directory, ProcessorSettings, processor_settings, routes
-from linenbridge.processor.store import ReservationStore
 from linenbridge.processor.reservations import ReservationLedger
 from linenbridge.processor.response_classification import ResponseClassifier
+from linenbridge.processor.store import ReservationStore
+from linenbridge.processor.stream_session import StreamSession
 from linenbridge.routes.table import Routing, Table
 from linenbridge.startup import micros, startup
 
@@ -72,7 +72,7 @@
         self.processor: ExternalProcessor | None = None
         self.server: Server | None = None
 
-    def open(self, loop: Loop) -> ExternalProcessor:
+    def open(self, loop: DecisionLoop) -> ExternalProcessor:
         """The front on this loop; it listens only when told to."""
         settings = self.settings
         ours = frozenset(known.peer.name for known in settings.peers if known.peer.is_own)
@@ -90,7 +90,7 @@
             HEALTH + b"Check": self.health.check,
             HEALTH + b"Watch": self.health.watch,
         }
-        loop.settled.append(self.server.flush)
+        loop.on_turn_end.append(self.server.flush)
         return processor
 
     def _open_session(self, call: Call) -> StreamSession | UnauthorizedStream:
@@ -163,19 +163,19 @@
     return open_distributed_state(configuration, at, log, reactor)
 
 
-def _member(configuration: Configuration, log: Log, reactor: Any, loop: Loop):  # noqa: ANN202  (imported where it is used)
+def _member(configuration: Configuration, log: Log, reactor: Any, loop: DecisionLoop):  # noqa: ANN202  (imported where it is used)
     """This process as a member of the fleet, where the settings have one."""
     if configuration.part("fleet") is None:
         return None
+    from linenbridge.fleet.configuration import fleet_settings
     from linenbridge.fleet.hosting.member import Member
-    from linenbridge.fleet.configuration import fleet
 
-    told = fleet(configuration)
+    told = fleet_settings(configuration)
     if told is None:
         return None
 
     def held(zones: frozenset[str] | None) -> None:
-        loop.gather(lambda now: loop.gateway.on_hold(now, zones))
+        loop.enqueue(lambda now: loop.decision_module.on_rollout_freeze(now, zones))
 
     return Member(told, reactor, log, secrets.randbits(60), held)
 
@@ -230,9 +230,9 @@
         reload(parts, log, dict(os.environ))
         server.reload()
         if member is not None:
-            from linenbridge.fleet.hosting.quorum_member import again
+            from linenbridge.fleet.hosting.quorum_member import reload_settings
 
-            again(configuration.path, member, log)
+            reload_settings(configuration.path, member, log)
 
     lifecycle.run(reactor, log, stop, counters, anew)
     return 0
--- a/tests/distribution/hosting/fakes.py
+++ b/tests/distribution/hosting/fakes.py
@@ -21,7 +21,7 @@
     Progress,
     Published,
 )
-from linenbridge.peering.connections import Links
+from linenbridge.peering.connections import PeerConnections
 
 
 class FakeThreads:
@@ -72,21 +72,21 @@
 class ConnectedPeer:
     """A connected peer; `received()` is what was sent to it since the last call, `Progress` aside."""
 
-    def __init__(self, links: Links, name: str) -> None:
-        self.links = links
+    def __init__(self, connections: PeerConnections, name: str) -> None:
+        self.connections = connections
         self.name = name
         self._received = []
-        self.link = links.buildProtocol(None)
+        self.link = connections.buildProtocol(None)
         self.link.makeConnection(FakeTransport())
-        self.link.far = name
-        self.link.quiet.cancel()
-        links.met(self.link)
+        self.link.peer = name
+        self.link.hello_timer.cancel()
+        connections.on_connected(self.link)
         self.link.callRemote = lambda command, **arguments: self._received.append(
             _decode(*arguments.values())
         )
 
     def send(self, message: object) -> None:
-        self.links.hear(self.name, message)
+        self.connections.on_message(self.name, message)
 
     def received(self) -> list:
         received = [message for message in self._received if not isinstance(message, Progress)]
@@ -103,11 +103,11 @@
 class FakeMember:
     """Holds the task `publish-eu` under the term that the test sets; None: it does not hold it."""
 
-    def __init__(self, *row: object, tasks_changed: Callable[[str], None]) -> None:
-        self.tasks_changed = tasks_changed
+    def __init__(self, *row: object, on_task_changed: Callable[[str], None]) -> None:
+        self.on_task_changed = on_task_changed
         self.term: int | None = None
 
-    def holds(self, task: str) -> tuple[int, int] | None:
+    def held_lease(self, task: str) -> tuple[int, int] | None:
         return None if task != "publish-eu" or self.term is None else (self.term, 0)
 
     def facts(self) -> dict[str, int]:
--- a/tests/distribution/hosting/test_change_client.py
+++ b/tests/distribution/hosting/test_change_client.py
@@ -33,16 +33,16 @@
         )
         self.ends: dict[str, ConnectedPeer] = {}
         self.requested: list[str] = []
-        self.client.connections.say = lambda to, message: self.requested.append(to)
+        self.client.connections.send = lambda to, message: self.requested.append(to)
 
     def connect(self, name: str) -> None:
         self.ends[name] = ConnectedPeer(self.client.connections, name)
 
     def disconnect(self, name: str) -> None:
-        self.client.connections.lost(self.ends[name].link)
+        self.client.connections.on_disconnected(self.ends[name].link)
 
     def answer(self, name: str, state: str, code: str = "", request: int = 5) -> None:
-        self.client.connections.hear(name, Published(request, state, Version(1, 2), code))
+        self.client.connections.on_message(name, Published(request, state, Version(1, 2), code))
 
     def wait_for_retry(self) -> None:
         self.reactor.advance(RETRY_DELAY)
--- a/tests/distribution/hosting/test_publisher.py
+++ b/tests/distribution/hosting/test_publisher.py
@@ -13,9 +13,9 @@
     (rejection,) = author.received()
     assert (rejection.state, rejection.code) == ("refused", "not_publisher") and relay.received() == []
     publisher.member.term = 5
-    publisher.member.tasks_changed("another")
+    publisher.member.on_task_changed("another")
     assert relay.received() == []
-    publisher.member.tasks_changed("publish-eu")
+    publisher.member.on_task_changed("publish-eu")
     (prepare,) = relay.received()
     assert prepare == Prepare("eu", 5)
     for name in ("eu-1", "eu-2"):
--- a/tests/distribution/hosting/test_relay.py
+++ b/tests/distribution/hosting/test_relay.py
@@ -56,7 +56,7 @@
     assert not relay.feed.sessions and relay.log.counts["distribution.name_mismatch", "follower"] == 2
     follower.send(Follow("g-1", 7, [], 0, []))
     assert list(relay.feed.sessions) == ["g-1"] and follower.received()
-    relay.downstream.lost(follower.link)
+    relay.downstream.on_disconnected(follower.link)
     assert not relay.feed.sessions
 
 
--- a/tests/distribution/view/test_serving.py
+++ b/tests/distribution/view/test_serving.py
@@ -16,7 +16,7 @@
 import grpc
 import pytest
 
-from linenbridge.policy import Choice
+from linenbridge.policy import DecisionModule
 from linenbridge.distribution.changes import Kind
 from linenbridge.configuration.read import ConfigurationError, read
 from linenbridge.distribution.configuration import distribution
@@ -87,7 +87,7 @@
 
 
 def with_view(bench: Bench, view: View) -> Bench:
-    bench.front.table = RoutesByAuthority(view, bench.front.table)
+    bench.processor.table = RoutesByAuthority(view, bench.processor.table)
     return bench
 
 
@@ -121,7 +121,7 @@
     view = View(METHODS, 900 * MS)
     view.apply(batch(change(Kind.ROUTES, "desk", ROUTES.encode(), 1)))
     plain, spread = Bench(), with_view(Bench(), view)
-    spread.front.table.settings = table("", startup().methods, 900 * MS)
+    spread.processor.table.settings = table("", startup().methods, 900 * MS)
     assert answers(spread, REQUESTS) == answers(plain, REQUESTS)
 
 
@@ -150,12 +150,12 @@
 
 def test_the_module_weighs_by_the_views_shares_as_by_a_dict_of_them():
     def utilities(shares) -> list[float]:
-        gateway = Choice(replace(startup(gateways=1), tenant_shares=shares), 7, 0)
-        gateway.on_list(0, [entry(1)], whole=True, answers=True)
+        gateway = DecisionModule(replace(startup(gateway_count=1), tenant_quotas=shares), 7, 0)
+        gateway.on_endpoint_list(0, [entry(1)], is_snapshot=True, is_poll_response=True)
         found = []
         for number in range(60):
             tenant, rpc = ("t1", "t2", "t3")[number % 3], f"r{number}"
-            gateway.on_rpc(number * 500, rpc, "look", 50 * MS, None, tenant, None)
+            gateway.on_request(number * 500, rpc, "look", 50 * MS, None, tenant, None)
             found.append(gateway.rpcs.get(rpc).utility)
         return found
 
--- a/tests/processor/test_evidence.py
+++ b/tests/processor/test_evidence.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from linenbridge import interface as face
+from linenbridge.interface import Idempotency, Outcome, RolloutPhase
 from linenbridge.processor.evidence import DISTRUST_TIME, MIN_OTHERS_REPORTS, Evidence
 from tests.helpers import MS, entry
 from tests.peer_script import ADDRESSES, Bench, seeded
@@ -12,7 +12,7 @@
 
 def _trial(bench: Bench) -> None:
     bench.list([*ADDRESSES, (entry(9, build=2), ("10.0.0.1", 7009))])
-    bench.stage(2, 1, face.ON_TRIAL, 1.0)
+    bench.stage(2, 1, RolloutPhase.ON_TRIAL, 1.0)
 
 
 @pytest.mark.parametrize(("ours", "moves"), [(True, True), (False, False)])
@@ -46,10 +46,10 @@
     for _ in range(60):
         now += 50 * MS
         for proxy in ("plain", "other"):
-            outcome = face.ERROR if chance.random() < 0.3 else face.OK
-            assert evidence.on_report(now, proxy, 2, "look", face.IDEMPOTENT, outcome) == outcome
-        given = evidence.on_report(now, "optimist", 2, "look", face.IDEMPOTENT, face.OK)
-    assert given == face.CANCELLED and not evidence.is_trusted(now, "optimist")
+            outcome = Outcome.ERROR if chance.random() < 0.3 else Outcome.OK
+            assert evidence.on_report(now, proxy, 2, "look", Idempotency.IDEMPOTENT, outcome) == outcome
+        given = evidence.on_report(now, "optimist", 2, "look", Idempotency.IDEMPOTENT, Outcome.OK)
+    assert given == Outcome.CANCELLED and not evidence.is_trusted(now, "optimist")
     assert evidence.is_trusted(now, "plain") and evidence.is_trusted(now, "other")
     assert [(one.proxy, "says ok where" in one.reason) for one in evidence.notices] == [("optimist", True)]
     assert evidence.is_trusted(now + DISTRUST_TIME + 1, "optimist")
@@ -60,9 +60,9 @@
     now = 0
     for n in range(40):
         now += 50 * MS
-        evidence.on_report(now, "plain", 2, "look", face.IDEMPOTENT, face.OK)
+        evidence.on_report(now, "plain", 2, "look", Idempotency.IDEMPOTENT, Outcome.OK)
         if n > MIN_OTHERS_REPORTS:
-            evidence.on_report(now, "pessimist", 2, "look", face.IDEMPOTENT, face.ERROR)
+            evidence.on_report(now, "pessimist", 2, "look", Idempotency.IDEMPOTENT, Outcome.ERROR)
     assert not evidence.is_trusted(now, "pessimist") and evidence.is_trusted(now, "plain")
 
 
@@ -70,13 +70,18 @@
     evidence = Evidence(frozenset(("desk",)))
     for n in range(40):
         evidence.on_missing_report(n, "desk") if n % 2 else evidence.on_report(
-            n, "desk", 1, "look", face.IDEMPOTENT, face.OK
+            n, "desk", 1, "look", Idempotency.IDEMPOTENT, Outcome.OK
         )
     assert not evidence.is_trusted(40, "desk")
 
 
 def test_a_foreign_report_proves_nothing_for_a_method_with_an_effect():
     evidence = Evidence(frozenset())
-    assert evidence.on_report(0, "p", 1, "charge", face.NON_IDEMPOTENT, face.FULL) == face.CANCELLED
-    assert evidence.on_report(0, "p", 1, "look", face.IDEMPOTENT, face.FULL) == face.UNSENT
-    assert evidence.on_report(0, "p", 1, "look", face.IDEMPOTENT, face.OK) == face.CANCELLED
+    assert (
+        evidence.on_report(0, "p", 1, "charge", Idempotency.NON_IDEMPOTENT, Outcome.OVERLOADED)
+        == Outcome.CANCELLED
+    )
+    assert (
+        evidence.on_report(0, "p", 1, "look", Idempotency.IDEMPOTENT, Outcome.OVERLOADED) == Outcome.NOT_SENT
+    )
+    assert evidence.on_report(0, "p", 1, "look", Idempotency.IDEMPOTENT, Outcome.OK) == Outcome.CANCELLED
--- a/tests/processor/test_response_classification.py
+++ b/tests/processor/test_response_classification.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from linenbridge.interface import ERROR, FULL, OK, UNREACHED
+from linenbridge.interface import Outcome
 from linenbridge.processor.response_classification import (
     DETAILS_ATTRIBUTE,
     PENDING_TRAILERS,
@@ -23,7 +23,15 @@
 
 @pytest.mark.parametrize(
     ("status", "outcome"),
-    [("200", OK), ("301", OK), ("404", OK), ("499", OK), ("500", ERROR), ("503", ERROR), ("599", ERROR)],
+    [
+        ("200", Outcome.OK),
+        ("301", Outcome.OK),
+        ("404", Outcome.OK),
+        ("499", Outcome.OK),
+        ("500", Outcome.ERROR),
+        ("503", Outcome.ERROR),
+        ("599", Outcome.ERROR),
+    ],
 )
 def test_a_status_alone_shows_whether_the_instance_failed(status, outcome):
     assert CLASSIFIER.classify_headers(headers(status), {}, ended=True) == outcome
@@ -35,19 +43,19 @@
 
 
 def test_a_rule_of_the_settings_proves_that_the_rpc_was_not_executed():
-    assert CLASSIFIER.classify_headers(headers("503", x_never_ran="1"), {}, ended=True) == FULL
-    assert CLASSIFIER.classify_headers(headers("503", x_never_ran="2"), {}, ended=True) == ERROR
-    assert CLASSIFIER.classify_headers(headers("500", x_never_ran="1"), {}, ended=True) == ERROR
+    assert CLASSIFIER.classify_headers(headers("503", x_never_ran="1"), {}, ended=True) == Outcome.OVERLOADED
+    assert CLASSIFIER.classify_headers(headers("503", x_never_ran="2"), {}, ended=True) == Outcome.ERROR
+    assert CLASSIFIER.classify_headers(headers("500", x_never_ran="1"), {}, ended=True) == Outcome.ERROR
 
 
 @pytest.mark.parametrize(
     ("details", "outcome"),
     [
-        ("no_healthy_upstream", UNREACHED),
-        ("upstream_reset_before_response_started{connection_timeout}", UNREACHED),
-        ("upstream_reset_before_response_started{overflow}", FULL),
-        ("upstream_reset_before_response_started{connection_termination}", ERROR),
-        ("via_upstream", ERROR),
+        ("no_healthy_upstream", Outcome.CONNECT_FAILED),
+        ("upstream_reset_before_response_started{connection_timeout}", Outcome.CONNECT_FAILED),
+        ("upstream_reset_before_response_started{overflow}", Outcome.OVERLOADED),
+        ("upstream_reset_before_response_started{connection_termination}", Outcome.ERROR),
+        ("via_upstream", Outcome.ERROR),
     ],
 )
 def test_only_published_details_of_unsent_requests_prove_it(details, outcome):
@@ -56,21 +64,32 @@
 
 def test_details_of_a_successful_response_prove_nothing():
     attributes = {DETAILS_ATTRIBUTE: "no_healthy_upstream"}
-    assert CLASSIFIER.classify_headers(headers("200"), attributes, ended=True) == OK
+    assert CLASSIFIER.classify_headers(headers("200"), attributes, ended=True) == Outcome.OK
 
 
 def test_a_grpc_response_is_classified_by_its_status_in_headers_or_trailers():
     assert CLASSIFIER.classify_headers(headers("200") | GRPC, {}, ended=False) == PENDING_TRAILERS
-    assert CLASSIFIER.classify_headers(headers("200") | GRPC, {}, ended=True) == ERROR
-    assert CLASSIFIER.classify_headers(headers("200", grpc_status="14") | GRPC, {}, ended=True) == ERROR
-    assert CLASSIFIER.classify_headers(headers("500") | GRPC, {}, ended=False) == ERROR
-    assert CLASSIFIER.classify_trailers({"grpc-status": "0"}, {}) == OK
-    assert CLASSIFIER.classify_trailers({}, {}) == ERROR
+    assert CLASSIFIER.classify_headers(headers("200") | GRPC, {}, ended=True) == Outcome.ERROR
+    assert (
+        CLASSIFIER.classify_headers(headers("200", grpc_status="14") | GRPC, {}, ended=True) == Outcome.ERROR
+    )
+    assert CLASSIFIER.classify_headers(headers("500") | GRPC, {}, ended=False) == Outcome.ERROR
+    assert CLASSIFIER.classify_trailers({"grpc-status": "0"}, {}) == Outcome.OK
+    assert CLASSIFIER.classify_trailers({}, {}) == Outcome.ERROR
 
 
 @pytest.mark.parametrize(
     ("status", "outcome"),
-    [("0", OK), ("5", OK), ("16", OK), ("2", ERROR), ("8", ERROR), ("14", ERROR), ("", ERROR), ("x", ERROR)],
+    [
+        ("0", Outcome.OK),
+        ("5", Outcome.OK),
+        ("16", Outcome.OK),
+        ("2", Outcome.ERROR),
+        ("8", Outcome.ERROR),
+        ("14", Outcome.ERROR),
+        ("", Outcome.ERROR),
+        ("x", Outcome.ERROR),
+    ],
 )
 def test_statuses_that_the_caller_brings_about_are_no_failure_of_the_instance(status, outcome):
     assert grpc_outcome(status) == outcome
--- a/tests/upgrade/__main__.py
+++ b/tests/upgrade/__main__.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 
 from tests.fleet.procs.installation import ROOT
-from tests.fleet.procs.standin_resource import StandinResource
+from tests.fleet.procs.fake_resource import StandinResource
 from tests.upgrade.checkout import Checkout
 from tests.upgrade.play import ORDERS, Upgrade
 
--- a/tests/upgrade/event_names.py
+++ b/tests/upgrade/event_names.py
@@ -9,7 +9,9 @@
 # At the base -> in this version.
 EVENTS: dict[str, str] = {
     "distribution.misnamed": "distribution.name_mismatch",
+    "distribution.refused_follower": "distribution.follower_rejected",
     "distribution.refused_change": "distribution.rejected_change",
+    "distribution.spoilt": "distribution.malformed",
     "distribution.stranger": "distribution.unauthorized_peer",
 }
 FIELDS: dict[str, str] = {}
--- a/tests/upgrade/play.py
+++ b/tests/upgrade/play.py
@@ -22,7 +22,7 @@
 from linenbridge.logging.event_log import Log
 from tests.distribution.hosting.installation import Installation
 from tests.fleet.procs.checker import breaches, longest_gap
-from tests.fleet.procs.standin_resource import StandinResource
+from tests.fleet.procs.fake_resource import StandinResource
 from tests.upgrade import checks
 from tests.upgrade.checkout import Checkout
 from tests.upgrade.event_names import in_present_terms
