--- a/linenbridge/faults/fake_processor.py
+++ b/linenbridge/faults/fake_processor.py
@@ -13,11 +13,12 @@
 
 from linenbridge.logging.event_log import Log
 from linenbridge.net.reactor import Reactor
-from linenbridge.processor import codec, http2, stream_phases
-from linenbridge.processor.connection_limits import Bounds
+from linenbridge.processor import codec, http2
+from linenbridge.processor.connection_limits import ConnectionLimits
 from linenbridge.processor.server import PROCESS
+from linenbridge.processor.stream_phases import MessageKind
 
-BOUNDS = Bounds(1000, 65536, 16384, 1 << 20, 2_000_000, 5_000_000, 600_000_000)
+LIMITS = ConnectionLimits(1000, 65536, 16384, 1 << 20, 2_000_000, 5_000_000, 600_000_000)
 
 
 class Echo:
@@ -26,18 +27,18 @@
     def __init__(self, call: http2.Call, endpoint: str) -> None:
         self.call, self.endpoint = call, endpoint
 
-    def message(self, data: memoryview) -> None:
-        heard = codec.read(data)
-        if heard.kind == stream_phases.REQUEST_HEADERS:
+    def on_message(self, data: memoryview) -> None:
+        heard = codec.decode(data)
+        if heard.kind == MessageKind.REQUEST_HEADERS:
             headers = {"x-gateway-destination-endpoint": self.endpoint}
-            self.call.send(codec.hand_out(headers, ("envoy.lb", headers), False))
+            self.call.send(codec.dispatch_response(headers, ("envoy.lb", headers), False))
         else:
-            self.call.send(codec.go_on(heard.kind or stream_phases.RESPONSE_HEADERS))
+            self.call.send(codec.continue_response(heard.kind or MessageKind.RESPONSE_HEADERS))
 
-    def half_closed(self) -> None:
+    def on_half_closed(self) -> None:
         self.call.finish(http2.OK)
 
-    def gone(self) -> None: ...
+    def on_closed(self) -> None: ...
 
 
 def main(port: int, endpoint: str) -> None:
@@ -45,7 +46,7 @@
     reactor = Reactor()
     installReactor(reactor)
     log = Log(sys.stderr.buffer)
-    server = http2.Server(reactor, lambda: time.monotonic_ns() // 1000, BOUNDS, 64, log)
+    server = http2.Server(reactor, lambda: time.monotonic_ns() // 1000, LIMITS, 64, log)
     server.services = {PROCESS: lambda call: Echo(call, endpoint)}
     reactor.listenTCP(port, server, interface="127.0.0.1")
     log.event("started")
--- a/linenbridge/processor/response_classification.py
+++ b/linenbridge/processor/response_classification.py
@@ -1,8 +1,8 @@
-"""What a response at a proxy says of the pick behind it. Decides without I/O, from the response's own words.
+"""The outcome of an attempt, from the response that a proxy shows. Decides without I/O.
 
-It must never take a refusal for a proof: a 503 may come from an instance that ran the RPC, from a proxy that
-never sent it, or from one that lost the answer. Only what the settings or the proxy's published details name
-as a proof counts as one.
+A status never proves that an RPC was not executed: a 503 may come from an instance that executed it, from a
+proxy that never sent it, or from one that lost the response. Only a response that a rule of the settings
+names, or a response code detail that proxies publish for it, counts as such a proof.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 from linenbridge.interface import Outcome
 
-# Published response code details of proxies whose request has provably not left them.
-NOT_SENT = {
+# Response code details that Envoy publishes for requests that have not left it, and their outcomes.
+NOT_EXECUTED_DETAILS = {
     "no_healthy_upstream": Outcome.CONNECT_FAILED,
     "cluster_not_found": Outcome.CONNECT_FAILED,
     "route_not_found": Outcome.CONNECT_FAILED,
@@ -21,60 +21,75 @@
     "upstream_reset_before_response_started{connection_timeout}": Outcome.CONNECT_FAILED,
     "upstream_reset_before_response_started{overflow}": Outcome.OVERLOADED,
 }
-DETAILS = "response.code_details"
-# gRPC statuses that the caller has brought about: the instance has answered as it should.
-GRPC_CALLER = frozenset((0, 1, 3, 5, 6, 7, 9, 11, 16))
-GRPC_TYPE = "application/grpc"
-LATER = "later"  # only the trailers will tell
+DETAILS_ATTRIBUTE = "response.code_details"
+# gRPC statuses that the caller has brought about: the instance has served the RPC as it should.
+GRPC_CALLER_STATUSES = frozenset((0, 1, 3, 5, 6, 7, 9, 11, 16))
+GRPC_CONTENT_TYPE = "application/grpc"
+MAX_GRPC_STATUS_DIGITS = 3
+MIN_FINAL_STATUS = 200  # lower ones are interim responses (RFC 9110, section 15.2)
+MIN_SERVER_ERROR = 500
+PENDING_TRAILERS = "later"  # in place of an outcome: the trailers will tell it
 
 
 @dataclass(frozen=True, slots=True)
-class Proof:
-    """A response by which instances say that they did not run the RPC: a status and a header's value."""
+class NonExecutionRule:
+    """A response by which instances say that they have not executed an RPC: a status and a header."""
 
     status: int
     header: str
     value: str
 
 
-class Verdicts:
-    """Reads responses by the proofs of the settings."""
+class ResponseClassifier:
+    """Classifies responses by the rules of the settings."""
 
-    def __init__(self, proofs: tuple[Proof, ...]) -> None:
-        self.proofs = proofs
+    def __init__(self, rules: tuple[NonExecutionRule, ...]) -> None:
+        self.rules = rules
 
-    def of_headers(
+    def classify_headers(
         self, headers: Mapping[str, str], attributes: Mapping[str, str], ended: bool
     ) -> str | None:
-        """The outcome that response headers tell; LATER for a gRPC answer that goes on; None for a response
-        that is only on its way (1xx) or holds no status that can be read."""
-        status = headers.get(":status", "")
-        if not (len(status) == 3 and status.isascii() and status.isdigit()) or status < "200":
+        """The outcome that response headers tell; `ended`: nothing follows them.
+
+        PENDING_TRAILERS for a gRPC response that goes on; None for an interim response, or one without a
+        status that can be read.
+        """
+        status = _http_status(headers.get(":status", ""))
+        if status is None or status < MIN_FINAL_STATUS:
             return None
-        code = int(status)
-        if (found := self._not_run(code, headers, attributes)) is not None:
-            return found
-        if headers.get("content-type", "").startswith(GRPC_TYPE) and code == 200:
-            said = headers.get("grpc-status")
-            if said is None:
-                return Outcome.ERROR if ended else LATER
-            return grpc_outcome(said)
-        return Outcome.OK if code < 500 else Outcome.ERROR
-
-    def of_trailers(self, trailers: Mapping[str, str], attributes: Mapping[str, str]) -> str:
-        if (found := self._not_run(200, trailers, attributes)) is not None:
-            return found
-        return grpc_outcome(trailers.get("grpc-status", ""))
-
-    def _not_run(self, code: int, headers: Mapping[str, str], attributes: Mapping[str, str]) -> str | None:
-        for proof in self.proofs:
-            if code == proof.status and headers.get(proof.header) == proof.value:
+        outcome = self._not_executed(status, headers, attributes)
+        if outcome is not None:
+            return outcome
+        if status == 200 and headers.get("content-type", "").startswith(GRPC_CONTENT_TYPE):
+            grpc_status = headers.get("grpc-status")
+            if grpc_status is not None:
+                return grpc_outcome(grpc_status)
+            return Outcome.ERROR if ended else PENDING_TRAILERS
+        return Outcome.OK if status < MIN_SERVER_ERROR else Outcome.ERROR
+
+    def classify_trailers(self, trailers: Mapping[str, str], attributes: Mapping[str, str]) -> str:
+        """The outcome that the trailers of a gRPC response tell."""
+        outcome = self._not_executed(200, trailers, attributes)
+        return grpc_outcome(trailers.get("grpc-status", "")) if outcome is None else outcome
+
+    def _not_executed(
+        self, status: int, headers: Mapping[str, str], attributes: Mapping[str, str]
+    ) -> str | None:
+        """The outcome where the response proves that the RPC was not executed."""
+        for rule in self.rules:
+            if status == rule.status and headers.get(rule.header) == rule.value:
                 return Outcome.OVERLOADED
-        details = attributes.get(DETAILS, "")
-        return NOT_SENT.get(details) if code >= 500 else None
+        if status < MIN_SERVER_ERROR:
+            return None
+        return NOT_EXECUTED_DETAILS.get(attributes.get(DETAILS_ATTRIBUTE, ""))
+
+
+def _http_status(text: str) -> int | None:
+    """Three digits as a number; None for anything else."""
+    return int(text) if len(text) == 3 and text.isascii() and text.isdigit() else None
 
 
 def grpc_outcome(status: str) -> str:
-    """A gRPC status as an outcome; one that is no number is a failure."""
-    known = status.isascii() and status.isdigit() and len(status) <= 3
-    return Outcome.OK if known and int(status) in GRPC_CALLER else Outcome.ERROR
+    """The outcome of a gRPC status; one that is no number is a failure."""
+    is_number = status.isascii() and status.isdigit() and len(status) <= MAX_GRPC_STATUS_DIGITS
+    return Outcome.OK if is_number and int(status) in GRPC_CALLER_STATUSES else Outcome.ERROR
--- a/linenbridge/processor/store.py
+++ b/linenbridge/processor/store.py
@@ -1,9 +1,9 @@
-"""What outlives the process: ids of requests with an effect that were handed out.
+"""The store of dispatched requests: ids of those with an effect, which outlive the process.
 
 Owns one file of an embedded store (SQLite by `apsw`) and every transaction on it. An id is in the store
-before its ticket leaves the gateway, so that whatever ends the process, the next life knows it. It must never
-stop the gateway: a store that cannot be used is set aside or left, with one loud line, and the ledger then
-goes by attempt counts alone.
+before its reservation leaves the gateway, so that the next process knows it, whatever ends this one. An error
+of the store never stops the gateway: a damaged file is set aside, a file that cannot be used is left, each
+with one warning, and the reservation ledger then relies on the proxies' attempt counts alone.
 """
 
 from __future__ import annotations
@@ -12,50 +12,70 @@
 import time
 from collections.abc import Callable, Iterable, Iterator
 from hashlib import blake2b
+from typing import TypeVar, cast
 
 import apsw
 
-FORM = 1  # of the tables; a file with another is set aside
+FORM = 1  # version of the tables; a file with another one is set aside
 ID_BYTES = 16
-PAGES = 4  # of the cache, in MB
-SWEEP_EVERY = 30.0  # seconds between two looks for ids whose time is over
+CACHE_MEGABYTES = 4
+SWEEP_INTERVAL = 30.0  # seconds between two deletions of expired ids
 
-# What says nothing against the file itself: no place for it, or somebody else has it.
-LOST = (
-    apsw.BusyError, apsw.LockedError, apsw.FullError, apsw.IOError, apsw.CantOpenError, apsw.ReadOnlyError,
-    apsw.PermissionsError, apsw.NoMemError, OSError,
-)  # fmt: skip
+# Errors that say nothing against the file itself: there is no place for it, or another process has it.
+UNAVAILABLE_ERRORS = (
+    apsw.BusyError,
+    apsw.LockedError,
+    apsw.FullError,
+    apsw.IOError,
+    apsw.CantOpenError,
+    apsw.ReadOnlyError,
+    apsw.PermissionsError,
+    apsw.NoMemError,
+    OSError,
+)
 
-POWER, PROCESS = "power", "process"
+POWER = "power"  # durability: the store outlives a loss of power
+PROCESS = "process"  # the store outlives the process alone
 
 
-def digest(request: str) -> str:
-    """The id as it is kept: of one length, whatever a proxy names."""
+Result = TypeVar("Result")
+
+
+def request_digest(request: str) -> str:
+    """The id as it is stored: of one length, whatever a proxy sends."""
     return blake2b(request.encode("utf-8", "surrogatepass"), digest_size=ID_BYTES).hexdigest()
 
 
-class Store:
-    """One file. `durability` says what it outlives: the process, or a loss of power too."""
+class ReservationStore:
+    """One file at `path`. `durability` is what it outlives: PROCESS, or POWER as well. `log_event` writes a
+    line of the log; `clock` gives Unix seconds."""
 
     def __init__(
-        self, path: str, durability: str, say: Callable[..., None], clock: Callable[[], float] = time.time
+        self,
+        path: str,
+        durability: str,
+        log_event: Callable[..., None],
+        clock: Callable[[], float] = time.time,
     ) -> None:
-        self.path, self.durability, self.say, self.clock = path, durability, say, clock
+        self.path = path
+        self.durability = durability
+        self.log_event = log_event
+        self.clock = clock
         self.connection: apsw.Connection | None = None
-        self.swept = 0.0
+        self.swept_at = 0.0
 
     def open(self) -> bool:
-        """Take the file up; a damaged one is moved aside under its name and the time. False: no store."""
+        """Open the file; a damaged one is renamed with the time and replaced. False: there is no store."""
         for _ in range(2):
             try:
                 self._open()
                 return True
-            except LOST as error:
-                self._leave(error)
-                self.say("store.lost", path=self.path, error=f"{type(error).__name__}: {error}")
+            except UNAVAILABLE_ERRORS as error:
+                self._disconnect(error)
+                self.log_event("store.lost", path=self.path, error=f"{type(error).__name__}: {error}")
                 return False
             except (apsw.Error, _WrongFormError) as error:
-                self._leave(error)
+                self._disconnect(error)
                 if not self._set_aside(error):
                     return False
         return False
@@ -63,10 +83,10 @@
     def _open(self) -> None:
         connection = self.connection = apsw.Connection(self.path)
         connection.set_busy_timeout(0)
-        connection.pragma("locking_mode", "exclusive")  # Two processes on one file would each miss half.
+        connection.pragma("locking_mode", "exclusive")  # two processes on one file would each miss half
         connection.pragma("journal_mode", "wal")
         connection.pragma("synchronous", "full" if self.durability == POWER else "normal")
-        connection.pragma("cache_size", -PAGES * 1024)
+        connection.pragma("cache_size", -CACHE_MEGABYTES * 1024)
         form = connection.pragma("user_version")
         if form not in (0, FORM):
             raise _WrongFormError(f"its form is {form}, this is {FORM}")
@@ -87,74 +107,80 @@
                 if os.path.exists(self.path + ending):
                     os.replace(self.path + ending, aside + ending)
         except OSError as why:
-            self.say("store.lost", path=self.path, error=str(why))
+            self.log_event("store.lost", path=self.path, error=str(why))
             return False
-        self.say("store.set_aside", path=self.path, now=aside, error=f"{type(error).__name__}: {error}")
+        self.log_event("store.set_aside", path=self.path, now=aside, error=f"{type(error).__name__}: {error}")
         return True
 
-    def _leave(self, error: Exception) -> None:
-        connection, self.connection = self.connection, None
-        if connection is not None:
-            try:
-                connection.close(True)
-            except apsw.Error:
-                self.say("store.close", error=str(error))
+    def _disconnect(self, error: Exception) -> None:
+        connection = self.connection
+        self.connection = None
+        if connection is None:
+            return
+        try:
+            connection.close(True)
+        except apsw.Error:
+            self.log_event("store.close", error=str(error))
 
     @property
-    def serves(self) -> bool:
+    def is_open(self) -> bool:
+        """Whether there is a store (any more)."""
         return self.connection is not None
 
-    def recall(self) -> Iterator[tuple[str, float]]:
-        """Ids of earlier lives that still count, with the Unix time until which they do."""
+    def load(self) -> Iterator[tuple[str, float]]:
+        """Ids of earlier processes that have not expired, each with its expiry in Unix seconds."""
         if self.connection is None:
             return
-        rows = self._tried(
-            lambda connection: connection.execute(
-                "SELECT id, until FROM handed WHERE until > ? ORDER BY until", (self.clock(),)
-            ).fetchall()
-        )
-        yield from rows or ()
-
-    def keep(self, ids: Iterable[tuple[str, float]]) -> bool:
-        """All of them or none, before their tickets leave; False where there is no store (any more)."""
+
+        def read(connection: apsw.Connection) -> list[tuple[str, float]]:
+            query = "SELECT id, until FROM handed WHERE until > ? ORDER BY until"
+            return cast(list[tuple[str, float]], connection.execute(query, (self.clock(),)).fetchall())
+
+        yield from self._attempt(read) or ()
+
+    def persist(self, ids: Iterable[tuple[str, float]]) -> bool:
+        """Write ids with their expiry, all of them or none; False where there is no store (any more)."""
         rows = list(ids)
 
         def write(connection: apsw.Connection) -> bool:
             with connection:
                 connection.executemany("INSERT OR REPLACE INTO handed VALUES (?, ?)", rows)
-                if self.clock() - self.swept > SWEEP_EVERY:
-                    self.swept = self.clock()
-                    connection.execute("DELETE FROM handed WHERE until <= ?", (self.swept,))
+                if self.clock() - self.swept_at > SWEEP_INTERVAL:
+                    self.swept_at = self.clock()
+                    connection.execute("DELETE FROM handed WHERE until <= ?", (self.swept_at,))
             return True
 
-        return bool(self._tried(write))
+        return bool(self._attempt(write))
 
-    def forget(self, ids: Iterable[str]) -> None:
-        """Ids that are known never to have run."""
+    def delete(self, ids: Iterable[str]) -> None:
+        """Delete ids whose requests are known not to have run."""
         rows = [(one,) for one in ids]
 
         def write(connection: apsw.Connection) -> None:
             with connection:
                 connection.executemany("DELETE FROM handed WHERE id = ?", rows)
 
-        self._tried(write)
+        self._attempt(write)
 
-    def _tried(self, work: Callable[[apsw.Connection], object]) -> object:
-        """What fails once is left for this life: half a record would be worse than none that says so."""
+    def _attempt(self, work: Callable[[apsw.Connection], Result]) -> Result | None:
+        """The result of `work`; None where it fails. After an error the store is not used again in this
+        process: half a record would be worse than none that says so."""
         if self.connection is None:
             return None
         try:
             return work(self.connection)
         except (apsw.Error, OSError) as error:
-            self._leave(error)
-            self.say("store.lost", path=self.path, error=f"{type(error).__name__}: {error}")
+            self._disconnect(error)
+            self.log_event("store.lost", path=self.path, error=f"{type(error).__name__}: {error}")
             return None
 
     def close(self) -> None:
-        if self.connection is not None:
-            connection, self.connection = self.connection, None
+        """Close the file."""
+        connection = self.connection
+        self.connection = None
+        if connection is not None:
             connection.close(True)
 
 
 class _WrongFormError(Exception):
-    """A file of another form."""
+    """The file has tables of another version."""
