--- a/linenbridge/distribution/dissemination/compacted_log.py
+++ b/linenbridge/distribution/dissemination/compacted_log.py
@@ -1,9 +1,9 @@
-"""A relay's table of one region: the newest change of each key, in order of sequence and by range.
+"""A relay's compacted log of one region: the newest change of each key, in order of sequence and by range.
 
-Keeps state without I/O. It is a compacted log: a key that changes again loses its older place, a deleted
-key stays as a tombstone until there are too many of them. `horizon` is the highest sequence of a tombstone
-let go: a follower behind it cannot learn of that deletion from the changes, and takes whole ranges instead.
-Changes are held encoded, as they go over the wire: one encoding serves all followers.
+Keeps state without I/O. A key that changes again loses its older entry; a deleted key stays as a tombstone
+until there are too many of them. The horizon is the highest sequence of a dropped tombstone: a follower
+behind it cannot learn of that deletion from the changes and requests ranges instead. Changes are stored as
+they are encoded on the wire, so that one encoding serves all followers.
 """
 
 from __future__ import annotations
@@ -16,18 +16,24 @@
 import msgspec
 
 from linenbridge.distribution.changes import (
-    RANGES, START, Change, Version, added, range_of, removed,
-)  # fmt: skip
-
-TOMBSTONES_MOST = 65_536  # in one region's table; about five days of replaced instances
-_HOLES_LEAST = 1_024  # below this many, places of superseded changes are not worth a compaction
-_DIGEST_BYTES = 8
+    RANGES,
+    START,
+    Change,
+    Version,
+    added,
+    range_of,
+    removed,
+)
+
+MAX_TOMBSTONES = 65_536  # of one region; about five days of replaced instances
+_MIN_HOLES = 1_024  # entries of superseded changes; fewer are not worth a compaction
+_DIGEST_BYTES = 8  # of one range
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Change).decode
 
 
-class _Place(NamedTuple):
+class _OrderedKey(NamedTuple):
     """One key in the order of the log."""
 
     sequence: int
@@ -36,31 +42,34 @@
 
 
 class Entry(NamedTuple):
-    """One encoded change and its place in the log."""
+    """One encoded change and its sequence."""
 
     sequence: int
     encoded: bytes
 
 
 class Page(NamedTuple):
-    """Encoded changes that lie behind a sequence, complete up to `upto`."""
+    """Encoded changes behind a sequence, complete up to `upto`."""
 
     upto: Version
     encoded: list[bytes]
 
 
 class Table:
-    """All keys of one region, at `head` unless `replacing`: then ranges of a newer state are being taken.
-    `settled`: it is known to be what the log makes of its keys at `head`. A part of a compacted log leads to
-    a state that never was, since keys that changed again behind it are still missing or older."""
+    """All keys of one region at `head`.
+
+    While `replacing`, ranges of a newer state are being stored and the keys are at no single version.
+    `consistent` says that the keys are known to be those of the region's log at `head`. A part of a compacted
+    log leads to a state that never existed: keys that changed again behind it are still missing or older.
+    """
 
-    def __init__(self, region: str, tombstones_most: int = TOMBSTONES_MOST) -> None:
+    def __init__(self, region: str, max_tombstones: int = MAX_TOMBSTONES) -> None:
         self.region = region
         self.head = START
         self.horizon = 0
         self.replacing = False
-        self.settled = False
-        self._tombstones_most = tombstones_most
+        self.consistent = False
+        self._max_tombstones = max_tombstones
         self._ranges: list[dict[str, bytes]] = [{} for _ in range(RANGES)]
         self._digests = [0] * RANGES
         self._digest = 0
@@ -71,16 +80,17 @@
         self._tombstones_live = 0
 
     def __len__(self) -> int:
-        """Keys, deleted ones that are still remembered among them."""
+        """The number of keys, tombstones among them."""
         return self._live
 
     @property
     def digest(self) -> int:
-        """Of the whole table, as `changes.digest_of` has it."""
+        """The digest of all keys: the sum of their `changes.digest_of`."""
         return self._digest
 
     @property
     def tombstones(self) -> int:
+        """The number of tombstones."""
         return self._tombstones_live
 
     def range_digests(self) -> bytes:
@@ -95,8 +105,8 @@
     # ---- changes in order ------------------------------------------------------------------------------
 
     def apply(self, upto: Version, changes: Iterable[Change], horizon: int = 0) -> None:
-        """Take all changes behind the head, up to `upto`, in order. Older ones are passed over. `horizon` is
-        that of the table that they come from."""
+        """Apply changes in order and move the head to `upto`. Changes that are not newer than the head are
+        ignored. `horizon` is that of the log that the changes come from."""
         for change in changes:
             if change.version > self.head:
                 self._append(change)
@@ -117,15 +127,15 @@
             self._tombstones.append(change.sequence)
 
     def _store(self, change: Change) -> str | None:
-        """Put a change in the place of an older one of its key; the key, or None where the change is not
-        newer."""
-        index, key = range_of(change.kind, change.name), _key(change.kind, change.name)
-        kept = self._ranges[index].get(key)
-        if kept is not None:
-            older = _decode(kept)
+        """Replace an older change of the same key. Returns the key, or None if the change is not newer."""
+        index = range_of(change.kind, change.name)
+        key = _key(change.kind, change.name)
+        stored = self._ranges[index].get(key)
+        if stored is not None:
+            older = _decode(stored)
             if older.version >= change.version:
                 return None
-            self._forget(index, key, older)
+            self._remove(index, key, older)
         self._ranges[index][key] = _encode(change)
         self._digests[index] = added(self._digests[index], change)
         self._digest = added(self._digest, change)
@@ -133,25 +143,25 @@
         self._tombstones_live += not change.value
         return key
 
-    def _forget(self, index: int, key: str, change: Change) -> None:
-        """Take a change out of its range and leave a hole in the order."""
+    def _remove(self, index: int, key: str, change: Change) -> None:
+        """Remove a change from its range and leave a hole in the order."""
         del self._ranges[index][key]
         self._digests[index] = removed(self._digests[index], change)
         self._digest = removed(self._digest, change)
         self._live -= 1
         self._tombstones_live -= not change.value
-        place = self._find(change.sequence)
+        place = self._index_of(change.sequence)
         if place is not None and self._keys[place] == key:
             self._keys[place] = None
 
-    def _find(self, sequence: int) -> int | None:
+    def _index_of(self, sequence: int) -> int | None:
         place = bisect_left(self._sequences, sequence)
         found = place < len(self._sequences) and self._sequences[place] == sequence
         return place if found else None
 
     def _insert(self, change: Change, key: str) -> None:
-        """The place of a change that is not newer than all others: rare, so that the move of what is behind
-        it is affordable."""
+        """Insert a change that is not newer than all others. This is rare, so moving the entries behind it is
+        affordable."""
         place = bisect_left(self._sequences, change.sequence)
         if place < len(self._sequences) and self._sequences[place] == change.sequence:
             self._keys[place] = key
@@ -165,46 +175,46 @@
         if self.replacing:
             return
         holes = len(self._sequences) - self._live
-        if holes > _HOLES_LEAST and holes * 2 > len(self._sequences):
+        if holes > _MIN_HOLES and holes * 2 > len(self._sequences):
             self._compact()
-        while self._tombstones_live > self._tombstones_most:
-            self._let_go(self._tombstones.popleft())
+        while self._tombstones_live > self._max_tombstones:
+            self._drop_tombstone(self._tombstones.popleft())
 
-    def _let_go(self, sequence: int) -> None:
-        """Drop the oldest tombstone, if its key was not written again since."""
-        place = self._find(sequence)
+    def _drop_tombstone(self, sequence: int) -> None:
+        """Drop a tombstone unless its key was written again since."""
+        place = self._index_of(sequence)
         key = None if place is None else self._keys[place]
         if key is None:
             return
-        kind, name = _parts(key)
+        kind, name = _kind_and_name(key)
         change = self.newest(kind, name)
         if change is not None and not change.value:
-            self._forget(range_of(kind, name), key, change)
+            self._remove(range_of(kind, name), key, change)
             self.horizon = max(self.horizon, sequence)
 
     def _compact(self) -> None:
-        kept = [place for place, key in enumerate(self._keys) if key is not None]
-        self._sequences = [self._sequences[place] for place in kept]
-        self._keys = [self._keys[place] for place in kept]
+        stored = [place for place, key in enumerate(self._keys) if key is not None]
+        self._sequences = [self._sequences[place] for place in stored]
+        self._keys = [self._keys[place] for place in stored]
         self._tombstones = deque(
-            sequence for sequence in self._tombstones if self._find(sequence) is not None
+            sequence for sequence in self._tombstones if self._index_of(sequence) is not None
         )
 
     # ---- whole ranges ----------------------------------------------------------------------------------
 
     def replace(
-        self, index: int, upto: Version, changes: list[Change], final: bool, horizon: int = 0
+        self, index: int, upto: Version, changes: list[Change], *, final: bool, horizon: int = 0
     ) -> None:
-        """Put in the complete content of one range: keys at versions up to `upto` that are not named are
-        gone, newer ones stay. With `final` the table is at `upto`. `horizon` is that of the table that the
-        range comes from; a key that is not named was deleted there, with a tombstone let go."""
+        """Store the complete content of one range: keys at versions up to `upto` that `changes` does not name
+        are removed, newer ones stay. With `final` the head moves to `upto`. `horizon` is that of the log that
+        the range comes from: a key that is not named was deleted there and its tombstone dropped."""
         self.replacing = True
         named = {_key(change.kind, change.name) for change in changes}
-        gone = [key for key in self._ranges[index] if key not in named]
-        for key in gone:
+        removed_keys = [key for key in self._ranges[index] if key not in named]
+        for key in removed_keys:
             change = _decode(self._ranges[index][key])
             if change.version <= upto:
-                self._forget(index, key, change)
+                self._remove(index, key, change)
         for change in changes:
             self._store(change)
         self.horizon = max(self.horizon, horizon)
@@ -214,54 +224,55 @@
     def _finish(self, upto: Version) -> None:
         self.head = max(self.head, upto)
         self.replacing = False
-        order = sorted(self._places())
+        order = sorted(self._ordered_keys())
         self._sequences = [place.sequence for place in order]
         self._keys = [place.key for place in order]
         self._tombstones = deque(place.sequence for place in order if place.deleted)
         self._tidy()
 
-    def _places(self) -> Iterator[_Place]:
-        for kept in self._ranges:
-            for key, encoded in kept.items():
+    def _ordered_keys(self) -> Iterator[_OrderedKey]:
+        for stored in self._ranges:
+            for key, encoded in stored.items():
                 change = _decode(encoded)
-                yield _Place(change.sequence, key, not change.value)
+                yield _OrderedKey(change.sequence, key, not change.value)
 
     # ---- what followers are sent -----------------------------------------------------------------------
 
     def since(self, sequence: int) -> Iterator[Entry]:
-        """The newest change of each key that changed behind a sequence, in order. Not while `replacing`, nor
-        across a change of the table."""
+        """The newest change of each key that changed behind a sequence, in order. The iterator is invalid
+        while `replacing` and after any change of the log."""
         for place in range(bisect_right(self._sequences, sequence), len(self._sequences)):
             key = self._keys[place]
             if key is not None:
-                kind, name = _parts(key)
+                kind, name = _kind_and_name(key)
                 yield Entry(self._sequences[place], self._ranges[range_of(kind, name)][key])
 
-    def page(self, after: int, bytes_most: int) -> Page:
-        """What lies behind a sequence, as much as `bytes_most` holds but one change at least."""
+    def page(self, after: int, max_bytes: int) -> Page:
+        """The changes behind a sequence, up to `max_bytes` encoded bytes, at least one change."""
         encoded: list[bytes] = []
         size = 0
         for entry in self.since(after):
             size += len(entry.encoded)
-            if encoded and size > bytes_most:
+            if encoded and size > max_bytes:
                 return Page(_decode(encoded[-1]).version, encoded)
             encoded.append(entry.encoded)
         return Page(self.head, encoded)
 
     def range(self, index: int) -> list[Change]:
-        """All keys of one range, tombstones among them."""
+        """All changes of one range, tombstones among them."""
         return [_decode(encoded) for encoded in self._ranges[index].values()]
 
     def encoded_range(self, index: int) -> list[bytes]:
-        """The same, as it goes over the wire."""
+        """All changes of one range, encoded."""
         return list(self._ranges[index].values())
 
 
 def _key(kind: int, name: str) -> str:
-    """One string for a key: kept for each, it takes half of what a tuple would."""
+    """One string for a key: it takes half the memory of a tuple."""
     return f"{kind}/{name}"
 
 
-def _parts(key: str) -> tuple[int, str]:
+def _kind_and_name(key: str) -> tuple[int, str]:
+    """The key of `_key` as `changes.Change.key` has it."""
     kind, _, name = key.partition("/")
     return int(kind), name
--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -17,11 +17,11 @@
 from linenbridge.distribution.messages import Appended, Fetched, Prepared, Progress, Publish, Published
 from linenbridge.distribution.log.replication import PublisherPace
 from linenbridge.distribution.log.publisher import Check, Publisher
-from linenbridge.fleet.configuration import FleetTold
+from linenbridge.fleet.configuration import FleetSettings
 from linenbridge.peering import clock
-from linenbridge.peering.connections import Links, WellFormedNames
+from linenbridge.peering.connections import PeerConnections, WellFormedNames
 from linenbridge.fleet.hosting.member import Member
-from linenbridge.fleet.hosting.quorum_member import again
+from linenbridge.fleet.hosting.quorum_member import reload_settings
 from linenbridge.logging.event_log import Log
 
 
@@ -29,7 +29,7 @@
     """One candidate; it publishes while it holds its region's task. `check` is asked of each value."""
 
     def __init__(
-        self, settings: DistributionSettings, told: FleetTold, reactor: Any, log: Log, check: Check,
+        self, settings: DistributionSettings, told: FleetSettings, reactor: Any, log: Log, check: Check,
         random: Random,
     ) -> None:  # fmt: skip
         self.settings, self.reactor, self.log = settings, reactor, log
@@ -38,15 +38,15 @@
         self.publisher = Publisher(
             settings.region, settings.name, tuple(relays), PublisherPace(), random, check
         )
-        self.authors = Links(
+        self.authors = PeerConnections(
             settings.name, WellFormedNames(), reactor, log, self._heard_author,
-            decoder=PUBLISHER_TAKES_OF_AUTHORS, connections=settings.authors,
+            decoder=PUBLISHER_TAKES_OF_AUTHORS, max_connections=settings.authors,
         )  # fmt: skip
-        self.relays = Links(
+        self.relays = PeerConnections(
             settings.name, frozenset(relays), reactor, log, self._heard_relay, decoder=PUBLISHER_TAKES
         )
         self.carrier = Carrier(reactor, [self.publisher], self._carry_out, self._look_at_lease)
-        self.member = Member(told, reactor, log, secrets.randbits(60), tasks_changed=self._tasks_changed)
+        self.member = Member(told, reactor, log, secrets.randbits(60), on_task_changed=self._tasks_changed)
         if settings.listen is None:
             raise ValueError("a publisher listens")
         self.port = reactor.listenTCP(settings.listen[1], self.authors, interface=settings.listen[0])
@@ -56,7 +56,7 @@
         self.carrier.turn()
 
     def _look_at_lease(self, now: int) -> None:
-        held = self.member.holds(self.task)
+        held = self.member.held_lease(self.task)
         self.publisher.on_term(now, None if held is None else held[0])
 
     def _tasks_changed(self, task: str) -> None:
@@ -87,9 +87,9 @@
     def _carry_out(self, core: Core, now: int, decision: Decision) -> None:
         match decision:
             case Send(to, Published() as answer):
-                self.authors.say(to, answer)
+                self.authors.send(to, answer)
             case Send(to, message):
-                self.relays.say(to, message)
+                self.relays.send(to, message)
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
@@ -98,8 +98,8 @@
         publisher = self.publisher
         return {
             **self.member.facts(),
-            "authors": len(self.authors.to),
-            "relays": len(self.relays.to),
+            "authors": len(self.authors.by_peer),
+            "relays": len(self.relays.by_peer),
             "epoch": publisher.epoch,
             "publishing": int(publisher.leading),
             "committed": publisher.log.committed,
@@ -108,7 +108,7 @@
 
     def reload(self, path: str) -> None:
         """At SIGHUP: the fleet's part counts at once, the distribution's from the next start."""
-        again(path, self.member, self.log)
+        reload_settings(path, self.member, self.log)
 
     def close(self, closed: Any) -> None:
         """The lease is given back; `closed()` at the end."""
--- a/linenbridge/fleet/leases/recovery.py
+++ b/linenbridge/fleet/leases/recovery.py
@@ -1,142 +1,206 @@
-"""When an acceptor may grant again: after a restart, after its store was restored, after a change of the
-quorum.
-
-Decides without I/O. An acceptor that may have lost records first waits for the longest lease, then
-collects the records of enough others that every majority it was part of has a member among them. When the
-quorum changes it waits for majorities of both lists, all with the new settings. An acceptor without
-records must never count as one with records, except when all acceptors report that they have none: then
-the quorum is founded anew.
+"""When an acceptor may grant again: after a restart, after its store was restored from an older copy, after a
+change of the quorum.
+
+Decides without I/O. An acceptor that may have lost records first waits for the longest lease, then collects
+the records of enough others that every majority it was part of has a member among them. When the quorum
+changes it waits for majorities of both lists, all with the new settings. An acceptor without records does not
+count as one with records, unless all acceptors report that they have none: then the quorum is founded anew.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
+from enum import StrEnum
+from typing import NamedTuple
 
 from linenbridge.fleet.leases.errors import DiskWentBack, LeaseError, MemoryLost
 from linenbridge.fleet.leases.messages import RecoveryReply, RecoveryRequest
-from linenbridge.fleet.leases.quorum import Quorum, enough_to_return, majority
-from linenbridge.fleet.leases.timing import Pace, stands_aside
+from linenbridge.fleet.leases.quorum import Quorum, enough_for_recovery, majority
+from linenbridge.fleet.leases.stored_state import AcceptorFacts
+from linenbridge.fleet.leases.timing import LeaseTiming, restart_wait
+
+REPORT_AFTER_HEARTBEATS = 3  # without enough replies before the log says what is missing
+REPORT_AGAIN_HEARTBEATS = 30  # between two such lines
+MAX_MISSED_GENERATIONS = 2  # a record of an older one may lack what the last change settled
+
+
+class RecoveryGrounds(StrEnum):
+    """Why an acceptor may grant again; the values stand in the log."""
+
+    FOUNDED = "founded"  # no acceptor has records
+    RECOVERED = "recalled"  # enough others have sent their records
+    RECONFIGURED = "settled"  # majorities of both lists have the new settings
 
-SAY_AFTER = 3  # beats without enough answers before a line says what is missing
 
+class StoreRestored(NamedTuple):
+    """The evidence that a store was restored from an older copy."""
 
-class Returning:
-    """`done` while the acceptor may grant. `settled` is the newest generation of the quorum in which it
-    could."""
+    reporter: str  # who has seen a newer revision
+    own_revision: int
+    reported_revision: int
+
+
+class Recovery:
+    """The recovery of one acceptor.
+
+    `done` is true while the acceptor may grant, and `confirmed_generation` is the newest generation of the
+    quorum in which it could. `store_restored` is true while the acceptor recovers from a store that was
+    restored from an older copy. Times are microseconds of the acceptor's clock.
+    """
 
     def __init__(
-        self, acceptor: str, quorum: Quorum, pace: Pace, remembers: bool, settled: int, now: int, life: int,
+        self,
+        acceptor: str,
+        quorum: Quorum,
+        timing: LeaseTiming,
+        facts: AcceptorFacts,
+        now: int,
+        *,
+        incarnation: int,
         trusted: bool,
-    ) -> None:  # fmt: skip
-        self.acceptor, self.quorum, self.pace, self.number = acceptor, quorum, pace, life
-        self.founded_with: dict[
-            str, int
-        ] = {}  # the others' returns in which they said that they had no memory
-        self.remembers, self.settled, self.doubted = remembers, settled, False
-        self.done = self.afresh = False
-        self._begin(now, forgot=not (trusted and remembers))
-        if trusted and remembers and settled == quorum.generation:
+    ) -> None:
+        """Begin a recovery.
+
+        `facts` are those of the store at the start. A `trusted` store can't have been restored from an older
+        copy, so its acceptor grants at once if the quorum is the one that the store knows. `incarnation`
+        differs for each start of the process.
+        """
+        self.acceptor = acceptor
+        self.quorum = quorum
+        self.timing = timing
+        self.number = incarnation  # of this recovery; replies to another one do not count
+        self.has_records = facts.has_records
+        self.confirmed_generation = facts.confirmed_generation
+        self.store_restored = False
+        # The recovery in which each other acceptor reported no records when this one founded the quorum.
+        self.founded_with: dict[str, int] = {}
+        self._restored: StoreRestored | None = None  # evidence that is still to be logged
+        trusts_store = trusted and facts.has_records
+        self._begin(now, records_lost=not trusts_store)
+        if trusts_store and facts.confirmed_generation == quorum.generation:
             self.done = True
 
-    def _begin(self, now: int, forgot: bool) -> None:
-        self.done, self.forgot, self.number = False, forgot, self.number + 1
-        self.from_at = now + stands_aside(self.pace) if forgot else now
-        self.tables: dict[str, RecoveryReply] = {}
-        self.say_at = self.from_at + SAY_AFTER * self.pace.beat
-        self.asked_at = self.from_at
+    def _begin(self, now: int, *, records_lost: bool) -> None:
+        self.done = False
+        self.number += 1
+        self._records_lost = records_lost
+        self._starts_at = now + restart_wait(self.timing) if records_lost else now
+        self._next_request_at = self._starts_at
+        self._report_at = self._starts_at + REPORT_AFTER_HEARTBEATS * self.timing.heartbeat
+        self._replies: dict[str, RecoveryReply] = {}
+
+    # ---- inputs ----------------------------------------------------------------------------------------
 
-    def moves(self, now: int, quorum: Quorum) -> None:
-        """The quorum has changed. A recovery that is under way goes on."""
+    def on_quorum(self, now: int, quorum: Quorum) -> None:
+        """Take over a changed quorum. A recovery that is under way goes on."""
         self.quorum = quorum
         if self.done:
-            self._begin(now, forgot=False)
-        self.tables = {}
-
-    def doubt(self, now: int, by: str, own: int, heard: int) -> bool:
-        """The store was restored from an older copy: recover as an acceptor without records. Returns
-        True."""
-        news = not self.doubted
-        self.doubted, self.grounds = True, (by, own, heard)
-        self._begin(now, forgot=True)
-        self.afresh = news
-        return True
-
-    def meets(self, acceptor: str, generation: int) -> None:
-        """Another acceptor's recovery request: if it has changed its generation, its earlier reply is
-        void."""
-        if (table := self.tables.get(acceptor)) is not None and table.generation != generation:
-            del self.tables[acceptor]
-
-    def accepts(self, message: RecoveryReply) -> bool:
-        """Whether a reply answers this recovery's own request under the same generation; if so it is
-        kept."""
-        fits = message.number == self.number and message.generation == self.quorum.generation
-        if self.done or not fits or message.acceptor not in self.quorum.everyone():
+            self._begin(now, records_lost=False)
+        self._replies = {}
+
+    def on_store_restored(self, now: int, evidence: StoreRestored) -> None:
+        """Recover as an acceptor without records, as the store was restored from an older copy."""
+        self._restored = None if self.store_restored else evidence
+        self.store_restored = True
+        self._begin(now, records_lost=True)
+
+    def on_recovery_request(self, acceptor: str, generation: int) -> None:
+        """Drop the reply of an acceptor whose request shows that it has changed its generation since."""
+        reply = self._replies.get(acceptor)
+        if reply is not None and reply.generation != generation:
+            del self._replies[acceptor]
+
+    def accept_reply(self, message: RecoveryReply) -> bool:
+        """Store a reply to this recovery, under the same generation; return whether it is one."""
+        matches = message.number == self.number and message.generation == self.quorum.generation
+        if self.done or not matches or message.acceptor not in self.quorum.all_acceptors():
             return False
-        self.tables[message.acceptor] = message
+        self._replies[message.acceptor] = message
         return True
 
-    def asks(self, now: int) -> Iterator[tuple[str, RecoveryRequest]]:
-        """Recovery requests to the other acceptors, once each beat after the waiting time."""
-        if self.done or now < self.asked_at:
+    # ---- outputs ---------------------------------------------------------------------------------------
+
+    def requests(self, now: int) -> Iterator[tuple[str, RecoveryRequest]]:
+        """Yield requests to the other acceptors, once each heartbeat after the waiting time."""
+        if self.done or now < self._next_request_at:
             return
-        self.asked_at = now + self.pace.beat
-        for other in self.quorum.everyone():
+        self._next_request_at = now + self.timing.heartbeat
+        for other in self.quorum.all_acceptors():
             if other != self.acceptor:
                 yield other, RecoveryRequest(self.number, self.acceptor, self.quorum.generation)
 
-    def returned(self, now: int) -> str | None:
-        """The grounds on which the acceptor may grant from now on (`founded`, `recalled`, `settled`), or
-        None."""
-        if self.done or now < self.from_at:
+    def complete(self, now: int) -> RecoveryGrounds | None:
+        """End the recovery if there are grounds for it, and return them; None if there are none yet."""
+        if self.done or now < self._starts_at:
             return None
         grounds = self._grounds()
         if grounds is not None:
-            self.done, self.remembers, self.doubted = True, True, False
-            self.settled = self.quorum.generation
+            self.done = True
+            self.has_records = True
+            self.store_restored = False
+            self.confirmed_generation = self.quorum.generation
         return grounds
 
-    def _grounds(self) -> str | None:
-        quorum, own = self.quorum, self.acceptor
-        remembering = {acceptor for acceptor, table in self.tables.items() if self._counts(table)}
-        present = {*self.tables, own}
-        trusted = self.remembers and not self.doubted
-        if not self.remembers:
-            # Nothing was promised by an acceptor that was there, and blank, when all were: it has nothing to
-            # forget.
-            if any(table.blank == self.number for table in self.tables.values()):
-                if not quorum.changes():
-                    return "founded"
-                self.remembers, self.forgot, self.settled = True, False, quorum.generation - 1
-                return self._grounds()
-            if present >= set(quorum.everyone()) and not any(t.remembers for t in self.tables.values()):
-                self.founded_with = {acceptor: table.own for acceptor, table in self.tables.items()}
-                return "founded"
-        if self.forgot and not enough_to_return(quorum, own, remembering):
-            return None
-        if not self.forgot or self.settled != quorum.generation:
-            knows = remembering | ({own} if trusted and self.settled >= quorum.generation - 2 else set())
-            before = sum(acceptor in knows for acceptor in quorum.before) >= majority(quorum.before)
-            if not before or sum(acceptor in present for acceptor in quorum.now) < majority(quorum.now):
-                return None
-        return "recalled" if self.forgot else "settled"
-
-    def _counts(self, table: RecoveryReply) -> bool:
-        """An acceptor that missed two changes of the quorum does not know what the last one settled."""
-        return table.remembers and table.settled >= self.quorum.generation - 2
-
     def wake_at(self) -> int | None:
-        """When there is something to do without an input, in microseconds; None when done."""
-        return None if self.done else min(self.asked_at, self.say_at)
-
-    def notes(self, now: int) -> Iterator[LeaseError]:
-        """Errors to be logged: a restored store once, missing answers at intervals."""
-        if self.afresh:
-            self.afresh = False
-            by, own, heard = self.grounds
-            yield DiskWentBack(f"{by} has heard stamp {heard}, the store holds {own}", self.acceptor)
-        if not self.done and now >= self.say_at:
-            self.say_at = now + 10 * SAY_AFTER * self.pace.beat
-            found = sorted(acceptor for acceptor, table in self.tables.items() if table.remembers)
-            lacking = sorted(set(self.quorum.everyone()) - set(self.tables) - {self.acceptor})
-            yield MemoryLost(f"with memory: {found or 'none'}; no answer: {lacking or 'none'}", self.acceptor)
+        """Return when there is something to do without an input; None when done."""
+        return None if self.done else min(self._next_request_at, self._report_at)
+
+    def errors_to_report(self, now: int) -> Iterator[LeaseError]:
+        """Yield errors for the log: a restored store once, missing replies at intervals."""
+        if self._restored is not None:
+            reporter, own, reported = self._restored
+            self._restored = None
+            yield DiskWentBack(f"{reporter} has heard stamp {reported}, the store holds {own}", self.acceptor)
+        if not self.done and now >= self._report_at:
+            self._report_at = now + REPORT_AGAIN_HEARTBEATS * self.timing.heartbeat
+            found = sorted(name for name, reply in self._replies.items() if reply.has_records)
+            missing = sorted(set(self.quorum.all_acceptors()) - set(self._replies) - {self.acceptor})
+            what = f"with memory: {found or 'none'}; no answer: {missing or 'none'}"
+            yield MemoryLost(what, self.acceptor)
+
+    # ---- grounds ---------------------------------------------------------------------------------------
+
+    def _grounds(self) -> RecoveryGrounds | None:
+        if not self.has_records:
+            if any(reply.founding_recovery == self.number for reply in self._replies.values()):
+                # This acceptor was running, without records, when another one founded the quorum, so it has
+                # granted nothing that it could have lost.
+                if not self.quorum.is_changing():
+                    return RecoveryGrounds.FOUNDED
+                self.has_records = True
+                self._records_lost = False
+                self.confirmed_generation = self.quorum.generation - 1
+            elif self._nobody_has_records():
+                self.founded_with = {name: reply.recovery for name, reply in self._replies.items()}
+                return RecoveryGrounds.FOUNDED
+        with_records = {name for name, reply in self._replies.items() if self._has_last_change(reply)}
+        if self._records_lost and not enough_for_recovery(self.quorum, self.acceptor, with_records):
+            return None
+        unconfirmed = self.confirmed_generation != self.quorum.generation
+        if (not self._records_lost or unconfirmed) and not self._majorities_have_settings(with_records):
+            return None
+        return RecoveryGrounds.RECOVERED if self._records_lost else RecoveryGrounds.RECONFIGURED
+
+    def _nobody_has_records(self) -> bool:
+        """Return whether all acceptors have replied, and none has records."""
+        present = {*self._replies, self.acceptor}
+        everyone = present >= set(self.quorum.all_acceptors())
+        return everyone and not any(reply.has_records for reply in self._replies.values())
+
+    def _majorities_have_settings(self, with_records: set[str]) -> bool:
+        """Return whether a majority of each list has the new settings, and the previous one's has records."""
+        knowing = set(with_records)
+        if self.has_records and not self.store_restored and self._is_recent(self.confirmed_generation):
+            knowing.add(self.acceptor)
+        present = {*self._replies, self.acceptor}
+        return all(
+            sum(acceptor in names for acceptor in acceptors) >= majority(acceptors)
+            for acceptors, names in ((self.quorum.previous, knowing), (self.quorum.acceptors, present))
+        )
+
+    def _has_last_change(self, reply: RecoveryReply) -> bool:
+        return reply.has_records and self._is_recent(reply.confirmed_generation)
+
+    def _is_recent(self, generation: int) -> bool:
+        """An acceptor that missed more changes of the quorum does not know what the last one settled."""
+        return generation >= self.quorum.generation - MAX_MISSED_GENERATIONS
