--- a/linenbridge/cli/sums.py
+++ b/linenbridge/cli/sums.py
@@ -73,6 +73,10 @@
 
 def kind(event: str, fields: dict[str, Any]) -> str:
     """The name under which a line is counted: changes of mode by what changed, the rest by event."""
+    if event == "decision":
+        values = (str(fields[key]) for key in ("method", "statistic", "vote", "phase") if key in fields)
+        named = (f"{key} {fields[key]}" for key in ("build", "stage") if key in fields)
+        return " ".join([str(fields.get("kind")), *values, *named])
     if event != "mode":
         return f"{event} {fields['of']}" if isinstance(fields.get("of"), str) else event
     return FIGURES.sub("", str(fields.get("text", "")))
--- a/linenbridge/decisions.py
+++ b/linenbridge/decisions.py
@@ -6,6 +6,8 @@
 
 from __future__ import annotations
 
+from typing import Any
+
 from msgspec import Struct
 
 from linenbridge.interface import Id, Vote
@@ -59,9 +61,10 @@
 
 
 class LogMessage(Struct, frozen=True):
-    """One line for operators."""
+    """One event for operators, with its named fields."""
 
-    text: str
+    event: str
+    fields: dict[str, Any]
 
 
 Decision = SendAttempt | CancelAttempt | Reject | Fail | CastVote | Gossip | WatchEndpoints | LogMessage
--- a/linenbridge/net/decision_loop.py
+++ b/linenbridge/net/decision_loop.py
@@ -172,7 +172,7 @@
             case WatchEndpoints():
                 self.discovery.watch()
             case LogMessage():
-                self.log.event("mode", text=decision.text)
+                self.log.event("decision", kind=decision.event, **decision.fields)
             case _:
                 raise TypeError(f"this host can't execute {decision!r}")
 
--- a/linenbridge/policy/__init__.py
+++ b/linenbridge/policy/__init__.py
@@ -1,12 +1,20 @@
-"""Every decision of a linenbridge gateway: read these modules to know what it does.
+"""Every decision of a linenbridge gateway.
 
-A host builds one `DecisionModule` per gateway, reports what happens through the `on_...` calls, then pulls
-`next_decision(now)` until None and wakes it again at `wake_at()`. The contract and the decision tuples are
-in `linenbridge/interface.py`; `linenbridge/state/` only keeps figures. Each module stands on the one before
-it and opens with the values tuned for its matter. Order of reading, from the ground up: guards (the rules),
-evidence, votes, telling, shedding, choosing, health, placing (the inputs, a turn's decisions in their order).
+A host builds one `DecisionModule` per gateway, reports what happens through its `on_...` methods, then takes
+`next_decision(now)` until None and calls again at `wake_at()`. `linenbridge.interface` holds that contract,
+`linenbridge.decisions` the decisions; `linenbridge.state` holds records and counters without decisions.
+
+Each component has one job and its own state, and gets the others that it needs from `DecisionModule`:
+
+- `safety_rules` (rules 1 and 2), `slow_start` (rule 4), `exposure` and `rollout_freeze` (rule 5);
+- `evidence`, `change_detection`, `rollout_votes`, `gossip`: outcomes, the test on them, this gateway's vote,
+  and what it sends to its peers;
+- `priorities`, `load_shedding`, `concurrency_limits`, `outlier_detection`, `load_balancing`: which requests,
+  and which instances;
+- `dispatch`, `hedging`, `endpoint_polling`: first and further attempts, and the endpoint list;
+- `timing`, `log_messages`: shared periods, and the operators' log lines.
 """
 
-from linenbridge.policy.dispatch import DecisionModule
+from linenbridge.policy.decision_module import DecisionModule
 
 __all__ = ["DecisionModule"]
--- a/linenbridge/policy/change_detection.py
+++ b/linenbridge/policy/change_detection.py
@@ -1,103 +1,177 @@
-"""The design's test: a sum over outcomes at the build on trial, own ones first, and when it alarms.
+"""Change detection: cumulative sums over outcomes at the build under judgement, and when they alarm.
 
-Decides without I/O. It judges a build by what its instances did; it must never vote, nor touch where RPCs go.
+Decides without I/O. Source: "Bandwidth-Constrained Distributed Quickest Change Detection in Heterogeneous
+Sensor Networks" (Li and Huang); docs/design.md lists what was chosen by measurement.
 """
 
 from __future__ import annotations
 
 from math import ceil, inf, log, sqrt
 
-from linenbridge.interface import Outcome, SECOND, Startup
-from linenbridge.policy.safety_rules import Guards
-from linenbridge.state.counters import Counts
-from linenbridge.state.requests import Pick, Rpc
-from linenbridge.state.cusum import Records, Sums
-
-# Failures: two p1 over a floor of 0.01. Slowness: the same sum, times for a bit.
-P0_FLOOR, P0_MOST, P1_STEPS, P0_PRIOR = 0.01, 0.8, {"failed": 0.05, "failed much": 0.15}, 20
-SLOW_STEP, SLOW_SPREAD, SLOW_CLIP, SLOW_DIVERGENCE = 1.0, 2.0, 4.0, 0.75
-LEAST_THRESHOLD, H, HOLD_LEVEL, PART = 5.0, 10.0, 0.2, 1.2
-RECORD_MEMORY, HOUR_P0, TALLY_STALE = 60, 0.1, 4
-ON_OUTCOMES, ON_WAIT = 20, 4 * SECOND
-TOOK_WEIGHT, TOOK_START = 0.05, 0.25
-
-
-class Evidence(Guards):
-    def __init__(self, start: Startup, seed: int, now: int) -> None:
-        super().__init__(start, seed, now)
-        self.sums, self.records, self.outcomes = Sums(), Records(RECORD_MEMORY), 0
-        self.tallied_at, self.sharing = -(1 << 60), False
-        self.took = [method.latency_objective * TOOK_START for method in self.methods]
-        self.least = self.took[:]  # the mean time at its best: what an RPC takes where little queues
-
-    def _judge(self, build: int) -> None:
-        """A later build starts with clean sums."""
-        if build > self.judged:
-            self.judged, self.outcomes, self.sharing = build, 0, False
-            self.sums = Sums()
-
-    def _few(self, now: int) -> bool:
-        """Whether this gateway takes too little for twenty outcomes within the wait before 'on'."""
-        return self.taken[-1] * ON_WAIT < ON_OUTCOMES * max(ON_WAIT, now - self.born)
-
-    def _comparable(self, build: int) -> bool:
-        """Slowness and time-outs tell the build from the hour only while an earlier instance is ready."""
-        return build < self.judged or min(self.near, default=build) < self.judged
-
-    def _note_outcome(self, now: int, pick: Pick, outcome: str, took: int, rpc: Rpc) -> None:
-        """Only what shows that the build ran counts. A broken connection, or a time-out of an instance silent
-        throughout, tells of the instance; times of cold instances tell of their start."""
-        key = (pick.build, rpc.method)
-        timed_out = outcome == Outcome.TIMED_OUT and not self.silent(pick) and self._comparable(pick.build)
-        if outcome in (Outcome.OK, Outcome.ERROR) or timed_out:
-            warm = outcome == Outcome.OK and self._warmth(pick.instance, pick.sent) >= 1.0
-            counts = Counts(1, int(outcome != Outcome.OK), int(warm), took * warm)
-            self.tell_apart(key, counts)
-            stale = now > self.tallied_at + TALLY_STALE * self.plan.tally_period
-            # With no earlier build ready tallies tell errors from the hour by the methods alone: own ones do.
-            if not self._few(now) or stale or not self._comparable(pick.build):
-                self._hear(*key, counts, pick.instance)
-        if outcome == Outcome.OK:
-            self.moves(rpc.key, pick.build)
-            self.took[rpc.method] += (took - self.took[rpc.method]) * TOOK_WEIGHT
-            self.least[rpc.method] = min(self.least[rpc.method], self.took[rpc.method])
-
-    def _hear(self, build: int, m: int, counts: Counts, i: int | None = None, most: float = inf) -> None:
-        """Counts into the sums at the build judged: own ones one by one with their instance `i`, others' at
-        once. A tally gives `most`: one moment is not the build. A build that needs more work fails nothing:
-        the same sum over its times, in units of the earlier build's mean of late."""
-        if build != self.judged and build not in self.fleet.build:
+from linenbridge.interface import SECOND, Startup
+from linenbridge.policy.log_messages import LogMessages
+from linenbridge.state.counters import BuildRecord, Counts
+from linenbridge.state.cusum import BuildRecords, CumulativeSums
+from linenbridge.state.fleet import Fleet
+from linenbridge.state.rollout import RolloutState
+
+# Failures: two sums, for failure rates p1 = p0 + step.
+FAILURES = "failures"
+FAILURE_BURST = "failure_burst"
+FAILURE_STEP = 0.05  # rate
+FAILURE_BURST_STEP = 0.15  # rate
+MIN_BASELINE_RATE = 0.01
+MAX_BASELINE_RATE = 0.8
+BASELINE_PRIOR = 20  # outcomes with which the baseline rate starts, at its minimum
+# Tallies without an earlier build: the build's other methods are the baseline, in sums of their own.
+OTHER_METHODS_SUFFIX = "_vs_other_methods"
+MIN_OTHER_METHODS_RATE = 0.1
+# Response times: a sum over their ratio to the baseline's mean.
+LATENCY = "latency"
+LATENCY_STEP = 1.0  # of the ratio
+LATENCY_SPREAD = 2.0  # variance of the ratio
+MAX_LATENCY_RATIO = 4.0
+LATENCY_DIVERGENCE = 0.75  # nats
+# Levels.
+MIN_THRESHOLD = 5.0  # nats
+THRESHOLD_FACTOR = 10.0  # of the divergence
+CLEAR_FRACTION = 0.2  # of its threshold at which an alarm clears
+INSTANCE_SHARE = 1.2  # of the threshold, over the square root of the number of instances
+RECORD_MEMORY = 60  # outcomes
+# When a vote to promote may be cast; also what counts as few outcomes.
+MIN_PROMOTE_OUTCOMES = 20
+PROMOTE_WAIT = 4 * SECOND  # microseconds
+
+
+class ChangeDetector:
+    """The sums of the build under judgement and the records of every build."""
+
+    def __init__(self, startup: Startup, rollout: RolloutState, fleet: Fleet, log: LogMessages) -> None:
+        self.methods = startup.methods
+        self.rollback_votes = startup.plan.rollback_votes
+        self.rollout = rollout
+        self.fleet = fleet
+        self.log = log
+        self.sums = CumulativeSums()
+        self.records = BuildRecords(RECORD_MEMORY)
+        self.outcomes = 0  # that the sums have taken
+        self.shares_evidence = False  # with other gateways: the sums hold their outcomes too
+
+    def restart(self) -> None:
+        """A later build begins with empty sums."""
+        self.outcomes = 0
+        self.shares_evidence = False
+        self.sums = CumulativeSums()
+
+    def has_baseline(self, build: int) -> bool:
+        """Whether an earlier instance is ready: only then do response times and time-outs tell the build's
+        faults from those of the hour."""
+        latest = self.rollout.latest_build
+        return build < latest or min(self.fleet.ready_by_build, default=build) < latest
+
+    def has_alarm(self) -> bool:
+        """Whether a sum is above its threshold, or has not cleared since."""
+        return bool(self.sums.alarms)
+
+    def add(
+        self,
+        build: int,
+        method_index: int,
+        counts: Counts,
+        instance_index: int | None = None,
+        max_increment: float = inf,
+    ) -> None:
+        """Add outcomes: own ones one by one with their instance, those of other gateways in one.
+
+        A tally limits the increment: one moment is no evidence against a build. Response times count beside
+        failures: a build that needs more work fails nothing.
+        """
+        latest = self.rollout.latest_build
+        if build != latest and build not in self.fleet.build:
+            return
+        if build == latest and self.rollout.lowest_build < build:
+            self.shares_evidence = self.shares_evidence or instance_index is None
+            self.outcomes += counts.attempts
+            baseline = self.records.baseline(method_index, build, self.rollout.withdrawn)
+            has_baseline = self.has_baseline(build)
+            self._add_failures(
+                build, method_index, counts, instance_index, max_increment, baseline, has_baseline
+            )
+            if counts.timed and has_baseline and baseline and baseline.outcomes >= BASELINE_PRIOR:
+                self._add_times(method_index, counts, instance_index, max_increment, baseline)
+        self.records.add(build, method_index, counts)
+
+    def _add_failures(
+        self,
+        build: int,
+        method_index: int,
+        counts: Counts,
+        instance_index: int | None,
+        max_increment: float,
+        baseline: BuildRecord | None,
+        has_baseline: bool,
+    ) -> None:
+        """Add to the sums of failures: log(p1 / p0) for each, log((1 - p1) / (1 - p0)) for each success."""
+        rate = MIN_BASELINE_RATE
+        if baseline is not None:
+            prior = MIN_BASELINE_RATE * BASELINE_PRIOR
+            rate = (baseline.failed + prior) / (baseline.outcomes + BASELINE_PRIOR)
+        suffix = ""
+        if instance_index is None and not has_baseline:
+            # Tallies count time-outs as errors: the build's best other method shows what hits all.
+            suffix = OTHER_METHODS_SUFFIX
+            others = self.records.other_failure_rates(build, method_index)
+            rate = max(rate, MIN_OTHER_METHODS_RATE, min(others, default=MAX_BASELINE_RATE))
+        rate = min(max(MIN_BASELINE_RATE, rate), MAX_BASELINE_RATE)
+        succeeded = counts.attempts - counts.failed
+        for statistic, step in ((FAILURES, FAILURE_STEP), (FAILURE_BURST, FAILURE_BURST_STEP)):
+            for_failure = log((rate + step) / rate)
+            for_success = log((1 - rate - step) / (1 - rate))
+            increment = counts.failed * for_failure + succeeded * for_success
+            divergence = (rate + step) * for_failure + (1 - rate - step) * for_success
+            key = (method_index, statistic + suffix)
+            self._add_to_sum(key, min(increment, max_increment), divergence, instance_index, rate)
+
+    def _add_times(
+        self,
+        method_index: int,
+        counts: Counts,
+        instance_index: int | None,
+        max_increment: float,
+        baseline: BuildRecord,
+    ) -> None:
+        """Add to the sum of response times, in units of the baseline's mean."""
+        ratio = min(counts.total_time / counts.timed / (baseline.mean_time or inf), MAX_LATENCY_RATIO)
+        increment = counts.timed * (ratio - 1 - LATENCY_STEP / 2) * LATENCY_STEP / LATENCY_SPREAD
+        key = (method_index, LATENCY)
+        self._add_to_sum(key, min(increment, max_increment), LATENCY_DIVERGENCE, instance_index, ratio)
+
+    def _add_to_sum(
+        self, key: tuple[int, str], increment: float, divergence: float, instance_index: int | None,
+        baseline: float,
+    ) -> None:  # fmt: skip
+        """W = max(0, W) + Z, with an alarm above max(5, divergence x factor).
+
+        Gateways that share evidence raise their alarms together: their level is that of all the votes needed
+        to roll back. One faulty instance is not the build: its contribution to W is limited, so that an alarm
+        needs about the square root of the number of the build's instances.
+        """
+        threshold = max(MIN_THRESHOLD, THRESHOLD_FACTOR * divergence)
+        if self.shares_evidence:
+            threshold += log(max(1, self.rollback_votes))
+        alike = 0
+        if instance_index is not None:
+            alike = len(self.fleet.ready_by_build.get(self.fleet.build[instance_index], ()))
+        max_contribution = INSTANCE_SHARE * threshold / max(1, ceil(sqrt(alike)))
+        value = self.sums.add(key, increment, instance_index, max_contribution)
+        alarms = self.sums.alarms
+        if key not in alarms:
+            if value <= threshold:
+                return
+            alarms.add(key)
+        elif value <= CLEAR_FRACTION * threshold:
+            alarms.discard(key)
+        else:
             return
-        if build == self.judged and self.lowest < build:
-            self.sharing, self.outcomes = self.sharing or i is None, self.outcomes + counts.picks
-            earlier, p0 = self.records.earlier(m, build, self.withdrawn), P0_FLOOR
-            if earlier:
-                p0 = (earlier.failed + P0_FLOOR * P0_PRIOR) / (earlier.outcomes + P0_PRIOR)
-            if hour := i is None and not self._comparable(build):
-                # Tallies can't tell a time-out from an error: the build's best other method shows the hour.
-                p0 = max(p0, HOUR_P0, min(self.records.other_failures(build, m), default=P0_MOST))
-            p0 = min(max(P0_FLOOR, p0), P0_MOST)
-            for bit, step in P1_STEPS.items():
-                up, down = log((p0 + step) / p0), log((1 - p0 - step) / (1 - p0))
-                z = counts.failed * up + (counts.picks - counts.failed) * down
-                divergence = (p0 + step) * up + (1 - p0 - step) * down
-                self._sum((m, bit + " this hour" * hour), min(z, most), divergence, i, p0)
-            if counts.served and earlier and earlier.outcomes >= P0_PRIOR and self._comparable(build):
-                ratio = min(counts.time / counts.served / (earlier.mean or inf), SLOW_CLIP)
-                z = counts.served * (ratio - 1 - SLOW_STEP / 2) * SLOW_STEP / SLOW_SPREAD
-                self._sum((m, "slow"), min(z, most), SLOW_DIVERGENCE, i, ratio)
-        self.records.hear(build, m, counts)
-
-    def _sum(self, key: tuple[int, str], z: float, divergence: float, i: int | None, ground: float) -> None:
-        """W = max(0, W) + Z, the alarm above max(5, divergence x h). Gateways that hear others hear much the
-        same, so their alarms are one: its level answers for all the back votes. One sick instance is not the
-        build: its part in W is bounded, so an alarm needs about the square root of the build's instances."""
-        level = max(LEAST_THRESHOLD, H * divergence)
-        level += log(max(1, self.plan.rollback_votes)) if self.sharing else 0.0
-        like = 0 if i is None else len(self.near.get(self.fleet.build[i], ()))
-        w, alarms = self.sums.add(key, z, i, PART * level / max(1, ceil(sqrt(like)))), self.sums.alarms
-        if (w > level and key not in alarms) or (w <= HOLD_LEVEL * level and key in alarms):
-            alarms ^= {key}
-            what = "alarm" if key in alarms else "clear"
-            where = f"{self.methods[key[0]].name} {key[1]} build {self.judged}"
-            self.notes.append(f"{what} {where} W {w:.1f} level {level:.1f} ground {ground:.3f}")
+        method = self.methods[key[0]].name
+        self.log.alarm(key in alarms, method, key[1], self.rollout.latest_build, value, threshold, baseline)
--- /dev/null
+++ b/linenbridge/policy/concurrency_limits.py
@@ -0,0 +1,53 @@
+"""How much may be in flight at an instance: additive increase, multiplicative decrease.
+
+Decides without I/O. The limits move around the strictest method's latency objective.
+"""
+
+from __future__ import annotations
+
+from linenbridge.interface import Idempotency, Outcome, Startup
+from linenbridge.state.fleet import Fleet
+from linenbridge.state.requests import Attempt, Request
+
+INITIAL_LIMIT = 3.0  # attempts in flight at one instance
+MIN_LIMIT = 1.0  # attempts
+MAX_LIMIT = 64.0  # attempts
+USED_FRACTION = 0.7  # of a limit that is in use where it may grow
+EARLY_FRACTION = 0.25  # of the latency objective: faster responses raise the limit
+LATE_FRACTION = 0.4  # of the latency objective: slower ones reduce it
+REDUCTION = 0.8  # factor
+
+
+class ConcurrencyLimits:
+    """The limit of each instance on what this gateway has in flight there."""
+
+    def __init__(self, startup: Startup, fleet: Fleet) -> None:
+        self.fleet = fleet
+        self.objective = min(method.latency_objective for method in startup.methods)  # microseconds
+        self.repeatable = [method.idempotency != Idempotency.NON_IDEMPOTENT for method in startup.methods]
+
+    def has_capacity(self, instance_index: int, method_index: int) -> bool:
+        """Whether the instance takes one more attempt; one back from an ejection is tried with a single
+        request that may be repeated.
+        """
+        fleet = self.fleet
+        if fleet.consecutive_failures[instance_index]:
+            return self.repeatable[method_index] and not fleet.in_flight[instance_index]
+        return fleet.in_flight[instance_index] < fleet.concurrency_limit[instance_index]
+
+    def on_attempt_finished(
+        self, now: int, attempt: Attempt, outcome: Outcome, duration: int, request: Request
+    ) -> None:
+        """Adjust the limit, once for all that was sent before the last reduction."""
+        fleet = self.fleet
+        index = attempt.instance_index
+        objective = self.objective * max(1.0, request.cost)
+        limit = fleet.concurrency_limit[index]
+        early = outcome == Outcome.OK and duration < EARLY_FRACTION * objective
+        if early and fleet.in_flight[index] + 1 >= USED_FRACTION * limit:
+            fleet.concurrency_limit[index] = min(MAX_LIMIT, limit + 1 / limit)
+            return
+        late = outcome in (Outcome.OVERLOADED, Outcome.TIMED_OUT) or duration > LATE_FRACTION * objective
+        if late and attempt.sent_at >= fleet.limit_reduced_at[index]:
+            fleet.concurrency_limit[index] = max(MIN_LIMIT, limit * REDUCTION)
+            fleet.limit_reduced_at[index] = now
--- /dev/null
+++ b/linenbridge/policy/decision_module.py
@@ -0,0 +1,270 @@
+"""The decision module as a host sees it: inputs update the components, decisions are taken one by one.
+
+Decides without I/O. Times are whole microseconds on the host's clock.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Mapping
+from random import Random
+
+from linenbridge.decisions import Decision, WatchEndpoints
+from linenbridge.interface import (
+    EndpointEntry,
+    Id,
+    Outcome,
+    RolloutPhase,
+    Startup,
+    Vote,
+)
+from linenbridge.policy.change_detection import ChangeDetector
+from linenbridge.policy.concurrency_limits import INITIAL_LIMIT, ConcurrencyLimits
+from linenbridge.policy.dispatch import Dispatcher
+from linenbridge.policy.endpoint_polling import EndpointPolling
+from linenbridge.policy.evidence import EvidenceIntake
+from linenbridge.policy.exposure import ExposureLimits
+from linenbridge.policy.gossip import GossipExchange
+from linenbridge.policy.hedging import Hedger
+from linenbridge.policy.load_balancing import LoadBalancer
+from linenbridge.policy.load_shedding import LoadShedder
+from linenbridge.policy.log_messages import LogMessages
+from linenbridge.policy.outlier_detection import OutlierDetector
+from linenbridge.policy.priorities import RequestPriorities
+from linenbridge.policy.rollout_freeze import RolloutFreeze
+from linenbridge.policy.rollout_votes import RolloutVoter
+from linenbridge.policy.safety_rules import SafetyRules
+from linenbridge.policy.slow_start import FLEET_MEMORY, SlowStart
+from linenbridge.policy.timing import INITIAL_RESPONSE_TIME, LAST_MOMENT, RESPONSE_WEIGHT, sweep_period
+from linenbridge.state.fleet import Fleet
+from linenbridge.state.requests import OpenRequests, Request
+from linenbridge.state.rollout import KeyAffinity, RolloutState
+from linenbridge.state.traffic import ResponseTimes, Traffic
+
+IDLE_PERIOD = 250_000  # microseconds between two sweeps while no request is open
+
+
+class DecisionModule:
+    """Every decision of one gateway."""
+
+    def __init__(self, startup: Startup, seed: int, now: int) -> None:
+        allowances = startup.allowances
+        methods = startup.methods
+        random = Random(seed)  # the one source of chance: the order of draws is part of the behaviour
+        self.methods = methods
+        self.method_indices = {method.name: index for index, method in enumerate(methods)}
+        self.sweep_period = sweep_period(methods)
+        self._sweep_at = now
+        self._decisions: Iterator[Decision] | None = None
+        # State that several components read.
+        self.fleet = Fleet(allowances.gateway_number, now)
+        self.requests = OpenRequests()
+        self.rollout = RolloutState()
+        self.affinity = KeyAffinity(self.rollout, startup.plan.forward_only)
+        self.traffic = Traffic(len(methods), now)
+        self.response_times = ResponseTimes(
+            [method.latency_objective * INITIAL_RESPONSE_TIME for method in methods], RESPONSE_WEIGHT
+        )
+        self.log = LogMessages()
+        # Builds: evidence, votes, gossip.
+        self.freeze = RolloutFreeze(self.rollout, self.fleet, self.log)
+        self.detector = ChangeDetector(startup, self.rollout, self.fleet, self.log)
+        self.voter = RolloutVoter(
+            startup, self.rollout, self.fleet, self.freeze, self.detector, random, self.log, now
+        )
+        self.gossip = GossipExchange(startup, self.rollout, self.voter, random, now)
+        # Requests and instances.
+        self.priorities = RequestPriorities(startup, self.response_times)
+        self.shedder = LoadShedder(startup, self.fleet, self.traffic, self.response_times, random)
+        self.slow_start = SlowStart(startup, self.fleet, self.shedder, random)
+        self.evidence = EvidenceIntake(
+            startup, self.fleet, self.traffic, self.slow_start, self.detector, self.gossip
+        )
+        self.safety = SafetyRules(startup, self.requests, self.fleet, self.sweep_period)
+        self.exposure = ExposureLimits(startup, self.rollout, self.freeze, self.traffic)
+        self.limits = ConcurrencyLimits(startup, self.fleet)
+        self.outliers = OutlierDetector(self.fleet, self.sweep_period, self.log)
+        self.balancer = LoadBalancer(
+            startup, self.fleet, self.rollout, self.affinity, self.safety, self.exposure, self.slow_start,
+            self.limits, self.outliers, random,
+        )  # fmt: skip
+        self.dispatcher = Dispatcher(
+            startup, self.fleet, self.safety, self.exposure, self.slow_start, self.shedder, self.balancer,
+            self.response_times,
+        )  # fmt: skip
+        self.hedger = Hedger(
+            startup, self.fleet, self.requests, self.traffic, self.response_times, self.safety, self.balancer,
+            self.outliers, self.dispatcher, self.sweep_period,
+        )  # fmt: skip
+        self.polling = EndpointPolling(allowances.polls_endpoints, random, now)
+
+    def on_endpoint_list(
+        self, now: int, entries: list[EndpointEntry], *, is_snapshot: bool, is_poll_response: bool
+    ) -> None:
+        """An endpoint list: a snapshot of all instances, or changes."""
+        self.fleet.update(
+            entries, is_snapshot, self.outliers.initial_gap, INITIAL_LIMIT, self.requests.used_indices()
+        )
+        if is_poll_response:
+            self.polling.on_response()
+        self.fleet.update_ready_size(now, FLEET_MEMORY)
+        builds = self.fleet.ready_by_build
+        if builds:
+            self.rollout.on_listed(builds)
+            self._on_build(max(builds))
+
+    def on_endpoint_list_failed(self, now: int) -> None:
+        """A call for the endpoint list has failed."""
+        self.polling.on_failure(now)
+
+    def on_request(
+        self, now: int, rpc_id: str, method: str, ttl: int, work: int | None, tenant: str, key: Id | None
+    ) -> None:
+        """A request arrives; its client waits for `ttl` microseconds. `work` is in microseconds too."""
+        method_index = self.method_indices[method]
+        cost = self.traffic.admit(method_index, work, RESPONSE_WEIGHT)
+        weight = self.priorities.weight(now, method_index, tenant)
+        self.balancer.on_request(now)
+        deadline = now + ttl
+        objective = min(now + self.methods[method_index].latency_objective, deadline)
+        request = Request(rpc_id, method_index, now, objective, deadline, cost, weight, key)
+        self.requests.add(request, max(now, deadline - LAST_MOMENT))
+        self.dispatcher.enqueue(request)
+
+    def on_client_disconnected(self, now: int, rpc_id: str) -> None:
+        """The client of a request has left; its attempts in flight go on to their end."""
+        request = self.requests.get(rpc_id)
+        if request is not None:
+            self.requests.end(request)
+
+    def on_response_started(self, now: int, rpc_id: str, attempt: int) -> None:
+        """The response of a request has begun to go to its client."""
+        request = self.requests.get(rpc_id)
+        if request is not None:
+            request.streaming = True
+
+    def on_attempt_finished(
+        self,
+        now: int,
+        rpc_id: str,
+        attempt: int,
+        outcome: Outcome,
+        is_final: bool,
+        duration: int,
+        load: Mapping[str, float],
+    ) -> None:
+        """An attempt has ended; `is_final` where the client has its answer. `load` is the
+        instance's report.
+        """
+        request = self.requests.get(rpc_id)
+        if request is None or attempt >= len(request.attempts):
+            return
+        finished = request.attempts[attempt]
+        if finished.outcome is not None:
+            return
+        finished.outcome = outcome
+        self.outliers.on_attempt_finished(now, finished.instance_index, outcome, load)
+        self.shedder.on_attempt_finished(now, finished, outcome, request)
+        self.limits.on_attempt_finished(now, finished, outcome, duration, request)
+        self.evidence.on_attempt_finished(now, finished, outcome, duration, request.method_index)
+        if outcome == Outcome.OK:
+            self.affinity.on_response(request.key, finished.build)
+            self.response_times.add(request.method_index, duration)
+        if is_final or request.ended:
+            self.requests.end(request)
+        elif not request.in_flight():
+            self.dispatcher.enqueue(request)
+
+    def on_rollout_update(
+        self,
+        now: int,
+        build: int,
+        stage: int,
+        phase: RolloutPhase,
+        cap: float,
+        *,
+        is_vote_response: bool,
+        is_valid: bool,
+        is_stale: bool = False,
+    ) -> None:
+        """The platform reports a build's stage, as an update or in response to a vote.
+
+        A response that is not valid reports nothing; `is_stale` where the vote was for another stage.
+        """
+        if is_vote_response:
+            self.voter.on_response(now, is_valid=is_valid, is_stale=is_stale)
+        if not is_valid or build < self.rollout.build:
+            return
+        if self.rollout.update(build, stage, phase, cap):
+            self.log.rollout(build, stage, phase, cap)
+        self.affinity.on_rollout_update()
+        self.exposure.on_caps_changed()
+        self.voter.on_rollout_update()
+        self._on_build(build)
+
+    def on_tally(
+        self, now: int, build: int, method: str, attempts: int, failed: int, duration: int, ended: int
+    ) -> None:
+        """The platform's counts of all gateways' outcomes in a period."""
+        self.evidence.on_tally(now, build, method, attempts, failed, duration, ended)
+
+    def on_gossip(self, now: int, peer: int, payload: bytes) -> None:
+        """A peer's payload."""
+        self.evidence.on_gossip(now, peer, payload)
+
+    def on_flag(self, now: int, instance: Id, method: str, sent: int) -> None:
+        """The platform reports a failed attempt that was sent then."""
+        self.evidence.on_flag(instance, method, sent)
+
+    def on_rollout_freeze(self, now: int, zones: frozenset[str] | None) -> None:
+        """Releases are frozen in these zones, everywhere where none is named; None: no longer."""
+        self.freeze.change(zones)
+        self.exposure.on_caps_changed()
+
+    def _on_build(self, build: int) -> None:
+        """A build is listed or reported: a later one than all before is the one under judgement."""
+        if self.rollout.observe(build):
+            self.detector.restart()
+
+    def next_decision(self, now: int) -> Decision | None:
+        """The next decision of this turn, None after the last one."""
+        if self._decisions is None:
+            self._decisions = self._decide(now)
+        decision = next(self._decisions, None)
+        if decision is None:
+            self._decisions = None
+        return decision
+
+    def wake_at(self) -> int | None:
+        """When to call again: at the next deadline or sweep, never where nothing is open and no
+        vote is due.
+        """
+        due = self.requests.next_due()
+        if self.requests or self.polling.next_at is not None or not self._is_decided():
+            return self._sweep_at if due is None else min(due, self._sweep_at)
+        return due
+
+    def _is_decided(self) -> bool:
+        """Whether the latest build is reported, past its trial, and no vote is in effect."""
+        rollout = self.rollout
+        if rollout.build != rollout.latest_build or rollout.phase == RolloutPhase.ON_TRIAL:
+            return False
+        return self.voter.cast_vote == Vote.NONE
+
+    def _decide(self, now: int) -> Iterator[Decision]:
+        """The decisions of one turn, in their order."""
+        if self.polling.is_due(now):
+            yield WatchEndpoints()
+        for request in self.requests.overdue(now):
+            yield self.safety.final_answer(now, request)
+        if now >= self._sweep_at:
+            yield from self.hedger.decisions(now)
+            self._sweep_at = now + (self.sweep_period if self.requests else IDLE_PERIOD)
+        elif self.requests:
+            self._sweep_at = min(self._sweep_at, now + self.sweep_period)
+        yield from self.dispatcher.decisions(now)
+        vote = self.voter.due_vote(now)
+        if vote is not None:
+            yield vote
+        yield from self.gossip.due_messages(now)
+        while self.log.pending:
+            yield self.log.pending.popleft()
--- a/linenbridge/policy/gossip.py
+++ b/linenbridge/policy/gossip.py
@@ -1,61 +1,80 @@
-"""Others' counts: the platform's tallies and flags, peers' words, and what this gateway tells its peers.
+"""Gossip: own outcome counts for peers, and what is new in theirs.
 
-Decides without I/O. For gateways with too few outcomes of their own; it must never count an outcome twice.
+Decides without I/O. Counts are cumulative since a gateway's start, so that repeated, lost and late payloads
+count nothing twice.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator
 from math import ceil
+from random import Random
 
-from linenbridge.policy.change_detection import LEAST_THRESHOLD
-from linenbridge.policy.rollout_votes import Votes
 from linenbridge.decisions import Gossip
-from linenbridge.interface import RolloutPhase, SECOND, Id, Startup
+from linenbridge.interface import SECOND, RolloutPhase, Startup
+from linenbridge.policy.rollout_votes import RolloutVoter
 from linenbridge.state.counters import Counts
-from linenbridge.state.peers import Heard, HeardBounds, pack
+from linenbridge.state.peers import NewCounts, PeerBounds, PeerCounts, pack
+from linenbridge.state.rollout import RolloutState
 
-TELL_EVERY, PEERS, BUILDS_HEARD, LIVES_HEARD = 1 * SECOND, 8, 4, 16
+GOSSIP_PERIOD = 1 * SECOND  # microseconds, drawn between half and one and a half of it
+GOSSIP_FANOUT = 8  # peers of a payload, over the build's share
+MIN_PEERS = 8  # whose counts are stored at least
+MAX_BUILDS = 4  # whose counts are stored of each peer
+MAX_INCARNATIONS = 16  # earlier ones whose tokens are stored of each peer
+BUILDS_SENT = 2  # the highest builds with outcomes
+TOKEN_BITS = 16
 
 
-class Telling(Votes):
-    def __init__(self, start: Startup, seed: int, now: int) -> None:
-        super().__init__(start, seed, now)
-        self.token, self.tell_at = self.random.randrange(1 << 16), now
-        bounds = HeardBounds(max(PEERS, self.allow.gateway_count), BUILDS_HEARD, LIVES_HEARD)
-        self.heard = Heard(len(self.methods), bounds)
+class GossipExchange:
+    """Own counts since the start, and those received from each peer."""
 
-    def on_tally(
-        self, now: int, build: int, method: str, picks: int, failed: int, took: int, ended: int
+    def __init__(
+        self, startup: Startup, rollout: RolloutState, voter: RolloutVoter, random: Random, now: int
     ) -> None:
-        """The platform's counts: everybody's outcomes, ours among them, so they stand in for ours."""
-        m = self.row.get(method)
-        if m is None or not 0 <= failed <= picks or not self._few(now):
-            return
-        self.tallied_at, at = now, ended - self.plan.tally_period // 2
-        ages = [self._warmth(i, at) for i in self.near.get(build, ()) if self.fleet.started_at[i] < at]
-        cold = sum(1 / warmth for warmth in ages) / len(ages) if ages else 1.0
-        counts = Counts(picks, failed, picks - failed, round((picks - failed) * took / cold))
-        self._hear(build, m, counts, most=LEAST_THRESHOLD)
-
-    def on_gossip(self, now: int, peer: int, words: bytes) -> None:
-        """A peer's own outcomes, counted from its start: repeats, gaps and late words count nothing twice."""
-        for build, m, counts in self.heard.fresh(peer, words):
-            if self._few(now):
-                self._hear(build, m, counts)
-
-    def on_flag(self, now: int, instance: Id, method: str, sent: int) -> None:
-        """Of a pick sent then: an id that came back since, with another build, is not to blame."""
-        if (i := self.fleet.index.get(instance)) is not None and self.fleet.started_at[i] <= sent:
-            self._hear(self.fleet.build[i], self.row[method], Counts(1, 1, 0, 0), i)
-
-    def _tell(self, now: int) -> Iterator[Gossip]:
-        """Own counts to the next peers by number; to fewer of them the larger the build's share."""
-        on_trial = self.build < self.judged or self.phase in (RolloutPhase.ON_TRIAL, RolloutPhase.RELEASED)
-        if not (self.allow.gossip_allowed and self.news and on_trial and now >= self.tell_at):
-            return
-        self.news, self.tell_at = False, now + int(TELL_EVERY * self.random.uniform(0.5, 1.5))
-        words = pack(self.token, sorted({build for build, _ in self.told})[-2:], len(self.methods), self.told)
-        gateways, count = self.allow.gateway_count, ceil(PEERS / self.plan.shares[self._stage_seen()[1]])
-        peers = [(self.allow.gateway_number + n) % gateways for n in range(1, count + 1)]
-        yield from (Gossip(peer, words) for peer in (peers if count < gateways - 1 else [None]))
+        allowances = startup.allowances
+        self.allowed = allowances.gossip_allowed
+        self.number = allowances.gateway_number
+        self.gateways = allowances.gateway_count
+        self.shares = startup.plan.shares
+        self.method_count = len(startup.methods)
+        self.rollout = rollout
+        self.voter = voter
+        self.random = random
+        self.token = random.randrange(1 << TOKEN_BITS)  # of this incarnation
+        self.own_counts: dict[tuple[int, int], Counts] = {}  # by build and method index
+        bounds = PeerBounds(max(MIN_PEERS, self.gateways), MAX_BUILDS, MAX_INCARNATIONS)
+        self.peer_counts = PeerCounts(self.method_count, bounds)
+        self._has_new_counts = False
+        self._next_at = now
+
+    def add_own(self, build: int, method_index: int, counts: Counts) -> None:
+        """Count own outcomes; those of the build under judgement are due to be sent."""
+        key = (build, method_index)
+        self.own_counts[key] = self.own_counts.get(key, Counts()).plus(counts)
+        if build == self.rollout.latest_build:
+            self._has_new_counts = True
+
+    def received(self, peer: int, payload: bytes) -> Iterator[NewCounts]:
+        """What a payload adds to the counts that the peer sent before it."""
+        return self.peer_counts.new_counts(peer, payload)
+
+    def due_messages(self, now: int) -> list[Gossip]:
+        """Own counts for the next peers by number, to fewer of them the larger the build's share; to all
+        peers (None) where that is most of them.
+        """
+        if not (self.allowed and self._has_new_counts and now >= self._next_at):
+            return []
+        rollout = self.rollout
+        if rollout.build >= rollout.latest_build and rollout.phase not in (
+            RolloutPhase.ON_TRIAL, RolloutPhase.RELEASED
+        ):  # fmt: skip
+            return []
+        self._has_new_counts = False
+        self._next_at = now + int(GOSSIP_PERIOD * self.random.uniform(0.5, 1.5))
+        builds = sorted({build for build, _ in self.own_counts})[-BUILDS_SENT:]
+        payload = pack(self.token, builds, self.method_count, self.own_counts)
+        count = ceil(GOSSIP_FANOUT / self.shares[self.voter.visible_stage().stage])
+        if count >= self.gateways - 1:
+            return [Gossip(None, payload)]
+        return [Gossip((self.number + offset) % self.gateways, payload) for offset in range(1, count + 1)]
--- a/linenbridge/policy/load_balancing.py
+++ b/linenbridge/policy/load_balancing.py
@@ -1,89 +1,150 @@
-"""Which instance an RPC goes to: a build by its size, then the less crowded of two drawn among the nearest.
+"""Load balancing: a build by the size of its instances, then the less loaded of two drawn from this gateway's
+subset of it.
 
-Decides without I/O. It chooses among what the guards let through; it must never widen that.
+Decides without I/O, among what the safety rules, exposure limits and slow start allow.
 """
 
 from __future__ import annotations
 
 from math import ceil
+from random import Random
 
-from linenbridge.policy.load_shedding import Shedding
-from linenbridge.decisions import SendAttempt
-from linenbridge.interface import Idempotency, SECOND, Startup
+from linenbridge.interface import SECOND, Startup
+from linenbridge.policy.concurrency_limits import ConcurrencyLimits
+from linenbridge.policy.exposure import ExposureLimits
+from linenbridge.policy.outlier_detection import MAX_FAILURE_RATE, OutlierDetector
+from linenbridge.policy.safety_rules import SafetyRules
+from linenbridge.policy.slow_start import SlowStart
 from linenbridge.state.counters import DecayingRate
-from linenbridge.state.fleet import draw, draw_two
-from linenbridge.state.requests import Pick, Rpc
+from linenbridge.state.fleet import Fleet, draw, draw_two
+from linenbridge.state.requests import Request
+from linenbridge.state.rollout import KeyAffinity, RolloutState
 
-# Instances that a gateway keeps to: each is used so often before its connection would idle out.
-REACH_USES, REACH_LEAST, LATELY = 3.0, 3, 3 * SECOND
-FAIL_MEMORY, FAIL_LEAST, FAIL_MOST, REPORT_MEMORY = 5 * SECOND, 0.05, 0.5, 1 * SECOND
+SUBSET_USES = 3.0  # of each instance of the subset, before its idle connection would close
+MIN_SUBSET = 3  # instances
+RATE_MEMORY = 3 * SECOND  # time constant of the rate of requests, in microseconds
+REPORT_MEMORY = 1 * SECOND  # time constant of load reports, in microseconds
+MIN_SUCCESS_RATE = 0.05  # in the load score
 
 
-class Choosing(Shedding):
-    def __init__(self, start: Startup, seed: int, now: int) -> None:
-        super().__init__(start, seed, now)
-        self.lately = DecayingRate(LATELY)
+class LoadBalancer:
+    """Selects the instance of each attempt."""
 
-    def _target(self, now: int, rpc: Rpc) -> int | None:
-        """A build by the size of its instances, then one of them; a cold one drawn that has its fill hands
-        over to the other build, not to its warm fellows. Further picks try the earlier build first."""
-        least = self.moved.get(rpc.key, 0) if self.plan.forward_only else 0
-        if not (builds := [b for b in self.near if b >= least and self._exposed(b, rpc.method)]):
+    def __init__(
+        self,
+        startup: Startup,
+        fleet: Fleet,
+        rollout: RolloutState,
+        affinity: KeyAffinity,
+        safety: SafetyRules,
+        exposure: ExposureLimits,
+        slow_start: SlowStart,
+        limits: ConcurrencyLimits,
+        outliers: OutlierDetector,
+        random: Random,
+    ) -> None:
+        self.idle_close = startup.allowances.idle_timeout  # microseconds
+        self.slow_start_duration = startup.allowances.slow_start_duration  # microseconds
+        self.fleet = fleet
+        self.rollout = rollout
+        self.affinity = affinity
+        self.safety = safety
+        self.exposure = exposure
+        self.slow_start = slow_start
+        self.limits = limits
+        self.outliers = outliers
+        self.random = random
+        self.request_rate = DecayingRate(RATE_MEMORY)
+
+    def on_request(self, now: int) -> None:
+        """Count a request: the subset grows with their rate."""
+        self.request_rate.add(now, 1.0)
+
+    def select(self, now: int, request: Request) -> int | None:
+        """The index of the instance for the next attempt; None where none has capacity.
+
+        The build is that of an instance drawn by size. Where the instance drawn is warming up and has no
+        allowance, the other build comes first, not other instances of its own. Retries prefer the earlier
+        build.
+        """
+        fleet = self.fleet
+        min_build = self.affinity.min_build(request.key)
+        builds = [
+            build
+            for build in fleet.ready_by_build
+            if build >= min_build and self.exposure.allows(build, request.method_index)
+        ]
+        if not builds:
             return None
-        drawn = draw(self.random, self.fleet.ready, self.fleet.sums)
-        wanted, full = self.fleet.build[drawn], not self._cold_room(now, drawn)
-        builds.sort(key=lambda b: b == self.judged if rpc.picks else (b == wanted) == full)
-        sound = any(self._sound(i, now) for b in builds for i in self.near[b])
+        drawn = draw(self.random, fleet.ready, fleet.cumulative_sizes)
+        has_allowance = self.slow_start.has_allowance(now, drawn)
+        if len(builds) > 1:
+            if request.attempts:
+                latest = self.rollout.latest_build
+                earlier = [build for build in builds if build != latest]
+                builds = earlier + [build for build in builds if build == latest]
+            else:
+                drawn_build = fleet.build[drawn]
+                first = [build for build in builds if (build == drawn_build) == has_allowance]
+                builds = first + [build for build in builds if (build == drawn_build) != has_allowance]
+        any_healthy = self._has_healthy(builds, now)
         for build in builds:
-            if (i := self._nearest(now, rpc, build, sound)) is not None:
-                return i
+            instance_index = self._select_from(now, request, build, any_healthy)
+            if instance_index is not None:
+                return instance_index
         return None
 
-    def _nearest(self, now: int, rpc: Rpc, build: int, sound: bool) -> int | None:
-        """Two random choices, by size, on what is in flight, among the first of the build in this gateway's
-        own lasting order: as many as its traffic keeps connections open to, others in place of sick ones."""
-        fleet, tried = self.fleet, {pick.instance for pick in rpc.picks}
-        uses = self.lately.per_second(now) * self.allow.idle_timeout / SECOND / REACH_USES
-        reach = ceil(max(REACH_LEAST, uses * len(self.near[build]) / len(fleet.ready)))
-        shun, failing, warm, room = (
-            fleet.shun_until,
-            fleet.failing,
-            now - self.allow.slow_start_duration,
-            list[int](),
-        )
-        for i in self.near[build]:  # The plainest grounds first: this is asked of many for every RPC.
-            sound_here = (shun[i] <= now and failing[i] < FAIL_MOST) or not sound or self._sound(i, now)
-            if sound_here and self._has_room(i, rpc) and (not rpc.picks or self._in_group(rpc, i)):
-                if fleet.started_at[i] <= warm or self._cold_room(now, i):
-                    room.append(i)
-                if len(room) >= reach:
-                    break
-        if not (room := [i for i in room if i not in tried] or room):
-            return None
-        first, second = draw_two(self.random, room, [fleet.size[i] for i in room])
-        return first if self._crowding(first, now) <= self._crowding(second, now) else second
+    def _has_healthy(self, builds: list[int], now: int) -> bool:
+        for build in builds:
+            for instance_index in self.fleet.ready_by_build[build]:
+                if self.outliers.is_healthy(instance_index, now):
+                    return True
+        return False
 
-    def _sound(self, i: int, now: int) -> bool:
+    def _subset_size(self, now: int, build: int) -> int:
+        """As many instances as the traffic keeps connections open to."""
         fleet = self.fleet
-        return fleet.shun_until[i] <= now and fleet.failing_now(i, now, FAIL_MEMORY) < FAIL_MOST
-
-    def _has_room(self, i: int, rpc: Rpc) -> bool:
-        """An instance back from a strike is tried with one RPC that may be repeated."""
-        fleet, safe = self.fleet, self.methods[rpc.method].idempotency != Idempotency.NON_IDEMPOTENT
-        return fleet.out[i] < fleet.limit[i] if not fleet.strikes[i] else safe and not fleet.out[i]
+        uses = self.request_rate.per_second(now) * self.idle_close / SECOND / SUBSET_USES
+        return ceil(max(MIN_SUBSET, uses * len(fleet.ready_by_build[build]) / len(fleet.ready)))
 
-    def _crowding(self, i: int, now: int) -> float:
-        """In flight for its size and warmth; an instance that fails quickly must not look empty."""
+    def _select_from(self, now: int, request: Request, build: int, any_healthy: bool) -> int | None:
+        """Two random choices by size, the one with the lower load score, from the first instances of the
+        build in this gateway's own order: as many as its subset, others in place of unhealthy or full ones.
+        """
         fleet = self.fleet
-        sound = max(FAIL_LEAST, 1 - fleet.failing_now(i, now, FAIL_MEMORY))
-        return (fleet.out[i] + fleet.others_now(i, now, REPORT_MEMORY) + 1) / (fleet.size[i] * sound * sound)
+        subset_size = self._subset_size(now, build)
+        ejected_until = fleet.ejected_until
+        failure_rate = fleet.failure_rate
+        warm_before = now - self.slow_start_duration
+        is_retry = bool(request.attempts)
+        candidates = list[int]()
+        for index in fleet.ready_by_build[
+            build
+        ]:  # The cheapest conditions first: many are checked per request.
+            healthy = ejected_until[index] <= now and failure_rate[index] < MAX_FAILURE_RATE
+            if not healthy and any_healthy and not self.outliers.is_healthy(index, now):
+                continue
+            if not self.limits.has_capacity(index, request.method_index):
+                continue
+            if is_retry and not self.safety.is_repeat_safe_at(request, index):
+                continue
+            if fleet.started_at[index] <= warm_before or self.slow_start.has_allowance(now, index):
+                candidates.append(index)
+            if len(candidates) >= subset_size:
+                break
+        if is_retry:
+            tried = {attempt.instance_index for attempt in request.attempts}
+            candidates = [index for index in candidates if index not in tried] or candidates
+        if not candidates:
+            return None
+        first, second = draw_two(self.random, candidates, [fleet.size[index] for index in candidates])
+        return first if self._load_score(first, now) <= self._load_score(second, now) else second
 
-    def _send(self, now: int, rpc: Rpc, i: int) -> SendAttempt:
-        fleet, build = self.fleet, self.fleet.build[i]
-        rpc.picks.append(Pick(i, build, now))
-        fleet.sent(i, now)
-        if bucket := self._bucket(build, rpc.method):
-            bucket.tokens -= 1.0
-        if self._warmth(i, now) < 1.0:
-            fleet.slow_start_tokens[i] -= rpc.cost
-        return SendAttempt(rpc.id, fleet.ids[i], max(1, rpc.deadline - now))
+    def _load_score(self, instance_index: int, now: int) -> float:
+        """What is in flight for the instance's size; one that fails quickly does not look empty."""
+        fleet = self.fleet
+        success_rate = max(MIN_SUCCESS_RATE, 1 - self.outliers.failure_rate(instance_index, now))
+        load = fleet.in_flight[instance_index] + fleet.expected_external_load(
+            instance_index, now, REPORT_MEMORY
+        )
+        return (load + 1) / (fleet.size[instance_index] * success_rate * success_rate)
--- a/linenbridge/policy/load_shedding.py
+++ b/linenbridge/policy/load_shedding.py
@@ -1,40 +1,102 @@
-"""Shedding: a share of the RPCs goes back at once, more with each late answer.
+"""Load shedding: a share of the new requests is rejected at once, more with each late response.
 
-Decides without I/O. Once it acts, answers well in time are asked for. It must never hold an RPC back.
+Decides without I/O. Once it acts, responses need to come well within the latency objective.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from random import Random
 
-from linenbridge.policy.gossip import Telling
-from linenbridge.interface import Startup
+from linenbridge.interface import Outcome, Startup
+from linenbridge.policy.change_detection import MIN_PROMOTE_OUTCOMES, PROMOTE_WAIT
+from linenbridge.policy.concurrency_limits import MIN_LIMIT
+from linenbridge.state.fleet import Fleet
+from linenbridge.state.requests import Attempt, Request
+from linenbridge.state.traffic import ResponseTimes, Traffic
 
-SHED_UP, SHED_DOWN, SHED_STREAK = 0.15, 0.015, 8
-SHED_FREE, SHED_MOST, SHED_NEAR = 0.3, 0.95, 0.75
-LIMIT_START, LIMIT_LEAST, LIMIT_MOST = 3.0, 1.0, 64.0  # out at one instance
+LEVEL_STEP_UP = 0.15  # of the level, for each late response
+LEVEL_STEP_DOWN = 0.015  # of the level, for each timely one, times their number in a row
+MAX_STREAK = 8  # timely responses in a row that count
+FREE_LEVEL = 0.3  # up to which nothing is shed
+MAX_SHARE = 0.95  # of the requests that is shed
+OBJECTIVE_FRACTION = 0.75  # of the latency objective within which responses are timely while it sheds
+WEIGHT_MEMORY = 30  # requests whose weights rank the next one
+EVEN_RANK = 1.5  # from which a request's rank is taken: the lowest weights are shed first
 
 
-class Shedding(Telling):
-    def __init__(self, start: Startup, seed: int, now: int) -> None:
-        super().__init__(start, seed, now)
-        self.streak, self.utilities = 0, deque([0.0], maxlen=30)
+class LoadShedder:
+    """The level of load shedding, from 0.0 to 1.0, and the draws by it.
 
-    def _sheds(self, now: int, utility: float) -> bool:
-        """Overload seen by a gateway too small for limits to bind: RPCs go by chance, low utility first. The
-        same where the least limits, one out from every gateway, already queue past a soft deadline."""
-        queue = max(self.least[m] / method.latency_objective for m, method in enumerate(self.methods))
-        if not self._few(now) and self.allow.gateway_count * LIMIT_LEAST * queue <= 1.0:
+    It acts at gateways with few requests, where no concurrency limit binds, and where the lowest limits of
+    all gateways, one request each, queue past a latency objective.
+    """
+
+    def __init__(
+        self, startup: Startup, fleet: Fleet, traffic: Traffic, response_times: ResponseTimes, random: Random
+    ) -> None:
+        self.objectives = [float(method.latency_objective) for method in startup.methods]
+        self.gateways = startup.allowances.gateway_count
+        self.fleet = fleet
+        self.traffic = traffic
+        self.response_times = response_times
+        self.random = random
+        self.level = 0.0
+        self._streak = 0
+        self._weights: deque[float] = deque([0.0], maxlen=WEIGHT_MEMORY)
+
+    def sheds(self, now: int, weight: float) -> bool:
+        """Whether a new request of that weight is rejected, by chance; low weights first."""
+        if not self._applies(now):
             return False
-        rank = sum(other < utility for other in self.utilities) / len(self.utilities)
-        self.utilities.append(utility)
-        share = min(SHED_MOST, (self.shed - SHED_FREE) / (1 - SHED_FREE) * (1.5 - rank))
-        shed = share > 0.0 and self.random.random() < share
-        # What is kept from the instances lowers it too: of few RPCs nearly all shed, too few answers would.
-        self.shed -= SHED_DOWN * shed
-        return shed
-
-    def _weigh_shed(self, late: bool) -> None:
-        """Timely answers in a row count ever more, so that it ends soon after the load does."""
-        self.streak = 0 if late else min(self.streak + 1, SHED_STREAK)
-        self.shed = min(1.0, max(0.0, self.shed + (SHED_UP if late else -SHED_DOWN * self.streak)))
+        lower = 0
+        for other in self._weights:
+            lower += other < weight
+        rank = lower / len(self._weights)
+        self._weights.append(weight)
+        share = min(MAX_SHARE, (self.level - FREE_LEVEL) / (1 - FREE_LEVEL) * (EVEN_RANK - rank))
+        if share <= 0.0 or self.random.random() >= share:
+            return False
+        # What is kept from the instances lowers the level too: of few requests, nearly all of them shed, too
+        # few responses would come to do so.
+        self.level -= LEVEL_STEP_DOWN
+        return True
+
+    def _applies(self, now: int) -> bool:
+        """Whether concurrency limits alone do not keep the queues short."""
+        if self.traffic.is_below(MIN_PROMOTE_OUTCOMES, PROMOTE_WAIT, now):
+            return True
+        queue = 0.0
+        for method_index, objective in enumerate(self.objectives):
+            queue = max(queue, self.response_times.lowest[method_index] / objective)
+        return self.gateways * MIN_LIMIT * queue > 1.0
+
+    def on_attempt_finished(self, now: int, attempt: Attempt, outcome: Outcome, request: Request) -> None:
+        """Count the outcome of an attempt as timely, as late, or not at all.
+
+        A time-out at an instance that was silent throughout indicates a fault of it and no load: pauses alone
+        would shed. Where a whole fleet falls silent at once, rejections and late responses alone are left.
+        """
+        overloaded = outcome == Outcome.OVERLOADED
+        succeeded = outcome == Outcome.OK
+        late = overloaded or outcome == Outcome.TIMED_OUT
+        if succeeded:
+            fraction = OBJECTIVE_FRACTION if self.level > FREE_LEVEL else 1.0
+            late = now > request.arrived_at + self.objectives[request.method_index] * fraction
+        if succeeded or overloaded or (late and not self._is_silent(attempt)):
+            self.add_response(late)
+
+    def _is_silent(self, attempt: Attempt) -> bool:
+        return self.fleet.is_silent_since(attempt.instance_index, attempt.sent_at)
+
+    def add_response(self, late: bool) -> None:
+        """Adjust the level; timely responses in a row count ever more, so that it falls soon after
+        the load.
+        """
+        if late:
+            self._streak = 0
+            change = LEVEL_STEP_UP
+        else:
+            self._streak = min(self._streak + 1, MAX_STREAK)
+            change = -LEVEL_STEP_DOWN * self._streak
+        self.level = min(1.0, max(0.0, self.level + change))
--- /dev/null
+++ b/linenbridge/policy/priorities.py
@@ -0,0 +1,37 @@
+"""Request weights: what a request is worth, for its method, its work and its tenant's quota.
+
+Decides without I/O. Waiting and shed requests are ordered by weight.
+"""
+
+from __future__ import annotations
+
+from linenbridge.interface import SECOND, Startup
+from linenbridge.state.counters import QuotaUsage
+from linenbridge.state.traffic import ResponseTimes
+
+QUOTA_MEMORY = 5 * SECOND  # time constant of the tenants' rates, in microseconds
+MAX_TENANTS = 1 << 14  # with a rate
+QUOTA_TOLERANCE = 1.15  # times its quota, from which a tenant is over it
+
+
+class RequestPriorities:
+    """The weight of each new request, and the usage of the tenants' quotas."""
+
+    def __init__(self, startup: Startup, response_times: ResponseTimes) -> None:
+        self.methods = startup.methods
+        self.by_work = startup.allowances.weighted_by_work
+        self.over_quota_weight = startup.allowances.over_quota_weight
+        self.quotas = startup.tenant_quotas
+        self.response_times = response_times
+        self.usage = QuotaUsage(QUOTA_MEMORY, startup.tenant_quotas, MAX_TENANTS)
+
+    def weight(self, now: int, method_index: int, tenant: str) -> float:
+        """Count a request; its weight, for each request or for each microsecond that the method takes,
+        reduced where the tenant is over its quota.
+        """
+        weight = self.methods[method_index].priority_weight
+        if not self.by_work:
+            weight /= self.response_times.mean[method_index]
+        if self.usage.usage(now, tenant) > QUOTA_TOLERANCE * self.quotas.get(tenant, 1.0):
+            weight *= self.over_quota_weight
+        return weight
--- a/linenbridge/policy/rollout_votes.py
+++ b/linenbridge/policy/rollout_votes.py
@@ -1,84 +1,195 @@
-"""This gateway's one standing vote: on, hold, back, or none.
+"""Rollout votes: this gateway's one vote in effect, to promote, hold or roll back the build under judgement.
 
-Decides without I/O. It reads the evidence and the platform's news; it must never bring a vote about that the
-evidence does not ask for, nor have two stand.
+Decides without I/O, by the change detector's sums and the platform's updates.
 """
 
 from __future__ import annotations
 
-from collections.abc import Iterator
+from random import Random
+from typing import NamedTuple
 
-from linenbridge.policy.change_detection import HOLD_LEVEL, LEAST_THRESHOLD, ON_OUTCOMES, ON_WAIT, Evidence
 from linenbridge.decisions import CastVote
-from linenbridge.interface import Vote, RolloutPhase, SECOND, Startup
-
-ON_MOST = 0.5
-RENEW, VOTE_RETRY, VOTE_RETRY_MOST = 4 * SECOND, 300_000, 2 * SECOND
-
-
-class Votes(Evidence):
-    def __init__(self, start: Startup, seed: int, now: int) -> None:
-        super().__init__(start, seed, now)
-        self.cast, self.vote_out, self.vote_at, self.vote_wait = (-1, -1, Vote.NONE), False, now, VOTE_RETRY
-        self.moot = (-1, -1)
-        # Whether all gateways renewing at their pace would be more calls than the platform takes.
-        calls = self.plan.calls_per_second * RENEW / SECOND
-        self.scarce = 0.0 < calls < self.allow.gateway_count
-
-    def _wanted(self, now: int) -> Vote:
-        """The vote that the evidence asks for. A build with no earlier one known here is never judged:
-        nothing tells its failings from the day's."""
-        phase = self.phase if self.build == self.judged else RolloutPhase.ON_TRIAL
-        if phase not in (RolloutPhase.ON_TRIAL, RolloutPhase.RELEASED) or self.lowest >= self.judged:
+from linenbridge.interface import SECOND, RolloutPhase, Startup, Vote
+from linenbridge.policy.change_detection import (
+    CLEAR_FRACTION,
+    MIN_PROMOTE_OUTCOMES,
+    MIN_THRESHOLD,
+    PROMOTE_WAIT,
+    ChangeDetector,
+)
+from linenbridge.policy.log_messages import LogMessages
+from linenbridge.policy.rollout_freeze import RolloutFreeze
+from linenbridge.state.fleet import Fleet
+from linenbridge.state.rollout import RolloutState
+
+MAX_PROMOTE_FRACTION = 0.5  # of the minimum threshold, of a sum at which a vote to promote is cast
+RENEWAL = 4 * SECOND  # microseconds after which a vote is renewed
+RENEWED_TTL = 6 * SECOND  # microseconds; votes that stand for less are renewed sooner in proportion
+VOTE_RETRY = 300_000  # microseconds after a vote that was not accepted, doubled with each
+MAX_VOTE_RETRY = 2 * SECOND  # microseconds
+NO_STAGE = -1
+
+
+class StageOfBuild(NamedTuple):
+    """A stage of a build."""
+
+    build: int
+    stage: int
+
+
+NONE_YET = StageOfBuild(NO_STAGE, NO_STAGE)
+
+
+class RolloutVoter:
+    """The vote in effect, and when it is to be cast or renewed. Times are microseconds."""
+
+    def __init__(
+        self,
+        startup: Startup,
+        rollout: RolloutState,
+        fleet: Fleet,
+        freeze: RolloutFreeze,
+        detector: ChangeDetector,
+        random: Random,
+        log: LogMessages,
+        now: int,
+    ) -> None:
+        self.plan = startup.plan
+        self.rollout = rollout
+        self.fleet = fleet
+        self.freeze = freeze
+        self.detector = detector
+        self.random = random
+        self.log = log
+        self.started_at = now
+        self.cast_stage = NONE_YET
+        self.cast_vote: int = Vote.NONE
+        self.pending = False  # a vote awaits the platform's response
+        self.next_at = now
+        self.retry_wait = VOTE_RETRY
+        self.stale_stage = NONE_YET  # which the platform has answered as stale
+        # Whether renewals of all gateways would be more calls than the platform takes.
+        renewals = self.plan.calls_per_second * RENEWAL / SECOND
+        self.calls_are_scarce = 0.0 < renewals < startup.allowances.gateway_count
+
+    def on_response(self, now: int, *, is_valid: bool, is_stale: bool) -> None:
+        """The platform has answered a vote; one that it has not accepted is cast again after a wait."""
+        self.pending = False
+        if is_valid:
+            return
+        self.next_at = now + int(self.retry_wait * self.random.uniform(0.5, 1.5))
+        self.retry_wait = min(2 * self.retry_wait, MAX_VOTE_RETRY)
+        if is_stale:
+            self.stale_stage = self.cast_stage
+        self._clear()
+
+    def on_rollout_update(self) -> None:
+        """The platform has reported a stage: retries begin anew."""
+        self.stale_stage = NONE_YET
+        self.retry_wait = VOTE_RETRY
+
+    def _clear(self) -> None:
+        self.cast_stage = NONE_YET
+        self.cast_vote = Vote.NONE
+
+    def wanted(self, now: int) -> int:
+        """The vote that the evidence asks for.
+
+        A build without an earlier one known here is not judged: there is no baseline to compare it with.
+        """
+        rollout = self.rollout
+        latest = rollout.latest_build
+        phase = rollout.phase if rollout.build == latest else RolloutPhase.ON_TRIAL
+        if phase not in (RolloutPhase.ON_TRIAL, RolloutPhase.RELEASED) or rollout.lowest_build >= latest:
             return Vote.NONE
-        if self.sums.alarms:
+        if self.detector.has_alarm():
             return Vote.ROLL_BACK
-        starts = [self.fleet.started_at[i] for i in self.near.get(self.judged, ())]
+        starts = [self.fleet.started_at[index] for index in self.fleet.ready_by_build.get(latest, ())]
         if phase == RolloutPhase.RELEASED or not starts:
             return Vote.NONE
-        if self._holds(self.judged):
-            return Vote.HOLD if self.plan.by_timer else Vote.NONE
-        # A sum on its way to the alarm is no ground for 'on', nor is what this gateway wasn't there to see.
-        # Those that hear others hear much the same: their 'on's are one, given on what would clear an alarm.
-        highest, most = self.sums.highest(), HOLD_LEVEL if self.sharing else ON_MOST
-        enough = self.outcomes >= ON_OUTCOMES and highest <= most * LEAST_THRESHOLD
-        if enough or (now >= max(*starts, self.born) + ON_WAIT and highest <= 0.0):
-            return Vote.NONE if self.plan.by_timer else Vote.PROMOTE
-        return Vote.HOLD if self.plan.by_timer else Vote.NONE
-
-    def _stage_seen(self) -> tuple[int, int]:
-        """The build judged and its stage, as told or, where news is late, as the list shows by its machines.
-        A vote for a stage not yet reached is answered as moot, and the told stage is taken again."""
-        stage = self.stage if self.build == self.judged else 0
-        told, fleet, shares = (self.judged, stage), self.fleet, self.plan.shares
-        trial = len(self.near.get(self.judged, ()))
-        places = len(fleet.ready) if self.plan.in_place else len(fleet.ready) - trial
-        while stage + 1 < len(shares) and trial > shares[stage] * places + 1:
+        by_timer = self.plan.by_timer
+        if self.freeze.covers(latest):
+            return Vote.HOLD if by_timer else Vote.NONE
+        if self._may_promote(now, max(*starts, self.started_at)):
+            return Vote.NONE if by_timer else Vote.PROMOTE
+        return Vote.HOLD if by_timer else Vote.NONE
+
+    def _may_promote(self, now: int, begun_at: int) -> bool:
+        """Whether nothing is seen against the build, after enough outcomes or a wait.
+
+        A sum on its way to the alarm is no reason to promote, nor is what this gateway has not observed.
+        Gateways that share evidence cast the same vote: theirs needs a sum that would clear an alarm.
+        """
+        highest = self.detector.sums.highest()
+        fraction = CLEAR_FRACTION if self.detector.shares_evidence else MAX_PROMOTE_FRACTION
+        if self.detector.outcomes >= MIN_PROMOTE_OUTCOMES and highest <= fraction * MIN_THRESHOLD:
+            return True
+        return now >= begun_at + PROMOTE_WAIT and highest <= 0.0
+
+    def visible_stage(self) -> StageOfBuild:
+        """The latest build and its stage, as reported or, where updates are late, as its instances show.
+
+        A vote for a stage that is not reached yet is answered as stale; the reported stage holds again then.
+        """
+        rollout = self.rollout
+        latest = rollout.latest_build
+        reported = rollout.stage if rollout.build == latest else 0
+        stage = reported
+        shares = self.plan.shares
+        on_trial = len(self.fleet.ready_by_build.get(latest, ()))
+        slots = len(self.fleet.ready)
+        if not self.plan.in_place:
+            slots -= on_trial
+        while stage + 1 < len(shares) and on_trial > shares[stage] * slots + 1:
             stage += 1
-        return (self.judged, stage) if (self.judged, stage) != self.moot else told
+        visible = StageOfBuild(latest, stage)
+        return visible if visible != self.stale_stage else StageOfBuild(latest, reported)
 
-    def _ballot(self, now: int) -> Iterator[CastVote]:
-        """One standing vote, renewed until the stage moves; withdrawn when nothing asks for it any more."""
-        wanted = (*self._stage_seen(), self._wanted(now))
-        if now < self.vote_at and (self.vote_out or wanted == self.cast or self.vote_wait > VOTE_RETRY):
-            return
-        if wanted[2] == Vote.NONE and (self.cast[2] == Vote.NONE or self.cast[:2] != wanted[:2]):
-            return
-        if wanted[2] == Vote.NONE and self._lapses():
-            self.cast = self.cast if now < self.vote_at else (-1, -1, Vote.NONE)
-            return
-        if wanted != self.cast:
-            grounds = f"outcomes {self.outcomes} W {self.sums.highest():.1f}"
-            where = f"build {wanted[0]} stage {wanted[1]} told {self.stage}"
-            self.notes.append(f"vote {wanted[2]} {where} {grounds}")
-        self.cast, self.vote_out = wanted, True
-        life = min(RENEW, int(self.plan.vote_ttl * RENEW / (6 * SECOND)))
-        life = int(life * self.random.uniform(0.5, 1.0)) if wanted[2] == Vote.PROMOTE else life
-        self.vote_at = now + (self.plan.vote_ttl if self.scarce else life)
-        yield CastVote(wanted[0], wanted[1], wanted[2])
-
-    def _lapses(self) -> bool:
-        """Where calls are scarce an 'on' nobody asks for any more is left to lapse: a call to take it back is
-        one less for a vote that does not stand yet. A sum over half the least threshold is worth the call."""
-        free = self.scarce and not self._holds(self.judged)
-        return free and self.cast[2] == Vote.PROMOTE and self.sums.highest() <= ON_MOST * LEAST_THRESHOLD
+    def due_vote(self, now: int) -> CastVote | None:
+        """The vote to cast now: one in effect, renewed until the stage changes, and withdrawn when nothing
+        asks for it any more.
+        """
+        if self.pending and now < self.next_at:
+            return None
+        visible = self.visible_stage()
+        vote = self.wanted(now)
+        changed = vote != self.cast_vote or visible != self.cast_stage
+        if now < self.next_at and (not changed or self.retry_wait > VOTE_RETRY):
+            return None
+        if vote == Vote.NONE:
+            if self.cast_vote == Vote.NONE or visible != self.cast_stage:
+                return None
+            if self._may_lapse():
+                if now >= self.next_at:
+                    self._clear()
+                return None
+        if changed:
+            self.log.vote(
+                vote, visible.build, visible.stage, self.rollout.stage, self.detector.outcomes,
+                self.detector.sums.highest(),
+            )  # fmt: skip
+        self.cast_stage = visible
+        self.cast_vote = vote
+        self.pending = True
+        self.next_at = now + self._renewal(vote)
+        return CastVote(visible.build, visible.stage, Vote(vote))
+
+    def _renewal(self, vote: int) -> int:
+        """Microseconds until the vote is renewed; at random for one to promote."""
+        ttl = self.plan.vote_ttl
+        renewal = min(RENEWAL, int(ttl * RENEWAL / RENEWED_TTL))
+        if vote == Vote.PROMOTE:
+            renewal = int(renewal * self.random.uniform(0.5, 1.0))
+        return ttl if self.calls_are_scarce else renewal
+
+    def _may_lapse(self) -> bool:
+        """Whether a vote to promote that nothing asks for any more is left to lapse.
+
+        Where calls are scarce one to withdraw it is one less for a vote that is not in effect yet. A freeze,
+        and a sum over half of the minimum threshold, are worth the call.
+        """
+        if not self.calls_are_scarce or self.freeze.covers(self.rollout.latest_build):
+            return False
+        if self.cast_vote != Vote.PROMOTE:
+            return False
+        return self.detector.sums.highest() <= MAX_PROMOTE_FRACTION * MIN_THRESHOLD
--- a/linenbridge/policy/safety_rules.py
+++ b/linenbridge/policy/safety_rules.py
@@ -1,142 +1,78 @@
-"""The guards behind the rules: what may go out at all, however much it is wanted.
+"""Rules 1 and 2: whether a request may go out again, and the one final answer of a request that is given up.
 
-Decides without I/O. Every pick passes here: no effect twice (rule 2), no cold instance pushed over (rule 4),
-exposure within the cap (rule 5); and the one final answer where an RPC is given up (rules 1 and 2).
+Decides without I/O. Every attempt passes here: no effect happens twice, and a client is told to retry only
+where a repeat is harmless.
 """
 
 from __future__ import annotations
 
 from linenbridge.decisions import Fail, Reject
-from linenbridge.interface import Idempotency, RolloutPhase, SECOND, Startup
-from linenbridge.state.counters import CapBucket
-from linenbridge.state.gateway_state import Known
-from linenbridge.state.requests import Rpc
+from linenbridge.interface import SECOND, Idempotency, Startup
+from linenbridge.state.fleet import Fleet
+from linenbridge.state.requests import OpenRequests, Request
 
-SEND_SHARE, RETRY_AFTER = 0.9, 2 * SECOND
-COLD_ASIDE, COLD_LEAST, COLD_CALM, FLEET_MEMORY = 0.9, 0.3, 0.2, 30 * SECOND
-SWEEP, SWEEPS, LAST_MOMENT = 50_000, 15, 12_000  # SWEEPS in the strictest soft deadline
+RETRY_AFTER = 2 * SECOND  # microseconds until a rejected client comes again, where the settings allow it
 
 
-class Guards(Known):
-    def __init__(self, start: Startup, seed: int, now: int) -> None:
-        super().__init__(start, seed, now)
-        self.work_taken, self.shed = 0.0, 0.0
-        self.strictest = min(method.latency_objective for method in self.methods)
-        self.sweep = min(SWEEP, self.strictest // SWEEPS)
+class SafetyRules:
+    """What may go out again, and where; `sweep_period` is how late (microseconds) an attempt may leave."""
 
-    def _may_pick(self, now: int, rpc: Rpc) -> bool:
-        """Rule 2, asked before every pick: may this RPC go out (again) at all?"""
-        if not rpc.picks or rpc.streaming or (rpc.out() and not self.allow.hedging_allowed):
-            return not rpc.picks
-        ran = rpc.first_that_may_have_run()
-        method = self.methods[rpc.method]
-        if ran is None or method.idempotency == Idempotency.IDEMPOTENT:
-            return True
-        return method.idempotency == Idempotency.IDEMPOTENT_BY_KEY and self._remembered(now, rpc)
-
-    def _remembered(self, at: int, rpc: Rpc) -> bool:
-        """Rule 2 for tokened RPCs: whether what is sent at that time is still known as a repeat when it gets
-        there, by the first pick that may have run; it may wait for a connection first."""
-        window = self.methods[rpc.method].idempotency_window - self.sweep - self.allow.connect_timeout
-        return (ran := rpc.first_that_may_have_run()) is None or at < ran.sent + window
+    def __init__(self, startup: Startup, requests: OpenRequests, fleet: Fleet, sweep_period: int) -> None:
+        self.methods = startup.methods
+        self.hedging_allowed = startup.allowances.hedging_allowed
+        self.retry_after = min(RETRY_AFTER, startup.allowances.max_retry_after)
+        self.requests = requests
+        self.fleet = fleet
+        # An attempt may wait for a connection before it leaves.
+        self.repeat_margin = sweep_period + startup.allowances.connect_timeout  # microseconds
 
-    def _in_group(self, rpc: Rpc, i: int) -> bool:
-        """Rule 2 for tokened RPCs: a repeat stays among the instances that drop it."""
-        method, fleet = self.methods[rpc.method], self.fleet
-        if (
-            method.idempotency != Idempotency.IDEMPOTENT_BY_KEY
-            or method.group == "all"
-            or not (ran := rpc.first_that_may_have_run())
-        ):
+    def may_attempt(self, now: int, request: Request) -> bool:
+        """Whether the request may go out (again) at all; asked before every attempt."""
+        if not request.attempts:
             return True
-        group = fleet.zone if method.group == "zone" else fleet.cell
-        return group[i] == group[ran.instance]
-
-    def _final(self, now: int, rpc: Rpc) -> Reject | Fail:
-        """Rules 1 and 2: the one final answer; a pushback only where a repeat is harmless."""
-        self.rpcs.end(rpc)
-        method, wait = self.methods[rpc.method], min(RETRY_AFTER, self.allow.max_retry_after)
-        # It comes again when it is told to: while that is still known as a repeat everywhere.
-        known = (
-            method.idempotency == Idempotency.IDEMPOTENT_BY_KEY
-            and method.group == "all"
-            and self._remembered(now + wait, rpc)
-        )
-        if rpc.first_that_may_have_run() is None or method.idempotency == Idempotency.IDEMPOTENT or known:
-            return Reject(rpc.id, wait)
-        return Fail(rpc.id)
-
-    def _holds(self, build: int) -> bool:
-        """Whether a hold covers a build: it has instances where releases are held."""
-        held, zone = self.held, self.fleet.zone
-        return held is not None and (not held or any(zone[i] in held for i in self.near.get(build, ())))
-
-    def _cap(self, build: int) -> tuple[float, int] | None:
-        """Rule 5; under a hold no more than when it began, none at a later build while an earlier is
-        there."""
-        cap = self._told_cap(build)
-        if cap is None or not self._holds(build):
-            return cap
-        most = self.held_caps.get(build, 0.0 if min(self.near, default=build) < build else cap[0])
-        return min(cap[0], most), cap[1]
-
-    def _told_cap(self, build: int) -> tuple[float, int] | None:
-        """Rule 5: the cap and stage that bind picks at a build; None where nothing does."""
-        if build > self.build >= 0 or (self.build < 0 and build > self.lowest):
-            return self.plan.caps[0], 0
-        if build < self.build or self.build < 0 or self.phase == RolloutPhase.RELEASED:
-            return None
-        return self.cap, self.stage
-
-    def _share(self, build: int) -> float:
-        """At a full cap no earlier instance may be left to take the tenth held back: all of it is used."""
-        cap = self._cap(build)
-        return 1.0 if cap is None or cap[0] >= 1.0 else SEND_SHARE * cap[0]
-
-    def _bucket(self, build: int, m: int) -> CapBucket | None:
-        if self._cap(build) is None:
-            return None
-        return self.bucket(build, m if self.plan.per_method else -1, self._share(build))
-
-    def _exposed(self, build: int, m: int) -> bool:
-        """Whether rule 5 lets one more RPC of the method go to the build now."""
-        if (cap := self._cap(build)) is None:
-            return True
-        if cap[0] <= 0.0 or (
-            cap[1] < self.plan.closed_stages and self.methods[m].idempotency != Idempotency.IDEMPOTENT
-        ):
+        if request.streaming or (not self.hedging_allowed and request.in_flight()):
             return False
-        return (bucket := self._bucket(build, m)) is None or bucket.tokens >= 1.0
-
-    def _warmth(self, i: int, now: int) -> float:
-        """The least share of its capacity that an instance has at that time."""
-        age, cold = now - self.fleet.started_at[i], self.allow.slow_start_duration
-        return (
-            1.0
-            if age >= cold
-            else self.allow.slow_start_floor + (1 - self.allow.slow_start_floor) * max(0, age) / cold
-        )
-
-    def _cold_room(self, now: int, i: int) -> bool:
-        """Rule 4, by this gateway alone: of its own work a cold instance gets no more than the part that its
-        size and warmth give it, times the allowed multiple less what is set aside for chance and retries.
-        Earned by RPC placed, not by time, less the more is shed; the fleet counts as of late."""
-        warmth, fleet = self._warmth(i, now), self.fleet
-        if warmth >= 1.0:
+        if request.first_possible_execution() is None:
             return True
-        part = (
-            max(COLD_LEAST, self.allow.slow_start_multiple - COLD_ASIDE)
-            * warmth
-            * max(COLD_CALM, 1 - self.shed)
-        )
-        part *= fleet.size[i] / fleet.usual_size
-        if (
-            fleet.slow_start_mark[i] < 0.0
-        ):  # By chance: hundreds of whole ones, or of light RPCs, would meet here.
-            fleet.slow_start_tokens[i], fleet.slow_start_mark[i] = self.random.random(), self.work_taken
-        earned = part * (self.work_taken - fleet.slow_start_mark[i])
-        fleet.slow_start_tokens[i], fleet.slow_start_mark[i] = (
-            min(1.0, fleet.slow_start_tokens[i] + earned),
-            self.work_taken,
+        idempotency = self.methods[request.method_index].idempotency
+        if idempotency == Idempotency.IDEMPOTENT:
+            return True
+        return idempotency == Idempotency.IDEMPOTENT_BY_KEY and self._is_known_repeat(now, request)
+
+    def _is_known_repeat(self, sent_at: int, request: Request) -> bool:
+        """Whether an attempt sent then is still recognized as a repeat on arrival: within the idempotency
+        window of the first attempt that may have been executed.
+        """
+        executed = request.first_possible_execution()
+        if executed is None:
+            return True
+        window = self.methods[request.method_index].idempotency_window - self.repeat_margin
+        return sent_at < executed.sent_at + window
+
+    def is_repeat_safe_at(self, request: Request, instance_index: int) -> bool:
+        """Whether the instance recognizes a repeat of a request that is idempotent by key: it shares the zone
+        or the cell, as the method says, with the first one that may have executed it.
+        """
+        method = self.methods[request.method_index]
+        if method.idempotency != Idempotency.IDEMPOTENT_BY_KEY or method.group == "all":
+            return True
+        executed = request.first_possible_execution()
+        if executed is None:
+            return True
+        if method.group == "zone":
+            return self.fleet.zone[instance_index] == self.fleet.zone[executed.instance_index]
+        return self.fleet.cell[instance_index] == self.fleet.cell[executed.instance_index]
+
+    def final_answer(self, now: int, request: Request) -> Reject | Fail:
+        """End the request with its one final answer: a rejection only where a repeat is harmless."""
+        self.requests.end(request)
+        method = self.methods[request.method_index]
+        if request.first_possible_execution() is None or method.idempotency == Idempotency.IDEMPOTENT:
+            return Reject(request.id, self.retry_after)
+        # The client's repeat needs to be recognized at any instance when it comes.
+        recognized_everywhere = (
+            method.idempotency == Idempotency.IDEMPOTENT_BY_KEY
+            and method.group == "all"
+            and self._is_known_repeat(now + self.retry_after, request)
         )
-        return fleet.slow_start_tokens[i] >= 1.0
+        return Reject(request.id, self.retry_after) if recognized_everywhere else Fail(request.id)
--- a/linenbridge/state/cusum.py
+++ b/linenbridge/state/cusum.py
@@ -1,54 +1,73 @@
-"""The sums of the design's test at the build judged, and what was met of every build of late.
+"""Cumulative sums of a change detection test, and recent outcomes by build and method.
 
-Keeps state without I/O. It must never say what a sum means: levels and alarms are told to it.
+Keeps state without I/O. Levels and bounds are parameters; `linenbridge.policy.change_detection` sets them.
 """
 
 from __future__ import annotations
 
 from linenbridge.state.counters import BuildRecord, Counts
 
-Key = tuple[int, str]  # a method's row and what it is judged by
+Key = tuple[int, str]  # method index and statistic
 
 
-class Sums:
-    """W = max(0, W) + Z for each key, and each instance's part in it, for bounds."""
+class CumulativeSums:
+    """W = max(0, W) + Z for each key, with the contribution of each instance."""
 
     def __init__(self) -> None:
-        self.by_key: dict[Key, float] = {}
-        self.parts: dict[Key, dict[int, float]] = {}
+        self.sums: dict[Key, float] = {}
+        self.contributions: dict[Key, dict[int, float]] = {}
         self.alarms: set[Key] = set()
 
-    def add(self, key: Key, z: float, i: int | None, most: float) -> float:
-        """The new sum. What an instance `i` adds is bounded to `most` in all while the sum stands."""
-        parts, before = self.parts.setdefault(key, {}), max(0.0, self.by_key.get(key, 0.0))
-        if i is not None and z > 0.0:
-            z = max(0.0, min(z, most - parts.get(i, 0.0)))
-            parts[i] = parts.get(i, 0.0) + z
-        w = self.by_key[key] = before + z
-        if z < 0.0:
-            self.parts[key] = {j: part * w / before for j, part in parts.items()} if w > 0.0 else {}
-        return w
+    def add(self, key: Key, increment: float, instance_index: int | None, max_contribution: float) -> float:
+        """Add an increment and return the new sum.
+
+        What one instance adds is limited to `max_contribution` in all as long as the sum stays positive.
+        """
+        contributions = self.contributions.setdefault(key, {})
+        before = max(0.0, self.sums.get(key, 0.0))
+        if instance_index is not None and increment > 0.0:
+            contributed = contributions.get(instance_index, 0.0)
+            increment = max(0.0, min(increment, max_contribution - contributed))
+            contributions[instance_index] = contributed + increment
+        total = before + increment
+        self.sums[key] = total
+        if increment < 0.0:
+            self.contributions[key] = (
+                {index: amount * total / before for index, amount in contributions.items()}
+                if total > 0.0
+                else {}
+            )
+        return total
 
     def highest(self) -> float:
-        return max(self.by_key.values(), default=0.0)
+        """The largest sum; 0.0 where there is none."""
+        return max(self.sums.values(), default=0.0)
 
 
-class Records:
-    """What was met by (build, method), of late."""
+class BuildRecords:
+    """Recent outcomes by build and method index."""
 
     def __init__(self, memory: int) -> None:
-        self.memory = memory
-        self.rows: dict[tuple[int, int], BuildRecord] = {}
+        self.memory = memory  # outcomes
+        self.records: dict[tuple[int, int], BuildRecord] = {}
 
-    def hear(self, build: int, m: int, counts: Counts) -> None:
-        self.rows.setdefault((build, m), BuildRecord(self.memory)).hear(counts)
+    def add(self, build: int, method_index: int, counts: Counts) -> None:
+        """Count outcomes of a method at a build."""
+        self.records.setdefault((build, method_index), BuildRecord(self.memory)).add(counts)
 
-    def earlier(self, m: int, build: int, withdrawn: set[int]) -> BuildRecord | None:
-        """The record of the latest build before that one, of those not withdrawn."""
-        known = [b for b, row in self.rows if row == m and b < build and b not in withdrawn]
-        return self.rows[max(known), m] if known else None
+    def baseline(self, method_index: int, build: int, withdrawn: set[int]) -> BuildRecord | None:
+        """The method's record at the latest earlier build that is not withdrawn."""
+        known = [
+            earlier
+            for earlier, recorded_method in self.records
+            if recorded_method == method_index and earlier < build and earlier not in withdrawn
+        ]
+        return self.records[max(known), method_index] if known else None
 
-    def other_failures(self, build: int, m: int) -> list[float]:
-        """The share that failed at the build of each other method that was met there."""
-        rest = [r for (b, row), r in self.rows.items() if b == build and row != m and r.outcomes]
-        return [r.failed / r.outcomes for r in rest]
+    def other_failure_rates(self, build: int, method_index: int) -> list[float]:
+        """The failure rate at the build of each other method with outcomes there."""
+        return [
+            record.failed / record.outcomes
+            for (recorded_build, recorded_method), record in self.records.items()
+            if recorded_build == build and recorded_method != method_index and record.outcomes
+        ]
--- a/linenbridge/state/fleet.py
+++ b/linenbridge/state/fleet.py
@@ -1,6 +1,6 @@
-"""The fleet as parallel arrays under a dense index.
+"""The instances of the endpoint list as parallel columns under a dense index, and weighted random draws.
 
-Keeps state without I/O. It must never choose among instances, nor hold how fast its figures are forgotten.
+Keeps state without I/O. Selection among instances belongs to `linenbridge.policy`, as do the time constants.
 """
 
 from __future__ import annotations
@@ -12,29 +12,37 @@
 from random import Random
 from zlib import crc32
 
-from linenbridge.interface import InstanceState, Id, EndpointEntry
+from linenbridge.interface import Id, InstanceState, EndpointEntry
 from linenbridge.state.free_indices import FreeIndices
 from linenbridge.state.ready_order import ReadyOrder
 
+MIN_SIZE = 1e-6  # of an instance; the list may say zero
 
-def draw(random: Random, items: list[int], sums: Sequence[float]) -> int:
-    """One item by weight, given the running sums of the weights: `random.choices` less its checks."""
-    return items[bisect(sums, random.random() * sums[-1], 0, len(sums) - 1)]
+
+def draw(random: Random, items: list[int], cumulative_weights: Sequence[float]) -> int:
+    """One item by weight, given the cumulative weights: `random.choices` without its checks."""
+    point = random.random() * cumulative_weights[-1]
+    return items[bisect(cumulative_weights, point, 0, len(cumulative_weights) - 1)]
 
 
 def draw_two(random: Random, items: list[int], weights: list[float]) -> tuple[int, int]:
     """Two draws by weight; they may be the same item."""
-    sums = list(accumulate(weights))
-    return draw(random, items, sums), draw(random, items, sums)
+    cumulative_weights = list(accumulate(weights))
+    return draw(random, items, cumulative_weights), draw(random, items, cumulative_weights)
 
 
 class Fleet:
-    """Per-instance figures; an instance keeps its index while it is listed or in use. `near` lists the ready
-    ones of a build in an order of this gateway's own, the same after a restart, whatever else is listed."""
+    """Figures of each instance; an instance keeps its index while it is listed or in use.
+
+    `ready_by_build` lists the ready instances of a build in an order of this gateway's own, by a checksum of
+    its number and their ids: it is the same after a restart and whatever else is listed. Times are
+    microseconds.
+    """
 
-    def __init__(self, number: int, now: int) -> None:
-        self.number = number
+    def __init__(self, gateway_number: int, now: int) -> None:
+        self.gateway_number = gateway_number
         self.index: dict[Id, int] = {}
+        # As listed.
         self.ids: list[Id] = []
         self.build: list[int] = []
         self.zone: list[str] = []
@@ -42,158 +50,219 @@
         self.state: list[int] = []
         self.size: list[float] = []
         self.started_at: list[int] = []
-        self.out: list[int] = []
+        # Requests in flight and responses.
+        self.in_flight: list[int] = []
         self.busy_since: list[int] = []
-        self.last_reply: list[int] = []
-        self.gap: list[float] = []
-        self.behind: list[int] = []
-        self.failing: list[float] = []
-        self.limit: list[float] = []
-        self.cut_at: list[int] = []
-        self.strikes: list[int] = []
-        self.shun_until: list[int] = []
-        self.others: list[float] = []
-        self.reported_at: list[int] = []
+        self.last_response_at: list[int] = []
+        self.mean_response_gap: list[float] = []
+        self.in_flight_at_response: list[int] = []  # after the last response, or none of them since idle
+        self.failure_rate: list[float] = []
+        # Load that other gateways cause, as reported.
+        self.external_load: list[float] = []
+        self.external_load_at: list[int] = []
+        self.mean_external_load = 0.0  # per unit of size
+        # Concurrency limits, ejections and slow start: written by the component of that name.
+        self.concurrency_limit: list[float] = []
+        self.limit_reduced_at: list[int] = []
+        self.consecutive_failures: list[int] = []
+        self.ejected_until: list[int] = []
         self.slow_start_tokens: list[float] = []
-        self.slow_start_mark: list[float] = []
-        self.others_mean = 0.0
-        self.usual_size, self.listed_at = 0.0, now
+        self.slow_start_mark: list[float] = []  # admitted cost at the last refill; negative before the first
+        # Orders of the ready instances.
         self.rank: list[int] = []
+        self.mean_ready_size = 0.0
+        self.listed_at = now
         self.free = FreeIndices()
         self.order = ReadyOrder(self.build, self.size, self.state, self.rank)
-        self.ready, self.sums, self.near = self.order.ready, self.order.sums, self.order.near
+        self.ready = self.order.ready
+        self.cumulative_sizes = self.order.cumulative_sizes
+        self.ready_by_build = self.order.by_build
 
     def update(
-        self, entries: Iterable[EndpointEntry], whole: bool, gap: float, limit: float, used: set[int]
+        self,
+        entries: Iterable[EndpointEntry],
+        is_snapshot: bool,
+        response_gap: float,
+        concurrency_limit: float,
+        used: set[int],
     ) -> None:
-        """Take in a list; an instance that a whole list leaves out is gone. A new one takes the index of one
-        that is gone, unless that is among those `used`, so that no run of new ids makes the arrays grow.
-        What the list leaves as it was costs a look; only what it changes is put in order anew."""
-        named = set[Id]()
+        """Apply an endpoint list; an instance that a snapshot leaves out is removed.
+
+        New and restarted instances begin with the given mean response gap and concurrency limit. A new
+        instance takes the index of a removed one, unless that is among those `used`, so that no sequence of
+        new ids makes the columns grow. Entries without a change cost a comparison; only changes update the
+        orders.
+        """
+        listed = set[Id]()
         self.free.begin(len(self.ids))
         self.order.begin()
         for entry in entries:
-            if whole:
-                named.add(entry.instance)
-            i = self.index.get(entry.instance)
-            if i is not None:
-                self._change(i, entry, gap, limit)
+            if is_snapshot:
+                listed.add(entry.instance)
+            known = self.index.get(entry.instance)
+            if known is not None:
+                self._change(known, entry, response_gap, concurrency_limit)
             elif entry.state != InstanceState.REMOVED:
-                i = self._add(entry.instance, self.free.take(self.state, used))
-                self._reset(i, entry, gap, limit)
-                self._change(i, entry, gap, limit)
-        if whole:
-            for instance, i in self.index.items():
-                if instance not in named:
-                    self._gone(i)
+                added = self._add(entry.instance, self.free.assign(self.state, used))
+                self._reset(added, entry, response_gap, concurrency_limit)
+                self._change(added, entry, response_gap, concurrency_limit)
+        if is_snapshot:
+            for instance, instance_index in self.index.items():
+                if instance not in listed:
+                    self._remove(instance_index)
         self.order.finish()
         self.free.finish()
 
-    def _change(self, i: int, entry: EndpointEntry, gap: float, limit: float) -> None:
-        """What the list says of a known instance."""
-        size, listed = self.size[i], self.state[i] == InstanceState.READY
-        stays = listed and entry.state == InstanceState.READY and entry.build == self.build[i]
+    def _change(
+        self, instance_index: int, entry: EndpointEntry, response_gap: float, concurrency_limit: float
+    ) -> None:
+        """Apply the entry of a known instance."""
+        size = self.size[instance_index]
+        was_ready = self.state[instance_index] == InstanceState.READY
+        is_ready = entry.state == InstanceState.READY
+        stays_ready = was_ready and is_ready and entry.build == self.build[instance_index]
         if entry.state == InstanceState.REMOVED:
-            self._gone(i)
-        elif listed and not stays:
-            self.order.remove(i)
-        if entry.state == InstanceState.READY and (entry.started_at, entry.build) != (
-            self.started_at[i],
-            self.build[i],
+            self._remove(instance_index)
+        elif was_ready and not stays_ready:
+            self.order.remove(instance_index)
+        if is_ready and (
+            entry.started_at != self.started_at[instance_index] or entry.build != self.build[instance_index]
         ):
-            self._reset(i, entry, gap, limit)
-        self.state[i], self.zone[i], self.cell[i] = entry.state, entry.zone, entry.cell
-        self.size[i] = max(entry.size, 1e-6)
-        if entry.state == InstanceState.READY and not stays:
-            self.order.add(i)
-        elif stays and self.size[i] != size:
-            self.order.resize(i)
-
-    def _gone(self, i: int) -> None:
-        """The instance is there no more; its index may be given to another one."""
-        if self.state[i] == InstanceState.READY:
-            self.order.remove(i)
-        if self.state[i] != InstanceState.REMOVED:
-            self.free.release(i)
-        self.state[i] = InstanceState.REMOVED
-
-    def _add(self, instance: Id, free: int | None) -> int:
-        i = len(self.ids) if free is None else free
-        if free is not None:
-            del self.index[self.ids[i]]
-        self.index[instance] = i
-        arrays: list[tuple[list, object]] = [
+            self._reset(instance_index, entry, response_gap, concurrency_limit)
+        self.state[instance_index] = entry.state
+        self.zone[instance_index] = entry.zone
+        self.cell[instance_index] = entry.cell
+        self.size[instance_index] = max(entry.size, MIN_SIZE)
+        if is_ready and not stays_ready:
+            self.order.add(instance_index)
+        elif stays_ready and self.size[instance_index] != size:
+            self.order.resize(instance_index)
+
+    def _remove(self, instance_index: int) -> None:
+        """The instance is no longer listed; its index may be assigned to another one."""
+        if self.state[instance_index] == InstanceState.READY:
+            self.order.remove(instance_index)
+        if self.state[instance_index] != InstanceState.REMOVED:
+            self.free.release(instance_index)
+        self.state[instance_index] = InstanceState.REMOVED
+
+    def _add(self, instance: Id, free_index: int | None) -> int:
+        """Give an instance the free index, or one more at the end; its columns hold their initial values."""
+        instance_index = len(self.ids) if free_index is None else free_index
+        if free_index is not None:
+            del self.index[self.ids[instance_index]]
+        self.index[instance] = instance_index
+        rank = crc32(f"{self.gateway_number}/{instance}".encode()) << 32 | instance_index
+        columns: list[tuple[list, object]] = [
+            (self.ids, instance),
             (self.build, 0),
             (self.zone, ""),
             (self.cell, 0),
             (self.state, InstanceState.REMOVED),
             (self.size, 1.0),
             (self.started_at, 0),
-            (self.out, 0),
+            (self.in_flight, 0),
             (self.busy_since, 0),
-            (self.last_reply, 0),
-            (self.gap, 0.0),
-            (self.behind, 0),
-            (self.failing, 0.0),
-            (self.limit, 0.0),
-            (self.cut_at, 0),
-            (self.strikes, 0),
-            (self.shun_until, 0),
-            (self.others, 0.0),
-            (self.reported_at, 0),
+            (self.last_response_at, 0),
+            (self.mean_response_gap, 0.0),
+            (self.in_flight_at_response, 0),
+            (self.failure_rate, 0.0),
+            (self.external_load, 0.0),
+            (self.external_load_at, 0),
+            (self.concurrency_limit, 0.0),
+            (self.limit_reduced_at, 0),
+            (self.consecutive_failures, 0),
+            (self.ejected_until, 0),
             (self.slow_start_tokens, 0.0),
             (self.slow_start_mark, -1.0),
-            (self.rank, crc32(f"{self.number}/{instance}".encode()) << 32 | i),
-            (self.ids, instance),
+            (self.rank, rank),
         ]
-        for array, empty in arrays:
-            array[i : i + 1] = [empty]
-        return i
-
-    def _reset(self, i: int, entry: EndpointEntry, gap: float, limit: float) -> None:
-        """A process that starts anew inherits nothing from the one before it."""
-        self.build[i], self.started_at[i], self.size[i] = entry.build, entry.started_at, max(entry.size, 1e-6)
-        self.gap[i], self.limit[i] = gap, limit
-        self.failing[i], self.strikes[i], self.shun_until[i] = 0.0, 0, 0
-        self.others[i], self.slow_start_tokens[i], self.slow_start_mark[i] = 0.0, 0.0, -1.0
-
-    def sent(self, i: int, now: int) -> None:
-        if not self.out[i]:
-            self.busy_since[i], self.behind[i] = now, 0
-        self.out[i] += 1
-
-    def silence(self, i: int, now: int) -> int:
-        """How long an instance with something out has not answered."""
-        return now - max(self.last_reply[i], self.busy_since[i])
-
-    def answered(self, i: int, now: int, weight: float) -> None:
-        """The gap is kept for one RPC in flight: where several have been out since the answer before, the
-        next comes that much sooner, and a single one after a strike must not look silent to their pace."""
-        self.gap[i] += (self.silence(i, now) * self.flow(i, self.out[i] + 1) - self.gap[i]) * weight
-        self.last_reply[i], self.behind[i] = now, self.out[i]
-        self.strikes[i], self.shun_until[i] = 0, 0
-
-    def flow(self, i: int, out: int) -> int:
-        """How many of those out have been so all through the present silence. What was sent to an idle
-        instance is no flow: two sent together are both answered one service time later, not half of one."""
-        return max(1, min(self.behind[i], out))
-
-    def reported(self, i: int, now: int, in_flight: float, weight: float) -> None:
-        """A load report: what others have there, and the fleet's mean of that for its size."""
-        self.others[i], self.reported_at[i] = max(0.0, in_flight - self.out[i]), now
-        self.others_mean += (self.others[i] / self.size[i] - self.others_mean) * weight
-
-    def others_now(self, i: int, now: int, memory: int) -> float:
-        """What others are likely to have there: the last report, forgotten in favour of the fleet's mean."""
-        usual = self.others_mean * self.size[i]
-        return usual + (self.others[i] - usual) * exp((self.reported_at[i] - now) / memory)
-
-    def failing_now(self, i: int, now: int, memory: int) -> float:
-        """Share of an instance's last answers that were errors or refusals; forgotten when left alone."""
-        return self.failing[i] * exp((self.last_reply[i] - now) / memory)
-
-    def listed(self, now: int, memory: int) -> None:
-        """The size of all that are ready, of late."""
-        ready = self.sums[-1] if self.sums else 0.0
-        keep = exp((self.listed_at - now) / memory) if self.usual_size else 0.0
-        self.usual_size, self.listed_at = self.usual_size * keep + ready * (1 - keep), now
+        for column, value in columns:
+            column[instance_index : instance_index + 1] = [value]
+        return instance_index
+
+    def _reset(
+        self, instance_index: int, entry: EndpointEntry, response_gap: float, concurrency_limit: float
+    ) -> None:
+        """A process that has started inherits nothing from the one before it."""
+        self.build[instance_index] = entry.build
+        self.started_at[instance_index] = entry.started_at
+        self.size[instance_index] = max(entry.size, MIN_SIZE)
+        self.mean_response_gap[instance_index] = response_gap
+        self.concurrency_limit[instance_index] = concurrency_limit
+        self.failure_rate[instance_index] = 0.0
+        self.consecutive_failures[instance_index] = 0
+        self.ejected_until[instance_index] = 0
+        self.external_load[instance_index] = 0.0
+        self.slow_start_tokens[instance_index] = 0.0
+        self.slow_start_mark[instance_index] = -1.0
+
+    def on_sent(self, instance_index: int, now: int) -> None:
+        """One attempt more is in flight at the instance."""
+        if not self.in_flight[instance_index]:
+            self.busy_since[instance_index] = now
+            self.in_flight_at_response[instance_index] = 0
+        self.in_flight[instance_index] += 1
+
+    def on_finished(self, instance_index: int) -> None:
+        """One attempt less is in flight at the instance."""
+        self.in_flight[instance_index] = max(0, self.in_flight[instance_index] - 1)
+
+    def silence(self, instance_index: int, now: int) -> int:
+        """How long an instance with something in flight has not answered."""
+        return now - max(self.last_response_at[instance_index], self.busy_since[instance_index])
+
+    def is_silent_since(self, instance_index: int, sent_at: int) -> bool:
+        """Whether the instance has not answered this gateway since that time."""
+        return self.last_response_at[instance_index] < sent_at
+
+    def on_response(self, instance_index: int, now: int, weight: float) -> None:
+        """The instance has answered; `weight` is that of the new gap in the mean.
+
+        The mean gap is that of one request in flight: where several have been in flight since the response
+        before, the next one comes that much sooner, and a single one after an ejection is not judged by their
+        pace.
+        """
+        gap = self.silence(instance_index, now) * self.concurrency(
+            instance_index, self.in_flight[instance_index] + 1
+        )
+        self.mean_response_gap[instance_index] += (gap - self.mean_response_gap[instance_index]) * weight
+        self.last_response_at[instance_index] = now
+        self.in_flight_at_response[instance_index] = self.in_flight[instance_index]
+        self.consecutive_failures[instance_index] = 0
+        self.ejected_until[instance_index] = 0
+
+    def concurrency(self, instance_index: int, in_flight: int) -> int:
+        """How many of those in flight have been so throughout the present silence.
+
+        What was sent to an idle instance does not count: two sent together are both answered one service time
+        later, not half of one.
+        """
+        return max(1, min(self.in_flight_at_response[instance_index], in_flight))
+
+    def on_load_report(self, instance_index: int, now: int, in_flight: float, weight: float) -> None:
+        """A load report: the load of other gateways there, and the fleet's mean of it per unit of size."""
+        self.external_load[instance_index] = max(0.0, in_flight - self.in_flight[instance_index])
+        self.external_load_at[instance_index] = now
+        load = self.external_load[instance_index] / self.size[instance_index]
+        self.mean_external_load += (load - self.mean_external_load) * weight
+
+    def expected_external_load(self, instance_index: int, now: int, time_constant: int) -> float:
+        """The expected load of other gateways: the last report, decaying to the fleet's mean."""
+        mean = self.mean_external_load * self.size[instance_index]
+        age = self.external_load_at[instance_index] - now
+        return mean + (self.external_load[instance_index] - mean) * exp(age / time_constant)
+
+    def recent_failure_rate(self, instance_index: int, now: int, time_constant: int) -> float:
+        """The share of an instance's last responses that were errors or rejections; decays while it is
+        unused.
+        """
+        age = self.last_response_at[instance_index] - now
+        return self.failure_rate[instance_index] * exp(age / time_constant)
+
+    def update_ready_size(self, now: int, time_constant: int) -> None:
+        """After a list: the decaying mean of the size of all ready instances."""
+        size = self.cumulative_sizes[-1] if self.cumulative_sizes else 0.0
+        remaining = exp((self.listed_at - now) / time_constant) if self.mean_ready_size else 0.0
+        self.mean_ready_size = self.mean_ready_size * remaining + size * (1 - remaining)
+        self.listed_at = now
--- a/linenbridge/state/free_indices.py
+++ b/linenbridge/state/free_indices.py
@@ -1,7 +1,4 @@
-"""Indices that may be given to a new instance: those whose instance is gone, the lowest first.
-
-Keeps state without I/O. It must never give away an index that is still in use.
-"""
+"""Indices that a new instance may take: those of removed instances, the lowest first."""
 
 from __future__ import annotations
 
@@ -11,49 +8,51 @@
 
 
 class FreeIndices:
-    """The indices of instances that are gone, given out in ascending order within one list.
+    """The indices of removed instances, assigned in ascending order within one list update.
 
-    Within a list an index that is freed at or before the last one given out waits for the next list, as do
-    the indices that the list has added and those in use. An index that was freed stays in the heap when its
-    instance comes back, and is dropped from it when it is met; each stands there once at most.
+    Within an update an index that is freed at or before the last one assigned waits for the next update, as
+    do the indices that the update has added and those in use. An index that was freed stays in the heap when
+    its instance comes back, and is dropped when it is reached; each is in the heap once at most.
     """
 
     def __init__(self) -> None:
         self.heap: list[int] = []
-        self.known: set[int] = set()  # in the heap or put off
-        self.put_off: list[int] = []
-        self.last, self.end = -1, 0
-
-    def begin(self, indices: int) -> None:
-        """A list begins, with that many indices there are."""
-        self.last, self.end = -1, indices
-
-    def take(self, state: list[int], used: set[int]) -> int | None:
-        """The lowest free index after the last one given out, None where there is none up to the end."""
+        self.known: set[int] = set()  # in the heap or deferred
+        self.deferred: list[int] = []
+        self.last_assigned = -1
+        self.end = 0
+
+    def begin(self, index_count: int) -> None:
+        """Begin an update of a table with that many indices."""
+        self.last_assigned = -1
+        self.end = index_count
+
+    def assign(self, states: list[int], used: set[int]) -> int | None:
+        """The lowest free index after the last one assigned; None where there is none before the end."""
         while self.heap:
-            i = heapq.heappop(self.heap)
-            if i in used and state[i] == InstanceState.REMOVED:
-                self.put_off.append(i)
+            index = heapq.heappop(self.heap)
+            if index in used and states[index] == InstanceState.REMOVED:
+                self.deferred.append(index)
                 continue
-            self.known.discard(i)
-            if state[i] == InstanceState.REMOVED:
-                self.last = i
-                return i
-        self.last = self.end
+            self.known.discard(index)
+            if states[index] == InstanceState.REMOVED:
+                self.last_assigned = index
+                return index
+        self.last_assigned = self.end
         return None
 
-    def release(self, i: int) -> None:
-        """The instance of this index is gone."""
-        if i in self.known:
+    def release(self, index: int) -> None:
+        """The instance with this index is removed."""
+        if index in self.known:
             return
-        self.known.add(i)
-        if self.last < i < self.end:
-            heapq.heappush(self.heap, i)
+        self.known.add(index)
+        if self.last_assigned < index < self.end:
+            heapq.heappush(self.heap, index)
         else:
-            self.put_off.append(i)
+            self.deferred.append(index)
 
     def finish(self) -> None:
-        """The list is done: what was put off may be given out from the next one on."""
-        for i in self.put_off:
-            heapq.heappush(self.heap, i)
-        self.put_off.clear()
+        """End the update: the deferred indices may be assigned from the next one on."""
+        for index in self.deferred:
+            heapq.heappush(self.heap, index)
+        self.deferred.clear()
--- a/linenbridge/state/ready_order.py
+++ b/linenbridge/state/ready_order.py
@@ -1,6 +1,5 @@
-"""The ready instances in their two orders: by index with the running sums of their sizes, and by rank.
-
-Keeps state without I/O. It must never choose among instances, nor decide which of them is ready.
+"""The ready instances in two orders: by index with the cumulative sums of their sizes, and by rank
+per build.
 """
 
 from __future__ import annotations
@@ -13,96 +12,107 @@
 
 
 class ReadyOrder:
-    """Kept up to date change by change: each costs two bisections and the moves that an insertion in a list
-    costs. Where a list brings more changes than a bisection has steps, all are made in one pass at its end.
+    """Both orders, updated change by change.
+
+    Each change costs two bisections and the moves of an insertion in a list. Where an update brings more
+    changes than a bisection has steps, all are applied in one pass at its end.
 
-    The running sums are those of adding the sizes one by one in the order of `ready`, to the last bit: they
-    are added anew from the first changed place on, once a list. `build`, `size`, `state` and `rank` are the
-    arrays of the fleet, by index; no two ranks are equal.
+    The cumulative sums are those of adding the sizes one by one in the order of `ready`, to the last bit:
+    they are recomputed from the first changed position on, once an update. `builds`, `sizes`, `states` and
+    `ranks` are the columns of the fleet, by instance index; no two ranks are equal.
     """
 
-    def __init__(self, build: list[int], size: list[float], state: list[int], rank: list[int]) -> None:
-        self.build, self.size, self.state, self.rank = build, size, state, rank
+    def __init__(self, builds: list[int], sizes: list[float], states: list[int], ranks: list[int]) -> None:
+        self.builds = builds
+        self.sizes = sizes
+        self.states = states
+        self.ranks = ranks
         self.ready: list[int] = []
-        self.sizes = array("d")
-        self.sums = array("d")
-        self.near: dict[int, list[int]] = {}
+        self.ready_sizes = array("d")
+        self.cumulative_sizes = array("d")
+        self.by_build: dict[int, list[int]] = {}
         self.changed: set[int] = set()
-        self.steps, self.first = 0, 0
+        self.max_changes = 0  # applied one by one; more of them are applied in one pass
+        self.first_changed = 0  # position in `ready`
 
     def begin(self) -> None:
-        """A list begins."""
-        self.steps, self.first = len(self.ready).bit_length(), len(self.ready)
-
-    def remove(self, i: int) -> None:
-        """The instance is ready no more, or not at this build: called while its build and rank still are what
-        they were when it was added."""
-        self.changed.add(i)
-        if len(self.changed) > self.steps:
+        """Begin an update."""
+        self.max_changes = len(self.ready).bit_length()
+        self.first_changed = len(self.ready)
+
+    def remove(self, instance_index: int) -> None:
+        """Remove an instance that is no longer ready at its build.
+
+        Requires that its build and rank still are what they were when it was added.
+        """
+        self.changed.add(instance_index)
+        if len(self.changed) > self.max_changes:
             return
-        place = bisect_left(self.ready, i)
-        del self.ready[place]
-        del self.sizes[place]
-        self.first = min(self.first, place)
-        same = self.near[self.build[i]]
-        del same[bisect_left(same, self.rank[i], key=self.rank.__getitem__)]
-        if not same:
-            del self.near[self.build[i]]
-
-    def add(self, i: int) -> None:
-        """The instance is ready, with its build, size and rank in force."""
-        self.changed.add(i)
-        if len(self.changed) > self.steps:
+        position = bisect_left(self.ready, instance_index)
+        del self.ready[position]
+        del self.ready_sizes[position]
+        self.first_changed = min(self.first_changed, position)
+        ranked = self.by_build[self.builds[instance_index]]
+        del ranked[bisect_left(ranked, self.ranks[instance_index], key=self.ranks.__getitem__)]
+        if not ranked:
+            del self.by_build[self.builds[instance_index]]
+
+    def add(self, instance_index: int) -> None:
+        """Add an instance that is ready, with its build, size and rank in effect."""
+        self.changed.add(instance_index)
+        if len(self.changed) > self.max_changes:
             return
-        place = bisect_left(self.ready, i)
-        self.ready.insert(place, i)
-        self.sizes.insert(place, self.size[i])
-        self.first = min(self.first, place)
-        if self.build[i] not in self.near:
-            self.near[self.build[i]] = []
+        position = bisect_left(self.ready, instance_index)
+        self.ready.insert(position, instance_index)
+        self.ready_sizes.insert(position, self.sizes[instance_index])
+        self.first_changed = min(self.first_changed, position)
+        build = self.builds[instance_index]
+        if build not in self.by_build:
+            self.by_build[build] = []
             self._sort_builds()
-        same = self.near[self.build[i]]
-        same.insert(bisect_left(same, self.rank[i], key=self.rank.__getitem__), i)
+        ranked = self.by_build[build]
+        rank = self.ranks[instance_index]
+        ranked.insert(bisect_left(ranked, rank, key=self.ranks.__getitem__), instance_index)
 
-    def resize(self, i: int) -> None:
-        """An instance that was ready and stays so has another size."""
-        if len(self.changed) > self.steps:
+    def resize(self, instance_index: int) -> None:
+        """An instance that was ready and stays ready has another size."""
+        if len(self.changed) > self.max_changes:
             return
-        place = bisect_left(self.ready, i)
-        self.sizes[place] = self.size[i]
-        self.first = min(self.first, place)
+        position = bisect_left(self.ready, instance_index)
+        self.ready_sizes[position] = self.sizes[instance_index]
+        self.first_changed = min(self.first_changed, position)
 
     def finish(self) -> None:
-        """The list is done."""
-        if len(self.changed) > self.steps:
-            self._remake()
-        first = self.first
+        """End the update."""
+        if len(self.changed) > self.max_changes:
+            self._rebuild()
+        first = self.first_changed
         if first == 0:
-            self.sums[:] = array("d", accumulate(self.sizes))
-        elif first < len(self.sums) or first < len(self.sizes):
-            before = self.sums[first - 1]
-            del self.sums[first - 1 :]
-            self.sums.extend(accumulate(self.sizes[first:], initial=before))
+            self.cumulative_sizes[:] = array("d", accumulate(self.ready_sizes))
+        elif first < len(self.cumulative_sizes) or first < len(self.ready_sizes):
+            before = self.cumulative_sizes[first - 1]
+            del self.cumulative_sizes[first - 1 :]
+            self.cumulative_sizes.extend(accumulate(self.ready_sizes[first:], initial=before))
         self.changed = set()
 
-    def _remake(self) -> None:
-        """All that a list has changed, at once. What it left alone stands in its order already."""
-        self.first = 0
-        self.ready[:] = [i for i, state in enumerate(self.state) if state == InstanceState.READY]
-        self.sizes[:] = array("d", map(self.size.__getitem__, self.ready))
-        for build, same in self.near.items():
-            self.near[build] = list(filterfalse(self.changed.__contains__, same))
-        for i in self.changed:
-            if self.state[i] == InstanceState.READY:
-                self.near.setdefault(self.build[i], []).append(i)
-        for build in [build for build, same in self.near.items() if not same]:
-            del self.near[build]
-        for same in self.near.values():
-            same.sort(key=self.rank.__getitem__)
+    def _rebuild(self) -> None:
+        """Apply all changes of an update at once; unchanged instances are in their order already."""
+        self.first_changed = 0
+        self.ready[:] = [index for index, state in enumerate(self.states) if state == InstanceState.READY]
+        self.ready_sizes[:] = array("d", map(self.sizes.__getitem__, self.ready))
+        for build, ranked in self.by_build.items():
+            self.by_build[build] = list(filterfalse(self.changed.__contains__, ranked))
+        for index in self.changed:
+            if self.states[index] == InstanceState.READY:
+                self.by_build.setdefault(self.builds[index], []).append(index)
+        for build in [build for build, ranked in self.by_build.items() if not ranked]:
+            del self.by_build[build]
+        for ranked in self.by_build.values():
+            ranked.sort(key=self.ranks.__getitem__)
         self._sort_builds()
 
     def _sort_builds(self) -> None:
-        """The builds in ascending order."""
-        builds = sorted(self.near.items())
-        self.near.clear()
-        self.near.update(builds)
+        """Put the builds in ascending order."""
+        builds = sorted(self.by_build.items())
+        self.by_build.clear()
+        self.by_build.update(builds)
--- a/linenbridge/state/requests.py
+++ b/linenbridge/state/requests.py
@@ -1,6 +1,6 @@
-"""Open RPCs and what became of their picks.
+"""Open requests and the outcomes of their attempts.
 
-Keeps state without I/O. It must never end an RPC on its own.
+Keeps state without I/O. A request ends when `linenbridge.policy` ends it, not by itself.
 """
 
 from __future__ import annotations
@@ -9,73 +9,86 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from linenbridge.interface import NOT_EXECUTED, Id
+from linenbridge.interface import NOT_EXECUTED, Id, Outcome
 
 
 @dataclass(slots=True)
-class Pick:
-    """One send of an RPC; `outcome` is None while it is out."""
+class Attempt:
+    """One attempt of a request at an instance; `outcome` is None while it is in flight."""
 
-    instance: int
+    instance_index: int
     build: int
-    sent: int
-    outcome: str | None = None
+    sent_at: int
+    outcome: Outcome | None = None
     cancelled: bool = False
 
 
 @dataclass(slots=True)
-class Rpc:
-    """An RPC that this gateway has taken and not yet answered."""
+class Request:
+    """A request that this gateway has admitted and not yet answered. Times are microseconds."""
 
     id: str
-    method: int
-    arrived: int
-    latency_objective: int
+    method_index: int
+    arrived_at: int
+    latency_objective: int  # when the response is late
     deadline: int
-    cost: float
-    utility: float
+    cost: float  # in requests of mean work
+    weight: float
     key: Id | None
-    picks: list[Pick] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
     streaming: bool = False
     ended: bool = False
 
-    def first_that_may_have_run(self) -> Pick | None:
-        """The one fact behind the second rule: a pick still out may have run too."""
-        return next((pick for pick in self.picks if pick.outcome not in NOT_EXECUTED), None)
+    def first_possible_execution(self) -> Attempt | None:
+        """The first attempt that the instance may have executed; one in flight may be executed too."""
+        for attempt in self.attempts:
+            if attempt.outcome is None or attempt.outcome not in NOT_EXECUTED:
+                return attempt
+        return None
 
-    def out(self) -> int:
-        return sum(pick.outcome is None for pick in self.picks)
+    def in_flight(self) -> int:
+        """How many attempts are in flight."""
+        return sum(attempt.outcome is None for attempt in self.attempts)
 
+    def count(self, outcome: Outcome) -> int:
+        """How many attempts have had that outcome."""
+        return sum(attempt.outcome == outcome for attempt in self.attempts)
 
-class OpenRpcs(dict[str, Rpc]):
-    """Open RPCs by id, and when each must have had its final answer."""
+
+class OpenRequests(dict[str, Request]):
+    """Open requests by id, and when each needs its final answer."""
 
     def __init__(self) -> None:
         super().__init__()
         self.due: list[tuple[int, str]] = []
 
-    def add(self, rpc: Rpc, due: int) -> None:
-        self[rpc.id] = rpc
-        heapq.heappush(self.due, (due, rpc.id))
+    def add(self, request: Request, due: int) -> None:
+        """Admit a request that needs its final answer at `due`."""
+        self[request.id] = request
+        heapq.heappush(self.due, (due, request.id))
 
-    def end(self, rpc: Rpc) -> None:
-        """Over for the client; kept while a pick is still out."""
-        rpc.ended = True
-        if not rpc.out():
-            self.pop(rpc.id, None)
+    def end(self, request: Request) -> None:
+        """The request is over for the client; it stays in the table while an attempt is in flight."""
+        request.ended = True
+        if not request.in_flight():
+            self.pop(request.id, None)
 
-    def instances(self) -> set[int]:
-        """Where any of them has been: their indices must go on meaning the same."""
-        return {pick.instance for rpc in self.values() for pick in rpc.picks}
+    def used_indices(self) -> set[int]:
+        """The indices of the instances of all attempts: none of them may be assigned anew."""
+        return {attempt.instance_index for request in self.values() for attempt in request.attempts}
 
     def next_due(self) -> int | None:
-        """When the first that is still open must have had its answer."""
-        while self.due and ((rpc := self.get(self.due[0][1])) is None or rpc.ended):
+        """When the first request that is not ended needs its final answer."""
+        while self.due:
+            request = self.get(self.due[0][1])
+            if request is not None and not request.ended:
+                return self.due[0][0]
             heapq.heappop(self.due)
-        return self.due[0][0] if self.due else None
+        return None
 
-    def overdue(self, now: int) -> Iterator[Rpc]:
+    def overdue(self, now: int) -> Iterator[Request]:
+        """Requests that need their final answer by now, each once; streaming ones are answered already."""
         while self.due and self.due[0][0] <= now:
-            rpc = self.get(heapq.heappop(self.due)[1])
-            if rpc and not rpc.ended and not rpc.streaming:
-                yield rpc
+            request = self.get(heapq.heappop(self.due)[1])
+            if request and not request.ended and not request.streaming:
+                yield request
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -35,6 +35,54 @@
     assert sums["unread"] == 3
 
 
+def test_decisions_are_counted_by_kind_and_by_what_they_are_about():
+    sums = Sums(1.0)
+    lines = [
+        line(
+            1.0,
+            "decision",
+            kind="vote",
+            vote="promote",
+            build=7,
+            stage=0,
+            reported_stage=0,
+            outcomes=3,
+            value=0.1,
+        ),
+        line(
+            1.2,
+            "decision",
+            kind="vote",
+            vote="promote",
+            build=7,
+            stage=0,
+            reported_stage=0,
+            outcomes=9,
+            value=0.4,
+        ),
+        line(1.4, "decision", kind="eject", instance="s-1", mean_response_gap_ms=90, in_flight=1),
+        line(
+            1.5,
+            "decision",
+            kind="alarm",
+            method="look",
+            statistic="failures",
+            build=7,
+            value=5.2,
+            threshold=5.0,
+        ),
+        line(1.6, "decision", kind="rollout", build=7, stage=1, phase="on_trial", cap=0.2),
+    ]
+    sums.read("n0", lines)
+    rows = {name: count for name, count, _, _ in sums.rows()}
+    assert rows == {
+        "vote promote build 7 stage 0": 2,
+        "eject": 1,
+        "alarm look failures build 7": 1,
+        "rollout on_trial build 7 stage 1": 1,
+    }
+
+
 def test_a_folder_that_is_not_there_and_a_stretch_of_nothing_are_refused_in_a_line(tmp_path):
     cases = (([str(tmp_path / "none")], "No such file"), ([str(tmp_path), "--every", "0"], "stretch"))
     for words, said in cases:
