--- a/tests/processor/test_deadlines.py
+++ b/tests/processor/test_deadlines.py
@@ -23,10 +23,14 @@
     bench = Bench()
     peer = bench.peer()
     stream = peer.ask("/charge/1")
-    before = list(bench.module.fleet.strikes)
+    before = list(bench.module.fleet.consecutive_failures)
     bench.turn(1.0)
     peer.read()
-    assert bench.empty() and bench.module.fleet.strikes == before and not any(bench.module.fleet.out)
+    assert (
+        bench.empty()
+        and bench.module.fleet.consecutive_failures == before
+        and not any(bench.module.fleet.in_flight)
+    )
     assert peer.ask("/charge/1", attempt=2).immediate == 502
     peer.report(stream, 200)
     assert stream.answers[-1].HasField("response_headers")
