--- a/tests/distribution/dissemination/simulation/checker.py
+++ b/tests/distribution/dissemination/simulation/checker.py
@@ -126,13 +126,13 @@
 
 
 class Report(NamedTuple):
-    """What a relay reports to its publisher of its region: the least sequence in force below it, and whom it
+    """What a relay reports to its publisher of its region: the lowest sequence in force below it, and whom it
     cannot reach."""
 
     at: int
     relay: str
     region: str
-    least: int
+    min_sequence: int
     unreached: list[str]
 
 
@@ -167,7 +167,7 @@
         for gateway in [follower for follower in follows if ":" not in follower]:
             relay = follows[gateway]
             chain = {gateway, relay, follows.get(f"{relay}:{report.region}", relay)}
-            if not chain & claim.unreached and had[gateway, report.region] < claim.least:
+            if not chain & claim.unreached and had[gateway, report.region] < claim.min_sequence:
                 found.append(Breach("reported in force but is not", f"{report.at} {gateway} {report.region}"))
     return found
 
@@ -175,7 +175,7 @@
 class Everywhere(NamedTuple):
     """What a publisher may tell an author."""
 
-    least: int
+    min_sequence: int
     unreached: set[str]
 
 
@@ -183,5 +183,5 @@
     fresh = [each for each in newest if each.at > since]
     silent = {each.relay for each in newest if each.at <= since}
     return Everywhere(
-        min(each.least for each in fresh), silent | {name for each in fresh for name in each.unreached}
+        min(each.min_sequence for each in fresh), silent | {name for each in fresh for name in each.unreached}
     )
--- a/tests/distribution/dissemination/simulation/test_summaries.py
+++ b/tests/distribution/dissemination/simulation/test_summaries.py
@@ -45,7 +45,7 @@
     for region in world.regions:
         newest = {report.relay: report for report in reports(world) if report.region == region}
         assert [name for report in newest.values() for name in report.unreached] == [lost]
-        assert {report.least for report in newest.values()} == {3}
+        assert {report.min_sequence for report in newest.values()} == {3}
     world.restart_gateway(lost)
     world.run(6)
     assert {name for report in reports(world)[-6:] for name in report.unreached} == set()
--- a/tests/distribution/dissemination/test_digest_repair.py
+++ b/tests/distribution/dissemination/test_digest_repair.py
@@ -48,7 +48,7 @@
     assert not any(isinstance(send.message, Digests) for send in gateway.sent)
 
 
-def test_the_only_relay_is_asked_for_ranges_after_a_delay():
+def test_ranges_are_requested_from_the_only_relay_after_a_delay():
     gateway = FollowerHarness([Position("r1", 1, 3)])
     gateway.dead = set(gateway.order[1:])
     gateway.following()
