--- a/linenbridge/distribution/view/rejections.py
+++ b/linenbridge/distribution/view/rejections.py
@@ -1,6 +1,7 @@
-"""Keys whose newest version was refused: it counts in the digests, while the last good one is in force.
+"""Keys whose newest version was rejected: it counts in the digests, while the last good version stays in
+force.
 
-Keeps state without I/O. It must never hold a refused value.
+The table owns the key, version and reason of each rejection, but not the rejected value.
 """
 
 from __future__ import annotations
@@ -12,13 +13,13 @@
 
 from linenbridge.distribution.changes import Change, Version, digest_of, range_of
 from linenbridge.distribution.view.regions import Region
-from linenbridge.distribution.view.results import PageKind, RefusedChange, StoredPage
+from linenbridge.distribution.view.results import PageKind, RejectedChange, StoredPage
 
-Key = tuple[str, int, str]  # region, kind, name
+Key = tuple[str, int, str]  # region, kind, name: the form of a stored page's name
 
 
-class Refusal(Struct, array_like=True, frozen=True):
-    """What is kept of a refused change."""
+class RejectionRecord(Struct, array_like=True, frozen=True):
+    """What is stored of a rejected change."""
 
     epoch: int
     sequence: int
@@ -26,59 +27,68 @@
     reason: str
 
 
-class Refusals:
-    """By key; each is kept until the key changes again."""
+class RejectionTable:
+    """Rejections by key; each is kept until the key changes again."""
 
     def __init__(self) -> None:
-        self.records: dict[Key, Refusal] = {}
+        """Create an empty table."""
+        self.records: dict[Key, RejectionRecord] = {}
         self.by_range: dict[tuple[str, int], set[Key]] = {}
         self.changed: set[Key] = set()
 
     def digest(self, region: Region, kind: int, name: str) -> int | None:
-        """Of the refused version that is the key's newest; None where that was not refused."""
+        """Return the digest of the rejected version that is the key's newest; None if the newest is in
+        force.
+        """
         record = self.records.get((region.name, kind, name))
         return None if record is None else record.digest
 
     def put(self, region: Region, change: Change, reason: str) -> None:
-        key = region.name, change.kind, change.name
-        self._add(key, Refusal(change.epoch, change.sequence, digest_of(change), reason))
+        """Record that the change was rejected."""
+        key = (region.name, change.kind, change.name)
+        self._add(key, RejectionRecord(change.epoch, change.sequence, digest_of(change), reason))
         self.changed.add(key)
 
-    def _add(self, key: Key, record: Refusal) -> None:
+    def _add(self, key: Key, record: RejectionRecord) -> None:
         self.records[key] = record
         self.by_range.setdefault(_range(key), set()).add(key)
 
     def remove(self, region: Region, kind: int, name: str) -> None:
-        key = region.name, kind, name
-        if self.records.pop(key, None) is not None:
-            self.changed.add(key)
-            held = self.by_range[_range(key)]
-            held.remove(key)
-            if not held:
-                del self.by_range[_range(key)]
+        """Remove the rejection of a key, if there is one."""
+        key = (region.name, kind, name)
+        if self.records.pop(key, None) is None:
+            return
+        self.changed.add(key)
+        keys_of_range = self.by_range[_range(key)]
+        keys_of_range.remove(key)
+        if not keys_of_range:
+            del self.by_range[_range(key)]
 
     def retain(self, region: Region, number: int, keys: Collection[tuple[int, str]]) -> None:
-        """Of a range, keep the region's refusals of these keys only."""
+        """Remove the region's rejections of all other keys (kind, name) of the range `number`."""
         for _, kind, name in list(self.by_range.get((region.name, number), ())):
             if (kind, name) not in keys:
                 self.remove(region, kind, name)
 
-    def all(self) -> Iterator[RefusedChange]:
-        """Every key whose newest version is not the one in force."""
+    def all(self) -> Iterator[RejectedChange]:
+        """Yield every key whose newest version is not the one in force, sorted by region, kind and name."""
         for (region, kind, name), record in sorted(self.records.items()):
             version = Version(record.epoch, record.sequence)
-            yield RefusedChange(region, version, kind, name, record.reason)
+            yield RejectedChange(region, version, kind, name, record.reason)
 
-    def dirty(self) -> Iterator[StoredPage]:
-        changed, self.changed = self.changed, set()
+    def take_changed_pages(self) -> Iterator[StoredPage]:
+        """Yield one page for each rejection that changed since the last call."""
+        changed = self.changed
+        self.changed = set()
         for key in sorted(changed):
             record = self.records.get(key)
             body = None if record is None else msgspec.msgpack.encode(record)
-            yield StoredPage(PageKind.REFUSED, msgspec.json.encode(key).decode(), 0, body)
+            yield StoredPage(PageKind.REJECTION, msgspec.json.encode(key).decode(), 0, body)
 
     def load(self, page: StoredPage) -> None:
+        """Add one stored rejection; a msgspec error if the page cannot be read."""
         key = msgspec.json.decode(page.name, type=Key)
-        self._add(key, msgspec.msgpack.decode(page.body or b"", type=Refusal))
+        self._add(key, msgspec.msgpack.decode(page.body or b"", type=RejectionRecord))
 
 
 def _range(key: Key) -> tuple[str, int]:
--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -10,79 +10,108 @@
 from random import Random
 from typing import Any
 
+import msgspec
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.threadpool import ThreadPool
 
-from linenbridge.fleet.configuration import RESTARTS, FleetTold
-from linenbridge.errors import FleetError
+from linenbridge.fleet.configuration import RESTARTS_TASK, FleetSettings
+from linenbridge.errors import ControlPlaneError
 from linenbridge.peering import clock
-from linenbridge.fleet.hosting.task_actions import Errands
-from linenbridge.fleet.hosting.freezes import Freezes
-from linenbridge.peering.connections import Links, later
+from linenbridge.fleet.hosting.task_actions import TaskActions
+from linenbridge.fleet.hosting.freezes import RolloutFreezes
+from linenbridge.peering.connections import PeerConnections, call_soon
 from linenbridge.fleet.leases.acceptor import Acceptor
-from linenbridge.fleet.leases.messages import LeaseReply, LeaseRequest, RecoveryReply, RecoveryRequest
+from linenbridge.fleet.leases.decisions import (
+    AcceptorDecision,
+    LeaseAcquired,
+    LeaseLost,
+    LogEvent,
+    Persist,
+    ProposerDecision,
+    Send,
+)
+from linenbridge.fleet.leases.messages import (
+    LeaseReply,
+    LeaseRequest,
+    Message,
+    RecoveryReply,
+    RecoveryRequest,
+)
 from linenbridge.fleet.leases.proposer import Proposer
-from linenbridge.fleet.store.acceptor_records import promises
+from linenbridge.fleet.store.acceptor_records import open_records
 from linenbridge.logging.event_log import Log
 
+MESSAGE_DECODER = msgspec.msgpack.Decoder(Message)
 GOODBYE = 0.25  # seconds for the last words of a member that leaves
 
 
 class Member:
-    """`life` differs for each start of the process. `held` is called with the zones in which releases are
-    held, None for none; `tasks_changed` with a task that this member has begun or ceased to hold."""
+    """`incarnation` differs for each start of the process. `on_rollout_freeze` is called with the zones in
+    which releases are held, None for none; `on_task_changed` with a task that this member has begun or ceased
+    to hold."""
 
     def __init__(
-        self, told: FleetTold, reactor: Any, log: Log, life: int,
-        held: Callable[[frozenset[str] | None], None] = lambda zones: None,
-        tasks_changed: Callable[[str], None] = lambda task: None,
+        self, told: FleetSettings, reactor: Any, log: Log, incarnation: int,
+        on_rollout_freeze: Callable[[frozenset[str] | None], None] = lambda zones: None,
+        on_task_changed: Callable[[str], None] = lambda task: None,
     ) -> None:  # fmt: skip
-        self.told, self.reactor, self.log, self.tasks_changed = told, reactor, log, tasks_changed
-        self.name, self.life = f"{told.member}#{life:x}", life
+        self.told, self.reactor, self.log, self.on_task_changed = told, reactor, log, on_task_changed
+        self.name, self.incarnation = f"{told.member}#{incarnation:x}", incarnation
         now = clock.now()
-        self.proposer = Proposer(self.name, told.quorum, told.pace, life, now)
+        self.proposer = Proposer(self.name, told.quorum, told.timing, incarnation, now)
         self.acceptor: Acceptor | None = None
         self.proposers: dict[str, str] = {}  # by proposer, the link that it was last heard on
         self.disk = self.pool = self.timer = self.leaving = None
         self.gone = False
         if told.is_acceptor():
-            self._start_acceptor(now, life)
-        self.links = Links(told.member, frozenset(told.members), reactor, log, self._hear)
-        self.port = reactor.listenTCP(told.listen[1], self.links, interface=told.listen[0])
+            self._start_acceptor(now, incarnation)
+        self.connections = PeerConnections(
+            told.member, frozenset(told.members), reactor, log, self._hear, decoder=MESSAGE_DECODER
+        )
+        self.port = reactor.listenTCP(told.listen[1], self.connections, interface=told.listen[0])
         self._dial()
-        for errand in told.errands:
-            if errand.task != RESTARTS:
-                self.proposer.stand_for(now, errand.task, errand.places)
-        self.freezes = Freezes(told.windows, reactor, log, held)
-        self.errands = Errands(self.name, told.errands, reactor, log, self.holds)
+        for task in told.tasks:
+            if task.task != RESTARTS_TASK:
+                self.proposer.request_lease(now, task.task, task.slots)
+        self.freezes = RolloutFreezes(told.windows, reactor, log, on_rollout_freeze)
+        self.actions = TaskActions(self.name, told.tasks, reactor, log, self.held_lease)
         acceptor = told.is_acceptor()
-        log.event("member.started", member=told.member, life=f"{life:x}", acceptor=acceptor, seat=acceptor)
+        log.event(
+            "member.started", member=told.member, life=f"{incarnation:x}", acceptor=acceptor, seat=acceptor
+        )
         self.turn()
 
-    def _start_acceptor(self, now: int, life: int) -> None:
+    def _start_acceptor(self, now: int, incarnation: int) -> None:
         """Read the store, then start the acceptor. If the store can't be used the acceptor grants
         nothing."""
         told, broken, kept = self.told, "", None
         try:
-            self.disk = promises(told.store, told.member)
+            self.disk = open_records(told.store)
             kept = self.disk.read()
-        except FleetError as error:
+        except ControlPlaneError as error:
             broken = str(error)
             self.log.event("store.failed", **error.fields())
-            kept = promises("", told.member).read()
-        number = Random(life).getrandbits(52)
+            kept = open_records("").read()
+        number = Random(incarnation).getrandbits(52)
         self.acceptor = Acceptor(
-            told.member, told.quorum, told.pace, kept, now, told.first_term, told.trusted, number
+            told.member,
+            told.quorum,
+            told.timing,
+            kept,
+            now,
+            first_term=told.first_term,
+            trusted=told.store_never_goes_back,
+            incarnation=number,
         )
         if broken:
-            self.acceptor.on_store_failed(now, broken)
+            self.acceptor.on_store_failed(broken)
         self.pool = ThreadPool(1, 1, "promises")
         self.pool.start()
 
     def _dial(self) -> None:
-        for acceptor in self.told.quorum.everyone():
+        for acceptor in self.told.quorum.all_acceptors():
             if acceptor != self.told.member:
-                self.links.dial(acceptor, self.told.members[acceptor])
+                self.connections.dial(acceptor, self.told.members[acceptor])
 
     # ---- messages ----------------------------------------------------------------------------------
 
@@ -100,21 +129,23 @@
             if message.acceptor == far:
                 acceptor.on_recovery_request(now, message)
         elif acceptor is not None and isinstance(message, RecoveryReply) and message.acceptor == far:
-            acceptor.on_stamp(now, far, message.stamp)
+            acceptor.on_revision(far, message.revision)
             acceptor.on_recovery_reply(now, message)
         self.turn()
 
     def _heard_on(self, proposer: str, far: str) -> None:
         """Remember the link to answer a proposer on; entries of closed links are dropped beyond a bound."""
-        if len(self.proposers) > 4 * len(self.links.to) + 64:
-            self.proposers = {name: link for name, link in self.proposers.items() if link in self.links.to}
+        if len(self.proposers) > 4 * len(self.connections.by_peer) + 64:
+            self.proposers = {
+                name: link for name, link in self.proposers.items() if link in self.connections.by_peer
+            }
         self.proposers[proposer] = far
 
     def _say(self, to: str, message: Any) -> None:
         if to in (self.name, self.told.member):
-            later(self.reactor, self._hear, self.told.member, message)
+            call_soon(self.reactor, self._hear, self.told.member, message)
         else:
-            self.links.say(self.proposers.get(to, to), message)
+            self.connections.send(self.proposers.get(to, to), message)
 
     # ---- turns -------------------------------------------------------------------------------------
 
@@ -131,37 +162,45 @@
         if at is not None:
             self.timer = self.reactor.callLater(max(0.001, (at - now) / 1e6), self.turn)
 
-    def _carry_out(self, decision: tuple) -> None:
-        kind = decision[0]
-        if kind == "say":
-            self._say(decision[1], decision[2])
-        elif kind == "keep":
-            self._keep(decision[1], decision[2], decision[3])
-        elif kind == "log":
-            self.log.event(decision[1], **decision[2])
-        else:
-            _, task, place, term = decision
-            self.log.event(f"task.{kind}", task=task, place=place, term=term)
-            later(self.reactor, self.tasks_changed, task)
-            if kind == "held" and task == RESTARTS and self.leaving is not None:
-                self._go()
+    def _carry_out(self, decision: ProposerDecision | AcceptorDecision) -> None:
+        match decision:
+            case Send(to, message):
+                self._say(to, message)
+            case Persist():
+                self._persist(decision)
+            case LogEvent(name, fields):
+                self.log.event(name, **fields)
+            case LeaseAcquired(task, slot, term):
+                self.log.event("task.held", task=task, place=slot, term=term)
+                call_soon(self.reactor, self.on_task_changed, task)
+                if task == RESTARTS_TASK and self.leaving is not None:
+                    self._go()
+            case LeaseLost(task, slot, term):
+                self.log.event("task.lost", task=task, place=slot, term=term)
+                call_soon(self.reactor, self.on_task_changed, task)
+
+    def _persist(self, decision: Persist) -> None:
+        """Write to the store, then send the message that waits for it."""
+        records = decision.records
+        done = deferToThreadPool(self.reactor, self.pool, self.disk.write, records, self.acceptor.facts())
+        done.addCallbacks(self._persisted, self._not_kept, callbackArgs=(decision.then,))
 
-    def _keep(self, rows: list[tuple], to: str, message: Any) -> None:
-        done = deferToThreadPool(self.reactor, self.pool, self.disk.keep, rows, self.acceptor.facts())
-        done.addCallbacks(lambda _: message is not None and self._say(to, message), self._not_kept)
+    def _persisted(self, _: None, then: Send | None) -> None:
+        if then is not None:
+            self._say(then.to, then.message)
 
     def _not_kept(self, failure: Any) -> None:
-        self.acceptor.on_store_failed(clock.now(), failure.getErrorMessage())
+        self.acceptor.on_store_failed(failure.getErrorMessage())
         self.turn()
 
     # ---- what others ask ---------------------------------------------------------------------------
 
-    def holds(self, task: str) -> tuple[int, int] | None:
+    def held_lease(self, task: str) -> tuple[int, int] | None:
         """Term and place under which this member may act on the task at this moment, or None."""
         term = self.proposer.may_act(clock.now(), task)
-        return None if term is None else (term, self.proposer.holds[task].place)
+        return None if term is None else (term, self.proposer.leases[task].slot)
 
-    def take_up(self, told: FleetTold) -> None:
+    def update_settings(self, told: FleetSettings) -> None:
         """New settings: the quorum, addresses and windows count at once, all else from the next start."""
         now = clock.now()
         self.told = told
@@ -169,13 +208,13 @@
         if self.acceptor is not None:
             self.acceptor.on_quorum(now, told.quorum)
         elif told.is_acceptor():
-            self._start_acceptor(now, self.life)
-        self.links.known = frozenset(told.members)
-        acceptors = told.quorum.everyone()
-        for former in [name for name in self.links.dialled if name not in acceptors]:
-            self.links.drop(former)
+            self._start_acceptor(now, self.incarnation)
+        self.connections.peer_names = frozenset(told.members)
+        acceptors = told.quorum.all_acceptors()
+        for former in [name for name in self.connections.dialled if name not in acceptors]:
+            self.connections.disconnect(former)
         self._dial()
-        self.freezes.take_up(told.windows)
+        self.freezes.update(told.windows)
         self.turn()
 
     def leave(self, gone: Callable[[], None]) -> None:
@@ -183,12 +222,12 @@
         if self.leaving is not None:
             return
         self.leaving = gone
-        turns = [errand for errand in self.told.errands if errand.task == RESTARTS]
+        turns = [task for task in self.told.tasks if task.task == RESTARTS_TASK]
         if not turns:
             self._go()
             return
-        self.proposer.stand_for(clock.now(), RESTARTS, turns[0].places)
-        self.reactor.callLater(self.told.restarts_within / 1e6, self._go)
+        self.proposer.request_lease(clock.now(), RESTARTS_TASK, turns[0].slots)
+        self.reactor.callLater(self.told.restart_timeout / 1e6, self._go)
         self.turn()
 
     def _go(self) -> None:
@@ -196,18 +235,18 @@
         if gone is None or self.gone:
             return
         self.gone = True
-        self.errands.close()
+        self.actions.close()
         self.freezes.close()
         now = clock.now()
-        for task in list(self.proposer.holds):
-            if task != RESTARTS:
-                self.proposer.leave(now, task)
+        for task in list(self.proposer.leases):
+            if task != RESTARTS_TASK:
+                self.proposer.release_lease(now, task)
         self.turn()
         self.reactor.callLater(GOODBYE, self._close, gone)
 
     def _close(self, gone: Callable[[], None]) -> None:
         self.port.stopListening()
-        self.links.close()
+        self.connections.close()
         if self.pool is not None:
             self.pool.stop()
         if self.disk is not None:
@@ -216,9 +255,9 @@
 
     def facts(self) -> dict[str, int]:
         """Figures for the line of counters."""
-        held = sum(self.holds(task) is not None for task in self.proposer.holds)
+        held = sum(self.held_lease(task) is not None for task in self.proposer.leases)
         return {
-            "links": len(self.links.to),
+            "links": len(self.connections.by_peer),
             "held": held,
             "grants": int(bool(self.acceptor and self.acceptor.grants())),
         }
--- a/linenbridge/fleet/leases/acceptor.py
+++ b/linenbridge/fleet/leases/acceptor.py
@@ -1,24 +1,19 @@
-"""One acceptor of the quorum: it grants the places of tasks, each to one member at a time, and records what
-it granted.
+"""One acceptor of the quorum: it grants the slots of tasks, each to one member at a time, and records what it
+granted.
 
 Decides without I/O. A grant is sent only after its record is durable. An acceptor decides by its own tables
 alone; counting a majority is up to the proposer, and any two majorities share an acceptor, which has granted
-the place to one of the two only. It must never grant a place that it has granted to another member, nor a
-term that is not above every term it knows of the place.
-
-Decisions, as plain tuples:
-
-    (KEEP, rows, to, message)  store the rows (task, place, term, holder, closed), then send the message
-    (SAY, to, message)         send a message to a member
-    (LOG, name, fields)        one line of the log
+the slot to one of the two only. It never grants a slot that it has granted to another member, nor a term that
+is not above every term it knows of the slot.
 """
 
 from __future__ import annotations
 
 from collections import deque
-from typing import NamedTuple
+from dataclasses import dataclass, field
 
-from linenbridge.errors import FleetError
+from linenbridge.errors import ControlPlaneError, Rejection
+from linenbridge.fleet.leases.decisions import AcceptorDecision, LogEvent, Persist, Send
 from linenbridge.fleet.leases.errors import (
     AcceptorAside,
     BehindOthers,
@@ -26,285 +21,298 @@
     LeaseTooLong,
     OlderTerm,
     OtherGeneration,
-    Refusal,
     StoreUnusable,
-)  # fmt: skip
-from linenbridge.fleet.leases.granted_leases import Guards, Key
+)
+from linenbridge.fleet.leases.granted_leases import GrantedLeases, SlotKey
 from linenbridge.fleet.leases.messages import (
     Acquire,
     Granted,
     LeaseReply,
     LeaseRequest,
-    PlaceRecord,
     RecoveryReply,
     RecoveryRequest,
     Rejected,
     Relinquish,
     StatusQuery,
     TaskStatus,
-)  # fmt: skip
+)
 from linenbridge.fleet.leases.queues import Queues
 from linenbridge.fleet.leases.quorum import Quorum
-from linenbridge.fleet.leases.recovery import Returning
-from linenbridge.fleet.leases.timing import Pace, heard_left, patience
-
-KEEP, SAY, LOG = "keep", "say", "log"
-TASKS_MOST, PLACES_MOST, NAME_MOST = 1_000, 64, 64  # what one round may hold, and each of its names
-TASKS_HEARD_MOST = 10_000  # tasks that one acceptor ever hears of
+from linenbridge.fleet.leases.recovery import Recovery, StoreRestored
+from linenbridge.fleet.leases.request_limits import is_within_limits
+from linenbridge.fleet.leases.stored_state import AcceptorFacts, StoredState
+from linenbridge.fleet.leases.timing import LeaseTiming, queue_timeout, remaining_with_drift
 
 
-class Kept(NamedTuple):
-    """What an acceptor's store held when the process started."""
+@dataclass(slots=True)
+class _Outcome:
+    """What one request changed, for its reply."""
 
-    remembers: bool = False  # whether there was a store with the quorum's founding in it
-    settled: int = 0  # the newest generation that this acceptor has settled in
-    stamp: int = 0  # counts all that was ever kept
-    longest: int = 0  # the longest lease that was ever to be waited for
-    places: tuple[PlaceRecord, ...] = ()
+    granted: list[Granted] = field(default_factory=list)
+    rejected: list[Rejected] = field(default_factory=list)
+    statuses: list[TaskStatus] = field(default_factory=list)
+    changed: list[SlotKey] = field(default_factory=list)  # whose records must be stored before the reply
 
 
 class Acceptor:
-    """The acceptor `name` of `quorum`. `kept` is the content of its store. `trusted` says that the store
-    can't have been restored from an older copy, so that nothing is waited for after a restart. `life`
-    differs for each start of the process."""
+    """One acceptor. Times are microseconds of its clock."""
 
     def __init__(
-        self, name: str, quorum: Quorum, pace: Pace, kept: Kept, now: int, first_term: int = 1,
-        trusted: bool = False, life: int = 1,
-    ) -> None:  # fmt: skip
-        self.name, self.quorum, self.pace, self.first_term = name, quorum, pace, first_term
-        self.guards, self.queues, self.out = Guards(), Queues(), deque[tuple]()
-        for place in kept.places:
-            self.guards.merge(place, now)
-        self.stamp, self.broken = kept.stamp, ""
-        wait = pace._replace(longest=max(pace.longest, kept.longest))
-        self.returning = Returning(name, quorum, wait, kept.remembers, kept.settled, now, life, trusted)
-        self.heard: dict[str, int] = {}  # the newest stamp of each other acceptor
-
-    # ---- inputs ------------------------------------------------------------------------------------
+        self,
+        name: str,
+        quorum: Quorum,
+        timing: LeaseTiming,
+        stored: StoredState,
+        now: int,
+        *,
+        first_term: int = 1,
+        trusted: bool = False,
+        incarnation: int = 1,
+    ) -> None:
+        """Take over what the store holds, and recover if records may have been lost.
+
+        A `trusted` store can't have been restored from an older copy, so that nothing is waited for after a
+        restart. No term below `first_term` is granted. `incarnation` differs for each start of the process.
+        """
+        self.name = name
+        self.quorum = quorum
+        self.timing = timing
+        self.first_term = first_term
+        self.granted_leases = GrantedLeases()
+        self.queues = Queues()
+        self.revision = stored.facts.revision
+        self.store_error = ""
+        self.revisions: dict[str, int] = {}  # the newest of each other acceptor
+        self._decisions = deque[AcceptorDecision]()
+        for record in stored.records:
+            self.granted_leases.merge(record, now)
+        longest = timing._replace(max_lease=max(timing.max_lease, stored.facts.max_lease))
+        self.recovery = Recovery(
+            name, quorum, longest, stored.facts, now, incarnation=incarnation, trusted=trusted
+        )
+
+    # ---- inputs ----------------------------------------------------------------------------------------
 
     def on_request(self, now: int, message: LeaseRequest) -> None:
-        """A proposer's request. It is answered as a whole, after the changes that it makes are stored."""
-        if not self._well_formed(message):
+        """Answer a proposer's request as a whole, after the changes that it makes are stored."""
+        if not is_within_limits(message, self.queues.by_task.keys()):
             return
-        if message.stamp > self.stamp:
-            self._went_back(now, message.proposer, message.stamp)
-        code = self._aside(message)
-        granted, rejected, statuses, rows = list[Granted](), list[Rejected](), list[TaskStatus](), list[Key]()
+        if message.revision > self.revision:
+            self._on_store_restored(now, message.proposer, message.revision)
+        code = self._rejection_code(message)
+        outcome = _Outcome()
         if not code:
-            for relinquish in message.relinquishes:
-                self._relinquish(message.proposer, relinquish, rows)
-            for query in message.queries:
-                self.queues.of(query.task).hear(now, message.proposer, query.ticket, patience(self.pace))
-            for acquire in message.acquires:
-                self._acquire(now, message.proposer, acquire, granted, rejected, rows)
-            statuses = [self._status(now, message.proposer, query) for query in message.queries]
-        answer = LeaseReply(
+            self._apply(now, message, outcome)
+        reply = LeaseReply(
             message.number,
             self.name,
             self.quorum.generation,
-            self.stamp + len(rows),
+            self.revision + len(outcome.changed),
             code,
-            granted,
-            rejected,
-            statuses,
+            outcome.granted,
+            outcome.rejected,
+            outcome.statuses,
         )
-        self._answer(now, message.proposer, answer, rows)
+        send = Send(message.proposer, reply)
+        if outcome.changed:
+            self._persist(outcome.changed, send)
+        else:
+            self._decisions.append(send)
 
     def on_recovery_request(self, now: int, message: RecoveryRequest) -> None:
-        """Another acceptor asks for this one's records; it is answered even while this one recovers
-        itself. If this one's store was restored from an older copy it does not answer, as its records
-        would pass for complete."""
-        self.returning.meets(message.acceptor, message.generation)
-        if self.returning.doubted or self.broken:
+        """Send this acceptor's records to one that recovers, even while this one recovers itself.
+
+        If this one's store was restored from an older copy it does not reply, as its records would pass for
+        complete.
+        """
+        recovery = self.recovery
+        recovery.on_recovery_request(message.acceptor, message.generation)
+        if recovery.store_restored or self.store_error:
             return
-        back, places = self.returning, self.guards.rows(now)
         reply = RecoveryReply(
-            message.number, self.name, back.number, back.founded_with.get(message.acceptor, 0),
-            self.quorum.generation, back.settled, back.remembers, self.heard.get(message.acceptor, 0),
-            places, self.queues.newest(),
-        )  # fmt: skip
-        self.out.append((SAY, message.acceptor, reply))
+            message.number,
+            self.name,
+            recovery.number,
+            recovery.founded_with.get(message.acceptor, 0),
+            self.quorum.generation,
+            recovery.confirmed_generation,
+            recovery.has_records,
+            self.revisions.get(message.acceptor, 0),
+            self.granted_leases.records(now),
+            self.queues.newest_positions(),
+        )
+        self._decisions.append(Send(message.acceptor, reply))
 
     def on_recovery_reply(self, now: int, message: RecoveryReply) -> None:
-        """Another acceptor's records. They are merged while this one recovers; a newer stamp of this
-        acceptor's own store is noticed at any time."""
-        if message.stamp > self.stamp:
-            self._went_back(now, message.acceptor, message.stamp)
-        if not self.returning.accepts(message):
+        """Merge another acceptor's records while this one recovers.
+
+        A newer revision of this acceptor's own store is noticed at any time.
+        """
+        if message.revision > self.revision:
+            self._on_store_restored(now, message.acceptor, message.revision)
+        if not self.recovery.accept_reply(message):
             return
-        rows = list[Key]()
-        for place in message.places:
-            if self.guards.merge(place, now + heard_left(self.pace, place.left)):
-                rows.append((place.task, place.place))
-        for task, ticket in message.tickets.items():
-            self.queues.meet(task, ticket)
-        if rows:
-            self._keep(now, rows, "", None)
-
-    def on_stamp(self, now: int, acceptor: str, stamp: int) -> None:
-        """How many records another acceptor says that it has stored."""
-        self.heard[acceptor] = max(stamp, self.heard.get(acceptor, 0))
+        changed = list[SlotKey]()
+        for record in message.records:
+            expires_at = now + remaining_with_drift(self.timing, record.remaining)
+            if self.granted_leases.merge(record, expires_at):
+                changed.append(SlotKey(record.task, record.slot))
+        for task, position in message.newest_queue_positions.items():
+            self.queues.on_newest_position(task, position)
+        if changed:
+            self._persist(changed, None)
+
+    def on_revision(self, acceptor: str, revision: int) -> None:
+        """Record how many records another acceptor has stored, as it says itself."""
+        self.revisions[acceptor] = max(revision, self.revisions.get(acceptor, 0))
 
     def on_quorum(self, now: int, quorum: Quorum) -> None:
-        """New settings. Nothing is granted until majorities of both lists are known to have them."""
+        """Take over a newer quorum. Nothing is granted until majorities of both lists have it."""
         if quorum.generation <= self.quorum.generation:
             return
         self.quorum = quorum
-        self.returning.moves(now, quorum)
-        self.out.append(
-            (
-                LOG,
-                "council.moves",
-                {
-                    "generation": quorum.generation,
-                    "acceptors": list(quorum.now),
-                    "seats": list(quorum.now),
-                },
-            )
-        )
+        self.recovery.on_quorum(now, quorum)
+        names = list(quorum.acceptors)
+        fields = {"generation": quorum.generation, "acceptors": names, "seats": names}
+        self._decisions.append(LogEvent("council.moves", fields))
 
-    def on_store_failed(self, now: int, why: str) -> None:
+    def on_store_failed(self, why: str) -> None:
         """A write failed: this acceptor grants nothing until the process is restarted."""
-        if not self.broken:
-            self.broken = why
+        if not self.store_error:
+            self.store_error = why
             self._log("store.failed", StoreUnusable(why, self.name))
 
-    # ---- decisions ---------------------------------------------------------------------------------
+    # ---- decisions -------------------------------------------------------------------------------------
 
-    def next_decision(self, now: int) -> tuple | None:
-        """The next decision to carry out, or None."""
-        if not self.out and not self.broken:
-            self._come_back(now)
-        return self.out.popleft() if self.out else None
+    def next_decision(self, now: int) -> AcceptorDecision | None:
+        """Return the next decision to carry out, or None."""
+        if not self._decisions and not self.store_error:
+            self._advance_recovery(now)
+        return self._decisions.popleft() if self._decisions else None
 
     def wake_at(self) -> int | None:
-        """When this acceptor has something to do without an input, in microseconds; only while it
-        recovers."""
-        return None if self.broken else self.returning.wake_at()
+        """Return when this acceptor has something to do without an input; only while it recovers."""
+        return None if self.store_error else self.recovery.wake_at()
 
     def grants(self) -> bool:
-        """Whether this acceptor answers requests at present."""
-        return not self.broken and self.returning.done
-
-    def _come_back(self, now: int) -> None:
-        for other, message in self.returning.asks(now):
-            self.out.append((SAY, other, message))
-        if (grounds := self.returning.returned(now)) is not None:
-            self._keep(now, [], "", None)
+        """Return whether this acceptor grants leases at present."""
+        return not self.store_error and self.recovery.done
+
+    def facts(self) -> AcceptorFacts:
+        """Return what is stored beside the records."""
+        recovery = self.recovery
+        return AcceptorFacts(
+            recovery.has_records, recovery.confirmed_generation, self.revision, recovery.timing.max_lease
+        )
+
+    # ---- recovery --------------------------------------------------------------------------------------
+
+    def _advance_recovery(self, now: int) -> None:
+        for other, message in self.recovery.requests(now):
+            self._decisions.append(Send(other, message))
+        grounds = self.recovery.complete(now)
+        if grounds is not None:
+            self._persist([], None)
             fields = {
-                "grounds": grounds,
+                "grounds": grounds.value,
                 "generation": self.quorum.generation,
-                "places": len(self.guards.term),
+                "places": self.granted_leases.count(),
             }
-            self.out.append((LOG, "seat.returned", fields))
-        for error in self.returning.notes(now):
+            self._decisions.append(LogEvent("seat.returned", fields))
+        for error in self.recovery.errors_to_report(now):
             self._log("seat.aside", error)
 
-    def _log(self, name: str, error: FleetError) -> None:
-        self.out.append((LOG, name, error.fields()))
-
-    def _well_formed(self, message: LeaseRequest) -> bool:
-        sizes = max(len(message.acquires), len(message.relinquishes), len(message.queries)) <= TASKS_MOST
-        rows = (*message.acquires, *message.relinquishes, *message.queries)
-        names = len(message.proposer) <= NAME_MOST and all(len(row.task) <= NAME_MOST for row in rows)
-        places = all(0 <= row.place < PLACES_MOST for row in (*message.acquires, *message.relinquishes))
-        queries = all(1 <= query.places <= PLACES_MOST for query in message.queries)
-        known = self.queues.rows
-        room = (
-            len(known) + len(rows) <= TASKS_HEARD_MOST
-            or len(known.keys() | {row.task for row in rows}) <= TASKS_HEARD_MOST
-        )
-        return sizes and names and places and queries and room
+    def _on_store_restored(self, now: int, reporter: str, revision: int) -> None:
+        """Another member has seen a newer revision than this store's: it was restored from an older copy."""
+        self.recovery.on_store_restored(now, StoreRestored(reporter, self.revision, revision))
+        self.revision = revision
+
+    # ---- requests --------------------------------------------------------------------------------------
 
-    def _aside(self, message: LeaseRequest) -> str:
-        if self.broken or not self.returning.done:
+    def _rejection_code(self, message: LeaseRequest) -> str:
+        """Return the reason to reject a request as a whole; empty if there is none."""
+        if not self.grants():
             return AcceptorAside.code
         return OtherGeneration.code if message.generation != self.quorum.generation else ""
 
-    def _went_back(self, now: int, by: str, stamp: int) -> None:
-        """Somebody has seen a newer stamp than this store holds: it was restored from an older copy."""
-        if self.returning.doubt(now, by, self.stamp, stamp):
-            self.stamp = stamp
-
-    def _relinquish(self, proposer: str, relinquish: Relinquish, rows: list[Key]) -> None:
-        self.queues.leave(relinquish.task, proposer)
-        if self.guards.give_back((relinquish.task, relinquish.place), relinquish.term, proposer):
-            rows.append((relinquish.task, relinquish.place))
-
-    def _acquire(
-        self,
-        now: int,
-        proposer: str,
-        acquire: Acquire,
-        granted: list[Granted],
-        rejected: list[Rejected],
-        rows: list[Key],
-    ) -> None:
-        key = (acquire.task, acquire.place)
-        if (rejection := self._refusal(now, proposer, acquire)) is not None:
-            newest = max(self.guards.newest(key), self.first_term - 1)
-            rejected.append(Rejected(acquire.task, acquire.place, acquire.term, rejection.code, newest))
+    def _apply(self, now: int, message: LeaseRequest, outcome: _Outcome) -> None:
+        for relinquish in message.relinquishes:
+            self._relinquish(message.proposer, relinquish, outcome)
+        for query in message.queries:
+            queue = self.queues.for_task(query.task)
+            queue.on_request(now, message.proposer, query.queue_position, queue_timeout(self.timing))
+        for acquire in message.acquires:
+            self._acquire(now, message.proposer, acquire, outcome)
+        outcome.statuses = [self._status(now, message.proposer, query) for query in message.queries]
+
+    def _relinquish(self, proposer: str, relinquish: Relinquish, outcome: _Outcome) -> None:
+        self.queues.remove(relinquish.task, proposer)
+        key = SlotKey(relinquish.task, relinquish.slot)
+        if self.granted_leases.relinquish(key, relinquish.term, proposer):
+            outcome.changed.append(key)
+
+    def _acquire(self, now: int, proposer: str, acquire: Acquire, outcome: _Outcome) -> None:
+        key = SlotKey(acquire.task, acquire.slot)
+        rejection = self._rejection(now, proposer, acquire)
+        if rejection is not None:
+            newest_term = self._newest_term(key)
+            outcome.rejected.append(
+                Rejected(acquire.task, acquire.slot, acquire.term, rejection.code, newest_term)
+            )
             return
-        if self.guards.grant(key, acquire.term, proposer, now + acquire.length):
-            rows.append(key)
-        self.queues.leave(acquire.task, proposer)
-        granted.append(Granted(acquire.task, acquire.place, acquire.term))
-
-    def _refusal(self, now: int, proposer: str, acquire: Acquire) -> type[Refusal] | None:
-        """The rule by which places are granted: the reason for a refusal, or None where the place is
-        granted."""
-        guards, key = self.guards, (acquire.task, acquire.place)
-        if not 0 < acquire.length <= self.pace.longest:
+        if self.granted_leases.grant(key, acquire.term, proposer, now + acquire.duration):
+            outcome.changed.append(key)
+        self.queues.remove(acquire.task, proposer)
+        outcome.granted.append(Granted(acquire.task, acquire.slot, acquire.term))
+
+    def _rejection(self, now: int, proposer: str, acquire: Acquire) -> type[Rejection] | None:
+        """Return why a slot is not granted, or None where it is: the rule by which slots are granted."""
+        if not 0 < acquire.duration <= self.timing.max_lease:
             return LeaseTooLong
-        own, left = guards.holder.get(key) == proposer, guards.left(key, now)
-        if left and not own:
+        key = SlotKey(acquire.task, acquire.slot)
+        lease = self.granted_leases.lease(key)
+        own = lease.holder == proposer
+        remaining = self.granted_leases.remaining(key, now)
+        if remaining and not own:
             return HeldByAnother
-        same = own and acquire.term == guards.term.get(key, 0) > guards.closed.get(key, 0)
-        if not same and acquire.term <= max(guards.newest(key), self.first_term - 1):
+        same_term = own and acquire.term == lease.term and lease.is_open()
+        if not same_term and acquire.term <= self._newest_term(key):
             return OlderTerm
-        renews = same or (own and left)
-        if renews:
+        if same_term or (own and remaining):
             return None
-        ahead = self.queues.of(acquire.task).ahead(now, proposer, patience(self.pace))
-        return BehindOthers if ahead >= self._free(now, acquire) else None
+        queue = self.queues.for_task(acquire.task)
+        ahead = queue.members_ahead(now, proposer, queue_timeout(self.timing))
+        return BehindOthers if ahead >= self._free_slots(now, acquire) else None
 
-    def _free(self, now: int, acquire: Acquire) -> int:
-        """How many places of the task that are known here are free, counting the requested one."""
-        known = {place for task, place in self.guards.term if task == acquire.task} | {acquire.place}
-        return sum(not self.guards.left((acquire.task, place), now) for place in known)
+    def _newest_term(self, key: SlotKey) -> int:
+        """Return the newest term that can't be granted any more."""
+        return max(self.granted_leases.lease(key).newest_term(), self.first_term - 1)
+
+    def _free_slots(self, now: int, acquire: Acquire) -> int:
+        """Return how many slots of the task that are known here are free, counting the requested one."""
+        known = self.granted_leases.slots_of(acquire.task) | {acquire.slot}
+        return sum(not self.granted_leases.remaining(SlotKey(acquire.task, slot), now) for slot in known)
 
     def _status(self, now: int, proposer: str, query: StatusQuery) -> TaskStatus:
-        keys = [(query.task, place) for place in range(query.places)]
-        guards, least = self.guards, self.first_term - 1
-        left = [guards.left(key, now) for key in keys]
+        keys = [SlotKey(query.task, slot) for slot in range(query.slots)]
+        remaining = [self.granted_leases.remaining(key, now) for key in keys]
+        holders = [self.granted_leases.lease(key).holder for key in keys]
+        queue = self.queues.for_task(query.task)
         return TaskStatus(
-            query.task, self.queues.of(query.task).newest,
-            self.queues.of(query.task).ahead(now, proposer, patience(self.pace)),
-            [max(guards.newest(key), least) for key in keys], left,
-            [guards.holder.get(key, "") if time else "" for key, time in zip(keys, left, strict=True)],
-        )  # fmt: skip
-
-    def _answer(self, now: int, to: str, message: LeaseReply, rows: list[Key]) -> None:
-        if rows:
-            self._keep(now, rows, to, message)
-        else:
-            self.out.append((SAY, to, message))
-
-    def _keep(self, now: int, keys: list[Key], to: str, message: LeaseReply | None) -> None:
-        """Store the present state of `keys`, then send the message. The stamp counts the stored rows."""
-        guards = self.guards
-        self.stamp += len(keys)
-        rows = [
-            (*key, guards.term.get(key, 0), guards.holder.get(key, ""), guards.closed.get(key, 0))
-            for key in keys
-        ]
-        self.out.append((KEEP, rows, to, message))
-
-    def facts(self) -> dict[str, int]:
-        """What is stored beside the places: see `Kept`."""
-        back = self.returning
-        return {
-            "remembers": int(back.remembers), "settled": back.settled, "stamp": self.stamp,
-            "longest": back.pace.longest,
-        }  # fmt: skip
+            query.task,
+            queue.newest_position,
+            queue.members_ahead(now, proposer, queue_timeout(self.timing)),
+            [self._newest_term(key) for key in keys],
+            remaining,
+            [holder if time else "" for holder, time in zip(holders, remaining, strict=True)],
+        )
+
+    # ---- outputs ---------------------------------------------------------------------------------------
+
+    def _persist(self, changed: list[SlotKey], then: Send | None) -> None:
+        """Store the present records of slots, then send a message. The revision counts the stored records."""
+        self.revision += len(changed)
+        self._decisions.append(Persist(self.granted_leases.stored_records(changed), then))
+
+    def _log(self, name: str, error: ControlPlaneError) -> None:
+        self._decisions.append(LogEvent(name, error.fields()))
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -16,7 +16,7 @@
 from linenbridge.logging.structured import structured
 from linenbridge.net.discovery import host_port
 from linenbridge.logging.event_log import Log
-from linenbridge.net.decision_loop import Loop
+from linenbridge.net.decision_loop import DecisionLoop
 from linenbridge.configuration.read import Configuration, ConfigurationError
 from linenbridge.process import lifecycle
 from linenbridge.process.components import build, reload
@@ -72,7 +72,7 @@
         self.front: Front | None = None
         self.server: Server | None = None
 
-    def open(self, loop: Loop) -> Front:
+    def open(self, loop: DecisionLoop) -> Front:
         """The front on this loop; it listens only when told to."""
         settings = self.settings
         ours = frozenset(known.partner.name for known in settings.partners if known.partner.ours)
@@ -89,7 +89,7 @@
             HEALTH + b"Check": self.health.check,
             HEALTH + b"Watch": self.health.watch,
         }
-        loop.settled.append(self.server.flush)
+        loop.on_turn_end.append(self.server.flush)
         return front
 
     def _converse(self, call: Call) -> Conversation | Stranger:
@@ -162,19 +162,19 @@
     return distributed(configuration, at, log, reactor)
 
 
-def _member(configuration: Configuration, log: Log, reactor: Any, loop: Loop):  # noqa: ANN202  (imported where it is used)
+def _member(configuration: Configuration, log: Log, reactor: Any, loop: DecisionLoop):  # noqa: ANN202  (imported where it is used)
     """This process as a member of the fleet, where the settings have one."""
     if configuration.part("fleet") is None:
         return None
     from linenbridge.fleet.hosting.member import Member
-    from linenbridge.fleet.configuration import fleet
+    from linenbridge.fleet.configuration import fleet_settings
 
-    told = fleet(configuration)
+    told = fleet_settings(configuration)
     if told is None:
         return None
 
     def held(zones: frozenset[str] | None) -> None:
-        loop.gather(lambda now: loop.gateway.on_hold(now, zones))
+        loop.enqueue(lambda now: loop.decision_module.on_rollout_freeze(now, zones))
 
     return Member(told, reactor, log, secrets.randbits(60), held)
 
@@ -229,9 +229,9 @@
         reload(parts, log, dict(os.environ))
         server.reload()
         if member is not None:
-            from linenbridge.fleet.hosting.quorum_member import again
+            from linenbridge.fleet.hosting.quorum_member import reload_settings
 
-            again(configuration.path, member, log)
+            reload_settings(configuration.path, member, log)
 
     lifecycle.run(reactor, log, stop, counters, anew)
     return 0
