--- a/linenbridge/distribution/dissemination/compacted_log.py
+++ b/linenbridge/distribution/dissemination/compacted_log.py
@@ -55,7 +55,7 @@
     encoded: list[bytes]
 
 
-class Table:
+class CompactedLog:
     """All keys of one region at `head`.
 
     While `replacing`, ranges of a newer state are being stored and the keys are at no single version.
--- a/linenbridge/distribution/dissemination/feed.py
+++ b/linenbridge/distribution/dissemination/feed.py
@@ -13,7 +13,7 @@
 
 from linenbridge.distribution.changes import RANGES, Change, Position
 from linenbridge.distribution.decisions import Apply, Decision, Event, ReplaceRange, Send
-from linenbridge.distribution.dissemination.compacted_log import Table
+from linenbridge.distribution.dissemination.compacted_log import CompactedLog
 from linenbridge.distribution.dissemination.counters import FeedCounters
 from linenbridge.distribution.dissemination.message_builder import MessageBuilder
 from linenbridge.distribution.dissemination.page_cache import PageCache
@@ -59,11 +59,11 @@
         self.region = region
         self.settings = settings
         self.counters = FeedCounters()
-        self.tables = {each: Table(each, settings.max_tombstones) for each in regions}
+        self.logs = {each: CompactedLog(each, settings.max_tombstones) for each in regions}
         self.sessions: dict[str, Session] = {}
-        self._reports = ProgressReports(name, region, self.tables, self.sessions, settings, now)
-        self._pages = PageCache(self.tables, self.counters)
-        self._builder = MessageBuilder(self.tables, self._pages, self.counters)
+        self._reports = ProgressReports(name, region, self.logs, self.sessions, settings, now)
+        self._pages = PageCache(self.logs, self.counters)
+        self._builder = MessageBuilder(self.logs, self._pages, self.counters)
         self._regions = list(regions)
         self._relays = relays
         self._known_regions = frozenset(regions)
@@ -77,15 +77,15 @@
 
     def positions(self) -> list[Position]:
         """The heads of all regions' logs."""
-        return heads(self.tables)
+        return heads(self.logs)
 
     def digest(self, region: str) -> int:
         """The digest of a region's log."""
-        return self.tables[region].digest
+        return self.logs[region].digest
 
     def range_digests(self, region: str) -> bytes:
         """The digests of all ranges of a region's log, 8 bytes each."""
-        return self.tables[region].range_digests()
+        return self.logs[region].range_digests()
 
     def summaries(self, now: int) -> list[Summary]:
         """The summaries of all regions, for monitoring; reports are sent without a call."""
@@ -97,31 +97,31 @@
         """Changes of the own region that a majority of its relays has on disk, in order, up to a state that
         the log had. Deletions up to `compacted_to` may be missing: the replica has dropped them."""
         if changes:
-            table = self.tables[region]
-            table.apply(changes[-1].version, changes, horizon=compacted_to)
-            table.consistent = True
+            log = self.logs[region]
+            log.apply(changes[-1].version, changes, horizon=compacted_to)
+            log.consistent = True
             self._on_head_moved(now, region)
 
     def on_apply(self, now: int, apply: Apply) -> int:
         """Changes of another region, from the relay's follower. Returns the digest for
         `Follower.on_applied`."""
-        table = self.tables[apply.region]
-        table.apply(apply.upto, apply.changes, apply.horizon)
-        table.consistent = apply.digest == table.digest
+        log = self.logs[apply.region]
+        log.apply(apply.upto, apply.changes, apply.horizon)
+        log.consistent = apply.digest == log.digest
         self._on_head_moved(now, apply.region)
-        return table.digest
+        return log.digest
 
     def on_range(self, now: int, replace: ReplaceRange) -> int:
         """A complete range of another region, whose followers wait until the final one has arrived. Returns
         the digest for `Follower.on_applied`."""
-        table = self.tables[replace.region]
-        table.replace(
+        log = self.logs[replace.region]
+        log.replace(
             replace.range, replace.upto, replace.changes, final=replace.final, horizon=replace.horizon
         )
-        table.consistent = False
+        log.consistent = False
         if replace.final:
             self._on_head_moved(now, replace.region)
-        return table.digest
+        return log.digest
 
     def _on_head_moved(self, now: int, region: str) -> None:
         self._reports.on_head(now, region)
@@ -157,9 +157,9 @@
         if now - self._started_at > self.settings.catch_up_time:
             return False
         return any(
-            position.sequence > self.tables[position.region].head.sequence
+            position.sequence > self.logs[position.region].head.sequence
             for position in follow.positions
-            if position.region in self.tables
+            if position.region in self.logs
         )
 
     def _reject(self, follower: str, session: int, code: str) -> None:
@@ -198,14 +198,14 @@
         if cursor is None:
             return
         session.received_at = now
-        table = self.tables[digests.region]
-        if table.replacing or not table.consistent or table.head < digests.at:
+        log = self.logs[digests.region]
+        if log.replacing or not log.consistent or log.head < digests.at:
             return  # the follower repeats the request
         if digests.first or not digests.last or len(digests.digests) not in (0, RANGES * DIGEST_BYTES):
             self.counters.malformed += 1
             return
         cursor.transfer = RangeTransfer(
-            table.head, deque(differing_ranges(table.range_digests(), digests.digests))
+            log.head, deque(differing_ranges(log.range_digests(), digests.digests))
         )
         self._wake_by(now)
 
--- a/linenbridge/distribution/dissemination/message_builder.py
+++ b/linenbridge/distribution/dissemination/message_builder.py
@@ -8,7 +8,7 @@
 
 from msgspec import Raw
 
-from linenbridge.distribution.dissemination.compacted_log import Table
+from linenbridge.distribution.dissemination.compacted_log import CompactedLog
 from linenbridge.distribution.dissemination.counters import FeedCounters
 from linenbridge.distribution.dissemination.encoded_lists import EMPTY_LIST
 from linenbridge.distribution.dissemination.page_cache import PageCache
@@ -22,27 +22,27 @@
 class MessageBuilder:
     """Builds messages from the logs of all regions. Each call moves the cursor that it is given."""
 
-    def __init__(self, tables: dict[str, Table], pages: PageCache, counters: FeedCounters) -> None:
-        self._tables = tables
+    def __init__(self, logs: dict[str, CompactedLog], pages: PageCache, counters: FeedCounters) -> None:
+        self._logs = logs
         self._pages = pages
         self._counters = counters
 
     def has_more(self, cursor: Cursor) -> bool:
         """Whether a message for this cursor is waiting."""
-        table = self._tables[cursor.region]
-        if table.replacing:
+        log = self._logs[cursor.region]
+        if log.replacing:
             return False
         if cursor.transfer is not None:
             return True
-        if cursor.version == table.head or cursor.version.sequence < self._horizon(cursor):
-            return table.consistent and cursor.reported_head != table.head
-        return cursor.version < table.head
+        if cursor.version == log.head or cursor.version.sequence < self._horizon(cursor):
+            return log.consistent and cursor.reported_head != log.head
+        return cursor.version < log.head
 
     def next_message(self, session: Session, cursor: Cursor) -> EncodedBatch | EncodedWhole:
         """The waiting message; call it only if `has_more`."""
         if cursor.transfer is not None:
             return self._range_part(session, cursor, cursor.transfer)
-        if cursor.version == self._tables[cursor.region].head:
+        if cursor.version == self._logs[cursor.region].head:
             return self.empty_batch(session, cursor)
         if cursor.version.sequence < self._horizon(cursor):
             return self.empty_batch(session, cursor)  # the follower requests ranges
@@ -51,13 +51,13 @@
     def empty_batch(self, session: Session, cursor: Cursor) -> EncodedBatch:
         """A batch without changes at the cursor, with the digest if that is the head. It has neither digest
         nor horizon if the log is not consistent: ranges cannot be requested yet."""
-        table = self._tables[cursor.region]
+        log = self._logs[cursor.region]
         version = cursor.version
         digest = None
         horizon = 0
-        if table.consistent and cursor.transfer is None:
-            cursor.reported_head = table.head
-            digest = table.digest if version == table.head else None
+        if log.consistent and cursor.transfer is None:
+            cursor.reported_head = log.head
+            digest = log.digest if version == log.head else None
             horizon = self._horizon(cursor)
         return EncodedBatch(
             session=session.number,
@@ -74,9 +74,9 @@
     def _horizon(self, cursor: Cursor) -> int:
         """The sequence behind which a follower needs ranges. A follower whose position is in no history that
         leads to the head (the region lost all its disks and started again) needs them too."""
-        table = self._tables[cursor.region]
-        diverged = cursor.version.epoch < table.head.epoch and cursor.version.sequence >= table.head.sequence
-        return cursor.version.sequence + 1 if diverged else table.horizon
+        log = self._logs[cursor.region]
+        diverged = cursor.version.epoch < log.head.epoch and cursor.version.sequence >= log.head.sequence
+        return cursor.version.sequence + 1 if diverged else log.horizon
 
     def _batch(self, session: Session, cursor: Cursor) -> EncodedBatch:
         after = cursor.version.sequence
@@ -92,14 +92,14 @@
             upto=page.upto,
             changes=page.changes,
             digest=page.digest,
-            horizon=self._tables[cursor.region].horizon,
+            horizon=self._logs[cursor.region].horizon,
             checksum=page.checksum,
             number=session.messages + 1,
         )
 
     def _range_part(self, session: Session, cursor: Cursor, transfer: RangeTransfer) -> EncodedWhole:
-        table = self._tables[cursor.region]
-        part = transfer.next_part(table, session.bucket.max_page_bytes)
+        log = self._logs[cursor.region]
+        part = transfer.next_part(log, session.bucket.max_page_bytes)
         if part.final:
             cursor.version = transfer.upto
             cursor.transfer = None
@@ -114,7 +114,7 @@
             last=part.last,
             final=part.final,
             changes=Raw(part.changes),
-            horizon=table.horizon,
+            horizon=log.horizon,
             checksum=whole_checksum(cursor.region, upto, part.index, part.part, part.last, part.changes),
             number=session.messages + 1,
         )
--- a/linenbridge/distribution/dissemination/page_cache.py
+++ b/linenbridge/distribution/dissemination/page_cache.py
@@ -12,7 +12,7 @@
 from msgspec import Raw
 
 from linenbridge.distribution.changes import Version
-from linenbridge.distribution.dissemination.compacted_log import Table
+from linenbridge.distribution.dissemination.compacted_log import CompactedLog
 from linenbridge.distribution.dissemination.counters import FeedCounters
 from linenbridge.distribution.dissemination.encoded_lists import joined
 from linenbridge.distribution.messages import batch_checksum
@@ -42,8 +42,8 @@
 class PageCache:
     """Pages of all regions; beyond MAX_PAGES the oldest is dropped."""
 
-    def __init__(self, tables: dict[str, Table], counters: FeedCounters) -> None:
-        self._tables = tables
+    def __init__(self, logs: dict[str, CompactedLog], counters: FeedCounters) -> None:
+        self._logs = logs
         self._counters = counters
         self._pages: dict[_Position, SharedPage] = {}
 
@@ -64,10 +64,10 @@
             del self._pages[position]
 
     def _encode(self, position: _Position) -> SharedPage:
-        table = self._tables[position.region]
-        page = table.page(position.after, position.max_bytes)
+        log = self._logs[position.region]
+        page = log.page(position.after, position.max_bytes)
         encoded = joined(page.encoded)
-        digest = table.digest if table.consistent and page.upto == table.head else None
+        digest = log.digest if log.consistent and page.upto == log.head else None
         self._counters.encoded += 1
         checksum = batch_checksum(position.region, position.after, page.upto, encoded)
         return SharedPage(page.upto, Raw(encoded), checksum, digest)
--- a/linenbridge/distribution/dissemination/progress_reports.py
+++ b/linenbridge/distribution/dissemination/progress_reports.py
@@ -8,7 +8,7 @@
 
 from linenbridge.distribution.changes import Position
 from linenbridge.distribution.decisions import Decision, Send, SumsBelow
-from linenbridge.distribution.dissemination.compacted_log import Table
+from linenbridge.distribution.dissemination.compacted_log import CompactedLog
 from linenbridge.distribution.dissemination.progress import Departed, FollowerProgress, Heads, summarize
 from linenbridge.distribution.dissemination.sessions import Session
 from linenbridge.distribution.dissemination.settings import FeedSettings
@@ -25,7 +25,7 @@
         self,
         name: str,
         region: str,
-        tables: dict[str, Table],
+        logs: dict[str, CompactedLog],
         sessions: dict[str, Session],
         settings: FeedSettings,
         now: int,
@@ -34,17 +34,17 @@
         self.due = True
         self._name = name
         self._region = region
-        self._tables = tables
+        self._logs = logs
         self._sessions = sessions
         self._settings = settings
-        self._heads = {region: Heads() for region in tables}
+        self._heads = {region: Heads() for region in logs}
         self._publisher = ""
         self._reported_at = now - settings.heartbeat
         self._forgot_at = now
 
     def on_head(self, now: int, region: str) -> None:
         """The head of a region has moved."""
-        self._heads[region].on_head(self._tables[region].head.sequence, now)
+        self._heads[region].on_head(self._logs[region].head.sequence, now)
 
     def on_publisher(self, publisher: str) -> bool:
         """Set the publisher of the own region; empty: none. Returns whether it has changed."""
@@ -66,10 +66,10 @@
 
     def summaries(self, now: int) -> list[Summary]:
         """The summaries of all regions."""
-        return [self._summary(region, now) for region in self._tables]
+        return [self._summary(region, now) for region in self._logs]
 
     def _summary(self, region: str, now: int) -> Summary:
-        head = self._tables[region].head.sequence
+        head = self._logs[region].head.sequence
         followers = [session.progress for session in self._sessions.values() if region in session.cursors]
         return summarize(region, head, self._heads[region], followers, self.departed, now)
 
@@ -87,16 +87,16 @@
 
     def _reports(self, now: int) -> list[Decision]:
         decisions: list[Decision] = []
-        others = [self._summary(region, now) for region in self._tables if region != self._region]
+        others = [self._summary(region, now) for region in self._logs if region != self._region]
         if others:
             decisions.append(SumsBelow(others))
         if self._publisher:
             own = [self._summary(self._region, now)]
-            report = Progress(self._name, REPORT_SESSION, heads(self._tables), own)
+            report = Progress(self._name, REPORT_SESSION, heads(self._logs), own)
             decisions.append(Send(self._publisher, report))
         return decisions
 
 
-def heads(tables: dict[str, Table]) -> list[Position]:
+def heads(logs: dict[str, CompactedLog]) -> list[Position]:
     """The heads of all logs."""
-    return [Position(region, table.head.epoch, table.head.sequence) for region, table in tables.items()]
+    return [Position(region, log.head.epoch, log.head.sequence) for region, log in logs.items()]
--- a/linenbridge/distribution/dissemination/range_transfer.py
+++ b/linenbridge/distribution/dissemination/range_transfer.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from linenbridge.distribution.changes import RANGES, Version
-from linenbridge.distribution.dissemination.compacted_log import Table
+from linenbridge.distribution.dissemination.compacted_log import CompactedLog
 from linenbridge.distribution.dissemination.encoded_lists import joined, split
 
 DIGEST_BYTES = 8  # of one range
@@ -41,12 +41,12 @@
     part: int = 0
     parts: deque[list[bytes]] = field(default_factory=deque)
 
-    def next_part(self, table: Table, max_bytes: int) -> RangeTransferPart:
+    def next_part(self, log: CompactedLog, max_bytes: int) -> RangeTransferPart:
         """The next part: at most `max_bytes` encoded bytes, at least one change unless the range is empty."""
         if not self.parts:
             self.index = self.ranges.popleft()
             self.part = 0
-            self.parts = deque(split(table.encoded_range(self.index), max_bytes))
+            self.parts = deque(split(log.encoded_range(self.index), max_bytes))
         changes = joined(self.parts.popleft())
         last = not self.parts
         part = RangeTransferPart(self.index, self.part, last, last and not self.ranges, changes)
--- a/tests/distribution/dissemination/simulation/test_faults.py
+++ b/tests/distribution/dissemination/simulation/test_faults.py
@@ -104,7 +104,7 @@
     world.run(2)
     publish_over(world, 4, 40)
     world.run(10)
-    wrong = world.feeds[relay].tables["r1"]
+    wrong = world.feeds[relay].logs["r1"]
     change = next(change for change in reversed(world.logs["r1"]) if wrong.newest(*change.key).value)
     wrong._remove(range_of(*change.key), f"{change.kind}/{change.name}", wrong.newest(*change.key))  # noqa: SLF001  # a fault that no input causes
     publish_over(world, 20, 30)
--- a/tests/distribution/dissemination/simulation/world.py
+++ b/tests/distribution/dissemination/simulation/world.py
@@ -224,7 +224,7 @@
             return
         region = self.home[relay]
         feed = self.feeds[relay]
-        new = self.logs[region][feed.tables[region].head.sequence :]
+        new = self.logs[region][feed.logs[region].head.sequence :]
         feed.on_committed(self.now, region, new)
         self.pump(relay)
 
--- a/tests/distribution/dissemination/test_compacted_log.py
+++ b/tests/distribution/dissemination/test_compacted_log.py
@@ -1,4 +1,4 @@
-"""A relay's table against a plain model: changes, deletions, replaced ranges and compactions in any order."""
+"""A relay's compacted log against a plain model: changes, deletions, replaced ranges, compactions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     sealed,
 )
 from linenbridge.distribution.dissemination import compacted_log as module
-from linenbridge.distribution.dissemination.compacted_log import Table
+from linenbridge.distribution.dissemination.compacted_log import CompactedLog
 
 REGION = "r1"
 KEYS = [(Kind.TENANT, f"t{n}") for n in range(6)] + [(Kind.INSTANCE, f"shop/i{n}") for n in range(4)]
@@ -39,13 +39,13 @@
     return sum(digest_of(change) for change in rows.values()) % 2**64
 
 
-def sequences(table: Table, after: int = 0) -> list[int]:
-    return [entry.sequence for entry in table.since(after)]
+def sequences(log: CompactedLog, after: int = 0) -> list[int]:
+    return [entry.sequence for entry in log.since(after)]
 
 
 @pytest.fixture(autouse=True)
 def compacts_early(monkeypatch):
-    """So that small tables compact too."""
+    """So that small logs compact too."""
     monkeypatch.setattr(module, "_MIN_HOLES", 3)
 
 
@@ -53,21 +53,21 @@
 @settings(max_examples=150, deadline=None)
 def test_the_log_has_the_newest_change_of_each_key(written, after, batch):
     changes = changes_of(written)
-    table = Table(REGION)
+    log = CompactedLog(REGION)
     for place in range(0, len(changes), batch):
         part = changes[place : place + batch]
-        table.apply(part[-1].version, part)
-        table.apply(part[-1].version, part)  # repeats change nothing
+        log.apply(part[-1].version, part)
+        log.apply(part[-1].version, part)  # repeats change nothing
     rows = model_of(changes)
-    assert len(table) == len(rows)
-    assert table.digest == model_digest(rows)
-    assert all(table.newest(*key) == change for key, change in rows.items())
-    assert sequences(table, after) == sorted(c.sequence for c in rows.values() if c.sequence > after)
-    assert table.head == (changes[-1].version if changes else START)
+    assert len(log) == len(rows)
+    assert log.digest == model_digest(rows)
+    assert all(log.newest(*key) == change for key, change in rows.items())
+    assert sequences(log, after) == sorted(c.sequence for c in rows.values() if c.sequence > after)
+    assert log.head == (changes[-1].version if changes else START)
     for index in {range_of(*key) for key in KEYS}:
         expected = {key: change for key, change in rows.items() if range_of(*key) == index}
-        assert model_of(table.range(index)) == expected
-        digest = table.range_digests()[index * 8 : index * 8 + 8]
+        assert model_of(log.range(index)) == expected
+        digest = log.range_digests()[index * 8 : index * 8 + 8]
         assert int.from_bytes(digest, "big") == model_digest(expected)
 
 
@@ -75,27 +75,27 @@
 @settings(max_examples=150, deadline=None)
 def test_the_oldest_tombstones_are_dropped_and_move_the_horizon(written, max_tombstones):
     changes = changes_of(written)
-    table = Table(REGION, max_tombstones=max_tombstones)
+    log = CompactedLog(REGION, max_tombstones=max_tombstones)
     for change in changes:
-        table.apply(change.version, [change])
+        log.apply(change.version, [change])
     rows = model_of(changes)
     deleted = sorted(change.sequence for change in rows.values() if not change.value)
-    remembered = [sequence for sequence in sequences(table) if sequence in deleted]
-    assert table.tombstones == len(remembered) <= max_tombstones
+    remembered = [sequence for sequence in sequences(log) if sequence in deleted]
+    assert log.tombstones == len(remembered) <= max_tombstones
     dropped = [sequence for sequence in deleted if sequence not in remembered]
-    assert all(sequence <= table.horizon for sequence in dropped)
-    assert all(sequence > table.horizon for sequence in remembered)
-    assert table.digest == model_digest(rows)
+    assert all(sequence <= log.horizon for sequence in dropped)
+    assert all(sequence > log.horizon for sequence in remembered)
+    assert log.digest == model_digest(rows)
 
 
 @given(steps, steps, some.booleans())
 @settings(max_examples=150, deadline=None)
 def test_replacing_all_ranges_gives_the_other_log(older, newer, compacted):
-    """A table that took some of the log and then every range is as the one that they came from."""
+    """A log that took some of the changes and then every range is as the one that they came from."""
     changes = changes_of(older)
     changes += changes_of(newer, len(changes) + 1)
-    source = Table(REGION, max_tombstones=2 if compacted else 100)
-    target = Table(REGION)
+    source = CompactedLog(REGION, max_tombstones=2 if compacted else 100)
+    target = CompactedLog(REGION)
     source.apply(changes[-1].version if changes else START, changes)
     target.apply(changes[len(older) - 1].version if older else START, changes[: len(older)])
     for index in range(RANGES):
@@ -114,35 +114,35 @@
 
 
 def test_a_range_read_later_does_not_replace_newer_versions():
-    table = Table(REGION)
+    log = CompactedLog(REGION)
     old = sealed(REGION, Version(1, 3), 2, "t", b"old")
     new = sealed(REGION, Version(1, 9), 2, "t", b"new")
-    table.apply(new.version, [new])
-    table.replace(range_of(2, "t"), Version(1, 5), [old], final=True)
-    assert table.newest(2, "t") == new
-    table.replace(range_of(2, "t"), Version(1, 5), [], final=True)
-    assert table.newest(2, "t") == new, "a key newer than the transfer is not dropped because it is not named"
-    table.replace(range_of(2, "t"), Version(1, 9), [], final=True)
-    assert table.newest(2, "t") is None
+    log.apply(new.version, [new])
+    log.replace(range_of(2, "t"), Version(1, 5), [old], final=True)
+    assert log.newest(2, "t") == new
+    log.replace(range_of(2, "t"), Version(1, 5), [], final=True)
+    assert log.newest(2, "t") == new, "a key newer than the transfer is not dropped because it is not named"
+    log.replace(range_of(2, "t"), Version(1, 9), [], final=True)
+    assert log.newest(2, "t") is None
 
 
 def test_holes_are_bounded():
-    table = Table(REGION)
+    log = CompactedLog(REGION)
     for n in range(1, 500):
-        table.apply(Version(1, n), [sealed(REGION, Version(1, n), 2, f"t{n % 5}", b"v")])
-        assert len(table._sequences) <= 2 * len(table) + 4  # noqa: SLF001  # memory
+        log.apply(Version(1, n), [sealed(REGION, Version(1, n), 2, f"t{n % 5}", b"v")])
+        assert len(log._sequences) <= 2 * len(log) + 4  # noqa: SLF001  # memory
 
 
 def test_pages_hold_what_fits_and_reach_the_head():
-    table = Table(REGION)
+    log = CompactedLog(REGION)
     changes = [sealed(REGION, Version(1, n), 2, f"t{n}", b"x" * 100) for n in range(1, 41)]
-    table.apply(Version(2, 45), changes)
+    log.apply(Version(2, 45), changes)
     after = 0
     seen = 0
     while after < 45:
-        page = table.page(after, 500)
+        page = log.page(after, 500)
         assert len(page.encoded) == 1 or sum(map(len, page.encoded)) <= 500
         after = page.upto.sequence
         seen += len(page.encoded)
     assert (page.upto, seen) == (Version(2, 45), 40)
-    assert len(table.page(0, 1).encoded) == 1, "a change larger than the bytes left goes alone"
+    assert len(log.page(0, 1).encoded) == 1, "a change larger than the bytes left goes alone"
--- a/tests/scale/measure/relay.py
+++ b/tests/scale/measure/relay.py
@@ -28,7 +28,7 @@
 )
 from linenbridge.distribution.log.replication import PublisherPace
 from linenbridge.distribution.log.publisher import Publisher
-from linenbridge.distribution.dissemination.compacted_log import Table
+from linenbridge.distribution.dissemination.compacted_log import CompactedLog
 
 from tests.scale.measure.costs import held_bytes, processor_time, text_of
 from tests.scale.measure.view import (
@@ -119,8 +119,8 @@
     return sum(len(msgspec.msgpack.encode(change)) for change in all_changes(Author(), instances))
 
 
-def filled(count: int) -> Table:
-    table, batch = Table("one"), list[Change]()
+def filled(count: int) -> CompactedLog:
+    table, batch = CompactedLog("one"), list[Change]()
     for change in instance_changes(Author(), count):
         batch.append(change)
         if len(batch) == BATCH:
