--- a/linenbridge/processor/external_processor.py
+++ b/linenbridge/processor/external_processor.py
@@ -217,7 +217,7 @@
             self.log.detail(
                 "reported",
                 request=entry.request[:16],
-                ticket=reservation.number,
+                reservation=reservation.number,
                 proxy=peer.name,
                 outcome=outcome,
                 module_outcome=module_outcome,
@@ -360,9 +360,9 @@
         session.reservation = reservation
         if self.log.detail is not None:
             self.log.detail(
-                "handed",
+                "dispatched",
                 request=entry.request[:16],
-                ticket=reservation.number,
+                reservation=reservation.number,
                 proxy=entry.proxy,
                 attempt=entry.attempt,
                 instance=reservation.instance,
