--- a/linenbridge/processor/codec.py
+++ b/linenbridge/processor/codec.py
@@ -13,6 +13,7 @@
 
 from linenbridge.processor import wire_pb2 as wire
 from linenbridge.processor.stream_phases import MessageKind
+from linenbridge.routes.table import Request
 
 MAX_HEADERS = 256  # headers of one message
 HEADER_KINDS = {MessageKind.REQUEST_HEADERS, MessageKind.RESPONSE_HEADERS}
@@ -33,6 +34,17 @@
     ended: bool = False
     observed: bool = False
 
+    def request(self) -> Request:
+        """The request that request headers are about, as routes match it."""
+        return Request(
+            self.headers.get(":authority", self.headers.get("host", "")),
+            self.headers.get(":path", "/"),
+            self.headers.get(":method", "GET"),
+            self.headers.get(":scheme", "http"),
+            self.headers,
+            self.attributes,
+        )
+
 
 def decode(data: bytes | memoryview) -> ProxyMessage:
     """One ProcessingRequest."""
--- a/linenbridge/processor/evidence.py
+++ b/linenbridge/processor/evidence.py
@@ -108,7 +108,9 @@
         if proxy in self.own_proxies:
             self._record(proxy).reports.add(now, 0.0, 1.0)
 
-    def on_report(self, now: int, proxy: str, build: int, method: str, effect: str, outcome: str) -> str:
+    def on_report(
+        self, now: int, proxy: str, build: int, method: str, effect: str, outcome: Outcome
+    ) -> Outcome:
         """The outcome that the decision module is given for one that a proxy reports in time."""
         if proxy not in self.own_proxies:
             return _untrusted_outcome(effect, outcome)
@@ -177,7 +179,7 @@
         record.distrusted_until = now + DISTRUST_TIME
 
 
-def _untrusted_outcome(effect: str, outcome: str) -> str:
+def _untrusted_outcome(effect: str, outcome: Outcome) -> Outcome:
     """An outcome without evidence: an attempt that can be repeated harmlessly may count as not sent."""
     can_repeat = outcome in NOT_EXECUTED and effect == Idempotency.IDEMPOTENT
     return Outcome.NOT_SENT if can_repeat else Outcome.CANCELLED
--- a/linenbridge/processor/reservations.py
+++ b/linenbridge/processor/reservations.py
@@ -20,7 +20,7 @@
 from itertools import count
 from typing import NamedTuple
 
-from linenbridge.interface import NOT_EXECUTED, Id, Idempotency
+from linenbridge.interface import NOT_EXECUTED, Id, Idempotency, Outcome
 
 MAX_ATTEMPT = 1_000  # an attempt count beyond it is taken for this
 UNSHARED_FRACTION = 0.5  # of the ledger: up to here no proxy is held to a share
@@ -66,7 +66,7 @@
     use_by: int
     report_by: int
     dispatched: bool = False
-    outcome: str | None = None
+    outcome: Outcome | None = None
 
 
 @dataclass(slots=True, eq=False)
@@ -185,11 +185,11 @@
     def _add(self, proxy: str, request: str, attempt: int, effect: str) -> Admitted:
         """A place for one more RPC. While more than a fraction is taken, no proxy has more than an equal
         share."""
-        taken = len(self.by_id)
+        open_count = len(self.by_id)
         of_proxy = self.per_proxy.get(proxy, 0)
-        if taken >= self.terms.max_open:
+        if open_count >= self.terms.max_open:
             return Admitted(Admission.CAPACITY_EXHAUSTED)
-        if taken >= self.terms.max_open * UNSHARED_FRACTION:
+        if open_count >= self.terms.max_open * UNSHARED_FRACTION:
             proxies = len(self.per_proxy.keys() | {proxy})
             if of_proxy >= max(1, self.terms.max_open // proxies):
                 return Admitted(Admission.CAPACITY_EXHAUSTED)
@@ -234,7 +234,7 @@
         entry.awaiting_retry_since = 0
         self._add_deadline(reservation.report_by, entry, reservation)
 
-    def record_outcome(self, reservation: AttemptReservation, outcome: str) -> bool:
+    def record_outcome(self, reservation: AttemptReservation, outcome: Outcome) -> bool:
         """Record what is known of a reservation; False where an earlier outcome stands."""
         if reservation.outcome is not None:
             return False
--- a/linenbridge/processor/response_classification.py
+++ b/linenbridge/processor/response_classification.py
@@ -9,6 +9,7 @@
 
 from collections.abc import Mapping
 from dataclasses import dataclass
+from enum import Enum
 
 from linenbridge.interface import Outcome
 
@@ -28,7 +29,12 @@
 MAX_GRPC_STATUS_DIGITS = 3
 MIN_FINAL_STATUS = 200  # lower ones are interim responses (RFC 9110, section 15.2)
 MIN_SERVER_ERROR = 500
-PENDING_TRAILERS = "later"  # in place of an outcome: the trailers will tell it
+
+
+class Pending(Enum):
+    """In place of an outcome."""
+
+    TRAILERS = "trailers"  # they will tell it
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,10 +54,10 @@
 
     def classify_headers(
         self, headers: Mapping[str, str], attributes: Mapping[str, str], ended: bool
-    ) -> str | None:
+    ) -> Outcome | Pending | None:
         """The outcome that response headers tell; `ended`: nothing follows them.
 
-        PENDING_TRAILERS for a gRPC response that goes on; None for an interim response, or one without a
+        Pending.TRAILERS for a gRPC response that goes on; None for an interim response, or one without a
         status that can be read.
         """
         status = _http_status(headers.get(":status", ""))
@@ -64,17 +70,17 @@
             grpc_status = headers.get("grpc-status")
             if grpc_status is not None:
                 return grpc_outcome(grpc_status)
-            return Outcome.ERROR if ended else PENDING_TRAILERS
+            return Outcome.ERROR if ended else Pending.TRAILERS
         return Outcome.OK if status < MIN_SERVER_ERROR else Outcome.ERROR
 
-    def classify_trailers(self, trailers: Mapping[str, str], attributes: Mapping[str, str]) -> str:
+    def classify_trailers(self, trailers: Mapping[str, str], attributes: Mapping[str, str]) -> Outcome:
         """The outcome that the trailers of a gRPC response tell."""
         outcome = self._not_executed(200, trailers, attributes)
         return grpc_outcome(trailers.get("grpc-status", "")) if outcome is None else outcome
 
     def _not_executed(
         self, status: int, headers: Mapping[str, str], attributes: Mapping[str, str]
-    ) -> str | None:
+    ) -> Outcome | None:
         """The outcome where the response proves that the RPC was not executed."""
         for rule in self.rules:
             if status == rule.status and headers.get(rule.header) == rule.value:
@@ -89,7 +95,7 @@
     return int(text) if len(text) == 3 and text.isascii() and text.isdigit() else None
 
 
-def grpc_outcome(status: str) -> str:
+def grpc_outcome(status: str) -> Outcome:
     """The outcome of a gRPC status; one that is no number is a failure."""
     is_number = status.isascii() and status.isdigit() and len(status) <= MAX_GRPC_STATUS_DIGITS
     return Outcome.OK if is_number and int(status) in GRPC_CALLER_STATUSES else Outcome.ERROR
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -127,8 +127,8 @@
         self.server.leave(self.longest / 1e6 + LEAVE_MORE, partial(self._left, stopped))
 
     def _left(self, stopped: Any) -> None:
-        if self.processor is not None and self.processor.store is not None:
-            self.processor.store.close()
+        if self.processor is not None:
+            self.processor.ids.close()
         stopped()
 
     def open_now(self) -> dict[str, int]:
--- a/linenbridge/processor/stream_session.py
+++ b/linenbridge/processor/stream_session.py
@@ -40,7 +40,7 @@
     def on_stream_ended(self, session: StreamSession) -> None:
         """The stream is over, or its request is settled as if it were."""
 
-    def owes_response(self, session: StreamSession) -> bool:
+    def has_pending_response(self, session: StreamSession) -> bool:
         """Whether an answer to a report is still to come on this stream."""
 
 
@@ -76,6 +76,11 @@
         elif action == Action.CONTINUE:
             self.call.send(codec.continue_response(message.kind))
 
+    def release(self) -> None:
+        """The stream is about no RPC any more."""
+        self.entry = None
+        self.reservation = None
+
     def fail(self, status: int, text: str) -> None:
         """The stream ends here; what it was about is settled as if the proxy had left."""
         self.handler.on_stream_ended(self)
@@ -83,7 +88,7 @@
 
     def on_half_closed(self) -> None:
         """The proxy says no more: an answer still owed is given, else the stream ends well."""
-        if self.phases.state != StreamState.AWAITING_DECISION and not self.handler.owes_response(self):
+        if self.phases.state != StreamState.AWAITING_DECISION and not self.handler.has_pending_response(self):
             self.handler.on_stream_ended(self)
             self.call.finish(http2.OK)
 
--- a/tests/peer_script.py
+++ b/tests/peer_script.py
@@ -296,10 +296,10 @@
             self.loop.open
             or processor.ledger.by_id
             or processor.ledger.open
-            or processor.taken
+            or processor.active
             or processor.awaiting_decision
             or processor.awaiting_retry
-            or processor.dispatching
+            or processor.dispatches.pending
             or processor.ledger.per_proxy
         )
 
--- a/tests/processor/test_resets.py
+++ b/tests/processor/test_resets.py
@@ -29,7 +29,7 @@
     peer = bench.peer()
     hooks, bench.loop.on_turn_end = bench.loop.on_turn_end, []
     stream = peer.ask("/charge/1")
-    assert bench.processor.dispatching
+    assert bench.processor.dispatches.pending
     peer.h2.reset_stream(stream.number, 8)
     peer.pipe.protocol.dataReceived(peer.h2.data_to_send())
     bench.loop.on_turn_end = hooks
@@ -37,7 +37,7 @@
     bench.turn()
     peer.read()
     assert stream.endpoint is None and bench.empty()
-    stored = list(bench.processor.store.load())
+    stored = list(bench.processor.ids.store.load())
     assert bool(stored) == fail_open
     assert (peer.ask("/charge/1").endpoint is None) == fail_open
 
--- a/tests/processor/test_response_classification.py
+++ b/tests/processor/test_response_classification.py
@@ -7,8 +7,8 @@
 from linenbridge.interface import Outcome
 from linenbridge.processor.response_classification import (
     DETAILS_ATTRIBUTE,
-    PENDING_TRAILERS,
     NonExecutionRule,
+    Pending,
     ResponseClassifier,
     grpc_outcome,
 )
@@ -68,7 +68,7 @@
 
 
 def test_a_grpc_response_is_classified_by_its_status_in_headers_or_trailers():
-    assert CLASSIFIER.classify_headers(headers("200") | GRPC, {}, ended=False) == PENDING_TRAILERS
+    assert CLASSIFIER.classify_headers(headers("200") | GRPC, {}, ended=False) == Pending.TRAILERS
     assert CLASSIFIER.classify_headers(headers("200") | GRPC, {}, ended=True) == Outcome.ERROR
     assert (
         CLASSIFIER.classify_headers(headers("200", grpc_status="14") | GRPC, {}, ended=True) == Outcome.ERROR
--- a/tests/processor/test_restarts.py
+++ b/tests/processor/test_restarts.py
@@ -11,7 +11,7 @@
     first = Bench(store=store(tmp_path))
     given = first.peer().ask("/charge/1", "r1")
     assert given.endpoint in READY  # No close, no end: the process is gone.
-    first.processor.store.connection.close(True)
+    first.processor.ids.store.connection.close(True)
     second = Bench(store=store(tmp_path))
     peer = second.peer()
     assert peer.ask("/charge/1", "r1").immediate == 502
@@ -29,9 +29,9 @@
 def test_a_store_that_fails_leaves_the_gateway_serving(tmp_path):
     bench = Bench(store=store(tmp_path))
     peer = bench.peer()
-    bench.processor.store.connection.close(True)
+    bench.processor.ids.store.connection.close(True)
     assert peer.ask("/charge/1").endpoint in READY
-    assert not bench.processor.store.is_open
+    assert not bench.processor.ids.store.is_open
     assert peer.ask("/charge/2", "r2").endpoint in READY
 
 
