--- a/linenbridge/errors.py
+++ b/linenbridge/errors.py
@@ -1,6 +1,7 @@
-"""The base of all errors of the fleet: what happened, where, and what an operator can do.
+"""Base classes of the errors of the control packages, `fleet` and `distribution`: what happened, where, and
+what an operator can do.
 
-It must never import a part of the fleet.
+Imports no other part of linenbridge.
 """
 
 from __future__ import annotations
@@ -10,48 +11,48 @@
 
 
 class ControlPlaneError(Exception):
-    """`what` happened, `where` (a place in a file, a member, a task), and `advice` for the operator,
-    which each kind states."""
+    """Base of all errors of leases, settings and distribution.
 
-    advice: ClassVar[str] = ""
-    formerly: ClassVar[str] = ""  # a renamed kind's first name: the log goes on giving it as `kind`
+    `what` happened, `where` (a place in a file, a member, a task), and `advice`: what an operator can do. Each
+    type states its advice.
+    """
+
+    advice: str = ""
 
     def __init__(self, what: str, where: str = "") -> None:
+        """Keep what happened and where; "" if there is no place to name."""
         super().__init__(what, where)
-        self.what, self.where = what, where
+        self.what = what
+        self.where = where
 
     def __str__(self) -> str:
+        """`where: what; advice`."""
         place = f"{self.where}: " if self.where else ""
         return f"{place}{self.what}; {self.advice}"
 
     def fields(self) -> dict[str, str]:
-        """As plain data, for a line of the log. A renamed kind has its present name as `name` beside
-        `kind`."""
-        name = type(self).__name__
-        renamed = {"name": name} if self.formerly else {}
-        kind = self.formerly or name
-        return {"kind": kind, **renamed, "what": self.what, "where": self.where, "do": self.advice}
+        """The error as fields of a log line."""
+        return {"kind": type(self).__name__, "what": self.what, "where": self.where, "do": self.advice}
 
 
 class FileFaultError(ControlPlaneError):
-    """One fault in a file; `do` replaces the kind's advice where it is given."""
+    """One fault in a file that an operator wrote; `advice` replaces that of the type where it is given."""
 
-    def __init__(self, what: str, where: str = "", do: str = "") -> None:
+    def __init__(self, what: str, where: str = "", advice: str = "") -> None:
+        """Keep the fault, its place `file:line:column`, and the advice for this fault."""
         super().__init__(what, where)
-        self.do = do or self.advice
-
-    def __str__(self) -> str:
-        return f"{self.where}: {self.what}; {self.do}"
+        if advice:
+            self.advice = advice
 
 
 class Rejection(ControlPlaneError):
-    """A reason for which a request is refused; `code` is sent over the wire."""
+    """A reason for which a request is rejected; `code` is sent over the wire."""
 
     code: ClassVar[str] = ""
 
 
 def error_types(base: type[ControlPlaneError] = ControlPlaneError) -> Iterator[type[ControlPlaneError]]:
-    """All kinds imported so far, in the order of their definition."""
-    for kind in base.__subclasses__():
-        yield kind
-        yield from error_types(kind)
+    """All types derived from `base` that are imported so far, in the order of their definition."""
+    for error_type in base.__subclasses__():
+        yield error_type
+        yield from error_types(error_type)
--- a/linenbridge/fleet/leases/errors.py
+++ b/linenbridge/fleet/leases/errors.py
@@ -60,7 +60,6 @@
 class QuorumLost(LeaseError):
     """No majority of the acceptors replies: nothing is granted."""
 
-    formerly = "CouncilLost"
     advice = (
         "start the quorum's members that are down, or mend the links to them; tasks stay unheld until then"
     )
