--- a/linenbridge/errors.py
+++ b/linenbridge/errors.py
@@ -13,8 +13,8 @@
 class ControlPlaneError(Exception):
     """Base of all errors of leases, settings and distribution.
 
-    `what` happened, `where` (a place in a file, a member, a task), and `advice`: what an operator can do. Each
-    type states its advice.
+    `what` happened, `where` (a place in a file, a member, a task), and `advice`: what an operator can do,
+    which each type states.
     """
 
     advice: str = ""
--- a/linenbridge/fleet/configuration.py
+++ b/linenbridge/fleet/configuration.py
@@ -1,7 +1,7 @@
 """The element `fleet` of the settings, from the checked XML to typed objects.
 
 Checks what the schema can't express, such as values that exclude each other. Each fault is one line,
-`file:line:column: what; what to do`. Defaults stand in the schema, not here.
+`file:line:column: what; what to do`. Defaults are in the schema, not here.
 """
 
 from __future__ import annotations
@@ -10,7 +10,9 @@
 
 from lxml import etree
 
-from linenbridge.configuration.read import SPACE, Configuration, ConfigurationError, attributes, duration
+from linenbridge.configuration.faults import SettingsFaults
+from linenbridge.configuration.read import SPACE, Configuration, attributes, duration
+from linenbridge.configuration.values import Address, flag, socket_address
 from linenbridge.errors import FileFaultError
 from linenbridge.fleet.freezes.configuration import windows
 from linenbridge.fleet.freezes.windows import Window
@@ -18,8 +20,13 @@
 from linenbridge.fleet.leases.timing import LeaseTiming
 from linenbridge.net.discovery import host_port
 
-ACCEPTORS = (3, 7)
-RESTARTS_TASK = "restarts"  # the task whose places are the turns of planned restarts
+RESTARTS_TASK = "restarts"  # the task whose slots are the turns of planned restarts
+MIN_ACCEPTORS = 3
+MAX_ACCEPTORS = 7
+MAX_SLOTS = 64  # of one task
+MIN_BEATS_PER_LEASE = 3
+MILLIONTHS_PER_PERCENT = 10_000
+MAX_DRIFT = 500_000  # millionths, exclusive
 
 
 class FleetSettingsError(FileFaultError):
@@ -30,24 +37,27 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskSettings:
-    """One task: how many members hold it at once, and where its holder sends each act, if anywhere."""
+    """One task: how many members hold it at once, and where its holder sends each action, if anywhere.
+
+    `action_interval` is in microseconds.
+    """
 
     task: str
     slots: int
-    action_address: tuple[str, int] | None
+    action_address: Address | None
     action_interval: int
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """The element `fleet`. Times in microseconds."""
+    """The element `fleet`. Times are in microseconds."""
 
     member: str
-    listen: tuple[str, int]
+    listen: Address
     store: str
     store_never_goes_back: bool
     timing: LeaseTiming
-    members: dict[str, tuple[str, int]]
+    members: dict[str, Address]
     quorum: Quorum
     first_term: int
     tasks: tuple[TaskSettings, ...]
@@ -64,50 +74,78 @@
     element = configuration.part("fleet")
     if element is None:
         return None
-    wrong = list[FleetSettingsError]()
+    faults = SettingsFaults(configuration, FleetSettingsError)
+    values = attributes(element, "fleet")
+    timing = _lease_timing(element, values, faults)
+    members = _members(element, values["member"], faults)
+    quorum_element = _quorum_element(element)
+    quorum = _quorum(quorum_element, values["member"], members, faults)
+    tasks = _tasks(element, faults)
+    restarts, restart_timeout = _restarts(element)
+    faults.raise_all()
+    return FleetSettings(
+        member=values["member"],
+        listen=socket_address(values["listen"]),
+        store=configuration.beside(values["store"]),
+        store_never_goes_back=flag(values["store-never-goes-back"]),
+        timing=timing,
+        members=members,
+        quorum=quorum,
+        first_term=int(attributes(quorum_element, "quorum")["first-term"]),
+        tasks=(*tasks, *restarts),
+        restart_timeout=restart_timeout,
+        windows=windows(configuration.beside(values["freezes"])),
+    )
+
+
+def _lease_timing(element: etree._Element, values: dict[str, str], faults: SettingsFaults) -> LeaseTiming:
+    lease = duration(values["lease"])
+    longest = duration(values["longest"])
+    beat = duration(values["beat"])
+    drift = round(float(values["clocks-apart"].rstrip("%")) * MILLIONTHS_PER_PERCENT)
+    if longest < lease:
+        faults.add(element, "the lease is longer than `longest`", "raise `longest` at all members first")
+    if beat * MIN_BEATS_PER_LEASE > lease:
+        faults.add(element, "a lease has to last three beats", "shorten `beat` or lengthen `lease`")
+    if drift >= MAX_DRIFT:
+        faults.add(
+            element, "clocks may not run apart by half", "name the bound that the machines' clocks keep"
+        )
+    return LeaseTiming(lease, longest, drift, beat)
 
-    def refuse(at: etree._Element, what: str, do: str) -> None:
-        wrong.append(FleetSettingsError(what, configuration.place(at), do))
 
-    said = attributes(element, "fleet")
-    lease, longest, beat = (duration(said[name]) for name in ("lease", "longest", "beat"))
-    apart = round(float(said["clocks-apart"].rstrip("%")) * 10_000)
-    if longest < lease:
-        refuse(element, "the lease is longer than `longest`", "raise `longest` at all members first")
-    if beat * 3 > lease:
-        refuse(element, "a lease has to last three beats", "shorten `beat` or lengthen `lease`")
-    if apart >= 500_000:
-        refuse(element, "clocks may not run apart by half", "name the bound that the machines' clocks keep")
-    members = dict[str, tuple[str, int]]()
+def _members(element: etree._Element, own_name: str, faults: SettingsFaults) -> dict[str, Address]:
+    """The addresses of the other members by name."""
+    members: dict[str, Address] = {}
     for row in element.iterchildren(f"{SPACE}member"):
-        if row.get("name") in members or row.get("name") == said["member"]:
-            refuse(row, f"two members are named {row.get('name')}", "give each member a name of its own")
-        members[row.get("name")] = host_port(row.get("address").replace("[", "").replace("]", ""))
-    row = _quorum_element(element)
-    quorum = _quorum(row, said["member"], members, refuse)
-    first_term = int(attributes(row, "quorum")["first-term"])
-    tasks = list[TaskSettings]()
+        name = row.get("name")
+        if name in members or name == own_name:
+            faults.add(row, f"two members are named {name}", "give each member a name of its own")
+        members[name] = socket_address(row.get("address"))
+    return members
+
+
+def _tasks(element: etree._Element, faults: SettingsFaults) -> list[TaskSettings]:
+    tasks: list[TaskSettings] = []
     for row in element.iterchildren(f"{SPACE}task"):
-        words = attributes(row, "task")
-        if words["name"] in (RESTARTS_TASK, *(task.task for task in tasks)):
-            refuse(row, f"the task {words['name']} is there already", "name it once")
-        if int(words["places"]) > 64:
-            refuse(row, "a task has 64 places at most", "lower `places`")
-        act = host_port(words["act"]) if "act" in words else None
-        tasks.append(TaskSettings(words["name"], int(words["places"]), act, duration(words["every"])))
-    within = 0
-    if (row := element.find(f"{SPACE}restarts")) is not None:
-        words = attributes(row, "restarts")
-        within = duration(words["within"])
-        tasks.append(TaskSettings(RESTARTS_TASK, int(words["at-once"]), None, 0))
-    if wrong:
-        raise ConfigurationError("\n".join(str(error) for error in wrong))
-    return FleetSettings(
-        said["member"], host_port(said["listen"].replace("[", "").replace("]", "")),
-        configuration.beside(said["store"]),
-        said["store-never-goes-back"] in ("true", "1"), LeaseTiming(lease, longest, apart, beat), members,
-        quorum, first_term, tuple(tasks), within, windows(configuration.beside(said["freezes"])),
-    )  # fmt: skip
+        values = attributes(row, "task")
+        slots = int(values["places"])
+        if values["name"] in (RESTARTS_TASK, *(task.task for task in tasks)):
+            faults.add(row, f"the task {values['name']} is there already", "name it once")
+        if slots > MAX_SLOTS:
+            faults.add(row, f"a task has {MAX_SLOTS} places at most", "lower `places`")
+        address = host_port(values["act"]) if "act" in values else None
+        tasks.append(TaskSettings(values["name"], slots, address, duration(values["every"])))
+    return tasks
+
+
+def _restarts(element: etree._Element) -> tuple[list[TaskSettings], int]:
+    """The task of planned restarts, if the settings have it, and how long a member waits for its turn."""
+    row = element.find(f"{SPACE}restarts")
+    if row is None:
+        return [], 0
+    values = attributes(row, "restarts")
+    return [TaskSettings(RESTARTS_TASK, int(values["at-once"]), None, 0)], duration(values["within"])
 
 
 def _quorum_element(element: etree._Element) -> etree._Element:
@@ -116,34 +154,42 @@
     return found if found is not None else element.find(f"{SPACE}council")
 
 
-def _quorum(element: etree._Element, own: str, members: dict, refuse) -> Quorum:  # noqa: ANN001
-    now, before, changes = list[str](), list[str](), 0
+def _quorum(
+    element: etree._Element, own_name: str, members: dict[str, Address], faults: SettingsFaults
+) -> Quorum:
+    """The acceptors now and before the change that one of them is marked for."""
+    now: list[str] = []
+    before: list[str] = []
+    changes = 0
     for row in element.iterchildren(f"{SPACE}acceptor", f"{SPACE}seat"):
-        name, joins, leaves = (
-            row.get("name"),
-            *(row.get(word) in ("true", "1") for word in ("joins", "leaves")),
-        )
+        name = row.get("name")
+        joins = flag(row.get("joins"))
+        leaves = flag(row.get("leaves"))
         changes += joins or leaves
-        if name != own and name not in members:
-            refuse(row, f"nobody is named {name}", "add the member with its address, or mend the name")
+        if name != own_name and name not in members:
+            faults.add(row, f"nobody is named {name}", "add the member with its address, or mend the name")
         if name in now or name in before:
-            refuse(row, f"{name} is an acceptor already", "name each acceptor once")
+            faults.add(row, f"{name} is an acceptor already", "name each acceptor once")
         if joins and leaves:
-            refuse(row, f"{name} can't join and leave", "say one of the two")
+            faults.add(row, f"{name} can't join and leave", "say one of the two")
         if not leaves:
             now.append(name)
         if not joins:
             before.append(name)
+    _check_quorum(element, len(now), changes, faults)
+    return Quorum(int(attributes(element, "quorum")["generation"]), tuple(now), tuple(before))
+
+
+def _check_quorum(element: etree._Element, acceptors: int, changes: int, faults: SettingsFaults) -> None:
     if changes > 1:
-        refuse(
+        faults.add(
             element,
             "two acceptors change at once",
             "change one acceptor, wait until all acceptors say `seat.returned`",
         )
-    if not ACCEPTORS[0] <= len(now) <= ACCEPTORS[1]:
-        refuse(
+    if not MIN_ACCEPTORS <= acceptors <= MAX_ACCEPTORS:
+        faults.add(
             element,
-            f"a quorum has {ACCEPTORS[0]} to {ACCEPTORS[1]} acceptors, not {len(now)}",
+            f"a quorum has {MIN_ACCEPTORS} to {MAX_ACCEPTORS} acceptors, not {acceptors}",
             "add or remove acceptors",
         )
-    return Quorum(int(attributes(element, "quorum")["generation"]), tuple(now), tuple(before))
--- a/linenbridge/fleet/freezes/configuration.py
+++ b/linenbridge/fleet/freezes/configuration.py
@@ -1,7 +1,6 @@
-"""The file of freezes: windows as operators write them, from the checked XML to plain objects.
+"""The file of freezes: windows as operators write them, from the checked XML to typed objects.
 
-Owns what its words stand for. A file with one wrong place is not taken up at all. It must never hold a tuned
-value.
+Checks what the schema can't express. A file with a fault is rejected as a whole. Defaults are in the schema.
 """
 
 from __future__ import annotations
@@ -9,8 +8,7 @@
 from datetime import datetime, timedelta
 from zoneinfo import ZoneInfo, ZoneInfoNotFoundError
 
-from lxml import etree
-
+from linenbridge.configuration.faults import SettingsFaults
 from linenbridge.configuration.read import (
     SPACE,
     Configuration,
@@ -19,65 +17,83 @@
     duration,
     read,
 )  # fmt: skip
+from linenbridge.configuration.values import flag
 from linenbridge.errors import FileFaultError
 from linenbridge.fleet.freezes.windows import Window
 
+DEFAULT_ADVICE = "mend it"
+
 
 class FreezesFileError(FileFaultError):
-    """One wrong place in the file of freezes."""
+    """One fault in the file of freezes."""
 
     advice = "mend the file and send SIGHUP; until then the windows of the earlier file count"
 
 
 def windows(path: str) -> tuple[Window, ...]:
-    """The windows of the file; ConfigurationError names each wrong place, a line each. "" is no file."""
+    """The windows of the file at `path`, none if it is empty. ConfigurationError names every fault, one a
+    line."""
     return _windows(read(path)) if path else ()
 
 
 def _windows(file: Configuration) -> tuple[Window, ...]:
-    wrong, found = list[FreezesFileError](), dict[str, Window]()
     if file.root.tag != f"{SPACE}freezes":
         raise ConfigurationError(f"{file.place(file.root)}: it holds no freezes; begin it with <freezes>")
+    faults = SettingsFaults(file, FreezesFileError)
+    found: dict[str, Window] = {}
     for element in file.root.iterchildren(f"{SPACE}window"):
         try:
             window = _window(attributes(element, "window"))
         except (ValueError, ZoneInfoNotFoundError) as error:
-            wrong.append(FreezesFileError(*_said(error, file, element)))
+            text = str(error.args[0] if error.args else error)
+            what, _, advice = text.partition("; ")
+            faults.add(element, what, advice or DEFAULT_ADVICE)
             continue
         if window.name in found:
-            where = file.place(element)
-            wrong.append(
-                FreezesFileError(f"two windows are named {window.name}", where, "give each its own name")
-            )
+            faults.add(element, f"two windows are named {window.name}", "give each its own name")
         found[window.name] = window
-    if wrong:
-        raise ConfigurationError("\n".join(str(error) for error in wrong))
+    faults.raise_all()
     return tuple(found.values())
 
 
-def _said(error: Exception, file: Configuration, element: etree._Element) -> tuple[str, str, str]:
-    what, _, do = str(error.args[0] if error.args else error).partition("; ")
-    return what, file.place(element), do or "mend it"
+def _window(values: dict[str, str]) -> Window:
+    """One window; ValueError says `what; what to do`, or what the library says of a date."""
+    zone = _time_zone(values["in"])
+    begin = datetime.fromisoformat(values["from"])
+    end = _end(values, begin)
+    count, _, unit = values["every"].partition(" ")
+    last = datetime.fromisoformat(values["last"]) if "last" in values else None
+    if last is not None and (not count or last < begin):
+        raise ValueError("`last` is for windows that come again, and not before `from`; mend it")
+    return Window(
+        name=values["name"],
+        kind=values["kind"],
+        begin=begin,
+        end=end,
+        time_zone=zone,
+        zones=frozenset(values["zones"].split()),
+        every=int(count or 0),
+        unit=unit.rstrip("s") or "day",
+        last=last,
+        cancelled=flag(values["cancelled"]),
+    )
+
+
+def _time_zone(name: str) -> ZoneInfo:
+    try:
+        return ZoneInfo(name)
+    except (ZoneInfoNotFoundError, ValueError, OSError) as error:
+        raise ValueError(f"no time zone {name!r}; write one such as Asia/Seoul") from error
 
 
-def _window(said: dict[str, str]) -> Window:
-    try:
-        zone = ZoneInfo(said["in"])
-    except (ZoneInfoNotFoundError, ValueError, OSError):
-        raise ValueError(f"no time zone {said['in']!r}; write one such as Asia/Seoul") from None
-    begin = datetime.fromisoformat(said["from"])
-    if ("until" in said) == ("for" in said):
+def _end(values: dict[str, str], begin: datetime) -> datetime:
+    """The end of the first occurrence, by `until` or by `for`."""
+    if ("until" in values) == ("for" in values):
         raise ValueError("it ends by `until` or lasts `for`, one of the two; write one")
-    end = datetime.fromisoformat(said["until"]) if "until" in said else None
-    if end is None:
-        end = begin + timedelta(microseconds=duration(said["for"]))
+    if "until" in values:
+        end = datetime.fromisoformat(values["until"])
+    else:
+        end = begin + timedelta(microseconds=duration(values["for"]))
     if end <= begin:
         raise ValueError("it ends before it begins; mend `from` or `until`")
-    count, _, step = said["every"].partition(" ")
-    last = datetime.fromisoformat(said["last"]) if "last" in said else None
-    if last is not None and (not count or last < begin):
-        raise ValueError("`last` is for windows that come again, and not before `from`; mend it")
-    return Window(
-        said["name"], said["kind"], begin, end, zone, frozenset(said["zones"].split()), int(count or 0),
-        step.rstrip("s") or "day", last, said["cancelled"] in ("true", "1"),
-    )  # fmt: skip
+    return end
--- a/linenbridge/fleet/freezes/schedule.py
+++ b/linenbridge/fleet/freezes/schedule.py
@@ -1,67 +1,104 @@
-"""What is held at this moment: no release moves on where a window of kind `hold` is open.
+"""Which rollouts are frozen at this moment: no release moves on where a window of kind `hold` is open.
 
-Decides without I/O. Each member goes by the windows that it was handed and its own wall clock, so that a
-hold needs no contact when it counts: it begins, and goes on, whoever else has stalled. It must never end a
-hold for any other reason than that its window is over, shortened or cancelled.
-
-Decisions, as plain tuples:
-
-    (HOLD, zones)         releases are held in these zones, everywhere where it is empty; None: nowhere
-    (LOG, name, fields)   one line for each step of a window's life
+Decides without I/O. Each member goes by its own copy of the windows and its own wall clock, so a freeze needs
+no other member to begin or to go on. It ends only when its window is over, shortened or cancelled.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass
+
+from linenbridge.fleet.freezes.windows import Occurrence, Window, occurrences
+
+ROLLOUT_FREEZE_KIND = "hold"  # in the settings
+SECOND = 1_000_000  # microseconds
+
+
+@dataclass(frozen=True, slots=True)
+class SetFreeze:
+    """Releases are frozen in these zones from now on: everywhere if the set is empty, nowhere if None."""
+
+    zones: frozenset[str] | None
+
 
-from linenbridge.fleet.freezes.windows import Window, occurrences
+@dataclass(frozen=True, slots=True)
+class LogFreeze:
+    """One line of the log, for each step of a window's life."""
 
-HOLD, LOG = "hold", "log"
-KIND = "hold"
+    event: str
+    fields: dict[str, object]
+
+
+Decision = SetFreeze | LogFreeze
 
 
 class FreezeSchedule:
-    """Times are Unix microseconds: windows are written by the wall clock."""
+    """The open windows among those that were announced. Times are Unix microseconds."""
 
     def __init__(self, windows: tuple[Window, ...], now: int) -> None:
-        self.windows, self.out = windows, deque[tuple]()
-        self.open: dict[str, int] = {}  # by the window's name, when it is over
-        self.told: frozenset[str] | None = None
-        self.next_at: int | None = now
+        """Begin with these windows; the first decisions are due at once."""
+        self.windows = windows
+        self.decisions: deque[Decision] = deque()
+        self.open_until: dict[str, int] = {}  # by the window's name
+        self.frozen_zones: frozenset[str] | None = None
+        self.next_change_at: int | None = now
 
     def on_windows(self, now: int, windows: tuple[Window, ...]) -> None:
-        """Announced, extended, shortened or cancelled: as they are written now."""
-        self.windows, self.next_at = windows, now
+        """Replace the windows: some may be new, extended, shortened or cancelled."""
+        self.windows = windows
+        self.next_change_at = now
 
-    def next_decision(self, now: int) -> tuple | None:
-        if self.next_at is not None and now >= self.next_at:
-            self._look(now)
-        return self.out.popleft() if self.out else None
+    def next_decision(self, now: int) -> Decision | None:
+        """The next decision that is due, or None."""
+        if self.next_change_at is not None and now >= self.next_change_at:
+            self._update(now)
+        return self.decisions.popleft() if self.decisions else None
 
     def wake_at(self) -> int | None:
-        """When the next window begins or ends."""
-        return self.next_at
-
-    def _look(self, now: int) -> None:
-        held, changes = dict[str, int](), list[int]()
-        zones, everywhere = set[str](), False
-        for window in self.windows:
-            if window.kind != KIND:
-                continue
-            begin, end = next(occurrences(window, now), (0, 0))
-            if begin <= now < end:
-                held[window.name] = end
-                zones |= window.zones
-                everywhere = everywhere or not window.zones
-            if end:
-                changes.append(begin if begin > now else end)
-        for name in sorted(held.keys() - self.open.keys()):
-            self.out.append((LOG, "hold.open", {"window": name, "seconds": (held[name] - now) // 1_000_000}))
-        for name in sorted(self.open.keys() - held.keys()):
-            early = now < self.open[name]
-            self.out.append((LOG, "hold.over", {"window": name, "early": early}))
-        self.open, self.next_at = held, min(changes, default=None)
-        found = None if not held else frozenset() if everywhere else frozenset(zones)
-        if found != self.told:
-            self.told = found
-            self.out.append((HOLD, found))
+        """When the next window begins or ends; None if none does."""
+        return self.next_change_at
+
+    def _update(self, now: int) -> None:
+        current = self._current_occurrences(now)
+        open_windows = [window for window in self.windows if self._is_open(current.get(window.name), now)]
+        open_until = {window.name: current[window.name].end for window in open_windows}
+        self._log_changes(now, open_until)
+        self.open_until = open_until
+        self.next_change_at = min(
+            (found.begin if found.begin > now else found.end for found in current.values()), default=None
+        )
+        zones = self._zones(open_windows)
+        if zones != self.frozen_zones:
+            self.frozen_zones = zones
+            self.decisions.append(SetFreeze(zones))
+
+    def _current_occurrences(self, now: int) -> dict[str, Occurrence]:
+        """The occurrence of each rollout freeze that is open or comes next, by the window's name."""
+        found = {
+            window.name: next(occurrences(window, now), None)
+            for window in self.windows
+            if window.kind == ROLLOUT_FREEZE_KIND
+        }
+        return {name: occurrence for name, occurrence in found.items() if occurrence is not None}
+
+    @staticmethod
+    def _is_open(occurrence: Occurrence | None, now: int) -> bool:
+        return occurrence is not None and occurrence.begin <= now < occurrence.end
+
+    @staticmethod
+    def _zones(open_windows: list[Window]) -> frozenset[str] | None:
+        """The zones of all open windows; the empty set for everywhere, None for nowhere."""
+        if not open_windows:
+            return None
+        if any(not window.zones for window in open_windows):
+            return frozenset()
+        return frozenset[str]().union(*(window.zones for window in open_windows))
+
+    def _log_changes(self, now: int, open_until: dict[str, int]) -> None:
+        for name in sorted(open_until.keys() - self.open_until.keys()):
+            seconds = (open_until[name] - now) // SECOND
+            self.decisions.append(LogFreeze("hold.open", {"window": name, "seconds": seconds}))
+        for name in sorted(self.open_until.keys() - open_until.keys()):
+            is_early = now < self.open_until[name]
+            self.decisions.append(LogFreeze("hold.over", {"window": name, "early": is_early}))
--- a/linenbridge/fleet/hosting/freezes.py
+++ b/linenbridge/fleet/hosting/freezes.py
@@ -1,7 +1,7 @@
-"""The freezes of one process: the wall clock and one timer around what is held.
+"""The rollout freezes of one process: the wall clock and one timer around `FreezeSchedule`.
 
-Owns the timer. It must never decide: what the core says is told to the decision module, where this process
-has one, and logged.
+Owns the timer. The schedule decides; its decisions go to the decision module, where this process has one, and
+to the log.
 """
 
 from __future__ import annotations
@@ -10,45 +10,55 @@
 from collections.abc import Callable
 from typing import Any
 
-from linenbridge.fleet.freezes.schedule import FreezeSchedule
+from linenbridge.fleet.freezes.schedule import FreezeSchedule, LogFreeze, SetFreeze
 from linenbridge.fleet.freezes.windows import Window
 from linenbridge.logging.event_log import Log
 
-LOOK_MOST = 30.0  # seconds: a wall clock may be set
+MAX_WAIT = 30.0  # seconds: the wall clock may be set meanwhile
+MIN_WAIT = 0.001  # seconds
 
 
-def wall() -> int:
+def wall_clock() -> int:
+    """Unix time in microseconds."""
     return time.time_ns() // 1000
 
 
 class RolloutFreezes:
-    """`held(zones)` is called with each change, None where nothing is held."""
+    """Calls `on_change(zones)` with each change: the zones where rollouts are frozen, the empty set for
+    everywhere, None for nowhere."""
 
     def __init__(
         self, windows: tuple[Window, ...], reactor: Any, log: Log,
-        held: Callable[[frozenset[str] | None], None],
+        on_change: Callable[[frozenset[str] | None], None],
     ) -> None:  # fmt: skip
-        self.reactor, self.log, self.held, self.timer = reactor, log, held, None
-        self.core = FreezeSchedule(windows, wall())
-        self.turn()
+        """Begin at once: windows that are open now are reported before this returns."""
+        self.reactor = reactor
+        self.log = log
+        self.on_change = on_change
+        self.timer: Any = None
+        self.schedule = FreezeSchedule(windows, wall_clock())
+        self._run()
 
     def update(self, windows: tuple[Window, ...]) -> None:
-        self.core.on_windows(wall(), windows)
-        self.turn()
-
-    def turn(self) -> None:
-        now = wall()
-        while (decision := self.core.next_decision(now)) is not None:
-            if decision[0] == "hold":
-                self.held(decision[1])
-            else:
-                self.log.event(decision[1], **decision[2])
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
-        wake = self.core.wake_at()
-        wait = LOOK_MOST if wake is None else min(LOOK_MOST, max(0.001, (wake - now) / 1e6))
-        self.timer = self.reactor.callLater(wait, self.turn)
+        """Replace the windows by those of a newer file."""
+        self.schedule.on_windows(wall_clock(), windows)
+        self._run()
+
+    def _run(self) -> None:
+        """Carry out the decisions that are due, then set the timer."""
+        now = wall_clock()
+        while (decision := self.schedule.next_decision(now)) is not None:
+            match decision:
+                case SetFreeze(zones):
+                    self.on_change(zones)
+                case LogFreeze(event, fields):
+                    self.log.event(event, **fields)
+        self.close()
+        wake_at = self.schedule.wake_at()
+        wait = MAX_WAIT if wake_at is None else min(MAX_WAIT, max(MIN_WAIT, (wake_at - now) / 1e6))
+        self.timer = self.reactor.callLater(wait, self._run)
 
     def close(self) -> None:
+        """Stop the timer."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
--- /dev/null
+++ b/tests/fleet/freezes/test_configuration.py
@@ -0,0 +1,64 @@
+"""The file of freezes: what it is read to, and each fault in one line with its place and what to do."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+from pathlib import Path
+
+import pytest
+
+from linenbridge.configuration.read import ConfigurationError
+from linenbridge.fleet.freezes.configuration import windows
+from linenbridge.fleet.freezes.windows import Window
+
+HEAD = '<freezes xmlns="urn:linenbridge:premises:1">\n'
+
+
+def read_windows(tmp_path: Path, inside: str) -> tuple[Window, ...]:
+    """The windows of a file with these elements."""
+    path = tmp_path / "freezes.xml"
+    path.write_text(f"{HEAD}{inside}\n</freezes>")
+    return windows(str(path))
+
+
+def test_windows_are_read_with_their_recurrence_length_and_zones(tmp_path):
+    found = read_windows(
+        tmp_path,
+        '<window name="move" kind="hold" from="2026-12-08T02:00" until="2026-12-08T04:30" in="Asia/Seoul" '
+        'every="2 weeks"/>'
+        '<window name="west" kind="hold" from="2026-12-08T02:00" for="1h" in="UTC" zones="w1 w2"/>',
+    )
+
+    assert (found[0].every, found[0].unit, found[0].time_zone.key) == (2, "week", "Asia/Seoul")
+    assert found[1].end - found[1].begin == timedelta(hours=1)
+    assert found[1].zones == {"w1", "w2"}
+
+
+@pytest.mark.parametrize(
+    ("inside", "line"),
+    [
+        (
+            '<window name="a" kind="hold" from="2026-12-08T02:00" for="1h" in="Mars"/>',
+            ":2:1: no time zone 'Mars'; write",
+        ),
+        ('<window name="a" kind="hold" from="2026-12-08T02:00" in="UTC"/>', "one of the two; write one"),
+        (
+            '<window name="a" kind="hold" from="2026-12-08T02:00" until="2026-12-08T01:00" in="UTC"/>',
+            "before it begins",
+        ),
+        (
+            '<window name="a" kind="hold" from="2026-13-08T02:00" for="1h" in="UTC"/>',
+            ":2:1: month must be in 1..12",
+        ),
+        ('<window name="a" kind="stop" from="2026-12-08T02:00" for="1h" in="UTC"/>', "attribute 'kind'"),
+        (
+            2 * '<window name="a" kind="hold" from="2026-12-08T02:00" for="1h" in="UTC"/>',
+            ":2:73: two windows are named a",
+        ),
+    ],
+)
+def test_a_fault_is_named_with_its_place_and_what_to_do(tmp_path, inside, line):
+    with pytest.raises(ConfigurationError) as error:
+        read_windows(tmp_path, inside)
+
+    assert line in str(error.value)
