--- /dev/null
+++ b/linenbridge/fleet/hosting/acceptor_host.py
@@ -0,0 +1,86 @@
+"""The acceptor of a member on its reactor: its records on disk, written by one thread in their order.
+
+Owns the store and the thread. A message that waits for a record is passed on after the write; if the store
+fails, the acceptor grants nothing more.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from random import Random
+from typing import Any
+
+from twisted.internet.threads import deferToThreadPool
+from twisted.python.failure import Failure
+from twisted.python.threadpool import ThreadPool
+
+from linenbridge.errors import ControlPlaneError
+from linenbridge.fleet.configuration import FleetSettings
+from linenbridge.fleet.leases.acceptor import Acceptor
+from linenbridge.fleet.leases.decisions import Persist, Send
+from linenbridge.fleet.leases.stored_state import StoredState
+from linenbridge.fleet.store.acceptor_records import RecordStore, open_records
+from linenbridge.logging.event_log import Log
+
+INCARNATION_BITS = 52
+
+
+class AcceptorHost:
+    """An acceptor with its store. `on_persisted(send)` is called in the reactor's thread with each message
+    whose record is on disk, `on_store_failed()` after a write has failed."""
+
+    def __init__(
+        self, settings: FleetSettings, reactor: Any, log: Log, incarnation: int, now: int,
+        on_persisted: Callable[[Send], None], on_store_failed: Callable[[], None],
+    ) -> None:  # fmt: skip
+        """Read the store, then start the acceptor, which grants nothing if the store can't be used."""
+        self.reactor = reactor
+        self.log = log
+        self.on_persisted = on_persisted
+        self.on_store_failed = on_store_failed
+        self.store: RecordStore = open_records("")
+        failure, state = self._read(settings.store)
+        self.acceptor = Acceptor(
+            settings.member,
+            settings.quorum,
+            settings.timing,
+            state,
+            now,
+            first_term=settings.first_term,
+            trusted=settings.store_never_goes_back,
+            incarnation=Random(incarnation).getrandbits(INCARNATION_BITS),
+        )
+        if failure:
+            self.acceptor.on_store_failed(failure)
+        self.pool = ThreadPool(1, 1, "acceptor records")
+        self.pool.start()
+
+    def _read(self, path: str) -> tuple[str, StoredState]:
+        """What failed, empty if nothing did, and the state to begin with: none if the store can't be read."""
+        without_records = self.store.read()
+        try:
+            self.store = open_records(path)
+            return "", self.store.read()
+        except ControlPlaneError as error:
+            self.log.event("store.failed", **error.fields())
+            return str(error), without_records
+
+    def persist(self, decision: Persist) -> None:
+        """Write the records, then pass on the message that waits for them."""
+        done = deferToThreadPool(
+            self.reactor, self.pool, self.store.write, decision.records, self.acceptor.facts()
+        )
+        done.addCallbacks(self._on_written, self._on_write_failed, callbackArgs=(decision.then,))
+
+    def _on_written(self, _: None, then: Send | None) -> None:
+        if then is not None:
+            self.on_persisted(then)
+
+    def _on_write_failed(self, failure: Failure) -> None:
+        self.acceptor.on_store_failed(failure.getErrorMessage())
+        self.on_store_failed()
+
+    def close(self) -> None:
+        """Finish the writes that are queued, then close the store."""
+        self.pool.stop()
+        self.store.close()
--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -1,25 +1,20 @@
-"""One member of the fleet on a reactor: its proposer, its acceptor if it is one, links, store, and acts.
+"""One member of the fleet on a reactor: proposer, acceptor if it is one, connections and task actions.
 
-Connects these, and keeps one timer for both cores. Records are written by one thread in their order, and
-an acceptor's answer is sent after the write. It must never decide: it carries out what a core decides.
+Connects these, and keeps one timer for both state machines. It carries out what they decide, and decides
+nothing itself.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from random import Random
 from typing import Any
 
 import msgspec
-from twisted.internet.threads import deferToThreadPool
-from twisted.python.threadpool import ThreadPool
 
 from linenbridge.fleet.configuration import RESTARTS_TASK, FleetSettings
-from linenbridge.errors import ControlPlaneError
-from linenbridge.peering import clock
-from linenbridge.fleet.hosting.task_actions import TaskActions
+from linenbridge.fleet.hosting.acceptor_host import AcceptorHost
 from linenbridge.fleet.hosting.freezes import RolloutFreezes
-from linenbridge.peering.connections import PeerConnections, call_soon
+from linenbridge.fleet.hosting.task_actions import HeldLease, TaskActions
 from linenbridge.fleet.leases.acceptor import Acceptor
 from linenbridge.fleet.leases.decisions import (
     AcceptorDecision,
@@ -38,203 +33,213 @@
     RecoveryRequest,
 )
 from linenbridge.fleet.leases.proposer import Proposer
-from linenbridge.fleet.store.acceptor_records import open_records
 from linenbridge.logging.event_log import Log
+from linenbridge.peering import clock
+from linenbridge.peering.connections import PeerConnections, call_soon
 
 MESSAGE_DECODER = msgspec.msgpack.Decoder(Message)
-GOODBYE = 0.25  # seconds for the last words of a member that leaves
+CLOSE_DELAY = 0.25  # seconds in which the last messages of a member that leaves are sent
+MIN_WAIT = 0.001  # seconds
+REPLY_PEERS_PER_CONNECTION = 4  # of the bound on remembered proposers: a peer restarts under another name
+SPARE_REPLY_PEERS = 64
+
+
+def ignore_rollout_freeze(zones: frozenset[str] | None) -> None:
+    """Do nothing: for a member without a decision module."""
+
+
+def ignore_task_change(task: str) -> None:
+    """Do nothing: for a member of whose tasks nobody else takes notice."""
 
 
 class Member:
-    """`incarnation` differs for each start of the process. `on_rollout_freeze` is called with the zones in
-    which releases are held, None for none; `on_task_changed` with a task that this member has begun or ceased
-    to hold."""
+    """A member from its start until it leaves.
+
+    `incarnation` differs for each start of the process. `on_rollout_freeze` is called with the zones in which
+    releases are frozen: the empty set for everywhere, None for nowhere. `on_task_changed` is called with a
+    task whose lease this member has acquired or lost.
+    """
 
     def __init__(
-        self, told: FleetSettings, reactor: Any, log: Log, incarnation: int,
-        on_rollout_freeze: Callable[[frozenset[str] | None], None] = lambda zones: None,
-        on_task_changed: Callable[[str], None] = lambda task: None,
+        self, settings: FleetSettings, reactor: Any, log: Log, incarnation: int,
+        on_rollout_freeze: Callable[[frozenset[str] | None], None] = ignore_rollout_freeze,
+        on_task_changed: Callable[[str], None] = ignore_task_change,
     ) -> None:  # fmt: skip
-        self.told, self.reactor, self.log, self.on_task_changed = told, reactor, log, on_task_changed
-        self.name, self.incarnation = f"{told.member}#{incarnation:x}", incarnation
+        """Start: listen, connect to the acceptors and request the leases of all tasks."""
         now = clock.now()
-        self.proposer = Proposer(self.name, told.quorum, told.timing, incarnation, now)
-        self.acceptor: Acceptor | None = None
-        self.proposers: dict[str, str] = {}  # by proposer, the link that it was last heard on
-        self.disk = self.pool = self.timer = self.leaving = None
-        self.gone = False
-        if told.is_acceptor():
-            self._start_acceptor(now, incarnation)
+        self.settings = settings
+        self.reactor = reactor
+        self.log = log
+        self.incarnation = incarnation
+        self.on_task_changed = on_task_changed
+        self.name = f"{settings.member}#{incarnation:x}"
+        self.proposer = Proposer(self.name, settings.quorum, settings.timing, incarnation, now)
+        self.acceptor_host: AcceptorHost | None = None
+        self.reply_peers: dict[str, str] = {}  # by proposer, the peer that its last request came from
+        self.timer: Any = None
+        self.on_left: Callable[[], None] | None = None  # set once this member begins to leave
+        self.has_left = False
+        if settings.is_acceptor():
+            self._start_acceptor(now)
         self.connections = PeerConnections(
-            told.member, frozenset(told.members), reactor, log, self._hear, decoder=MESSAGE_DECODER
-        )
-        self.port = reactor.listenTCP(told.listen[1], self.connections, interface=told.listen[0])
-        self._dial()
-        for task in told.tasks:
+            settings.member, frozenset(settings.members), reactor, log, self._on_message,
+            decoder=MESSAGE_DECODER,
+        )  # fmt: skip
+        host, port = settings.listen
+        self.port = reactor.listenTCP(port, self.connections, interface=host)
+        self._dial_acceptors()
+        for task in settings.tasks:
             if task.task != RESTARTS_TASK:
                 self.proposer.request_lease(now, task.task, task.slots)
-        self.freezes = RolloutFreezes(told.windows, reactor, log, on_rollout_freeze)
-        self.actions = TaskActions(self.name, told.tasks, reactor, log, self.held_lease)
-        acceptor = told.is_acceptor()
-        log.event(
-            "member.started", member=told.member, life=f"{incarnation:x}", acceptor=acceptor, seat=acceptor
-        )
+        self.freezes = RolloutFreezes(settings.windows, reactor, log, on_rollout_freeze)
+        self.actions = TaskActions(self.name, settings.tasks, reactor, log, self.held_lease)
+        self._log_start()
         self.turn()
 
-    def _start_acceptor(self, now: int, incarnation: int) -> None:
-        """Read the store, then start the acceptor. If the store can't be used the acceptor grants
-        nothing."""
-        told, broken, kept = self.told, "", None
-        try:
-            self.disk = open_records(told.store)
-            kept = self.disk.read()
-        except ControlPlaneError as error:
-            broken = str(error)
-            self.log.event("store.failed", **error.fields())
-            kept = open_records("").read()
-        number = Random(incarnation).getrandbits(52)
-        self.acceptor = Acceptor(
-            told.member,
-            told.quorum,
-            told.timing,
-            kept,
-            now,
-            first_term=told.first_term,
-            trusted=told.store_never_goes_back,
-            incarnation=number,
+    def _log_start(self) -> None:
+        is_acceptor = self.settings.is_acceptor()
+        self.log.event(
+            "member.started",
+            member=self.settings.member,
+            life=f"{self.incarnation:x}",
+            acceptor=is_acceptor,
+            seat=is_acceptor,
         )
-        if broken:
-            self.acceptor.on_store_failed(broken)
-        self.pool = ThreadPool(1, 1, "promises")
-        self.pool.start()
 
-    def _dial(self) -> None:
-        for acceptor in self.told.quorum.all_acceptors():
-            if acceptor != self.told.member:
-                self.connections.dial(acceptor, self.told.members[acceptor])
+    def _start_acceptor(self, now: int) -> None:
+        self.acceptor_host = AcceptorHost(
+            self.settings, self.reactor, self.log, self.incarnation, now,
+            on_persisted=self._send, on_store_failed=self.turn,
+        )  # fmt: skip
+
+    @property
+    def acceptor(self) -> Acceptor | None:
+        """The acceptor's state machine, None if this member is no acceptor."""
+        return None if self.acceptor_host is None else self.acceptor_host.acceptor
 
-    # ---- messages ----------------------------------------------------------------------------------
+    def _dial_acceptors(self) -> None:
+        for acceptor in self.settings.quorum.all_acceptors():
+            if acceptor != self.settings.member:
+                self.connections.dial(acceptor, self.settings.members[acceptor])
 
-    def _hear(self, far: str, message: Any) -> None:
-        """A message counts only if its sender is the member at the other end of the link."""
-        now, acceptor = clock.now(), self.acceptor
+    # ---- messages ------------------------------------------------------------------------------------------
+
+    def _on_message(self, peer: str, message: Message) -> None:
+        """A message counts only if its sender is the member at the other end of the connection."""
+        now = clock.now()
         if isinstance(message, LeaseReply):
-            if message.acceptor == far:
+            if message.acceptor == peer:
                 self.proposer.on_reply(now, message)
-        elif acceptor is not None and isinstance(message, LeaseRequest):
-            if message.proposer.partition("#")[0] == far:
-                self._heard_on(message.proposer, far)
+        elif self.acceptor is not None:
+            self._on_acceptor_message(now, self.acceptor, peer, message)
+        self.turn()
+
+    def _on_acceptor_message(
+        self, now: int, acceptor: Acceptor, peer: str, message: LeaseRequest | RecoveryRequest | RecoveryReply
+    ) -> None:
+        match message:
+            case LeaseRequest() if message.proposer.partition("#")[0] == peer:
+                self._remember_reply_peer(message.proposer, peer)
                 acceptor.on_request(now, message)
-        elif acceptor is not None and isinstance(message, RecoveryRequest):
-            if message.acceptor == far:
+            case RecoveryRequest() if message.acceptor == peer:
                 acceptor.on_recovery_request(now, message)
-        elif acceptor is not None and isinstance(message, RecoveryReply) and message.acceptor == far:
-            acceptor.on_revision(far, message.revision)
-            acceptor.on_recovery_reply(now, message)
-        self.turn()
+            case RecoveryReply() if message.acceptor == peer:
+                acceptor.on_revision(peer, message.revision)
+                acceptor.on_recovery_reply(now, message)
+
+    def _remember_reply_peer(self, proposer: str, peer: str) -> None:
+        """Remember whom to send the reply to; entries of lost connections are dropped beyond a bound."""
+        connected = self.connections.by_peer
+        if len(self.reply_peers) > REPLY_PEERS_PER_CONNECTION * len(connected) + SPARE_REPLY_PEERS:
+            self.reply_peers = {name: peer for name, peer in self.reply_peers.items() if peer in connected}
+        self.reply_peers[proposer] = peer
 
-    def _heard_on(self, proposer: str, far: str) -> None:
-        """Remember the link to answer a proposer on; entries of closed links are dropped beyond a bound."""
-        if len(self.proposers) > 4 * len(self.connections.by_peer) + 64:
-            self.proposers = {
-                name: link for name, link in self.proposers.items() if link in self.connections.by_peer
-            }
-        self.proposers[proposer] = far
-
-    def _say(self, to: str, message: Any) -> None:
-        if to in (self.name, self.told.member):
-            call_soon(self.reactor, self._hear, self.told.member, message)
+    def _send(self, send: Send) -> None:
+        if send.to in (self.name, self.settings.member):
+            call_soon(self.reactor, self._on_message, self.settings.member, send.message)
         else:
-            self.connections.send(self.proposers.get(to, to), message)
+            self.connections.send(self.reply_peers.get(send.to, send.to), send.message)
 
-    # ---- turns -------------------------------------------------------------------------------------
+    # ---- decisions -----------------------------------------------------------------------------------------
 
     def turn(self) -> None:
-        """Carry out all decisions of both cores, then set the timer."""
+        """Carry out all decisions that are due, then set the timer."""
         now = clock.now()
-        for core in (self.proposer, self.acceptor):
-            while core is not None and (decision := core.next_decision(now)) is not None:
+        machines: list[Proposer | Acceptor] = [self.proposer]
+        if self.acceptor is not None:
+            machines.append(self.acceptor)
+        for machine in machines:
+            while (decision := machine.next_decision(now)) is not None:
                 self._carry_out(decision)
-        wakes = [core.wake_at() for core in (self.proposer, self.acceptor) if core is not None]
-        at = min((wake for wake in wakes if wake is not None), default=None)
+        wake_times = [machine.wake_at() for machine in machines]
+        wake_at = min((at for at in wake_times if at is not None), default=None)
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        if at is not None:
-            self.timer = self.reactor.callLater(max(0.001, (at - now) / 1e6), self.turn)
+        if wake_at is not None:
+            self.timer = self.reactor.callLater(max(MIN_WAIT, (wake_at - now) / 1e6), self.turn)
 
     def _carry_out(self, decision: ProposerDecision | AcceptorDecision) -> None:
         match decision:
-            case Send(to, message):
-                self._say(to, message)
-            case Persist():
-                self._persist(decision)
+            case Send():
+                self._send(decision)
+            case Persist() if self.acceptor_host is not None:
+                self.acceptor_host.persist(decision)
             case LogEvent(name, fields):
                 self.log.event(name, **fields)
             case LeaseAcquired(task, slot, term):
                 self.log.event("task.held", task=task, place=slot, term=term)
                 call_soon(self.reactor, self.on_task_changed, task)
-                if task == RESTARTS_TASK and self.leaving is not None:
-                    self._go()
+                if task == RESTARTS_TASK and self.on_left is not None:
+                    self._release_leases()
             case LeaseLost(task, slot, term):
                 self.log.event("task.lost", task=task, place=slot, term=term)
                 call_soon(self.reactor, self.on_task_changed, task)
 
-    def _persist(self, decision: Persist) -> None:
-        """Write to the store, then send the message that waits for it."""
-        records = decision.records
-        done = deferToThreadPool(self.reactor, self.pool, self.disk.write, records, self.acceptor.facts())
-        done.addCallbacks(self._persisted, self._not_kept, callbackArgs=(decision.then,))
-
-    def _persisted(self, _: None, then: Send | None) -> None:
-        if then is not None:
-            self._say(then.to, then.message)
-
-    def _not_kept(self, failure: Any) -> None:
-        self.acceptor.on_store_failed(failure.getErrorMessage())
-        self.turn()
-
-    # ---- what others ask ---------------------------------------------------------------------------
+    # ---- the process ---------------------------------------------------------------------------------------
 
-    def held_lease(self, task: str) -> tuple[int, int] | None:
-        """Term and place under which this member may act on the task at this moment, or None."""
+    def held_lease(self, task: str) -> HeldLease | None:
+        """The lease under which this member may act on the task at this moment, or None."""
         term = self.proposer.may_act(clock.now(), task)
-        return None if term is None else (term, self.proposer.leases[task].slot)
+        return None if term is None else HeldLease(term, self.proposer.leases[task].slot)
 
-    def update_settings(self, told: FleetSettings) -> None:
-        """New settings: the quorum, addresses and windows count at once, all else from the next start."""
+    def update_settings(self, settings: FleetSettings) -> None:
+        """Take new settings: quorum, addresses and windows count at once, all else from the next start."""
         now = clock.now()
-        self.told = told
-        self.proposer.on_quorum(now, told.quorum)
+        self.settings = settings
+        self.proposer.on_quorum(now, settings.quorum)
         if self.acceptor is not None:
-            self.acceptor.on_quorum(now, told.quorum)
-        elif told.is_acceptor():
-            self._start_acceptor(now, self.incarnation)
-        self.connections.peer_names = frozenset(told.members)
-        acceptors = told.quorum.all_acceptors()
+            self.acceptor.on_quorum(now, settings.quorum)
+        elif settings.is_acceptor():
+            self._start_acceptor(now)
+        self.connections.peer_names = frozenset(settings.members)
+        acceptors = settings.quorum.all_acceptors()
         for former in [name for name in self.connections.dialled if name not in acceptors]:
             self.connections.disconnect(former)
-        self._dial()
-        self.freezes.update(told.windows)
+        self._dial_acceptors()
+        self.freezes.update(settings.windows)
         self.turn()
 
-    def leave(self, gone: Callable[[], None]) -> None:
-        """End in order: wait for a turn to restart if the settings have turns, then give all leases back."""
-        if self.leaving is not None:
+    def leave(self, on_left: Callable[[], None]) -> None:
+        """Leave in order: wait for a turn to restart if the settings have turns, then give all leases back.
+
+        `on_left()` is called once all is closed.
+        """
+        if self.on_left is not None:
             return
-        self.leaving = gone
-        turns = [task for task in self.told.tasks if task.task == RESTARTS_TASK]
-        if not turns:
-            self._go()
+        self.on_left = on_left
+        restarts = next((task for task in self.settings.tasks if task.task == RESTARTS_TASK), None)
+        if restarts is None:
+            self._release_leases()
             return
-        self.proposer.request_lease(clock.now(), RESTARTS_TASK, turns[0].slots)
-        self.reactor.callLater(self.told.restart_timeout / 1e6, self._go)
+        self.proposer.request_lease(clock.now(), RESTARTS_TASK, restarts.slots)
+        self.reactor.callLater(self.settings.restart_timeout / 1e6, self._release_leases)
         self.turn()
 
-    def _go(self) -> None:
-        gone, self.leaving = self.leaving, lambda: None
-        if gone is None or self.gone:
+    def _release_leases(self) -> None:
+        """Give all leases back but the turn to restart, which ends by itself, and close a little later."""
+        if self.has_left:
             return
-        self.gone = True
+        self.has_left = True
         self.actions.close()
         self.freezes.close()
         now = clock.now()
@@ -242,16 +247,15 @@
             if task != RESTARTS_TASK:
                 self.proposer.release_lease(now, task)
         self.turn()
-        self.reactor.callLater(GOODBYE, self._close, gone)
+        self.reactor.callLater(CLOSE_DELAY, self._close)
 
-    def _close(self, gone: Callable[[], None]) -> None:
+    def _close(self) -> None:
         self.port.stopListening()
         self.connections.close()
-        if self.pool is not None:
-            self.pool.stop()
-        if self.disk is not None:
-            self.disk.close()
-        gone()
+        if self.acceptor_host is not None:
+            self.acceptor_host.close()
+        if self.on_left is not None:
+            self.on_left()
 
     def facts(self) -> dict[str, int]:
         """Figures for the line of counters."""
@@ -259,5 +263,5 @@
         return {
             "links": len(self.connections.by_peer),
             "held": held,
-            "grants": int(bool(self.acceptor and self.acceptor.grants())),
+            "grants": int(self.acceptor is not None and self.acceptor.grants()),
         }
--- a/linenbridge/fleet/hosting/quorum_member.py
+++ b/linenbridge/fleet/hosting/quorum_member.py
@@ -1,6 +1,6 @@
-"""A process that is a member of the fleet and serves no RPCs.
+"""A process that is a member of the fleet and serves no RPCs, such as one that only votes in the quorum.
 
-Owns its start and end. It must never import what serves RPCs.
+Owns its start and end. It imports nothing that serves RPCs.
 """
 
 from __future__ import annotations
@@ -11,16 +11,19 @@
 from linenbridge.configuration.read import Configuration, ConfigurationError, read
 from linenbridge.fleet.configuration import FleetSettings, fleet_settings
 from linenbridge.fleet.hosting.member import Member
+from linenbridge.logging.event_log import Log
 from linenbridge.logging.structured import structured
 from linenbridge.process import lifecycle
 
+INCARNATION_BITS = 60
 
-def run(configuration: Configuration, told: FleetSettings) -> int:
-    """One process from start to end; returns the exit code."""
+
+def run(configuration: Configuration, settings: FleetSettings) -> int:
+    """Run one process from start to end; returns the exit code."""
     log = structured(sys.stderr.buffer, configuration.log_level)
     reactor = lifecycle.begin(log)
-    member = Member(told, reactor, log, secrets.randbits(60))
-    log.event("started", member=told.member)
+    member = Member(settings, reactor, log, secrets.randbits(INCARNATION_BITS))
+    log.event("started", member=settings.member)
 
     def stop() -> None:
         log.event("stopping")
@@ -29,21 +32,21 @@
     def counters() -> None:
         log.counters(**member.facts())
 
-    def anew() -> None:
+    def reload() -> None:
         reload_settings(configuration.path, member, log)
 
-    lifecycle.run(reactor, log, stop, counters, anew)
+    lifecycle.run(reactor, log, stop, counters, reload)
     return 0
 
 
-def reload_settings(path: str, member: Member, log) -> None:  # noqa: ANN001
-    """Read the settings anew. They are taken up as a whole, or not at all if anything is wrong."""
+def reload_settings(path: str, member: Member, log: Log) -> None:
+    """Read the settings again. They take effect as a whole, or not at all if anything is wrong."""
     try:
-        told = fleet_settings(read(path))
-        if told is None or told.member != member.told.member:
+        settings = fleet_settings(read(path))
+        if settings is None or settings.member != member.settings.member:
             raise ConfigurationError(f"{path}: element 'fleet': it names another member, or is gone")
     except ConfigurationError as error:
         log.event("fleet.refused", error=str(error))
         return
-    member.update_settings(told)
-    log.event("fleet.reloaded", generation=told.quorum.generation)
+    member.update_settings(settings)
+    log.event("fleet.reloaded", generation=settings.quorum.generation)
--- a/linenbridge/fleet/hosting/task_actions.py
+++ b/linenbridge/fleet/hosting/task_actions.py
@@ -1,13 +1,15 @@
-"""Acts of a task's holder: a request to the thing acted on, with the term that it is to check.
+"""Task actions: fenced requests that the holder of a task's lease sends to the resource it works on.
 
-Owns the requests. The clock is looked at right before each one is sent; one that is refused for an older term
-is said and not repeated. It must never act for a task that this member does not hold at that moment.
+Owns the requests. The lease is checked right before each one is sent, and each carries the lease's term, so
+that the resource can reject an older one. A request that was rejected or failed is not repeated: the next is
+due after the task's interval.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from http import HTTPStatus
+from typing import Any, NamedTuple
 
 import msgspec
 from twisted.internet.defer import Deferred
@@ -20,85 +22,116 @@
 from linenbridge.fleet.configuration import TaskSettings
 from linenbridge.logging.event_log import Log
 
-ANSWER_WAIT, ANSWER_MOST = 5.0, 65_536  # seconds and bytes of one answer
-STALE = 409  # the answer of a thing that has seen a newer term
-TYPE = Headers({b"content-type": [b"application/json"]})
+CONNECT_TIMEOUT = 1.0  # seconds
+RESPONSE_TIMEOUT = 5.0  # seconds
+MAX_RESPONSE_BYTES = 65_536
+HEADERS = Headers({b"content-type": [b"application/json"]})
+
+
+class HeldLease(NamedTuple):
+    """The term and the slot under which this member may act on a task at this moment."""
+
+    term: int
+    slot: int
 
 
 @implementer(IBodyProducer)
-class Body:
+class RequestBody:
     """A short body, written at once."""
 
     def __init__(self, data: bytes) -> None:
-        self.data, self.length = data, len(data)
+        """Produce these bytes."""
+        self.data = data
+        self.length = len(data)
 
-    def startProducing(self, consumer: Any) -> Deferred:
+    def startProducing(self, consumer: Any) -> Deferred[None]:
+        """Twisted: write the body."""
         consumer.write(self.data)
-        done = Deferred()
+        done: Deferred[None] = Deferred()
         done.callback(None)
         return done
 
-    def pauseProducing(self) -> None: ...
-    def resumeProducing(self) -> None: ...
-    def stopProducing(self) -> None: ...
+    def pauseProducing(self) -> None:
+        """Twisted: nothing is left to pause."""
+
+    def resumeProducing(self) -> None:
+        """Twisted: nothing was paused."""
 
+    def stopProducing(self) -> None:
+        """Twisted: nothing is left to stop."""
 
-class Unread(Protocol):
-    """An answer's body, which is of no interest; one too long ends its connection."""
 
-    heard = 0
+class DiscardedBody(Protocol):
+    """A response's body, which nobody reads; one longer than `MAX_RESPONSE_BYTES` ends its connection."""
+
+    transport: Any  # a TCP transport: Twisted declares the general type
+
+    def __init__(self) -> None:
+        """Nothing is received yet."""
+        self.received_bytes = 0
 
     def dataReceived(self, data: bytes) -> None:
-        self.heard += len(data)
-        if self.heard > ANSWER_MOST:
+        """Twisted: count what is received."""
+        self.received_bytes += len(data)
+        if self.received_bytes > MAX_RESPONSE_BYTES:
             self.transport.loseConnection()
 
 
 class TaskActions:
-    """`term(task)` is asked at each act: the term and place under which this member may act now, or None."""
+    """The actions of all tasks that have an address.
+
+    `held_lease(task)` is called before each action and returns the lease, or None if this member holds none.
+    """
 
     def __init__(
-        self, name: str, tasks: tuple[TaskSettings, ...], reactor: Any, log: Log,
-        term: Callable[[str], tuple[int, int] | None],
+        self, member: str, tasks: tuple[TaskSettings, ...], reactor: Any, log: Log,
+        held_lease: Callable[[str], HeldLease | None],
     ) -> None:  # fmt: skip
-        self.name, self.reactor, self.log, self.term = name, reactor, log, term
-        self.agent = Agent(reactor, connectTimeout=1.0, pool=HTTPConnectionPool(reactor, persistent=False))
+        """Set a timer for each task."""
+        self.member = member
+        self.reactor = reactor
+        self.log = log
+        self.held_lease = held_lease
+        self.agent = Agent(
+            reactor, connectTimeout=CONNECT_TIMEOUT, pool=HTTPConnectionPool(reactor, persistent=False)
+        )
         self.timers: dict[str, Any] = {}
-        self.out: set[str] = set()  # tasks whose last act has no answer yet
+        self.in_flight: set[str] = set()  # tasks whose last action has no response yet
         for task in tasks:
             if task.action_address is not None:
-                self._again(task)
+                self._schedule(task, task.action_address)
 
-    def _again(self, task: TaskSettings) -> None:
-        self.timers[task.task] = self.reactor.callLater(task.action_interval / 1e6, self._act, task)
+    def _schedule(self, task: TaskSettings, address: tuple[str, int]) -> None:
+        self.timers[task.task] = self.reactor.callLater(task.action_interval / 1e6, self._act, task, address)
 
-    def _act(self, task: TaskSettings) -> None:
-        self._again(task)
-        held = self.term(task.task)
-        if held is None or task.task in self.out:
+    def _act(self, task: TaskSettings, address: tuple[str, int]) -> None:
+        self._schedule(task, address)
+        lease = self.held_lease(task.task)
+        if lease is None or task.task in self.in_flight:
             return
-        term, place = held
-        said = {"task": task.task, "place": place, "term": term, "by": self.name}
-        host, port = task.action_address
-        asked = self.agent.request(
-            b"POST", f"http://{host}:{port}/act".encode(), TYPE, Body(msgspec.json.encode(said))
+        action = {"task": task.task, "place": lease.slot, "term": lease.term, "by": self.member}
+        host, port = address
+        body: Any = RequestBody(msgspec.json.encode(action))  # mypy reads no interfaces of zope
+        response = self.agent.request(b"POST", f"http://{host}:{port}/act".encode(), HEADERS, body)
+        self.in_flight.add(task.task)
+        response.addTimeout(RESPONSE_TIMEOUT, self.reactor)
+        response.addCallbacks(
+            self._on_response, self._on_failure, callbackArgs=(action,), errbackArgs=(action,)
         )
-        self.out.add(task.task)
-        asked.addTimeout(ANSWER_WAIT, self.reactor)
-        asked.addCallbacks(self._done, self._failed, callbackArgs=(said,), errbackArgs=(said,))
 
-    def _done(self, response: Any, said: dict) -> None:
-        self.out.discard(said["task"])
+    def _on_response(self, response: Any, action: dict[str, Any]) -> None:
+        self.in_flight.discard(action["task"])
         self.log.count("act", str(response.code))
-        if response.code == STALE:
-            self.log.event("act.refused", **said)
-        response.deliverBody(Unread())
+        if response.code == HTTPStatus.CONFLICT:  # the resource has seen a newer term
+            self.log.event("act.refused", **action)
+        response.deliverBody(DiscardedBody())
 
-    def _failed(self, failure: Any, said: dict) -> None:
-        self.out.discard(said["task"])
-        self.log.rarely("act.failed", said["task"], error=failure.getErrorMessage(), **said)
+    def _on_failure(self, failure: Any, action: dict[str, Any]) -> None:
+        self.in_flight.discard(action["task"])
+        self.log.rarely("act.failed", action["task"], error=failure.getErrorMessage(), **action)
 
     def close(self) -> None:
+        """Send no further action."""
         for timer in self.timers.values():
             if timer.active():
                 timer.cancel()
