--- a/linenbridge/fleet/configuration.py
+++ b/linenbridge/fleet/configuration.py
@@ -185,7 +185,7 @@
         faults.add(
             element,
             "two acceptors change at once",
-            "change one acceptor, wait until all acceptors say `seat.returned`",
+            "change one acceptor, wait until all acceptors say `acceptor.recovered`",
         )
     if not MIN_ACCEPTORS <= acceptors <= MAX_ACCEPTORS:
         faults.add(
