--- a/linenbridge/fleet/freezes/schedule.py
+++ b/linenbridge/fleet/freezes/schedule.py
@@ -98,7 +98,7 @@
     def _log_changes(self, now: int, open_until: dict[str, int]) -> None:
         for name in sorted(open_until.keys() - self.open_until.keys()):
             seconds = (open_until[name] - now) // SECOND
-            self.decisions.append(LogFreeze("hold.open", {"window": name, "seconds": seconds}))
+            self.decisions.append(LogFreeze("rollout_freeze.opened", {"window": name, "seconds": seconds}))
         for name in sorted(self.open_until.keys() - open_until.keys()):
             is_early = now < self.open_until[name]
-            self.decisions.append(LogFreeze("hold.over", {"window": name, "early": is_early}))
+            self.decisions.append(LogFreeze("rollout_freeze.ended", {"window": name, "early": is_early}))
--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -97,13 +97,11 @@
         self.turn()
 
     def _log_start(self) -> None:
-        is_acceptor = self.settings.is_acceptor()
         self.log.event(
             "member.started",
             member=self.settings.member,
-            life=f"{self.incarnation:x}",
-            acceptor=is_acceptor,
-            seat=is_acceptor,
+            incarnation=f"{self.incarnation:x}",
+            acceptor=self.settings.is_acceptor(),
         )
 
     def _start_acceptor(self, now: int) -> None:
@@ -187,12 +185,12 @@
             case LogEvent(name, fields):
                 self.log.event(name, **fields)
             case LeaseAcquired(task, slot, term):
-                self.log.event("task.held", task=task, place=slot, term=term)
+                self.log.event("task.acquired", task=task, slot=slot, term=term)
                 call_soon(self.reactor, self.on_task_changed, task)
                 if task == RESTARTS_TASK and self.on_left is not None:
                     self._release_leases()
             case LeaseLost(task, slot, term):
-                self.log.event("task.lost", task=task, place=slot, term=term)
+                self.log.event("task.lost", task=task, slot=slot, term=term)
                 call_soon(self.reactor, self.on_task_changed, task)
 
     # ---- the process ---------------------------------------------------------------------------------------
@@ -261,7 +259,7 @@
         """Figures for the line of counters."""
         held = sum(self.held_lease(task) is not None for task in self.proposer.leases)
         return {
-            "links": len(self.connections.by_peer),
-            "held": held,
-            "grants": int(self.acceptor is not None and self.acceptor.grants()),
+            "connected_peers": len(self.connections.by_peer),
+            "held_leases": held,
+            "granting": int(self.acceptor is not None and self.acceptor.grants()),
         }
--- a/linenbridge/fleet/hosting/quorum_member.py
+++ b/linenbridge/fleet/hosting/quorum_member.py
@@ -46,7 +46,7 @@
         if settings is None or settings.member != member.settings.member:
             raise ConfigurationError(f"{path}: element 'fleet': it names another member, or is gone")
     except ConfigurationError as error:
-        log.event("fleet.refused", error=str(error))
+        log.event("fleet.settings_rejected", error=str(error))
         return
     member.update_settings(settings)
-    log.event("fleet.reloaded", generation=settings.quorum.generation)
+    log.event("fleet.settings_reloaded", generation=settings.quorum.generation)
--- a/linenbridge/fleet/hosting/task_actions.py
+++ b/linenbridge/fleet/hosting/task_actions.py
@@ -121,14 +121,29 @@
 
     def _on_response(self, response: Any, action: dict[str, Any]) -> None:
         self.in_flight.discard(action["task"])
-        self.log.count("act", str(response.code))
+        self.log.count("task_action", str(response.code))
         if response.code == HTTPStatus.CONFLICT:  # the resource has seen a newer term
-            self.log.event("act.refused", **action)
+            self.log.event("task_action.rejected", **self._log_fields(action))
         response.deliverBody(DiscardedBody())
 
     def _on_failure(self, failure: Any, action: dict[str, Any]) -> None:
         self.in_flight.discard(action["task"])
-        self.log.rarely("act.failed", action["task"], error=failure.getErrorMessage(), **action)
+        self.log.rarely(
+            "task_action.failed",
+            action["task"],
+            error=failure.getErrorMessage(),
+            **self._log_fields(action),
+        )
+
+    @staticmethod
+    def _log_fields(action: dict[str, Any]) -> dict[str, Any]:
+        """An action's fields under the names that all lines of the log give them."""
+        return {
+            "task": action["task"],
+            "slot": action["place"],
+            "term": action["term"],
+            "member": action["by"],
+        }
 
     def close(self) -> None:
         """Send no further action."""
--- a/linenbridge/peering/connections.py
+++ b/linenbridge/peering/connections.py
@@ -170,7 +170,7 @@
     def on_hello(self, name: str) -> dict[str, Any]:
         """The peer's name. One that is not authorized, or a second one, costs the connection."""
         if name not in self.connections.peer_names or self.peer:
-            self.connections.log_rarely("link.stranger", name[:MAX_LOGGED_NAME])
+            self.connections.log_rarely("peer.unauthorized", name[:MAX_LOGGED_NAME])
             self.transport.abortConnection()
             return {}
         self.peer = name
@@ -196,7 +196,7 @@
         self._on_malformed(failure.value)
 
     def _on_malformed(self, error: BaseException) -> None:
-        self.connections.log_rarely("link.malformed", self.peer, error=str(error))
+        self.connections.log_rarely("peer.malformed", self.peer, error=str(error))
         self.transport.abortConnection()
 
     def sendBox(self, box: amp.AmpBox) -> None:
@@ -205,7 +205,7 @@
             self.send_buffer.write(box.serialize())
 
     def _on_send_buffer_full(self, discarded: int) -> None:
-        self.connections.log_rarely("link.unread", self.peer, bytes=discarded)
+        self.connections.log_rarely("peer.send_buffer_full", self.peer, bytes=discarded)
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
@@ -252,7 +252,7 @@
     def buildProtocol(self, addr: Any) -> PeerConnection | None:  # noqa: ARG002  (Twisted's signature)
         """Twisted: accept a connection, unless as many as the bound are open."""
         if len(self.open_connections) >= self._connection_bound():
-            self.log.rarely("link.too_many", ALL_PEERS)
+            self.log.rarely("peer.too_many_connections", ALL_PEERS)
             return None
         return PeerConnection(self)
 
@@ -267,7 +267,7 @@
         if isinstance(self.peer_names, frozenset):
             self.log.rarely(event, peer, **fields)
         else:
-            self.log.rarely(event, ANY_PEER, far=peer, **fields)
+            self.log.rarely(event, ANY_PEER, peer=peer, **fields)
 
     def dial(self, peer: str, address: tuple[str, int]) -> None:
         """Keep a connection to a process; after a failure it is opened again with exponential backoff and
@@ -291,7 +291,7 @@
         """A peer has sent its name: messages to that name go by this connection, the newest, from now on."""
         is_first = connection.peer not in self.by_peer
         self.by_peer[connection.peer] = connection
-        self.log_rarely("link.up", connection.peer)
+        self.log_rarely("peer.connected", connection.peer)
         if is_first:
             self.on_peer_changed(connection.peer, connected=True)
 
@@ -300,7 +300,7 @@
         self.open_connections.discard(connection)
         if self.by_peer.get(connection.peer) is connection:
             del self.by_peer[connection.peer]
-            self.log_rarely("link.lost", connection.peer)
+            self.log_rarely("peer.disconnected", connection.peer)
             self.on_peer_changed(connection.peer, connected=False)
 
     def send(self, peer: str, message: Any) -> None:
@@ -311,7 +311,7 @@
         if connection is None or connection.transport is None:
             return
         if len(payload) > MAX_MESSAGE_BYTES:
-            self.log_rarely("link.too_long", peer, bytes=len(payload))
+            self.log_rarely("peer.message_too_long", peer, bytes=len(payload))
             return
         connection.callRemote(Deliver, word=payload)
 
