--- a/tests/scale/author.py
+++ b/tests/scale/change_client.py
@@ -1,10 +1,10 @@
-"""An author of many changes: asks each region's publisher at the times of a schedule, and records what it
-is told.
+"""A change client with many changes: requests each from its region's publisher at the time that a schedule
+has, and records the responses.
 
-    python -m tests.scale.author SPEC RECORDS
+python -m tests.scale.change_client SPEC RECORDS
 
-Ends once every change is accepted or refused for good and, where the spec wants it, in force; exit code 1
-where the time is over before. A change that its publisher cannot take now is asked for again, of the next
+Ends once every change is accepted or rejected for good and, if the spec says so, in force; exit code 1 if the
+time is over before. A change that its publisher cannot accept now is requested again, from the next
 candidate.
 """
 
@@ -26,14 +26,14 @@
 from linenbridge.logging.structured import structured
 from linenbridge.process import lifecycle
 from tests.scale.hollow import Address, shown
-from tests.scale.records import Recorder, Sent, Told, now
+from tests.scale.records import Recorder, Sent, PublisherResponse, now
 
-ASK_AGAIN = 0.25  # seconds before the next candidate is asked
-PATIENCE = 6.0  # seconds without an answer; then the next candidate is asked
-OUTSTANDING_MOST = 64  # changes of one region that are asked for and not yet accepted
+RETRY_DELAY = 0.25  # seconds before the next candidate gets the requests
+PATIENCE = 6.0  # seconds without a response; then the next candidate gets the requests
+MAX_OUTSTANDING = 64  # changes of one region that are requested and not yet accepted
 LOOK_EVERY = 0.05  # seconds between two looks at what is due
 BEGUN = b"begun\n"  # the first line on standard output
-AGAIN = frozenset((NotPublisher.code, PublisherBusy.code))
+RETRIED_CODES = frozenset((NotPublisher.code, PublisherBusy.code))
 
 
 class Scheduled(Struct, frozen=True):
@@ -46,7 +46,7 @@
     value: bytes
 
 
-class AuthorSpec(Struct, frozen=True):
+class ChangeClientSpec(Struct, frozen=True):
     """`publishers` by region and name; `seconds` until it gives up; `in_force`: wait for that as well."""
 
     name: str
@@ -62,70 +62,72 @@
 
     accepted: int
     in_force: int
-    refused: dict[str, int] = field(default_factory=dict)
-    asked_again: int = 0
+    rejected: dict[str, int] = field(default_factory=dict)
+    retried: int = 0
     last: dict[str, int] = field(default_factory=dict)
 
 
-class RegionAuthor:
-    """One region's changes: which candidate is asked, and what waits for an answer."""
+class RegionChanges:
+    """One region's changes: which candidate gets the requests, and which requests have no response yet."""
 
-    def __init__(self, author: Author, region: str, candidates: dict[str, Address]) -> None:
-        self.author, self.region = author, region
+    def __init__(self, client: ChangeClient, region: str, candidates: dict[str, Address]) -> None:
+        self.client = client
+        self.region = region
         self.candidates = list(candidates)
-        self.asks = self.candidates[0]
-        self.due: deque[tuple[int, Scheduled]] = deque()  # with the time of the first asking
-        self.open: dict[int, tuple[int, int, Scheduled]] = {}  # by request: first asked, asked, what
+        self.candidate = self.candidates[0]
+        self.due: deque[tuple[int, Scheduled]] = deque()  # with the time of the first request
+        # By request: the times of the first and of the last request, and the change.
+        self.open: dict[int, tuple[int, int, Scheduled]] = {}
         self.quiet_until = 0
 
-    def asks_of_linked(self) -> bool:
-        """Whether there is a candidate to ask."""
-        linked = [name for name in self.candidates if name in self.author.links.to]
-        if linked and self.asks not in linked:
-            self.asks = linked[0]
+    def choose_linked_candidate(self) -> bool:
+        """Whether a candidate is connected; a connected one gets the next requests."""
+        linked = [name for name in self.candidates if name in self.client.links.to]
+        if linked and self.candidate not in linked:
+            self.candidate = linked[0]
         return bool(linked)
 
     def look(self) -> None:
-        """Ask for what is due."""
+        """Send the requests that are due."""
         at = now()
-        if at < self.quiet_until or self.asks not in self.author.links.to:
+        if at < self.quiet_until or self.candidate not in self.client.links.to:
             return
-        waits_since = min((asked for _, asked, _ in self.open.values()), default=at)
-        if at - waits_since > PATIENCE * 1e6:
+        waiting_since = min((requested for _, requested, _ in self.open.values()), default=at)
+        if at - waiting_since > PATIENCE * 1e6:
             self.next_candidate()
             return
-        while self.due and len(self.open) < OUTSTANDING_MOST:
+        while self.due and len(self.open) < MAX_OUTSTANDING:
             first, change = self.due.popleft()
-            request = next(self.author.requests)
+            request = next(self.client.requests)
             self.open[request] = (first, at, change)
-            self.author.record_sent(first, request, change)
-            self.author.links.say(
-                self.asks, Publish(request, self.region, change.kind, change.name, change.value)
+            self.client.record_sent(first, request, change)
+            self.client.links.say(
+                self.candidate, Publish(request, self.region, change.kind, change.name, change.value)
             )
 
     def next_candidate(self) -> None:
-        """All that is open is asked for again, in its order, of the next candidate."""
-        place = self.candidates.index(self.asks) + 1
-        self.asks = self.candidates[place % len(self.candidates)]
-        self.author.asked_again += len(self.open)
+        """Send all open requests again, in their order, to the next candidate."""
+        place = self.candidates.index(self.candidate) + 1
+        self.candidate = self.candidates[place % len(self.candidates)]
+        self.client.retried += len(self.open)
         self.due.extendleft((first, change) for first, _, change in reversed(self.open.values()))
         self.open.clear()
-        self.quiet_until = now() + round(ASK_AGAIN * 1e6)
+        self.quiet_until = now() + round(RETRY_DELAY * 1e6)
 
 
-class Author:
+class ChangeClient:
     """All regions' changes."""
 
-    def __init__(self, spec: AuthorSpec, recorder: Recorder, reactor: Any, log: Any) -> None:
+    def __init__(self, spec: ChangeClientSpec, recorder: Recorder, reactor: Any, log: Any) -> None:
         self.spec, self.recorder, self.reactor = spec, recorder, reactor
         self.requests = count(spec.first_request)
-        self.accepted = self.in_force = self.asked_again = 0
-        self.refused, self.last = dict[str, int](), dict[str, int]()
+        self.accepted = self.in_force = self.retried = 0
+        self.rejected, self.last = dict[str, int](), dict[str, int]()
         self.exit_code = 1
         known = frozenset(name for candidates in spec.publishers.values() for name in candidates)
-        self.links = Links(spec.name, known, reactor, log, self.heard, decoder=AUTHOR_TAKES)
+        self.links = Links(spec.name, known, reactor, log, self.on_published, decoder=AUTHOR_TAKES)
         self.regions = {
-            region: RegionAuthor(self, region, candidates) for region, candidates in spec.publishers.items()
+            region: RegionChanges(self, region, candidates) for region, candidates in spec.publishers.items()
         }
         for candidates in spec.publishers.values():
             for name, at in candidates.items():
@@ -135,8 +137,8 @@
         self.connect()
 
     def connect(self) -> None:
-        """The schedule begins once there is a candidate of each region; whoever waits for it is told."""
-        if not all(region.asks_of_linked() for region in self.regions.values()):
+        """Begin the schedule once a candidate of each region is connected, and print BEGUN."""
+        if not all(region.choose_linked_candidate() for region in self.regions.values()):
             self.reactor.callLater(LOOK_EVERY, self.connect)
             return
         sys.stdout.buffer.write(BEGUN)
@@ -150,7 +152,7 @@
         )
 
     def look(self) -> None:
-        """What is due by now is asked for; the end is noticed."""
+        """Request what is due by now, and end the process once all is done or the time is over."""
         at = now() - self.began
         while self.schedule and self.schedule[0].at <= at:
             change = self.schedule.popleft()
@@ -170,12 +172,12 @@
             return False
         return not self.spec.in_force or self.in_force >= self.accepted
 
-    def heard(self, far: str, published: Published) -> None:
+    def on_published(self, far: str, published: Published) -> None:
         region = next((one for one in self.regions.values() if published.request in one.open), None)
         name = region.region if region is not None else self.region_of(far)
         version = published.version
         self.recorder.write(
-            Told(
+            PublisherResponse(
                 now(), published.request, name, published.state, version.epoch, version.sequence,
                 published.code, published.unreached_count,
             )
@@ -188,31 +190,31 @@
     def region_of(self, far: str) -> str:
         return next(region for region, names in self.spec.publishers.items() if far in names)
 
-    def answered(self, region: RegionAuthor, published: Published) -> None:
+    def answered(self, region: RegionChanges, published: Published) -> None:
         if published.state == "accepted":
             del region.open[published.request]
             self.accepted += 1
             self.last[region.region] = max(self.last.get(region.region, 0), published.version.sequence)
-        elif published.state == "unconfirmed" or published.code in AGAIN:
+        elif published.state == "unconfirmed" or published.code in RETRIED_CODES:
             region.next_candidate()
         else:
             del region.open[published.request]
-            self.refused[published.code] = self.refused.get(published.code, 0) + 1
+            self.rejected[published.code] = self.rejected.get(published.code, 0) + 1
 
     def summary(self) -> Summary:
-        return Summary(self.accepted, self.in_force, self.refused, self.asked_again, self.last)
+        return Summary(self.accepted, self.in_force, self.rejected, self.retried, self.last)
 
 
 def main() -> int:
-    spec = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=AuthorSpec)
+    spec = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ChangeClientSpec)
     log = structured(sys.stderr.buffer, "warning", process=spec.name)
     reactor = lifecycle.begin(log)
     recorder = Recorder(Path(sys.argv[2]))
-    author = Author(spec, recorder, reactor, log)
+    client = ChangeClient(spec, recorder, reactor, log)
     reactor.run(installSignalHandlers=False)
     recorder.close()
-    sys.stdout.buffer.write(msgspec.json.encode(author.summary()) + b"\n")
-    return author.exit_code
+    sys.stdout.buffer.write(msgspec.json.encode(client.summary()) + b"\n")
+    return client.exit_code
 
 
 if __name__ == "__main__":
--- a/tests/scale/checker.py
+++ b/tests/scale/checker.py
@@ -12,13 +12,24 @@
 from heapq import merge
 from math import inf
 
-from tests.scale.records import Answered, Fault, Final, Record, Seen, Sent, Serving, Started, Told, Usage
+from tests.scale.records import (
+    Answered,
+    Fault,
+    Final,
+    Record,
+    Seen,
+    Sent,
+    Serving,
+    Started,
+    PublisherResponse,
+    Usage,
+)
 
 BREACHES_SHOWN = 20
 
 Key = tuple[str, int, str]  # region, kind, name
-Held = tuple[int, int, str]  # epoch, sequence, value
-NOTHING: Held = (0, 0, "")
+KeyVersion = tuple[int, int, str]  # epoch, sequence, value
+NOTHING: KeyVersion = (0, 0, "")
 
 
 @dataclass
@@ -26,7 +37,7 @@
     """The records of one test, sorted by what they tell."""
 
     sent: dict[tuple[str, int], Sent] = field(default_factory=dict)
-    told: list[Told] = field(default_factory=list)
+    responses: list[PublisherResponse] = field(default_factory=list)
     seen: list[Seen] = field(default_factory=list)
     answered: list[Answered] = field(default_factory=list)
     started: dict[str, list[Started]] = field(default_factory=lambda: defaultdict(list))
@@ -36,15 +47,15 @@
     usage: list[Usage] = field(default_factory=list)
 
 
-def gather(records: Iterable[Record]) -> Evidence:
+def collect(records: Iterable[Record]) -> Evidence:
     """Sort records in."""
     evidence = Evidence()
     for record in records:
         match record:
             case Sent():
                 evidence.sent[record.region, record.request] = record
-            case Told():
-                evidence.told.append(record)
+            case PublisherResponse():
+                evidence.responses.append(record)
             case Seen():
                 evidence.seen.append(record)
             case Answered():
@@ -54,18 +65,18 @@
             case Serving():
                 evidence.serving[record.gateway].append(record)
             case Final():
-                _keep_last(evidence.final, record)
+                _store_last(evidence.final, record)
             case Fault():
                 evidence.faults.append(record)
             case Usage():
                 evidence.usage.append(record)
-    for lives in (*evidence.started.values(), *evidence.serving.values()):
-        lives.sort(key=lambda record: record.at)
+    for incarnations in (*evidence.started.values(), *evidence.serving.values()):
+        incarnations.sort(key=lambda record: record.at)
     evidence.seen.sort(key=lambda record: record.at)
     return evidence
 
 
-def _keep_last(final: dict[tuple[str, str], Final], record: Final) -> None:
+def _store_last(final: dict[tuple[str, str], Final], record: Final) -> None:
     where = record.gateway, record.region
     if where not in final or final[where].at <= record.at:
         final[where] = record
@@ -86,35 +97,35 @@
     ]
 
 
-def _lives(evidence: Evidence) -> Iterator[Seen | Serving]:
+def _events_in_order(evidence: Evidence) -> Iterator[Seen | Serving]:
     """What gateways have seen, and the beginnings of their lives, in order of time."""
-    begins = [serving for lives in evidence.serving.values() for serving in lives]
+    begins = [serving for incarnations in evidence.serving.values() for serving in incarnations]
     begins.sort(key=lambda record: record.at)
     yield from merge(begins, evidence.seen, key=lambda record: record.at)
 
 
-def _forget(held: dict[Key, Held], serving: Serving) -> None:
+def _forget(current: dict[Key, KeyVersion], serving: Serving) -> None:
     """A life begins at the positions of its store: what was newer is forgotten, to be seen once more."""
-    for key, (_, sequence, _) in list(held.items()):
+    for key, (_, sequence, _) in list(current.items()):
         if sequence > serving.positions.get(key[0], 0):
-            del held[key]
+            del current[key]
 
 
 def _older_over_newer(evidence: Evidence) -> list[str]:
     """No older version of a key replaces a newer one at a gateway, in one life or in the next one that
     serves from the store of the last."""
-    found, newest = list[str](), defaultdict[str, dict[Key, Held]](dict)
-    for record in _lives(evidence):
-        held = newest[record.gateway]
+    found, newest = list[str](), defaultdict[str, dict[Key, KeyVersion]](dict)
+    for record in _events_in_order(evidence):
+        current = newest[record.gateway]
         if isinstance(record, Serving):
-            _forget(held, record)
+            _forget(current, record)
             continue
         key, version = (record.region, record.kind, record.name), (record.epoch, record.sequence)
-        before = held.get(key, NOTHING)[:2]
+        before = current.get(key, NOTHING)[:2]
         if version < before:
             found.append(f"{record.gateway}: {record.name} went back from {before} to {version}")
         else:
-            held[key] = (*version, record.value)
+            current[key] = (*version, record.value)
     return found
 
 
@@ -146,27 +157,27 @@
 
 
 def _accepted_lost(evidence: Evidence) -> list[str]:
-    """What an author was told is accepted is in force at the end everywhere, or something newer of its key
-    is. A gateway is held to it if it said at the end where it is."""
-    newest = dict[Key, Held]()
-    for told in evidence.told:
-        if told.state != "accepted":
+    """What a publisher has accepted is in force at the end everywhere, or something newer of its key
+    is. It applies to a gateway that has a record of its end."""
+    newest = dict[Key, KeyVersion]()
+    for response in evidence.responses:
+        if response.state != "accepted":
             continue
-        sent = evidence.sent[told.region, told.request]
+        sent = evidence.sent[response.region, response.request]
         key = sent.region, sent.kind, sent.name
-        newest[key] = max(newest.get(key, NOTHING), (told.epoch, told.sequence, sent.value))
+        newest[key] = max(newest.get(key, NOTHING), (response.epoch, response.sequence, sent.value))
     at_end = {record.gateway for record in evidence.final.values()}
-    held = defaultdict[str, dict[Key, Held]](dict)
-    for record in _lives(evidence):
+    current = defaultdict[str, dict[Key, KeyVersion]](dict)
+    for record in _events_in_order(evidence):
         if isinstance(record, Serving):
-            _forget(held[record.gateway], record)
+            _forget(current[record.gateway], record)
         else:
             key = record.region, record.kind, record.name
-            held[record.gateway][key] = (record.epoch, record.sequence, record.value)
+            current[record.gateway][key] = (record.epoch, record.sequence, record.value)
     found = list[str]()
     for gateway in sorted(at_end):
         for key, version in newest.items():
-            has = held[gateway].get(key, NOTHING)
+            has = current[gateway].get(key, NOTHING)
             if has == NOTHING and not version[2]:
                 continue  # Deleted, and never seen.
             if has[:2] < version[:2]:
@@ -206,29 +217,29 @@
 
 @dataclass(frozen=True)
 class Lag:
-    """From the author's asking to a change being in force at a gateway, over all pairs: milliseconds."""
+    """From a change's request to its being in force at a gateway, over all pairs: milliseconds."""
 
     pairs: int = 0
     p50: float = 0.0
     p99: float = 0.0
-    most: float = 0.0
+    maximum: float = 0.0
 
 
 def lag(evidence: Evidence, since: int = 0, until: float = inf) -> Lag:
-    """Of changes asked for from `since` to `until`. Changes that were superseded before they reached a
+    """Of changes requested from `since` to `until`. Changes that were superseded before they reached a
     gateway have no pair there; what a gateway catches up on after a start, from before that start, is none
     of it."""
-    asked = dict[tuple[str, int], int]()
-    for told in evidence.told:
-        if told.state == "accepted":
-            sent = evidence.sent[told.region, told.request]
+    sent_times = dict[tuple[str, int], int]()
+    for response in evidence.responses:
+        if response.state == "accepted":
+            sent = evidence.sent[response.region, response.request]
             if since <= sent.at <= until:
-                asked[told.region, told.sequence] = sent.at
-    begun = {gateway: lives[-1].at for gateway, lives in evidence.started.items()}
+                sent_times[response.region, response.sequence] = sent.at
+    begun = {gateway: incarnations[-1].at for gateway, incarnations in evidence.started.items()}
     times = sorted(
         seen.at - sent_at
         for seen in evidence.seen
-        if (sent_at := asked.get((seen.region, seen.sequence))) is not None
+        if (sent_at := sent_times.get((seen.region, seen.sequence))) is not None
         and sent_at >= begun.get(seen.gateway, 0)
     )
     if not times:
--- a/tests/scale/conftest.py
+++ b/tests/scale/conftest.py
@@ -26,9 +26,18 @@
     if gateways < LARGE:
         return Scale(gateways, relays)
     return Scale(
-        gateways, relays, regions=6, processes=12, stored=0.1, gather=200, heartbeat=1_000, silence=2_500,
-        lease=10_000, beat=2_000, look=0.5,
-    )  # fmt: skip
+        gateways,
+        relays,
+        regions=6,
+        processes=12,
+        stored=0.1,
+        batch_delay=200,
+        heartbeat=1_000,
+        silence=2_500,
+        lease=10_000,
+        beat=2_000,
+        look=0.5,
+    )
 
 
 def shape_of(scale: Scale) -> Shape:
--- a/tests/scale/families.py
+++ b/tests/scale/families.py
@@ -12,14 +12,14 @@
 from pathlib import Path
 from random import Random
 
-from tests.scale.checker import BREACHES_SHOWN, Evidence, Lag, breaches, gather, lag
+from tests.scale.checker import BREACHES_SHOWN, Evidence, Lag, breaches, collect, lag
 from tests.scale.hollow import Command
 from tests.scale.installation import Installation, Scale
 from tests.scale.records import Usage, now, read
 from tests.scale.traffic import Request, Shape, first_content, steady, zone
 
 FIRST_CONTENT_WAIT = 240.0  # seconds for the first content to be accepted, then to be everywhere
-SETTLE_WAIT = 90.0  # seconds after the last change until all tables have to be equal
+EQUALITY_WAIT = 90.0  # seconds after the last change until all tables have to be equal
 BURST_FACTOR = 10.0
 SECOND = 1_000_000
 
@@ -61,7 +61,8 @@
         notes = "".join(f", {name} {value:.2f} s" for name, value in self.notes.items())
         return (
             f"scale {self.family}: {scale.gateways} gateways, {scale.relays} relays, seed {self.seed}, "
-            f"{self.changes} changes, in force p50 {took.p50:.0f} p99 {took.p99:.0f} max {took.most:.0f} ms "
+            f"{self.changes} changes, in force p50 {took.p50:.0f} p99 {took.p99:.0f} "
+            f"max {took.maximum:.0f} ms "
             f"({took.pairs} pairs), a gateway {self.received:.0f} bytes/s in {self.sent:.0f} out, "
             f"{self.gateway_share:.3%} of a core, {self.gateway_memory:.1f} MB; a relay at most "
             f"{self.relay_share:.1%} of a core, {self.relay_memory:.0f} MB; a publisher at most "
@@ -76,7 +77,7 @@
             "regions": self.scale.regions, "seed": self.seed, "changes": self.changes,
             "pairs": self.lag.pairs,
             "p50_ms": round(self.lag.p50, 1), "p99_ms": round(self.lag.p99, 1),
-            "max_ms": round(self.lag.most, 1), "bytes_in": round(self.received, 1),
+            "max_ms": round(self.lag.maximum, 1), "bytes_in": round(self.received, 1),
             "bytes_out": round(self.sent, 1), "gateway_share": round(self.gateway_share, 6),
             "relay_share": round(self.relay_share, 4), "publisher_share": round(self.publisher_share, 4),
             "gateway_mb": round(self.gateway_memory, 2), "relay_mb": round(self.relay_memory, 1),
@@ -88,7 +89,7 @@
 @dataclass
 class Play:
     """One play of a family: the installation, and what is handed from part to part. `last` is the newest
-    sequence of each region that an author was told; `began` and `ended` are microseconds."""
+    sequence of each region that a change client knows; `began` and `ended` are microseconds."""
 
     installation: Installation
     shape: Shape
@@ -105,18 +106,18 @@
     def random(self, what: str) -> Random:
         return Random(f"{what} {self.seed}")
 
-    def author(
+    def start_client(
         self, seconds: float, factor: float = 1.0, more: list[Request] | None = None
     ) -> subprocess.Popen:
         regions = self.installation.scale.region_names()
         requests = steady(self.seed, self.shape, regions, seconds, factor) + (more or [])
-        return self.installation.begin_author(requests, seconds + SETTLE_WAIT)
+        return self.installation.start_change_client(requests, seconds + EQUALITY_WAIT)
 
     def end(self, process: subprocess.Popen) -> None:
-        """The author's end: everything accepted."""
-        summary = self.installation.end_author(process)
-        if process.returncode or summary.refused:
-            raise AssertionError(f"an author ended with {summary}")
+        """Wait for the end of a change client; everything has to be accepted."""
+        summary = self.installation.finish_change_client(process)
+        if process.returncode or summary.rejected:
+            raise AssertionError(f"a change client ended with {summary}")
         self.changes += summary.accepted
         for region, sequence in summary.last.items():
             self.last[region] = max(sequence, self.last.get(region, 0))
@@ -127,12 +128,12 @@
 
 def play_steady(play: Play) -> None:
     """The size's rates."""
-    play.end(play.author(play.times.steady))
+    play.end(play.start_client(play.times.steady))
 
 
 def play_burst(play: Play) -> None:
     """Ten times the size's rates."""
-    play.end(play.author(play.times.burst, BURST_FACTOR))
+    play.end(play.start_client(play.times.burst, BURST_FACTOR))
 
 
 def play_relays(play: Play) -> None:
@@ -140,7 +141,9 @@
     installation, random = play.installation, play.random("relays")
     region = random.choice(installation.scale.region_names())
     killed, stopped = random.sample(installation.relays[region], 2)
-    author = play.author(2 * play.times.steady + play.times.stopped + 4 * play.times.after, play.times.factor)
+    client = play.start_client(
+        2 * play.times.steady + play.times.stopped + 4 * play.times.after, play.times.factor
+    )
     time.sleep(play.times.after)
     everybody = installation.scale.gateways // installation.scale.processes * installation.scale.processes
     installation.kill(killed)
@@ -154,7 +157,7 @@
     installation.pause(stopped)
     time.sleep(play.times.stopped)
     installation.wake(stopped)
-    play.end(author)
+    play.end(client)
 
 
 def play_restarts(play: Play) -> None:
@@ -165,15 +168,15 @@
     ]
     count = max(1, installation.scale.gateways // 10)
     chosen = random.sample(stored, min(count, len(stored)))
-    author = play.author(play.times.steady + 4 * play.times.after, play.times.factor)
-    for kept in (True, False):
+    client = play.start_client(play.times.steady + 4 * play.times.after, play.times.factor)
+    for retained in (True, False):
         time.sleep(2 * play.times.after)  # Stores are written once a second.
         began = time.monotonic()
-        installation.ask_all(Command("restart", chosen, kept))
-        installation.settle(play.last, SETTLE_WAIT)
-        word = "kept" if kept else "emptied"
-        play.notes[f"{len(chosen)} restarted with stores {word}, all caught up"] = time.monotonic() - began
-    play.end(author)
+        installation.request_all(Command("restart", chosen, retained))
+        installation.wait_until_equal(play.last, EQUALITY_WAIT)
+        label = "kept" if retained else "emptied"
+        play.notes[f"{len(chosen)} restarted with stores {label}, all caught up"] = time.monotonic() - began
+    play.end(client)
 
 
 def _every(scale: Scale) -> int:
@@ -187,15 +190,15 @@
     first = installation.publisher(region)
     if not first:
         raise AssertionError(f"nobody publishes in {region}")
-    author = play.author(2 * play.times.steady + play.times.stopped, play.times.factor)
+    client = play.start_client(2 * play.times.steady + play.times.stopped, play.times.factor)
     time.sleep(play.times.after)
     installation.pause(first)
     play.notes["replaced"] = installation.until(
-        lambda: installation.publisher(region) not in ("", first), "a successor", SETTLE_WAIT
+        lambda: installation.publisher(region) not in ("", first), "a successor", EQUALITY_WAIT
     )
     time.sleep(play.times.after)
     installation.wake(first)
-    play.end(author)
+    play.end(client)
 
 
 def play_zone(play: Play) -> None:
@@ -205,7 +208,7 @@
     seconds = play.times.steady + play.times.stopped
     lost = round(play.times.after * SECOND)
     back = lost + round(play.times.stopped * SECOND)
-    play.end(play.author(seconds, 1.0, [zone(region, 0, lost, True), zone(region, 0, back, False)]))
+    play.end(play.start_client(seconds, 1.0, [zone(region, 0, lost, True), zone(region, 0, back, False)]))
 
 
 FAMILIES: dict[str, Callable[[Play], None]] = {
@@ -231,11 +234,11 @@
         for family in families:
             plays.append(Play(installation, shape, times, seed, family, last))
             _play(plays[-1])
-        installation.ask_all(Command("final"))
-        installation.ask_all(Command("stop"))
+        installation.request_all(Command("final"))
+        installation.request_all(Command("stop"))
     finally:
         installation.close()
-    evidence = gather(read(folder))
+    evidence = collect(read(folder))
     found = breaches(evidence)[:BREACHES_SHOWN]
     return [_outcome(played, evidence, found) for played in plays]
 
@@ -244,26 +247,26 @@
     """The first content, until it is everywhere."""
     installation = play.installation
     content = list(first_content(play.shape, installation.scale.region_names()))
-    play.end(installation.begin_author(content, FIRST_CONTENT_WAIT))
-    installation.settle(play.last, FIRST_CONTENT_WAIT)
+    play.end(installation.start_change_client(content, FIRST_CONTENT_WAIT))
+    installation.wait_until_equal(play.last, FIRST_CONTENT_WAIT)
 
 
 def _play(play: Play) -> None:
     """One family, between two readings of all meters."""
     installation = play.installation
     before, began = installation.processor_seconds(), time.monotonic()
-    installation.ask_all(Command("usage"))
+    installation.request_all(Command("usage"))
     play.began = now()
     FAMILIES[play.family](play)
-    play.equal = _settled(play)
-    installation.ask_all(Command("usage"))
+    play.equal = _becomes_equal(play)
+    installation.request_all(Command("usage"))
     installation.record_usage(before, time.monotonic() - began)
     play.ended = now()
 
 
-def _settled(play: Play) -> bool:
+def _becomes_equal(play: Play) -> bool:
     try:
-        play.notes["equal after the last"] = play.installation.settle(play.last, SETTLE_WAIT)
+        play.notes["equal after the last"] = play.installation.wait_until_equal(play.last, EQUALITY_WAIT)
     except TimeoutError:
         return False
     return True
--- a/tests/scale/full_tables.py
+++ b/tests/scale/full_tables.py
@@ -38,13 +38,13 @@
 
 def ranges(content: Content) -> Iterator[ReplaceRange]:
     """Everything, as a gateway without a store gets it from its relay: range by range of each region."""
-    held: dict[tuple[str, int], list[Change]] = defaultdict(list)
+    changes_by_range: dict[tuple[str, int], list[Change]] = defaultdict(list)
     for change in (*content.tenants(), *content.all_instances(), *content.routes()):
-        held[change.region, range_of(change.kind, change.name)].append(change)
+        changes_by_range[change.region, range_of(change.kind, change.name)].append(change)
     for region in REGIONS:
         upto = Version(EPOCH, content.sequences[region])
         for number in range(RANGES):
-            changes = held.pop((region, number), [])
+            changes = changes_by_range.pop((region, number), [])
             yield ReplaceRange(region, upto, number, changes, final=number == RANGES - 1)
 
 
@@ -71,21 +71,21 @@
         for frame in frames(content):
             write_frame(process.stdin, frame)
         process.stdin.close()
-        told = json.loads(process.stdout.read())
-    if told["digests"] != content.digests:
+        figures = json.loads(process.stdout.read())
+    if figures["digests"] != content.digests:
         raise SystemExit("the filled view does not hold what was published")
-    return told
+    return figures
 
 
 def restart(path: str, share: float, digests: dict[str, int]) -> dict:
     """A process that serves from the store, with the milliseconds from its exec to its first answer."""
     began = time.monotonic_ns()
     command = [sys.executable, "-m", MODULE, "restart", path, str(share)]
-    told = json.loads(subprocess.run(command, cwd=ROOT, stdout=subprocess.PIPE, check=True).stdout)
-    if told["digests"] != digests:
+    figures = json.loads(subprocess.run(command, cwd=ROOT, stdout=subprocess.PIPE, check=True).stdout)
+    if figures["digests"] != digests:
         raise SystemExit("the restarted view does not hold what was published")
-    told["first_answer_ms"] = (told["answered_at"] - began) / 1e6
-    return told
+    figures["first_answer_ms"] = (figures["answered_at"] - began) / 1e6
+    return figures
 
 
 def measured(share: float) -> dict:
@@ -116,8 +116,12 @@
         f"{_mb(again['restored'])}, after look-ups {_mb(again['after_lookups'])}, "
         f"at most {_mb(again['highest'])}; pages {again['pages']}"
     )
-    for title, told in (("change", fill["change"]), ("store", fill["store"]), ("look-up", again["lookup"])):
-        for what, spread in told.items():
+    for title, figures in (
+        ("change", fill["change"]),
+        ("store", fill["store"]),
+        ("look-up", again["lookup"]),
+    ):
+        for what, spread in figures.items():
             yield f"  {title} {what}: p50 {spread['p50']:.1f} us, p99 {spread['p99']:.1f} us of {spread['n']}"
 
 
@@ -159,10 +163,10 @@
     return made
 
 
-def spreads(row: Callable[..., Slope], what: str, size: str, life: str, table: str, name: str) -> list[Slope]:
+def spreads(row: Callable[..., Slope], what: str, size: str, run: str, table: str, name: str) -> list[Slope]:
     """The median and the 99th in a hundred of one cost, by where it stands in the figures."""
     return [
-        row("constant", f"{what}, {part}", "us", size, lambda one, part=part: one[life][table][name][part])
+        row("constant", f"{what}, {part}", "us", size, lambda one, part=part: one[run][table][name][part])
         for part in ("p50", "p99")
     ]
 
--- a/tests/scale/hollow.py
+++ b/tests/scale/hollow.py
@@ -67,28 +67,28 @@
     relays: dict[str, dict[str, Address]]  # by region and name
     seed: int
     rate: int
-    gather: int
+    batch_delay: int
     heartbeat: int
     silence: int
 
 
 class Command(Struct, frozen=True):
-    """`do` is one of: restart (those named, `kept` stores or emptied), where, final (where, recorded),
-    usage, stop."""
+    """`action` is one of: restart (those named, their stores retained or emptied), where, final (where,
+    recorded), usage, stop."""
 
-    do: str
+    action: str
     gateways: list[str] = field(default_factory=list)
-    kept: bool = True
+    store_retained: bool = True
 
 
 class Answer(Struct, frozen=True):
-    """`least` and `most` are sequences by region over the process's gateways; `following` how many follow
+    """`lowest` and `highest` are sequences by region over the process's gateways; `following` how many follow
     a relay."""
 
-    did: str
+    action: str
     following: int = 0
-    least: dict[str, int] = field(default_factory=dict)
-    most: dict[str, int] = field(default_factory=dict)
+    lowest: dict[str, int] = field(default_factory=dict)
+    highest: dict[str, int] = field(default_factory=dict)
     counters: dict[str, int] = field(default_factory=dict)
 
 
@@ -132,8 +132,8 @@
     def _record(self, region: str, changes: Iterable[Change]) -> None:
         at = now()
         for change in changes:
-            held = self.tables[change.kind].digest(self.regions.get(region), change.name)
-            if held == digest_of(change):
+            digest = self.tables[change.kind].digest(self.regions.get(region), change.name)
+            if digest == digest_of(change):
                 self.recorder.write(
                     Seen(
                         at, self.gateway, region, change.epoch, change.sequence, change.kind, change.name,
@@ -154,7 +154,7 @@
         self.checks = SharedChecks()
         self.meter = Meter(spec, recorder)
         for gateway in spec.gateways:
-            self.start(gateway, kept=True)
+            self.start(gateway, store_retained=True)
         self.reactor.callLater(REQUESTS_EVERY, self._request)
         self.reactor.callLater(FLUSH_EVERY, self._flush)
 
@@ -168,17 +168,17 @@
         return DistributionSettings(
             role=Role.GATEWAY, name=gateway, region=spec.region, listen=None, store=store, trusted=False,
             platform="", rate=spec.rate, rate_between_regions=0, compiled_routes=COMPILED_ROUTES,
-            gather=spec.gather, heartbeat=spec.heartbeat,
+            gather=spec.batch_delay, heartbeat=spec.heartbeat,
             silence=spec.silence, followers=1, authors=1, regions=regions,
         )  # fmt: skip
 
-    def start(self, gateway: str, kept: bool) -> None:
-        """A new life: by its store where that was kept."""
+    def start(self, gateway: str, store_retained: bool) -> None:
+        """A new life: from its store if that was retained."""
         settings = self.settings(gateway)
-        if not kept:
+        if not store_retained:
             for file in Path(self.spec.folder).glob(f"{gateway}.db*"):
                 file.unlink()
-        self.recorder.write(Started(now(), gateway, kept))
+        self.recorder.write(Started(now(), gateway, store_retained))
         view, store = self._view(settings)
         view.gateway, view.recorder = gateway, self.recorder
         view.validator.checks = self.checks
@@ -195,7 +195,7 @@
 
     # ---- commands ------------------------------------------------------------------------------------------
 
-    def restart(self, names: list[str], kept: bool, done: Any) -> None:
+    def restart(self, names: list[str], store_retained: bool, done: Any) -> None:
         """Those of the names that are here: all are closed, then all are started."""
         mine = [name for name in names if name in self.gateways]
         if not mine:
@@ -207,24 +207,25 @@
             del left[name]
             if not left:
                 for again in mine:
-                    self.start(again, kept)
+                    self.start(again, store_retained)
                 done()
 
         for name in mine:
             self.gateways.pop(name).close(lambda name=name: closed(name))
 
-    def where(self, did: str) -> Answer:
+    def where(self, action: str) -> Answer:
         """How far the gateways are."""
-        least, most = dict[str, int](), dict[str, int]()
+        lowest = dict[str, int]()
+        highest = dict[str, int]()
         for gateway in self.gateways.values():
-            held = {position.region: position.sequence for position in gateway.view.positions()}
+            positions = {position.region: position.sequence for position in gateway.view.positions()}
             for region in self.spec.relays:
-                sequence = held.get(region, 0)
-                least[region] = min(sequence, least.get(region, sequence))
-                most[region] = max(sequence, most.get(region, sequence))
+                sequence = positions.get(region, 0)
+                lowest[region] = min(sequence, lowest.get(region, sequence))
+                highest[region] = max(sequence, highest.get(region, sequence))
         following = sum(gateway.follower.following for gateway in self.gateways.values())
         counters = sum((Counter(gateway.facts()) for gateway in self.gateways.values()), Counter())
-        return Answer(did, following, least, most, dict(counters))
+        return Answer(action, following, lowest, highest, dict(counters))
 
     def final(self) -> Answer:
         """Where each gateway is, and what stands for its tables, is recorded."""
@@ -331,23 +332,25 @@
 
     def lineReceived(self, line: bytes) -> None:  # noqa: N802  (Twisted names it)
         command = msgspec.json.decode(line, type=Command)
-        match command.do:
+        match command.action:
             case "restart":
-                self.hollow.restart(command.gateways, command.kept, lambda: self.say(Answer("restart")))
+                self.hollow.restart(
+                    command.gateways, command.store_retained, lambda: self.send(Answer("restart"))
+                )
             case "where":
-                self.say(self.hollow.where("where"))
+                self.send(self.hollow.where("where"))
             case "final":
-                self.say(self.hollow.final())
+                self.send(self.hollow.final())
             case "usage":
                 self.hollow.meter.read()
                 self.hollow.recorder.flush()
-                self.say(Answer("usage"))
+                self.send(Answer("usage"))
             case "stop":
                 self.hollow.recorder.close()
-                self.say(Answer("stop"))
+                self.send(Answer("stop"))
                 self.hollow.reactor.callLater(0.05, self.hollow.reactor.stop)
 
-    def say(self, answer: Answer) -> None:
+    def send(self, answer: Answer) -> None:
         self.sendLine(msgspec.json.encode(answer))
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
--- a/tests/scale/installation.py
+++ b/tests/scale/installation.py
@@ -1,7 +1,8 @@
-"""The processes of one scale test on loopback: a quorum, publishers, relays, hollow gateways, and authors.
+"""The processes of one scale test on loopback: a quorum, publishers, relays, hollow gateways, and change
+clients.
 
-Owns their settings, folders, starts, stops and ends. Only processes that it started are signalled, by id.
-It must never reach into one: what they did is read from records, answers and logs.
+Owns their settings, folders, starts, stops and ends. Only processes that it started are signalled, by id. It
+must never reach into one: what they did is read from records, answers and logs.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 import msgspec
 
 from tests.fleet.procs.installation import ROOT, free_ports
-from tests.scale.author import BEGUN, AuthorSpec, Scheduled, Summary
+from tests.scale.change_client import BEGUN, ChangeClientSpec, Scheduled, Summary
 from tests.scale.hollow import Address, Answer, Command, HollowSpec, resident_bytes
 from tests.scale.records import Fault, Recorder, Usage, now
 from tests.scale.traffic import Request
@@ -40,7 +41,7 @@
     candidates: int = 2
     stored: float = 0.25  # share of the gateways that have a store
     rate: int = 14_336
-    gather: int = 100
+    batch_delay: int = 100
     heartbeat: int = 400
     silence: int = 1_200
     lease: int = 1_500
@@ -58,7 +59,7 @@
     process: subprocess.Popen
     gateways: list[str]
 
-    def ask(self, command: Command) -> Answer:
+    def request(self, command: Command) -> Answer:
         self.send(command)
         return self.answer()
 
@@ -80,7 +81,7 @@
     running: dict[str, subprocess.Popen] = field(default_factory=dict)
     stopped: set[str] = field(default_factory=set)
     hollow: dict[str, Hollow] = field(default_factory=dict)
-    authored: int = 0
+    clients_started: int = 0
 
     def __post_init__(self) -> None:
         regions = self.scale.region_names()
@@ -109,10 +110,11 @@
             f"{self._peers('publisher', self.publishers[one])}</region>"
             for one in scale.region_names()
         )
-        most = max(50, 3 * scale.gateways // max(1, scale.relays))
+        max_followers = max(50, 3 * scale.gateways // max(1, scale.relays))
         return (
             f'<distribution role="{role}" name="{name}" region="{region}" '
-            f'listen="127.0.0.1:{self.ports[name]}" followers="{most}" gather="{scale.gather}ms" '
+            f'listen="127.0.0.1:{self.ports[name]}" followers="{max_followers}" '
+            f'gather="{scale.batch_delay}ms" '
             f'heartbeat="{scale.heartbeat}ms" silence="{scale.silence}ms" {more}>\n{rows}\n</distribution>'
         )
 
@@ -155,7 +157,7 @@
         }
         return HollowSpec(
             process, region, gateways, stores, str(self.folder), relays, self.seed, scale.rate,
-            scale.gather * 1000, scale.heartbeat * 1000, scale.silence * 1000,
+            scale.batch_delay * 1000, scale.heartbeat * 1000, scale.silence * 1000,
         )  # fmt: skip
 
     # ---- processes -----------------------------------------------------------------------------------------
@@ -182,8 +184,8 @@
             spec = self._hollow_spec(process, regions[number % len(regions)], gateways)
             path = self.folder / f"{process}.json"
             path.write_bytes(msgspec.json.encode(spec))
-            words = ["-m", "tests.scale.hollow", str(path), str(self.folder / f"{process}.records")]
-            running = self._run(process, words, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
+            arguments = ["-m", "tests.scale.hollow", str(path), str(self.folder / f"{process}.records")]
+            running = self._run(process, arguments, stdin=subprocess.PIPE, stdout=subprocess.PIPE)
             self.hollow[process] = Hollow(running, gateways)
         self.until(lambda: self.following() == each * scale.processes, "all gateways to follow")
 
@@ -191,11 +193,11 @@
         """A quorum's member, a publisher or a relay."""
         self._run(name, ["-m", "linenbridge", "serve", "--settings", f"{name}.xml"])
 
-    def _run(self, name: str, words: list[str], **pipes: int) -> subprocess.Popen:
+    def _run(self, name: str, arguments: list[str], **pipes: int) -> subprocess.Popen:
         environ = {key: value for key, value in os.environ.items() if key != "LB_CONFIG"}
         with open(self.folder / f"{name}.log", "ab") as log:
             process = subprocess.Popen(
-                [sys.executable, *words], cwd=self.folder, stderr=log,
+                [sys.executable, *arguments], cwd=self.folder, stderr=log,
                 env={**environ, "PYTHONPATH": str(ROOT)}, **pipes,
             )  # fmt: skip
         self.running[name] = process
@@ -248,14 +250,14 @@
                     return name
         return ""
 
-    def ask_all(self, command: Command) -> list[Answer]:
+    def request_all(self, command: Command) -> list[Answer]:
         """All processes work on it side by side."""
         for hollow in self.hollow.values():
             hollow.send(command)
         return [hollow.answer() for hollow in self.hollow.values()]
 
     def following(self) -> int:
-        return sum(answer.following for answer in self.ask_all(Command("where")))
+        return sum(answer.following for answer in self.request_all(Command("where")))
 
     def until(self, true, what: str, wait: float = START_WAIT) -> float:  # noqa: ANN001
         """Seconds that it took; TimeoutError where it did not come about."""
@@ -266,46 +268,48 @@
             time.sleep(self.scale.look)
         return time.monotonic() - began
 
-    # ---- authors -------------------------------------------------------------------------------------------
+    # ---- change clients ------------------------------------------------------------------------------------
 
-    def begin_author(
+    def start_change_client(
         self, requests: list[Request], seconds: float, in_force: bool = False
     ) -> subprocess.Popen:
-        """An author in a process of its own, whose schedule begins now; `end_author` gives what came of
-        it."""
-        self.authored += 1
-        name = f"author{self.authored}"
+        """Start a change client in a process of its own, whose schedule begins now; `finish_change_client`
+        returns its summary."""
+        self.clients_started += 1
+        name = f"client{self.clients_started}"
         publishers = {
             region: {one: Address("127.0.0.1", self.ports[one]) for one in names}
             for region, names in self.publishers.items()
         }
         schedule = [Scheduled(one.at, one.region, one.kind, one.name, one.value) for one in requests]
-        spec = AuthorSpec(name, publishers, schedule, seconds, in_force, self.authored * 1_000_000)
+        spec = ChangeClientSpec(
+            name, publishers, schedule, seconds, in_force, self.clients_started * 1_000_000
+        )
         path = self.folder / f"{name}.json"
         path.write_bytes(msgspec.json.encode(spec))
-        words = ["-m", "tests.scale.author", str(path), str(self.folder / f"{name}.records")]
-        process = self._run(name, words, stdout=subprocess.PIPE)
+        arguments = ["-m", "tests.scale.change_client", str(path), str(self.folder / f"{name}.records")]
+        process = self._run(name, arguments, stdout=subprocess.PIPE)
         if process.stdout.readline() != BEGUN:
             raise RuntimeError(f"{name} ended before it began")
         return process
 
-    def end_author(self, process: subprocess.Popen) -> Summary:
-        out, _ = process.communicate()
+    def finish_change_client(self, process: subprocess.Popen) -> Summary:
+        output, _ = process.communicate()
         self.running = {name: one for name, one in self.running.items() if one is not process}
-        return msgspec.json.decode(out, type=Summary)
+        return msgspec.json.decode(output, type=Summary)
 
     # ---- the end -------------------------------------------------------------------------------------------
 
-    def settle(self, last: dict[str, int], wait: float) -> float:
+    def wait_until_equal(self, last: dict[str, int], wait: float) -> float:
         """Until every gateway is at the same place of every region, at these sequences at least: seconds."""
 
         def equal() -> bool:
-            answers = self.ask_all(Command("where"))
+            answers = self.request_all(Command("where"))
             return all(
-                {answer.least.get(region, 0) for answer in answers}
-                == {answer.most.get(region, 0) for answer in answers}
-                and len({answer.most.get(region, 0) for answer in answers}) == 1
-                and min(answer.least.get(region, 0) for answer in answers) >= sequence
+                {answer.lowest.get(region, 0) for answer in answers}
+                == {answer.highest.get(region, 0) for answer in answers}
+                and len({answer.highest.get(region, 0) for answer in answers}) == 1
+                and min(answer.lowest.get(region, 0) for answer in answers) >= sequence
                 for region, sequence in last.items()
             )
 
@@ -314,7 +318,7 @@
     def counters(self) -> dict[str, int]:
         """All gateways' counters, added up."""
         total = dict[str, int]()
-        for answer in self.ask_all(Command("where")):
+        for answer in self.request_all(Command("where")):
             for name, value in answer.counters.items():
                 total[name] = total.get(name, 0) + value
         return total
@@ -323,8 +327,8 @@
         """Of each process that runs."""
         found = {}
         for name, process in self.running.items():
-            words = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
-            found[name] = (int(words[11]) + int(words[12])) / TICKS
+            fields = Path(f"/proc/{process.pid}/stat").read_text().rpartition(")")[2].split()
+            found[name] = (int(fields[11]) + int(fields[12])) / TICKS
         return found
 
     def record_usage(self, before: dict[str, float], seconds: float) -> None:
--- a/tests/scale/measure/costs.py
+++ b/tests/scale/measure/costs.py
@@ -29,7 +29,7 @@
     return best
 
 
-def made_and_held(make: Callable[[], Made]) -> tuple[Made, int]:
+def made_and_size(make: Callable[[], Made]) -> tuple[Made, int]:
     """What `make` returns, and the bytes that it holds, by the interpreter's own count of its allocations."""
     gc.collect()
     tracemalloc.start()
@@ -43,6 +43,6 @@
     return made, after - before
 
 
-def held_bytes(make: Callable[[], object]) -> int:
+def allocated_bytes(make: Callable[[], object]) -> int:
     """The bytes alone."""
-    return made_and_held(make)[1]
+    return made_and_size(make)[1]
--- a/tests/scale/measure/discovery.py
+++ b/tests/scale/measure/discovery.py
@@ -33,10 +33,10 @@
 
 def read_time(count: int) -> float:
     """Microseconds to read a whole list into the module's entries, the module itself not counted."""
-    told = memoryview(line(count))
+    encoded = memoryview(line(count))
     loop = SimpleNamespace(enqueue=lambda call: None)
     reader = Discovery(loop, (), 0, True, None, lambda **_: None)
-    return processor_time(lambda: reader.told(told), max(1, 2_000 // count), 3)
+    return processor_time(lambda: reader.told(encoded), max(1, 2_000 // count), 3)
 
 
 def vote_bytes(votes: int) -> float:
--- a/tests/scale/measure/gateway.py
+++ b/tests/scale/measure/gateway.py
@@ -1,7 +1,8 @@
-"""A gateway's process as `run` starts it, on loopback stand-ins: idle, and told of one change after another.
+"""A gateway's process as `run` starts it, on loopback with fake servers: idle, and with one change after
+another.
 
-The list is told by discovery's stand-in, with the limit on one line lifted (it follows the memory limit).
-Processor time is the kernel's own count of the process, memory is what is resident.
+The list comes from the fake discovery server, with the limit on one line lifted (it follows the memory
+limit). Processor time is the kernel's own count of the process, memory is what is resident.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 MEASURED_BY = "tests.scale.measure.gateway"
 SIZES = (20, 200, 2_000, 20_000, 200_000)
 LIMITS = {"cores": 1.0, "memory_mb": 4_096, "sockets": 1_024}
-IDLE, CHANGES, BETWEEN = 3.0, 10, 0.1  # seconds; changes told one by one; seconds between two
-QUIET, QUIET_SHARE = 0.5, 0.05  # the process has settled once it used less of a core than this for so long
+IDLE, CHANGES, BETWEEN = 3.0, 10, 0.1  # seconds; changes one by one; seconds between two
+QUIET, QUIET_SHARE = 0.5, 0.05  # the process is idle once it used less of a core than this for so long
 PAGE = os.sysconf("SC_PAGESIZE")
 
 
@@ -33,8 +34,8 @@
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE
 
 
-def settle(pid: int) -> None:
-    """Waits until the process has worked off what it was told."""
+def wait_until_idle(pid: int) -> None:
+    """Waits until the process has worked off what it has received."""
     before = processor_seconds(pid)
     while True:
         time.sleep(QUIET)
@@ -69,7 +70,7 @@
         running.until("started")
         rows = endpoints(running, count)
         running.watch.chunk({"index": 1, "snapshot": True, "endpoints": rows})
-        settle(pid)
+        wait_until_idle(pid)
         started = processor_seconds(pid)
         time.sleep(IDLE)
         idle = (processor_seconds(pid) - started) / IDLE
@@ -78,9 +79,9 @@
             row = rows[number % len(rows)] | {"status": "leaving"}
             running.watch.chunk({"index": 2 + number, "snapshot": False, "endpoints": [row]})
             time.sleep(BETWEEN)
-        settle(pid)
-        spent = processor_seconds(pid) - started - idle * (time.monotonic() - began)
-        return resident(pid), idle * 1e6, max(0.0, spent / CHANGES * 1e6)
+        wait_until_idle(pid)
+        used = processor_seconds(pid) - started - idle * (time.monotonic() - began)
+        return resident(pid), idle * 1e6, max(0.0, used / CHANGES * 1e6)
 
 
 def rows() -> list[Slope]:
--- a/tests/scale/measure/instances.py
+++ b/tests/scale/measure/instances.py
@@ -6,7 +6,7 @@
 from linenbridge.state import fleet as fleet_module
 from linenbridge.state.fleet import Fleet
 
-from tests.scale.measure.costs import held_bytes, processor_time, text_of
+from tests.scale.measure.costs import allocated_bytes, processor_time, text_of
 from tests.scale.slopes import Slope, record, slope
 
 ROLE = "gateway: instance view"
@@ -62,14 +62,14 @@
     zone = [entry for entry in entries if entry.zone == "zone-0"]
     states = [[entry._replace(state=InstanceState.REMOVED) for entry in zone], zone]
 
-    def gone_and_back() -> None:
+    def remove_and_restore() -> None:
         for changes in states:
             fleet.update(changes, False, GAP, LIMIT, set())
 
-    return processor_time(gone_and_back, max(1, 2_000 // count), 3) / 2
+    return processor_time(remove_and_restore, max(1, 2_000 // count), 3) / 2
 
 
-def whole_time(count: int) -> float:
+def list_time(count: int) -> float:
     """Microseconds to take in a whole list that says nothing new."""
     entries = listed(count)
     fleet = view(entries)
@@ -79,7 +79,7 @@
 def view_bytes(count: int) -> int:
     """Bytes of the view alone, the list not counted."""
     entries = listed(count)
-    return held_bytes(lambda: view(entries))
+    return allocated_bytes(lambda: view(entries))
 
 
 def rows() -> list[Slope]:
@@ -88,13 +88,13 @@
     return [
         slope("linear", [(n, change_time(n)) for n in SIZES], what="one change", unit="us", **common),
         slope("n log n", [(n, zone_time(n)) for n in SIZES], what="a zone gone at once", unit="us", **common),
-        slope("n log n", [(n, whole_time(n)) for n in SIZES], what="a whole list", unit="us", **common),
+        slope("n log n", [(n, list_time(n)) for n in SIZES], what="a whole list", unit="us", **common),
         slope(
             "linear", [(n, view_bytes(n)) for n in SIZES], what="memory of the view", unit="bytes", **common
         ),
         slope(
             "linear",
-            [(n, held_bytes(lambda n=n: listed(n))) for n in SIZES],
+            [(n, allocated_bytes(lambda n=n: listed(n))) for n in SIZES],
             what="memory of the list",
             unit="bytes",
             **common,
--- a/tests/scale/measure/leases.py
+++ b/tests/scale/measure/leases.py
@@ -34,14 +34,14 @@
 
 
 class Counted(Fleet):
-    """A fleet that counts what one acceptor hears and says and what that costs it, and the same of a member,
-    in a steady time; then a tenth of the members restart."""
+    """A fleet that counts what one acceptor receives and sends and what that costs it, and the same of a
+    member, in a steady time; then a tenth of the members restart."""
 
     def __init__(self, shape: Shape, seed: int) -> None:
         self.calls_in = Counter[int]()  # by simulated second
         self.bytes_in = self.bytes_out = self.nanoseconds = self.member_nanoseconds = 0
         super().__init__(shape, seed)
-        self.seat, self.member = self.acceptors[0], self.names[-1]
+        self.counted_acceptor, self.member = self.acceptors[0], self.names[-1]
         for name in self.names[ACCEPTORS : ACCEPTORS + round(RESTARTED * len(self.names))]:
             self._at(RESTART_AT * SECOND, ("up", name))
 
@@ -52,14 +52,14 @@
     def _deliver(self, name: str, to: str, message: object) -> None:
         started = time.process_time_ns()
         super()._deliver(name, to, message)
-        spent = time.process_time_ns() - started
-        if name == self.seat and isinstance(message, LeaseRequest):
+        elapsed = time.process_time_ns() - started
+        if name == self.counted_acceptor and isinstance(message, LeaseRequest):
             self.calls_in[self.now // SECOND] += 1
             if self.steady:
-                self.nanoseconds += spent
+                self.nanoseconds += elapsed
                 self.bytes_in += len(msgspec.msgpack.encode(message))
         elif name == self.member and self.steady:
-            self.member_nanoseconds += spent
+            self.member_nanoseconds += elapsed
 
     def _pump(self, core_name: str) -> None:
         if core_name != self.names[-1] or not self.steady:
@@ -94,7 +94,7 @@
     fleet = Counted(shape, SEED)
     fleet.play()
     counted = RESTART_AT - STEADY_FROM
-    acceptor = fleet.cores[f"acceptor {fleet.seat}"]
+    acceptor = fleet.cores[f"acceptor {fleet.counted_acceptor}"]
     assert isinstance(acceptor, Acceptor)
     return {
         "calls": sum(fleet.calls_in[second] for second in range(STEADY_FROM, RESTART_AT)) / counted,
@@ -102,7 +102,7 @@
         "time": fleet.nanoseconds / 1000 / counted,
         "in": fleet.bytes_in / counted,
         "out": fleet.bytes_out / counted,
-        "held": deep_bytes((acceptor.granted_leases, acceptor.queues, acceptor.revisions)),
+        "memory": deep_bytes((acceptor.granted_leases, acceptor.queues, acceptor.revisions)),
         "member": fleet.member_nanoseconds / 1000 / counted,
     }
 
@@ -126,7 +126,7 @@
     "time": What(ROLE, "processor time of the core", "us a second", "quadratic"),
     "in": What(ROLE, "bytes in", "bytes a second"),
     "out": What(ROLE, "bytes out", "bytes a second"),
-    "held": What(ROLE, "memory of the core", "bytes"),
+    "memory": What(ROLE, "memory of the core", "bytes"),
     "member": What(MEMBER, "processor time of the core", "us a second", "constant"),
 }
 
--- a/tests/scale/measure/module.py
+++ b/tests/scale/measure/module.py
@@ -9,7 +9,7 @@
 from linenbridge.interface import Outcome, RolloutPhase
 
 from tests.helpers import pull, startup
-from tests.scale.measure.costs import held_bytes, processor_time, text_of
+from tests.scale.measure.costs import allocated_bytes, processor_time, text_of
 from tests.scale.measure.instances import listed
 from tests.scale.slopes import Slope, record, slope
 
@@ -68,7 +68,7 @@
     return [
         slope("linear", [(n, rpc_time(n)) for n in SIZES], what="one RPC", unit="us", **common,
               note=f"{RATE} RPCs a second at the gateway"),
-        slope("linear", [(n, held_bytes(lambda n=n: gateway(n))) for n in MEMORY_SIZES],
+        slope("linear", [(n, allocated_bytes(lambda n=n: gateway(n))) for n in MEMORY_SIZES],
               what="memory of the module", unit="bytes", **common),
     ]  # fmt: skip
 
--- a/tests/scale/measure/peers.py
+++ b/tests/scale/measure/peers.py
@@ -1,4 +1,4 @@
-"""Peers' counts at a gateway: the memory of what each has told, and the time of one message."""
+"""Peers' counts at a gateway: the memory of what each has sent, and the time of one message."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from linenbridge.state.counters import Counts
 from linenbridge.state.peers import Heard, HeardBounds, pack
 
-from tests.scale.measure.costs import held_bytes, processor_time, text_of
+from tests.scale.measure.costs import allocated_bytes, processor_time, text_of
 from tests.scale.slopes import Slope, record, slope
 
 ROLE = "gateway: release decisions"
@@ -18,7 +18,7 @@
 BOUNDS = HeardBounds(PEERS, BUILDS_HEARD, LIVES_HEARD)
 
 
-def words(token: int, picks: int = 20) -> bytes:
+def payload(token: int, picks: int = 20) -> bytes:
     """What one life of a peer tells: its counts of both builds and all methods."""
     counts = {
         (build, m): Counts(picks, 1, picks - 1, picks * 5_000) for build in BUILDS for m in range(METHODS)
@@ -26,19 +26,19 @@
     return pack(token, BUILDS, METHODS, counts)
 
 
-def told(lives: int) -> Heard:
+def received_counts(lives: int) -> Heard:
     """What a gateway has heard after that many lives of peers; each told once."""
     heard = Heard(METHODS, BOUNDS)
-    for life in range(lives):
-        for _ in heard.fresh(life % PEERS, words(life & 0xFFFF)):
+    for incarnation in range(lives):
+        for _ in heard.fresh(incarnation % PEERS, payload(incarnation & 0xFFFF)):
             pass
     return heard
 
 
 def message_time(lives: int) -> float:
     """Microseconds to take in one message with something new."""
-    heard = told(lives)
-    messages = [words(NEXT, picks) for picks in range(21, 1_021)]
+    heard = received_counts(lives)
+    messages = [payload(NEXT, picks) for picks in range(21, 1_021)]
     peer = iter(range(1_000_000))
 
     def take() -> None:
@@ -52,7 +52,7 @@
 def rows() -> list[Slope]:
     common = dict(role=ROLE, size="lives of peers", measured_by=MEASURED_BY, text=text_of(peers_module))
     return [
-        slope("linear", [(n, held_bytes(lambda n=n: told(n))) for n in SIZES],
+        slope("linear", [(n, allocated_bytes(lambda n=n: received_counts(n))) for n in SIZES],
               what="memory of peers' counts", unit="bytes", **common),
         slope("constant", [(n, message_time(n)) for n in SIZES],
               what="one peer's message", unit="us", **common),
--- a/tests/scale/measure/processor.py
+++ b/tests/scale/measure/processor.py
@@ -41,23 +41,23 @@
 
 
 def request_time(at_once: int) -> float:
-    """Microseconds for a request, asked and reported, with so many open at once."""
+    """Microseconds for a request, sent and reported, with so many open at once."""
     bench = Bench(terms=TERMS, instances=0)
     bench.list(ADDRESSES)
     peer = TimedPeer(bench)
-    answered = asked = 0
+    answered = sent = 0
     peer.nanoseconds = 0
-    while asked < REQUESTS:
-        streams = [peer.ask("/look/1", f"r{asked + number}") for number in range(at_once)]
-        asked += at_once
+    while sent < REQUESTS:
+        streams = [peer.ask("/look/1", f"r{sent + number}") for number in range(at_once)]
+        sent += at_once
         for stream in streams:
             if stream.endpoint is not None:
                 answered += 1
                 peer.report(stream, 200)
             peer.done(stream)
-    if answered < asked * 0.9:
-        raise RuntimeError(f"only {answered} of {asked} requests were handed out with {at_once} at once")
-    return peer.nanoseconds / 1000 / asked
+    if answered < sent * 0.9:
+        raise RuntimeError(f"only {answered} of {sent} requests were handed out with {at_once} at once")
+    return peer.nanoseconds / 1000 / sent
 
 
 def rows() -> list[Slope]:
--- a/tests/scale/measure/relay.py
+++ b/tests/scale/measure/relay.py
@@ -30,11 +30,11 @@
 from linenbridge.distribution.log.publisher import Publisher
 from linenbridge.distribution.dissemination.compacted_log import Table
 
-from tests.scale.measure.costs import held_bytes, processor_time, text_of
+from tests.scale.measure.costs import allocated_bytes, processor_time, text_of
 from tests.scale.measure.view import (
     ALL_SIZES,
     BATCH,
-    Author,
+    ChangeSource,
     all_changes,
     instance_changes,
     instance_key,
@@ -114,14 +114,14 @@
     return followers.nanoseconds / 1000 / SECONDS, followers.bytes / SECONDS / count
 
 
-def whole_bytes(instances: int) -> int:
+def all_bytes(instances: int) -> int:
     """Bytes of all changes that a follower without anything is sent, routes and tenants in proportion."""
-    return sum(len(msgspec.msgpack.encode(change)) for change in all_changes(Author(), instances))
+    return sum(len(msgspec.msgpack.encode(change)) for change in all_changes(ChangeSource(), instances))
 
 
 def filled(count: int) -> Table:
     table, batch = Table("one"), list[Change]()
-    for change in instance_changes(Author(), count):
+    for change in instance_changes(ChangeSource(), count):
         batch.append(change)
         if len(batch) == BATCH:
             table.apply(batch[-1].version, batch)
@@ -202,11 +202,11 @@
               what="processor time of the feed", size="followers", unit="us a second", note=pace, **common),
         slope("constant", [(count, cost[1]) for count, cost in feeds], role=RELAY,
               what="bytes to a follower", size="followers", unit="bytes a second", note=pace, **common),
-        slope("linear", [(n, held_bytes(lambda n=n: filled(n))) for n in KEYS], role=RELAY,
+        slope("linear", [(n, allocated_bytes(lambda n=n: filled(n))) for n in KEYS], role=RELAY,
               what="memory of the tables", size="keys", unit="bytes", **common),
         slope("constant", [(n, change_time(n)) for n in KEYS], role=RELAY,
               what="one change taken in", size="keys", unit="us", **common),
-        slope("proportional", [(n, whole_bytes(n)) for n in ALL_SIZES], role=RELAY,
+        slope("proportional", [(n, all_bytes(n)) for n in ALL_SIZES], role=RELAY,
               what="bytes of all tables", size="instances", unit="bytes",
               note="with routes and tenants in proportion", **common),
         slope("constant", [(n, publish_time(n)) for n in LOG_KEYS], role=PUBLISHER,
--- a/tests/scale/measure/routes.py
+++ b/tests/scale/measure/routes.py
@@ -9,7 +9,7 @@
 from linenbridge.routes import language, table as table_module
 from linenbridge.routes.table import Request, Table, table
 
-from tests.scale.measure.costs import held_bytes, processor_time, text_of
+from tests.scale.measure.costs import allocated_bytes, processor_time, text_of
 from tests.scale.slopes import Slope, record, slope
 
 ROLE = "gateway: routes"
@@ -74,7 +74,7 @@
               what="bytes of the text", unit="bytes", **common),
         slope("quadratic", [(n, make_time(n)) for n in SIZES],
               what="a table made, one change being a whole one", unit="us", **common),
-        slope("linear", [(n, held_bytes(lambda n=n: unchecked(n))) for n in SIZES],
+        slope("linear", [(n, allocated_bytes(lambda n=n: unchecked(n))) for n in SIZES],
               what="memory of the table", unit="bytes", **common),
         slope("linear", [(n, find_time(n)) for n in FIND_SIZES], what="one look-up", unit="us", **common),
     ]  # fmt: skip
--- a/tests/scale/measure/tenants.py
+++ b/tests/scale/measure/tenants.py
@@ -8,7 +8,7 @@
 from linenbridge.state import counters as counters_module
 from linenbridge.state.counters import Parts
 
-from tests.scale.measure.costs import held_bytes, processor_time, text_of
+from tests.scale.measure.costs import allocated_bytes, processor_time, text_of
 from tests.scale.slopes import Slope, record, slope
 
 ROLE = "gateway: tenants"
@@ -36,19 +36,19 @@
 
 def count_time(count: int) -> float:
     """Microseconds to count one request of a tenant, each of another one than the last 997."""
-    parts, asked = seen(shares(count)), itertools.cycle(names(count)[: min(count, 997)])
-    return processor_time(lambda: parts.part(1_000_000, next(asked)), 5_000)
+    parts, requested = seen(shares(count)), itertools.cycle(names(count)[: min(count, 997)])
+    return processor_time(lambda: parts.part(1_000_000, next(requested)), 5_000)
 
 
 def shares_bytes(count: int) -> int:
     """Bytes of the settings' table of shares, names included: what a start hands to the module."""
-    return held_bytes(lambda: shares(count))
+    return allocated_bytes(lambda: shares(count))
 
 
 def rates_bytes(count: int) -> int:
     """Bytes of the rates once every tenant was seen, the names not counted: they are those of the shares."""
     given = shares(count)
-    return held_bytes(lambda: seen(given))
+    return allocated_bytes(lambda: seen(given))
 
 
 def rows() -> list[Slope]:
--- a/tests/scale/measure/view.py
+++ b/tests/scale/measure/view.py
@@ -34,7 +34,7 @@
 from linenbridge.interface import InstanceState
 from linenbridge.routes.table import Request
 
-from tests.scale.measure.costs import REPEATS, made_and_held, processor_time, text_of
+from tests.scale.measure.costs import REPEATS, made_and_size, processor_time, text_of
 from tests.scale.measure.routes import LONGEST, METHODS, RULES_A_SERVICE, VERBS
 from tests.scale.slopes import Slope, record, slope
 
@@ -52,7 +52,7 @@
 MONTH = 30 * 86_400_000  # milliseconds
 
 
-class Author:
+class ChangeSource:
     """Seals changes with rising versions."""
 
     def __init__(self) -> None:
@@ -105,26 +105,26 @@
     return f"{service(number // INSTANCES_A_SERVICE)}/i-{drawn('name', number) & 0xFFFFFFFF:08x}"
 
 
-def route_changes(author: Author, count: int) -> Iterator[Change]:
+def route_changes(source: ChangeSource, count: int) -> Iterator[Change]:
     for number in range(max(1, round(count / RULES_A_SERVICE))):
-        yield author.seal(Kind.ROUTES, service(number), rules(number % SETS))
+        yield source.seal(Kind.ROUTES, service(number), rules(number % SETS))
 
 
-def tenant_changes(author: Author, count: int) -> Iterator[Change]:
+def tenant_changes(source: ChangeSource, count: int) -> Iterator[Change]:
     value = msgspec.msgpack.encode(TenantValue(MADE_SHARE))
     for number in range(count):
-        yield author.seal(Kind.TENANT, f"tenant-{number:07d}", value)
+        yield source.seal(Kind.TENANT, f"tenant-{number:07d}", value)
 
 
-def instance_changes(author: Author, count: int) -> Iterator[Change]:
+def instance_changes(source: ChangeSource, count: int) -> Iterator[Change]:
     for number in range(count):
-        yield author.seal(Kind.INSTANCE, instance_key(number), instance_value(number))
+        yield source.seal(Kind.INSTANCE, instance_key(number), instance_value(number))
 
 
-def all_changes(author: Author, count: int) -> Iterator[Change]:
-    yield from route_changes(author, round(count * ROUTES_AN_INSTANCE))
-    yield from tenant_changes(author, round(count * TENANTS_AN_INSTANCE))
-    yield from instance_changes(author, count)
+def all_changes(source: ChangeSource, count: int) -> Iterator[Change]:
+    yield from route_changes(source, round(count * ROUTES_AN_INSTANCE))
+    yield from tenant_changes(source, round(count * TENANTS_AN_INSTANCE))
+    yield from instance_changes(source, count)
 
 
 def new_view() -> View:
@@ -157,36 +157,36 @@
     return view
 
 
-def change_time(view: View, author: Author, kind: Kind, name: str, values: list[bytes]) -> float:
+def change_time(view: View, source: ChangeSource, kind: Kind, name: str, values: list[bytes]) -> float:
     """Microseconds for one change of a key, its check included; sealing it is not counted."""
     calls, repeats = 20, 5
-    changes = iter([author.seal(kind, name, values[n % len(values)]) for n in range(calls * repeats)])
+    changes = iter([source.seal(kind, name, values[n % len(values)]) for n in range(calls * repeats)])
     return processor_time(lambda: apply(view, [next(changes)]), calls, repeats)
 
 
 def route_look_up(view: View, number: int) -> Callable[[], None]:
     which, middle = number % SETS, RULES_A_SERVICE // 2
     verb = VERBS[drawn("rule", which * RULES_A_SERVICE + middle) % 2]
-    authority, asked, path = service(number), service(which), f"/v1/{resource(which, middle)}/7"
+    authority, sent_authority, path = service(number), service(which), f"/v1/{resource(which, middle)}/7"
 
     def look_up() -> None:
         found = view.routes(authority)
         assert found is not None
         # The rules ask for the authority of the first service that has this set.
-        assert found.find(Request(asked, path, verb)) is not None
+        assert found.find(Request(sent_authority, path, verb)) is not None
 
     return look_up
 
 
 def route_costs(count: int) -> dict[str, float]:
-    author = Author()
+    source = ChangeSource()
     for which in range(SETS):
         packed(rules(which))  # checked once, and not counted with what the view holds
-    view, held = made_and_held(lambda: filled(route_changes(author, count)))
+    view, memory = made_and_size(lambda: filled(route_changes(source, count)))
     services = round(count / RULES_A_SERVICE)
     middle = service(services // 2)
     values = [rules(services // 2 % SETS, soft) for soft in (300, 0)]
-    costs = {"one change": change_time(view, author, Kind.ROUTES, middle, values)}
+    costs = {"one change": change_time(view, source, Kind.ROUTES, middle, values)}
     in_use = route_look_up(view, services // 2)
     in_use()
     costs["one look-up"] = processor_time(in_use, 1_000)
@@ -194,34 +194,34 @@
     costs["first look-up of a set"] = processor_time(
         lambda: next(firsts)(), min(15, (services - 1) // REPEATS)
     )
-    costs["memory of the table"] = held
+    costs["memory of the table"] = memory
     return costs
 
 
 def tenant_costs(count: int) -> dict[str, float]:
-    author = Author()
-    view, held = made_and_held(lambda: filled(tenant_changes(author, count)))
+    source = ChangeSource()
+    view, memory = made_and_size(lambda: filled(tenant_changes(source, count)))
     name = f"tenant-{count // 2:07d}"
     values = [msgspec.msgpack.encode(TenantValue(share)) for share in (0.25, 0.75)]
     return {
-        "one change": change_time(view, author, Kind.TENANT, name, values),
+        "one change": change_time(view, source, Kind.TENANT, name, values),
         "one look-up": processor_time(lambda: view.tenant_quota(name), 1_000),
-        "memory of tenants": held,
+        "memory of tenants": memory,
     }
 
 
 def instance_costs(count: int) -> dict[str, float]:
-    author = Author()
-    view, held = made_and_held(lambda: filled(instance_changes(author, count)))
+    source = ChangeSource()
+    view, memory = made_and_size(lambda: filled(instance_changes(source, count)))
     number = count // 2
     values = [instance_value(number, state) for state in (InstanceState.DRAINING, InstanceState.READY)]
-    lost = [msgspec.msgpack.encode(ZoneValue(said)) for said in (True, False)]
+    lost = [msgspec.msgpack.encode(ZoneValue(is_lost)) for is_lost in (True, False)]
     of_service = service(number // INSTANCES_A_SERVICE)
     return {
-        "one change": change_time(view, author, Kind.INSTANCE, instance_key(number), values),
-        "a zone lost": change_time(view, author, Kind.ZONE, "zone-1", lost),
+        "one change": change_time(view, source, Kind.INSTANCE, instance_key(number), values),
+        "a zone lost": change_time(view, source, Kind.ZONE, "zone-1", lost),
         "a service's list": processor_time(lambda: view.instances(of_service), 100),
-        "memory of the view": held,
+        "memory of the view": memory,
     }
 
 
@@ -231,7 +231,7 @@
         path, methods = str(Path(folder) / "view.db"), fingerprint(method.name for method in METHODS)
         store = ViewStore(path, methods, lambda *_, **__: None)
         store.open()
-        if not store.write(filled(all_changes(Author(), count)).take_changed_pages()):
+        if not store.write(filled(all_changes(ChangeSource(), count)).take_changed_pages()):
             raise RuntimeError(f"the store could not be written: {store.error}")
         store.close()
 
--- a/tests/scale/records.py
+++ b/tests/scale/records.py
@@ -15,11 +15,11 @@
 import msgspec
 from msgspec import Struct
 
-FLUSH_AT = 1 << 16  # bytes gathered before they are written
+FLUSH_AT = 1 << 16  # bytes buffered before they are written
 
 
 class Sent(Struct, array_like=True, frozen=True, tag="sent"):
-    """An author asks for a change: the value's digest stands for the value."""
+    """A change client requests a change; the value's digest stands for the value."""
 
     at: int
     request: int
@@ -29,8 +29,8 @@
     value: str
 
 
-class Told(Struct, array_like=True, frozen=True, tag="told"):
-    """What its publisher told the author: `accepted`, `in_force` or `refused` with a code."""
+class PublisherResponse(Struct, array_like=True, frozen=True, tag="response"):
+    """A publisher's response: `accepted`, `in_force`, `refused` with a code, or `unconfirmed`."""
 
     at: int
     request: int
@@ -67,11 +67,11 @@
 
 
 class Started(Struct, array_like=True, frozen=True, tag="started"):
-    """A gateway begins a life; `kept` tells whether its store was kept."""
+    """A gateway begins an incarnation; `store_retained`: whether its store was."""
 
     at: int
     gateway: str
-    kept: bool
+    store_retained: bool
 
 
 class Serving(Struct, array_like=True, frozen=True, tag="serving"):
@@ -116,7 +116,7 @@
     memory: int
 
 
-Record = Sent | Told | Seen | Answered | Started | Serving | Final | Fault | Usage
+Record = Sent | PublisherResponse | Seen | Answered | Started | Serving | Final | Fault | Usage
 
 _encode, _decode = msgspec.json.Encoder().encode, msgspec.json.Decoder(Record).decode
 
@@ -127,21 +127,21 @@
 
 
 class Recorder:
-    """One process's file, appended to; gathered lines are written at `flush`."""
+    """One process's file, appended to; buffered lines are written at `flush`."""
 
     def __init__(self, path: Path) -> None:
         self.file: BinaryIO = open(path, "ab", buffering=0)  # noqa: SIM115  (closed by `close`)
-        self.gathered = bytearray()
+        self.buffered = bytearray()
 
     def write(self, record: Record) -> None:
-        self.gathered += _encode(record)
-        self.gathered += b"\n"
-        if len(self.gathered) >= FLUSH_AT:
+        self.buffered += _encode(record)
+        self.buffered += b"\n"
+        if len(self.buffered) >= FLUSH_AT:
             self.flush()
 
     def flush(self) -> None:
-        self.file.write(self.gathered)
-        self.gathered.clear()
+        self.file.write(self.buffered)
+        self.buffered.clear()
 
     def close(self) -> None:
         self.flush()
--- a/tests/scale/slopes.py
+++ b/tests/scale/slopes.py
@@ -57,8 +57,8 @@
 
 def slope(form: str, points: list[tuple[float, float]], **fields: str) -> Slope:
     """A slope with its fit; costs are kept with six significant digits."""
-    kept = tuple((float(size), float(f"{cost:.6g}")) for size, cost in points)
-    return Slope(points=kept, fit=fitted(form, kept), **fields)
+    rounded = tuple((float(size), float(f"{cost:.6g}")) for size, cost in points)
+    return Slope(points=rounded, fit=fitted(form, rounded), **fields)
 
 
 def load(path: Path = SLOPES) -> list[Slope]:
@@ -68,9 +68,9 @@
 
 def merge(rows: list[Slope], path: Path = SLOPES) -> None:
     """Puts the rows in the place of those with the same key; others stay."""
-    kept = {row.key: row for row in load(path)}
-    kept.update((row.key, row) for row in rows)
-    ordered = sorted(kept.values(), key=lambda row: row.key)
+    merged = {row.key: row for row in load(path)}
+    merged.update((row.key, row) for row in rows)
+    ordered = sorted(merged.values(), key=lambda row: row.key)
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_bytes(msgspec.json.format(msgspec.json.encode(ordered), indent=1) + b"\n")
     for row in rows:
@@ -86,10 +86,10 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("--state", choices=STATES)
     parser.add_argument("--slopes", type=Path, default=SLOPES)
-    said = parser.parse_args()
-    if said.state is not None:
-        rows = [msgspec.structs.replace(row, state=said.state) for row in rows]
-    merge(rows, said.slopes)
+    arguments = parser.parse_args()
+    if arguments.state is not None:
+        rows = [msgspec.structs.replace(row, state=arguments.state) for row in rows]
+    merge(rows, arguments.slopes)
 
 
 if __name__ == "__main__":
--- a/tests/scale/tables/content.py
+++ b/tests/scale/tables/content.py
@@ -28,7 +28,7 @@
 REGIONS = ("ap-south", "ap-east", "eu-central", "eu-west", "us-east", "us-west")
 ZONES = 19
 SKEW = 1.6  # of the Pareto law of the services' sizes
-WORDS = (
+STEMS = (
     "orders", "catalog", "billing", "search", "users", "session", "ledger", "stock", "media", "mail",
     "quote", "rates", "offer", "basket", "audit", "report", "price", "geo", "trip", "seat",
 )  # fmt: skip
@@ -67,12 +67,12 @@
         self.size, self.random = size, random.Random(seed)
         self.sequences = dict.fromkeys(REGIONS, 0)
         self.digests = dict.fromkeys(REGIONS, 0)
-        self.held: dict[Key, int] = {}  # digests, by key
+        self.current: dict[Key, int] = {}  # digests, by key
         self.services = [self._service(number) for number in range(size.services)]
         self.instances: list[str] = []
 
     def _service(self, number: int) -> str:
-        return f"{WORDS[number % len(WORDS)]}-{number // len(WORDS):03d}.internal"
+        return f"{STEMS[number % len(STEMS)]}-{number // len(STEMS):03d}.internal"
 
     def tenant(self, number: int) -> str:
         return f"tenant-{number:07x}"
@@ -95,12 +95,12 @@
                 self.instances.append(name)
                 yield self.change(Kind.INSTANCE, name, self._instance())
 
-    def _parts(self, whole: int) -> list[int]:
+    def _parts(self, total_count: int) -> list[int]:
         """The whole in a part for each service, one at least, most of them small."""
         weights = [min(self.random.paretovariate(SKEW), 400.0) for _ in self.services]
-        spare, total = whole - len(weights), sum(weights)
+        spare, total = total_count - len(weights), sum(weights)
         parts = [1 + int(spare * weight / total) for weight in weights]
-        for number in range(whole - sum(parts)):
+        for number in range(total_count - sum(parts)):
             parts[number % len(parts)] += 1
         return parts
 
@@ -127,8 +127,8 @@
         self.sequences[region] += 1
         made = sealed(region, Version(EPOCH, self.sequences[region]), kind, name, value)
         own = digest_of(made)
-        self.digests[region] = (self.digests[region] + own - self.held.get((kind, name), 0)) % 2**64
-        self.held[kind, name] = own
+        self.digests[region] = (self.digests[region] + own - self.current.get((kind, name), 0)) % 2**64
+        self.current[kind, name] = own
         return made
 
     # ---- values ----------------------------------------------------------------------------------
@@ -152,10 +152,10 @@
 
     def _rule(self, stem: str, number: int) -> str:
         method = self.random.choice(tuple(VERBS))
-        path = f"/v{1 + number % 3}/{stem}/{self.random.choice(WORDS)}{number}/"
+        path = f"/v{1 + number % 3}/{stem}/{self.random.choice(STEMS)}{number}/"
         when = f'path starts "{path}" and verb in {VERBS[method]}'
         if number % 5 == 0:
-            when += f' and header("x-variant") is "{self.random.choice(WORDS)}"'
+            when += f' and header("x-variant") is "{self.random.choice(STEMS)}"'
         return f'route {stem}-{number} {{ when {when}\n  method "{method}" {self.random.choice(TAILS)} }}'
 
 
--- a/tests/scale/tables/process.py
+++ b/tests/scale/tables/process.py
@@ -27,7 +27,7 @@
 from linenbridge.routes.table import Request
 from tests.scale.tables.content import LONGEST, METHODS, REGIONS, SEED, Content, Size
 
-LOOKUPS, COLD_LOOKUPS = 20_000, 1_000
+LOOKUPS, FIRST_LOOKUPS = 20_000, 1_000
 COMPILED_SERVICES = 50  # whose routes are asked for again and again, and whose instances are in use
 LENGTH_BYTES = 4
 FILL = "fill"
@@ -44,8 +44,8 @@
 
 
 def write_frame(stream: BinaryIO, frame: Frame) -> None:
-    words = msgspec.msgpack.encode(frame)
-    stream.write(len(words).to_bytes(LENGTH_BYTES, "big") + words)
+    encoded = msgspec.msgpack.encode(frame)
+    stream.write(len(encoded).to_bytes(LENGTH_BYTES, "big") + encoded)
 
 
 def read_frames(stream: BinaryIO) -> Iterator[Frame]:
@@ -72,11 +72,11 @@
 
 
 def opened(path: str) -> tuple[ViewStore, View]:
-    store = ViewStore(path, fingerprint(method.name for method in METHODS), _told)
+    store = ViewStore(path, fingerprint(method.name for method in METHODS), _print_event)
     return store, restored(store, lambda: View(METHODS, LONGEST))
 
 
-def _told(name: str, **fields: object) -> None:
+def _print_event(name: str, **fields: object) -> None:
     print(name, fields, file=sys.stderr)
 
 
@@ -94,7 +94,7 @@
             after_fill = resident()
         applying[frame.what].append(processor_time(lambda frame=frame: take(view, frame)))
         storing[frame.what].append(processor_time(lambda: store.write(view.take_changed_pages())))
-    told = {
+    figures = {
         "base": base,
         "filled": after_fill,
         "fill_s": (sum(applying.pop(FILL)) + sum(storing.pop(FILL))) / 1e6,
@@ -105,7 +105,7 @@
         "digests": {region: view.digest(region) for region in REGIONS},
     }
     store.close()
-    return told
+    return figures
 
 
 def take(view: View, frame: Frame) -> None:
@@ -126,16 +126,16 @@
     answer = view.routes(first)
     if answer is None or view.tenant_quota(content.tenant(0)) is None or not view.instances(first):
         raise SystemExit("the store holds nothing")
-    told: dict = {"answered_at": time.monotonic_ns(), "base": base}
-    told["restored"] = resident()
+    figures: dict = {"answered_at": time.monotonic_ns(), "base": base}
+    figures["restored"] = resident()
     give_back()
-    told["settled"] = resident()
-    told["lookup"] = looked_up(view, content)
-    told["after_lookups"], told["highest"] = resident(), highest()
-    told["digests"] = {region: view.digest(region) for region in REGIONS}
-    told["pages"] = page_bytes(view)
+    figures["settled"] = resident()
+    figures["lookup"] = looked_up(view, content)
+    figures["after_lookups"], figures["highest"] = resident(), highest()
+    figures["digests"] = {region: view.digest(region) for region in REGIONS}
+    figures["pages"] = page_bytes(view)
     store.close()
-    return told
+    return figures
 
 
 def page_bytes(view: View) -> dict[str, int]:
@@ -152,23 +152,25 @@
     """Look-ups of each table, at random over all of it or over what is in use."""
     chosen, tenants = random.Random(SEED), content.size.tenants
     names = (content.tenant(chosen.randrange(tenants)) for _ in range(LOOKUPS))
-    told = {"tenant": spread(processor_time(lambda name=name: view.tenant_quota(name)) for name in names)}
-    cold = chosen.sample(content.services, min(COLD_LOOKUPS, len(content.services)))
-    requests = [(name, request_of(view, name, chosen)) for name in cold]
+    figures = {"tenant": spread(processor_time(lambda name=name: view.tenant_quota(name)) for name in names)}
+    unused = chosen.sample(content.services, min(FIRST_LOOKUPS, len(content.services)))
+    requests = [(name, request_of(view, name, chosen)) for name in unused]
     view.route_table.clear()
-    told["routes cold"] = spread(asked(view, *one) for one in requests)
-    requests, used = requests[:COMPILED_SERVICES], cold[:COMPILED_SERVICES]
+    figures["routes cold"] = spread(look_up_time(view, *one) for one in requests)
+    requests, used = requests[:COMPILED_SERVICES], unused[:COMPILED_SERVICES]
     for one in requests:
-        asked(view, *one)
-    told["routes compiled"] = spread(asked(view, *chosen.choice(requests)) for _ in range(LOOKUPS))
-    told["service cold"] = spread(processor_time(lambda name=name: view.instances(name)) for name in cold)
+        look_up_time(view, *one)
+    figures["routes compiled"] = spread(look_up_time(view, *chosen.choice(requests)) for _ in range(LOOKUPS))
+    figures["service cold"] = spread(
+        processor_time(lambda name=name: view.instances(name)) for name in unused
+    )
     for name in used:
         view.use(name)
     entries = (chosen.choice(used) for _ in range(LOOKUPS))
-    told["instance in use"] = spread(
+    figures["instance in use"] = spread(
         processor_time(lambda name=name: view.instance_table.find(name)) for name in entries
     )
-    return told
+    return figures
 
 
 def request_of(view: View, service: str, chosen: random.Random) -> Request:
@@ -180,7 +182,7 @@
     return Request(service, starts.words[0] + "17", verbs.words[0], "http", {"x-tenant": "t", **wanted})
 
 
-def asked(view: View, service: str, request: Request) -> float:
+def look_up_time(view: View, service: str, request: Request) -> float:
     fresh = Request(request.authority, request.path, request.verb, "http", request.headers)
     found: list[object] = []
 
--- a/tests/scale/test_checker.py
+++ b/tests/scale/test_checker.py
@@ -4,8 +4,19 @@
 
 import pytest
 
-from tests.scale.checker import breaches, gather, lag
-from tests.scale.records import Answered, Final, Record, Recorder, Seen, Sent, Serving, Started, Told, read
+from tests.scale.checker import breaches, collect, lag
+from tests.scale.records import (
+    Answered,
+    Final,
+    Record,
+    Recorder,
+    Seen,
+    Sent,
+    Serving,
+    Started,
+    PublisherResponse,
+    read,
+)
 
 MS = 1000
 
@@ -20,7 +31,7 @@
     for epoch, sequence, name, value in changes:
         at = sequence * 100 * MS
         records.append(Sent(at, sequence, "eu", 1, name, value))
-        records.append(Told(at + 10 * MS, sequence, "eu", "accepted", epoch, sequence, "", 0))
+        records.append(PublisherResponse(at + 10 * MS, sequence, "eu", "accepted", epoch, sequence, "", 0))
         for gateway, late in (("g1", 50 * MS), ("g2", 70 * MS)):
             records.append(Seen(at + late, gateway, "eu", epoch, sequence, 1, name, value))
     records += [Started(500 * MS, "g2", False), Serving(500 * MS, "g2", {})]
@@ -32,10 +43,10 @@
 
 
 def test_sound_records_show_no_breach_and_how_long_changes_took():
-    evidence = gather(sound())
+    evidence = collect(sound())
     assert breaches(evidence) == []
     times = lag(evidence)
-    assert (times.pairs, times.p50, times.most) == (3, 50.0, 50.0)
+    assert (times.pairs, times.p50, times.maximum) == (3, 50.0, 50.0)
 
 
 PLANTED = {
@@ -52,13 +63,16 @@
         "epoch 1 after epoch 2",
     ),
     "an accepted change that never comes": (
-        [Sent(650 * MS, 9, "eu", 1, "cart", "x"), Told(660 * MS, 9, "eu", "accepted", 2, 4, "", 0)],
+        [
+            Sent(650 * MS, 9, "eu", 1, "cart", "x"),
+            PublisherResponse(660 * MS, 9, "eu", "accepted", 2, 4, "", 0),
+        ],
         "was told as accepted",
     ),
     "an accepted change that comes with another value": (
         [
             Sent(650 * MS, 9, "eu", 1, "cart", "x"),
-            Told(660 * MS, 9, "eu", "accepted", 2, 4, "", 0),
+            PublisherResponse(660 * MS, 9, "eu", "accepted", 2, 4, "", 0),
             Seen(670 * MS, "g1", "eu", 2, 4, 1, "cart", "y"),
             Seen(670 * MS, "g2", "eu", 2, 4, 1, "cart", "y"),
         ],
@@ -72,19 +86,19 @@
 
 @pytest.mark.parametrize("what", PLANTED)
 def test_a_planted_breach_is_caught(what):
-    planted, words = PLANTED[what]
-    found = breaches(gather(sound() + planted))
-    assert any(words in line for line in found), found
+    planted, text = PLANTED[what]
+    found = breaches(collect(sound() + planted))
+    assert any(text in line for line in found), found
 
 
-def test_an_older_version_after_a_start_with_the_store_kept_is_a_breach():
+def test_an_older_version_after_a_start_with_the_store_retained_is_a_breach():
     records = sound()
     records += [Started(1000 * MS, "g1", True), Serving(1000 * MS, "g1", {"eu": 3})]
     records.append(Seen(1001 * MS, "g1", "eu", 1, 1, 1, "shop", "a"))
-    assert any("went back" in line for line in breaches(gather(records)))
+    assert any("went back" in line for line in breaches(collect(records)))
 
 
-def test_records_are_read_as_they_were_written_but_for_a_cut_line(tmp_path):
+def test_records_are_read_as_they_were_written_but_for_a_truncated_line(tmp_path):
     recorder = Recorder(tmp_path / "g.records")
     for record in sound():
         recorder.write(record)
@@ -97,7 +111,7 @@
 def test_what_a_store_did_not_hold_is_seen_once_more():
     records = sound()
     records += [Started(1000 * MS, "g1", True), Serving(1000 * MS, "g1", {"eu": 1})]
-    assert any("was told as accepted" in line for line in breaches(gather(records)))
+    assert any("was told as accepted" in line for line in breaches(collect(records)))
     records.append(Seen(1001 * MS, "g1", "eu", 1, 2, 1, "shop", "b"))
     records.append(Seen(1001 * MS, "g1", "eu", 2, 3, 1, "pay", "c"))
-    assert breaches(gather(records)) == []
+    assert breaches(collect(records)) == []
--- a/tests/scale/test_families.py
+++ b/tests/scale/test_families.py
@@ -17,7 +17,7 @@
 from tests.scale.families import FAMILIES, Outcome
 
 
-def keep(outcome: Outcome) -> None:
+def store_outcome(outcome: Outcome) -> None:
     """Add an outcome to the file that the page is made of, in place of an earlier one of the same play."""
     if not (named := os.environ.get("LB_SCALE_RESULTS")):
         return
@@ -33,6 +33,6 @@
 def test_every_gateway_comes_to_the_same_tables_and_none_goes_back(family, outcomes):
     outcome = outcomes[family]
     print(f"\n{outcome.line()}")
-    keep(outcome)
+    store_outcome(outcome)
     assert outcome.equal and not outcome.breaches, outcome.breaches
     assert outcome.changes > 0 and outcome.lag.pairs > 0
--- a/tests/scale/test_full_tables.py
+++ b/tests/scale/test_full_tables.py
@@ -5,14 +5,14 @@
 from tests.scale.full_tables import SMALL, lines, measured, rows
 from tests.scale.tables.content import Size
 
-TABLES_MOST = 12_000_000  # bytes beside the interpreter at a hundredth, compiled sets and the allocator's own
+MAX_TABLES = 12_000_000  # bytes beside the interpreter at a hundredth, compiled sets and the allocator's own
 
 
 def test_a_hundredth_of_the_size_is_filled_served_and_restarted():
     found = measured(SMALL)
     fill, again = found["fill"], found["restart"]
-    assert fill["filled"] - fill["base"] < TABLES_MOST
-    assert again["restored"] - again["base"] < TABLES_MOST
+    assert fill["filled"] - fill["base"] < MAX_TABLES
+    assert again["restored"] - again["base"] < MAX_TABLES
     assert set(again["lookup"]) == {
         "tenant", "routes compiled", "routes cold", "instance in use", "service cold",
     }  # fmt: skip
--- a/tests/scale/test_measure.py
+++ b/tests/scale/test_measure.py
@@ -15,12 +15,12 @@
 
 MEASURES: dict[str, Callable[[], float]] = {
     "instances, one change": lambda: instances.change_time(20),
-    "instances, a whole list": lambda: instances.whole_time(20),
+    "instances, a whole list": lambda: instances.list_time(20),
     "instances, memory": lambda: instances.view_bytes(20),
     "tenants, one request": lambda: tenants.count_time(20),
     "tenants, memory": lambda: tenants.rates_bytes(20) + tenants.shares_bytes(20),
     "peers, one message": lambda: peers.message_time(8),
-    "peers, memory": lambda: costs.held_bytes(lambda: peers.told(8)),
+    "peers, memory": lambda: costs.allocated_bytes(lambda: peers.received_counts(8)),
     "module, one RPC": lambda: module.rpc_time(4),
     "pools, one change": lambda: pools.change_time(4),
     "routes, a table made": lambda: routes.make_time(4),
@@ -29,7 +29,7 @@
     "discovery, a list read": lambda: discovery.read_time(4),
     "discovery, votes": lambda: discovery.vote_bytes(1),
     "relay, one change": lambda: relay.change_time(600),
-    "relay, everything": lambda: relay.whole_bytes(20),
+    "relay, everything": lambda: relay.all_bytes(20),
     "publisher, one change": lambda: relay.publish_time(20),
     "view, restart": lambda: view.restart_time(20),
 }
@@ -60,7 +60,7 @@
     assert busy > 0 and sent > 0
 
 
-def test_the_quorums_costs_are_of_members_that_ask():
+def test_the_quorums_costs_are_of_members_that_request():
     found = leases.costs(10)
     assert set(found) == set(leases.WHATS) and all(cost > 0 for cost in found.values())
 
--- a/tests/scale/traffic.py
+++ b/tests/scale/traffic.py
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Request:
-    """One change that an author asks for, at so many microseconds after the start."""
+    """One change that a change client requests, at so many microseconds after the start."""
 
     at: int
     region: str
