--- a/tests/scale/page/__main__.py
+++ b/tests/scale/page/__main__.py
@@ -36,7 +36,7 @@
     rows = render.all_rows(size, slopes, outcomes)
     return {
         "size": render.size_table(size),
-        "first": render.most_over(rows),
+        "first": render.rows_over_budget(rows),
         "roles": render.role_tables(rows),
         "comparison": render.comparison(rows),
         "families": render.families(outcomes.found),
@@ -51,12 +51,13 @@
         pattern = re.compile(f"{re.escape(begin)}\n.*?{re.escape(end)}", re.DOTALL)
         if pattern.search(page) is None:
             raise MissingPartError(name)
-        whole = f"{begin}\n\n{part}\n{end}"
-        page = pattern.sub(lambda _, whole=whole: whole, page)
+        marked = f"{begin}\n\n{part}\n{end}"
+        page = pattern.sub(lambda _, marked=marked: marked, page)
     return page
 
 
 def main(arguments: list[str]) -> int:
+    """Print the parts, or write them into the page."""
     generated = parts()
     if "--write" in arguments:
         PAGE.write_text(filled(PAGE.read_text(), generated))
--- a/tests/scale/page/figures.py
+++ b/tests/scale/page/figures.py
@@ -15,6 +15,10 @@
 from tests.scale.slopes import Slope
 
 
+MICROSECOND = 1e-6  # seconds
+MILLISECOND = 1e-3  # seconds
+
+
 class Known(IntEnum):
     """How a figure is known, from the best to the worst."""
 
@@ -24,7 +28,7 @@
     EXTRAPOLATED = 3  # by the fit, beyond the measured sizes
 
 
-KNOWN_WORDS = {
+KNOWN_LABELS = {
     Known.COUNTED: "counted",
     Known.MEASURED: "measured",
     Known.BETWEEN: "between measured sizes",
@@ -45,6 +49,16 @@
         return Figure(self.value + other.value, max(self.known, other.known))
 
 
+def times(figure: Figure | None, factor: float) -> Figure | None:
+    """A figure times a factor; None if it has not been measured."""
+    return None if figure is None else figure * factor
+
+
+def total(first: Figure | None, second: Figure | None) -> Figure | None:
+    """The sum of two figures; None if one of them has not been measured."""
+    return None if first is None or second is None else first + second
+
+
 class Row(Struct, frozen=True, kw_only=True):
     """One quantity of one role: on an ordinary second, at a burst, its budget, and the mechanism.
 
@@ -79,7 +93,7 @@
     def known(self) -> str:
         """How the row's figures are known, in words."""
         found = [figure.known for figure in (self.ordinary, self.burst) if figure is not None]
-        return KNOWN_WORDS[max(found)] if found else "**not measured**"
+        return KNOWN_LABELS[max(found)] if found else "**not measured**"
 
 
 class Versions(TypedDict):
@@ -102,8 +116,7 @@
 
     def scaled(self, role: str, what: str, size: float, factor: float, state: str = "now") -> Figure | None:
         """The cost at a size times a factor, such as a rate or a change of unit."""
-        found = self.at(role, what, size, state)
-        return None if found is None else found * factor
+        return times(self.at(role, what, size, state), factor)
 
     def versions(self, role: str, what: str, size: float, factor: float = 1.0) -> Versions:
         """The same cost of the text before a change, and of the tables that are off in `run`."""
--- a/tests/scale/page/render.py
+++ b/tests/scale/page/render.py
@@ -6,7 +6,7 @@
 
 from tests.scale.page import control, gateway
 from tests.scale.page.families import Outcome, Outcomes
-from tests.scale.page.figures import KNOWN_WORDS, Costs, Figure, Row
+from tests.scale.page.figures import KNOWN_LABELS, Costs, Figure, Row
 from tests.scale.page.size import MEGABYTE, Size
 from tests.scale.slopes import Slope
 
@@ -73,22 +73,23 @@
 
 
 def figure(found: Figure | None, unit: str) -> str:
+    """A figure with its unit; "-" where there is none."""
     return "-" if found is None else quantity(found.value, unit)
 
 
 def over(row: Row) -> str:
     """By how much a row is over its budget."""
-    return "-" if row.largest is None else over_words(row.largest.value, row.budget)
+    return "-" if row.largest is None else over_text(row.largest.value, row.budget)
 
 
-def over_words(value: float, budget: float | None) -> str:
+def over_text(value: float, budget: float | None) -> str:
     """By how much a value is over its budget: a factor, "no" where it is within, "-" where there is none."""
     if not budget:
         return "-"
-    return "no" if value <= budget else f"**{factor_words(value / budget)}**"
+    return "no" if value <= budget else f"**{factor_text(value / budget)}**"
 
 
-def factor_words(factor: float) -> str:
+def factor_text(factor: float) -> str:
     """A factor over a budget."""
     return f"{number(factor)} times" if factor >= LARGE else f"{factor:.1f} times"
 
@@ -134,24 +135,24 @@
     return max((row for row in rows if row.factor is not None), key=lambda row: row.factor or 0.0)
 
 
-MOST_OVER = 12
+MAX_ROWS_OVER = 12
 
 
-def most_over(rows: list[Row]) -> str:
+def rows_over_budget(rows: list[Row]) -> str:
     """What gives first in a sentence, then the rows that are over their budgets by most."""
     first = first_to_give(rows)
     value = 0.0 if first.largest is None else first.largest.value
-    said = (
+    summary = (
         f"**What gives first: {first.what}** ({first.role}): {quantity(value, first.unit)} where "
-        f"{quantity(first.budget or 0.0, first.unit)} are allowed, {factor_words(first.factor or 0.0)} "
+        f"{quantity(first.budget or 0.0, first.unit)} are allowed, {factor_text(first.factor or 0.0)} "
         f"({first.known.strip('*')}). It is carried by {first.mechanism}.\n"
     )
     exceeding = [row for row in rows if row.factor is not None and row.factor > 1.0]
     exceeding.sort(key=lambda row: -(row.factor or 0.0))
     lines = [
-        [row.role, row.what, factor_words(row.factor or 0.0), row.known] for row in exceeding[:MOST_OVER]
+        [row.role, row.what, factor_text(row.factor or 0.0), row.known] for row in exceeding[:MAX_ROWS_OVER]
     ]
-    return f"{said}\n{table(('role', 'what', 'over by', 'known'), lines)}"
+    return f"{summary}\n{table(('role', 'what', 'over by', 'known'), lines)}"
 
 
 COMPARISON_HEADS = ("role", "what", "before", "now", "new tables", "budget", "over by", "known")
@@ -172,12 +173,12 @@
         figure(row.largest, row.unit),
         figure(row.after, row.unit),
         "-" if row.budget is None else quantity(row.budget, row.unit),
-        "-" if newest is None else over_words(newest.value, row.budget),
-        "**not measured**" if newest is None else KNOWN_WORDS[newest.known],
+        "-" if newest is None else over_text(newest.value, row.budget),
+        "**not measured**" if newest is None else KNOWN_LABELS[newest.known],
     ]
 
 
-STATE_WORDS = {"before": " (before)", "now": "", "after": " (new tables)"}
+STATE_LABELS = {"before": " (before)", "now": "", "after": " (new tables)"}
 
 
 def slope_table(slopes: list[Slope]) -> str:
@@ -185,7 +186,7 @@
     lines = [
         [
             slope.role,
-            slope.what + STATE_WORDS[slope.state],
+            slope.what + STATE_LABELS[slope.state],
             f"{slope.unit} by {slope.size}",
             ", ".join(f"{number(size)}: {number(cost)}" for size, cost in slope.points),
             f"{slope.fit.form}, off by {slope.fit.worst_error:.0%} at most",
@@ -219,7 +220,7 @@
          f"{quantity(budget.core_share, 'core')}, {byte_count(size.memory)}, "
          f"{quantity(budget.bytes_a_second, 'bytes/s')}"],
         ["machines for control: relays, seats of the quorum",
-         f"{budget.machines}: {budget.relays}, {budget.quorum_seats}"],
+         f"{budget.machines}: {budget.relays}, {budget.quorum_members}"],
     ]  # fmt: skip
     return table(("", ""), lines)
 
--- a/tests/scale/page/size.py
+++ b/tests/scale/page/size.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import msgspec
-from msgspec import Struct
+from msgspec import Struct, field
 
 SIZE = Path(__file__).parents[3] / "docs" / "capacity" / "size.toml"
 DAY = 86_400.0  # seconds
@@ -13,6 +13,8 @@
 
 
 class FleetSize(Struct, frozen=True, forbid_unknown_fields=True):
+    """How many gateways, instances, services, regions and zones there are."""
+
     gateways: int
     instances: int
     services: int
@@ -28,6 +30,8 @@
 
 
 class ConfigurationSize(Struct, frozen=True, forbid_unknown_fields=True):
+    """Routes, tenants and their changes; the times within which a change is in force and a look-up ends."""
+
     routes: int
     tenants: int
     changes_a_day: float
@@ -36,14 +40,18 @@
 
 
 class Failures(Struct, frozen=True, forbid_unknown_fields=True):
+    """What fails and restarts on an ordinary day, and at once."""
+
     machines_failing_a_day: float
     restarts_a_day: float
     list_changes_a_restart: float
     gateways_restarting_together: float
-    cut_hours: float
+    partition_hours: float = field(name="cut_hours")
 
 
 class Release(Struct, frozen=True, forbid_unknown_fields=True):
+    """How releases are staged and voted on."""
+
     services_on_trial: int
     stage_s: float
     share_on_trial: float
@@ -53,12 +61,14 @@
 
 
 class Budget(Struct, frozen=True, forbid_unknown_fields=True):
+    """What control may cost at a gateway, and the machines that it has."""
+
     core_share: float
     memory_mb: float
     bytes_a_second: float
     machines: int
     relays: int
-    quorum_seats: int
+    quorum_members: int = field(name="quorum_seats")
     core_share_a_machine: float
 
 
@@ -79,18 +89,22 @@
 
     @property
     def instances_a_service(self) -> float:
+        """Instances of a service on average."""
         return self.fleet.instances / self.fleet.services
 
     @property
     def instances_a_zone(self) -> float:
+        """Instances of a zone on average."""
         return self.fleet.instances / self.fleet.zones
 
     @property
     def routes_a_service(self) -> float:
+        """Routes of a service on average."""
         return self.configuration.routes / self.fleet.services
 
     @property
     def configuration_changes_a_second(self) -> float:
+        """Changes of routes and tenants a second, evenly over the day."""
         return self.configuration.changes_a_day / DAY
 
     @property
--- a/tests/scale/test_page.py
+++ b/tests/scale/test_page.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import importlib.util
+import re
 
 import msgspec
 import pytest
@@ -20,18 +21,30 @@
 TENFOLD = 10.0
 
 
-def test_the_page_holds_the_programs_output():
+def test_the_page_has_the_output_of_the_program():
     page = PAGE.read_text()
     assert filled(page, parts()) == page, "run `python -m tests.scale.page --write`"
 
 
+def test_every_file_that_the_page_names_exists() -> None:
+    root = PAGE.parents[1]
+
+    named = set(re.findall(r"`([a-z0-9_/]+(?:\.py|/))`", PAGE.read_text()))
+
+    missing = [
+        name for name in named if not any((folder / name).exists() for folder in (root / "linenbridge", root))
+    ]
+    assert len(named) > 20
+    assert missing == []
+
+
 def test_a_changed_figure_shows():
     page = PAGE.read_text()
     changed = page.replace("3,200", "3,201", 1)
     assert changed != page and filled(changed, parts()) == page
 
 
-def test_a_page_without_a_parts_markers_is_refused():
+def test_a_page_without_the_markers_of_a_part_is_an_error():
     with pytest.raises(MissingPartError, match="roles"):
         filled("<!-- size: begin -->\n<!-- size: end -->", {"size": "x\n", "roles": "y\n"})
 
@@ -60,7 +73,7 @@
     assert {row.role for row in rows} == {*gateway.ROLES, *control.ROLES}
 
 
-def test_without_slopes_every_row_stays_and_says_that_it_was_not_measured():
+def test_without_slopes_every_row_stays_and_is_marked_as_not_measured():
     with_slopes, without = (all_rows(found) for found in (SLOPES, []))
     assert [(row.role, row.what) for row in without] == [(row.role, row.what) for row in with_slopes]
     unmeasured = [row for row in without if row.ordinary is None and row.burst is None]
