--- a/tests/compatibility/leases/test_messages.py
+++ b/tests/compatibility/leases/test_messages.py
@@ -21,10 +21,11 @@
     StatusQuery,
     TaskStatus,
 )
-from linenbridge.peering.connections import Links
+from linenbridge.peering.connections import PeerConnections
 from tests.compatibility.leases.conftest import base_file
 
 BASE = base_file("messages.json")
+DECODER = msgspec.msgpack.Decoder(Message)
 MESSAGES = {
     "request": LeaseRequest(
         number=70_000,
@@ -153,28 +154,31 @@
 
 
 def test_the_bytes_of_a_connection_are_those_of_the_base():
-    links = Links("g1", frozenset({"g2"}), Clock(), SilentLog(), lambda peer, message: None)
-    link = links.buildProtocol(None)
+    connections = PeerConnections(
+        "g1", frozenset({"g2"}), Clock(), SilentLog(), lambda peer, message: None, decoder=DECODER
+    )
+    connection = connections.buildProtocol(None)
     transport = Transport()
 
-    link.makeConnection(transport)
+    connection.makeConnection(transport)
     name = transport.value()
     transport.clear()
-    link.dataReceived(name.replace(b"g1", b"g2"))
-    links.say("g2", MESSAGES["empty request"])
+    connection.dataReceived(name.replace(b"g1", b"g2"))
+    connections.send("g2", MESSAGES["empty request"])
 
     assert {"name": name.hex(), "empty request": transport.value().hex()} == BASE["frames"]
 
 
 def test_the_bytes_of_a_connection_of_the_base_are_read():
     received = []
-    links = Links(
-        "g2", frozenset({"g1"}), Clock(), SilentLog(), lambda peer, message: received.append((peer, message))
-    )
-    link = links.buildProtocol(None)
-    link.makeConnection(Transport())
-
-    link.dataReceived(bytes.fromhex(BASE["frames"]["name"]))
-    link.dataReceived(bytes.fromhex(BASE["frames"]["empty request"]))
+    connections = PeerConnections(
+        "g2", frozenset({"g1"}), Clock(), SilentLog(), lambda peer, message: received.append((peer, message)),
+        decoder=DECODER,
+    )  # fmt: skip
+    connection = connections.buildProtocol(None)
+    connection.makeConnection(Transport())
+
+    connection.dataReceived(bytes.fromhex(BASE["frames"]["name"]))
+    connection.dataReceived(bytes.fromhex(BASE["frames"]["empty request"]))
 
     assert received == [("g1", MESSAGES["empty request"])]
--- a/tests/fleet/sim/world.py
+++ b/tests/fleet/sim/world.py
@@ -23,7 +23,7 @@
 from linenbridge.fleet.leases.quorum import Quorum
 from linenbridge.fleet.leases.stored_state import StoredState
 from linenbridge.fleet.leases.timing import LeaseTiming
-from tests.fleet.procs.standin_resource import Act
+from tests.fleet.procs.fake_resource import Act
 from tests.fleet.stored_state import state_after
 
 MILLISECOND = 1_000  # microseconds
--- a/tests/scale/change_client.py
+++ b/tests/scale/change_client.py
@@ -22,7 +22,7 @@
 from linenbridge.distribution.errors import NotPublisher, PublisherBusy
 from linenbridge.distribution.hosting.link_messages import AUTHOR_TAKES
 from linenbridge.distribution.messages import Publish, Published
-from linenbridge.peering.connections import Links
+from linenbridge.peering.connections import PeerConnections
 from linenbridge.logging.structured import structured
 from linenbridge.process import lifecycle
 from tests.scale.hollow import Address, shown
@@ -82,7 +82,7 @@
 
     def choose_linked_candidate(self) -> bool:
         """Whether a candidate is connected; a connected one gets the next requests."""
-        linked = [name for name in self.candidates if name in self.client.links.to]
+        linked = [name for name in self.candidates if name in self.client.connections.by_peer]
         if linked and self.candidate not in linked:
             self.candidate = linked[0]
         return bool(linked)
@@ -90,7 +90,7 @@
     def look(self) -> None:
         """Send the requests that are due."""
         at = now()
-        if at < self.quiet_until or self.candidate not in self.client.links.to:
+        if at < self.quiet_until or self.candidate not in self.client.connections.by_peer:
             return
         waiting_since = min((requested for _, requested, _ in self.open.values()), default=at)
         if at - waiting_since > PATIENCE * 1e6:
@@ -101,7 +101,7 @@
             request = next(self.client.requests)
             self.open[request] = (first, at, change)
             self.client.record_sent(first, request, change)
-            self.client.links.say(
+            self.client.connections.send(
                 self.candidate, Publish(request, self.region, change.kind, change.name, change.value)
             )
 
@@ -125,13 +125,15 @@
         self.rejected, self.last = dict[str, int](), dict[str, int]()
         self.exit_code = 1
         known = frozenset(name for candidates in spec.publishers.values() for name in candidates)
-        self.links = Links(spec.name, known, reactor, log, self.on_published, decoder=AUTHOR_TAKES)
+        self.connections = PeerConnections(
+            spec.name, known, reactor, log, self.on_published, decoder=AUTHOR_TAKES
+        )
         self.regions = {
             region: RegionChanges(self, region, candidates) for region, candidates in spec.publishers.items()
         }
         for candidates in spec.publishers.values():
             for name, at in candidates.items():
-                self.links.dial(name, (at.host, at.port))
+                self.connections.dial(name, (at.host, at.port))
         self.schedule = deque(sorted(spec.schedule, key=lambda change: change.at))
         self.began = 0
         self.connect()
