--- a/linenbridge/distribution/view/paths.py
+++ b/linenbridge/distribution/view/paths.py
@@ -64,9 +64,11 @@
 def _longest_prefixes(conjunction: Conjunction) -> set[Segments]:
     """The prefixes that a conjunction asks for, by the question that gives the longest ones."""
     alternatives: list[set[Segments]] = [{()}]
-    for literal in conjunction:
-        if literal.wanted and literal.test.subject.kind == "path":
-            alternatives.append(_leading_segments(literal.test))
+    alternatives.extend(
+        _leading_segments(literal.test)
+        for literal in conjunction
+        if literal.wanted and literal.test.subject.kind == "path"
+    )
     return max(alternatives, key=lambda prefixes: min(map(len, prefixes)))
 
 
