--- a/tests/fleet/freezes/test_rollout_freezes.py
+++ b/tests/fleet/freezes/test_rollout_freezes.py
@@ -20,7 +20,7 @@
             if isinstance(decision, CastVote):
                 found.add(decision.vote)
                 gateway.on_rollout_update(
-                    at, 2, 1, RolloutPhase.ON_TRIAL, gateway.cap, is_vote_response=True, is_valid=True
+                    at, 2, 1, RolloutPhase.ON_TRIAL, gateway.rollout.cap, is_vote_response=True, is_valid=True
                 )
     return found
 
@@ -49,7 +49,7 @@
     gateway = running()
     gateway.on_rollout_freeze(0, frozenset())
     now = fail_trial(gateway, 0, 8)
-    assert gateway.sums.alarms and Vote.ROLL_BACK in votes_cast(gateway, now)
+    assert gateway.detector.sums.alarms and Vote.ROLL_BACK in votes_cast(gateway, now)
 
 
 def test_a_promote_vote_is_withdrawn_under_a_rollout_freeze_even_where_votes_are_scarce():
