--- a/linenbridge/distribution/view/rules.py
+++ b/linenbridge/distribution/view/rules.py
@@ -35,6 +35,11 @@
     ANY = 3
 
 
+# Plain numbers for the look-ups: an enum's members are slow to reach.
+_QUESTION = int(Form.QUESTION)
+_NOT = int(Form.NOT)
+_ALL = int(Form.ALL)
+
 COMPRESSION_LEVEL = 6  # zlib's
 NOWHERE = Place(0, 0)  # places are for parse errors; packed rules have none
 # Bytes in memory, measured (docs/CAPACITY.md, `tests/scale/measure/view.py`).
@@ -188,13 +193,13 @@
 
 def _read_condition(packed: list[Any]) -> Condition:
     form, *rest = packed
-    if form == Form.QUESTION:
+    if form == _QUESTION:
         kind, name, operator, operands = rest
         return Question(Subject(kind, name), operator, tuple(operands))
-    if form == Form.NOT:
+    if form == _NOT:
         return Not(_read_condition(rest[0]))
     parts = tuple(map(_read_condition, rest))
-    return language.All(parts) if form == Form.ALL else language.Any(parts)
+    return language.All(parts) if form == _ALL else language.Any(parts)
 
 
 def _read_part(packed: PackedPart) -> Part:
