--- a/linenbridge/cli/commands.py
+++ b/linenbridge/cli/commands.py
@@ -17,11 +17,27 @@
 from rich.table import Table as Grid
 
 from linenbridge.configuration.read import Configuration, ConfigurationError, read, schema_text
-from linenbridge.processor.responses import AnswerForm
+from linenbridge.processor.responses import ResponseFormat
 from linenbridge.processor.configuration import processor_settings, routes
 from linenbridge.routes.table import Request
 
 FOUND, UNUSABLE = 1, 2
+SHOWN_LIMITS = {  # names of the settings, as `settings show` prints them, and of the attributes
+    "streams": "max_streams",
+    "message": "max_message_bytes",
+    "headers": "max_header_bytes",
+    "backlog": "max_unsent_bytes",
+    "first_word": "first_message_timeout",
+    "unread": "unsent_timeout",
+    "idle": "idle_timeout",
+}
+SHOWN_TERMS = {
+    "use_within": "use_within",
+    "retry_within": "retry_within",
+    "remember": "remember_for",
+    "open_most": "max_open",
+    "remember_most": "max_remembered",
+}
 
 app = typer.Typer(
     name="linenbridge", no_args_is_help=True, add_completion=True, rich_markup_mode=None,
@@ -260,18 +276,18 @@
         return rows
     rows |= {
         "listen": f"{told.host}:{told.port}",
-        "unrouted": "pass" if told.passes_unrouted else "refuse",
+        "unrouted": "pass" if told.pass_unrouted else "refuse",
     }
     rows["tls"] = None if told.tls is None else told.tls.certificate
     rows["bounds.connections"] = told.connections
-    rows |= {f"bounds.{name}": getattr(told.bounds, name) for name in told.bounds.__slots__}
-    rows |= {f"tickets.{name}": getattr(told.terms, name) for name in told.terms.__slots__}
+    rows |= {f"bounds.{name}": getattr(told.limits, attribute) for name, attribute in SHOWN_LIMITS.items()}
+    rows |= {f"tickets.{name}": getattr(told.terms, attribute) for name, attribute in SHOWN_TERMS.items()}
     rows["store"] = None if told.store is None else " ".join(told.store)
-    rows |= {f"answer.{name}": getattr(told.form, name) for name in AnswerForm.__slots__}
-    for known in told.partners:
-        partner, by = known.partner, known.identity or str(known.network)
-        said = f"{by}, {partner.attempts} attempts, fail {'open' if partner.fail_open else 'closed'}"
-        rows[f"partner.{partner.name}"] = said + (", ours" if partner.ours else "")
+    rows |= {f"answer.{name}": getattr(told.response_format, name) for name in ResponseFormat.__slots__}
+    for known in told.peers:
+        peer, by = known.peer, known.identity or str(known.network)
+        said = f"{by}, {peer.attempts} attempts, fail {'open' if peer.fail_open else 'closed'}"
+        rows[f"partner.{peer.name}"] = said + (", ours" if peer.is_own else "")
     return rows
 
 
--- a/tests/scale/change_client.py
+++ b/tests/scale/change_client.py
@@ -20,7 +20,7 @@
 from msgspec import Struct, field
 
 from linenbridge.distribution.errors import NotPublisher, PublisherBusy
-from linenbridge.distribution.hosting.link_messages import AUTHOR_TAKES
+from linenbridge.distribution.hosting.link_messages import CHANGE_CLIENT_DECODER
 from linenbridge.distribution.messages import Publish, Published
 from linenbridge.peering.connections import PeerConnections
 from linenbridge.logging.structured import structured
@@ -126,7 +126,7 @@
         self.exit_code = 1
         known = frozenset(name for candidates in spec.publishers.values() for name in candidates)
         self.connections = PeerConnections(
-            spec.name, known, reactor, log, self.on_published, decoder=AUTHOR_TAKES
+            spec.name, known, reactor, log, self.on_published, decoder=CHANGE_CLIENT_DECODER
         )
         self.regions = {
             region: RegionChanges(self, region, candidates) for region, candidates in spec.publishers.items()
