--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -56,7 +56,7 @@
         self.carrier.turn()
 
     def _look_at_lease(self, now: int) -> None:
-        held = self.member.held_lease(self.task)
+        held = self.member.active_lease(self.task)
         self.publisher.on_term(now, None if held is None else held[0])
 
     def _tasks_changed(self, task: str) -> None:
--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -14,7 +14,7 @@
 from linenbridge.fleet.configuration import RESTARTS_TASK, FleetSettings
 from linenbridge.fleet.hosting.acceptor_host import AcceptorHost
 from linenbridge.fleet.hosting.freezes import RolloutFreezes
-from linenbridge.fleet.hosting.task_actions import HeldLease, TaskActions
+from linenbridge.fleet.hosting.task_actions import ActiveLease, TaskActions
 from linenbridge.fleet.leases.acceptor import Acceptor
 from linenbridge.fleet.leases.decisions import (
     AcceptorDecision,
@@ -92,7 +92,7 @@
             if task.task != RESTARTS_TASK:
                 self.proposer.request_lease(now, task.task, task.slots)
         self.freezes = RolloutFreezes(settings.windows, reactor, log, on_rollout_freeze)
-        self.actions = TaskActions(self.name, settings.tasks, reactor, log, self.held_lease)
+        self.actions = TaskActions(self.name, settings.tasks, reactor, log, self.active_lease)
         self._log_start()
         self.turn()
 
@@ -168,7 +168,7 @@
             machines.append(self.acceptor)
         for machine in machines:
             while (decision := machine.next_decision(now)) is not None:
-                self._carry_out(decision)
+                self._execute(decision)
         wake_times = [machine.wake_at() for machine in machines]
         wake_at = min((at for at in wake_times if at is not None), default=None)
         if self.timer is not None and self.timer.active():
@@ -176,7 +176,7 @@
         if wake_at is not None:
             self.timer = self.reactor.callLater(max(MIN_WAIT, (wake_at - now) / 1e6), self.turn)
 
-    def _carry_out(self, decision: ProposerDecision | AcceptorDecision) -> None:
+    def _execute(self, decision: ProposerDecision | AcceptorDecision) -> None:
         match decision:
             case Send():
                 self._send(decision)
@@ -195,10 +195,10 @@
 
     # ---- the process ---------------------------------------------------------------------------------------
 
-    def held_lease(self, task: str) -> HeldLease | None:
+    def active_lease(self, task: str) -> ActiveLease | None:
         """The lease under which this member may act on the task at this moment, or None."""
         term = self.proposer.may_act(clock.now(), task)
-        return None if term is None else HeldLease(term, self.proposer.leases[task].slot)
+        return None if term is None else ActiveLease(term, self.proposer.leases[task].slot)
 
     def update_settings(self, settings: FleetSettings) -> None:
         """Take new settings: quorum, addresses and windows count at once, all else from the next start."""
@@ -257,9 +257,9 @@
 
     def facts(self) -> dict[str, int]:
         """Figures for the line of counters."""
-        held = sum(self.held_lease(task) is not None for task in self.proposer.leases)
+        active = sum(self.active_lease(task) is not None for task in self.proposer.leases)
         return {
             "connected_peers": len(self.connections.by_peer),
-            "held_leases": held,
+            "active_leases": active,
             "granting": int(self.acceptor is not None and self.acceptor.grants()),
         }
--- a/linenbridge/fleet/hosting/task_actions.py
+++ b/linenbridge/fleet/hosting/task_actions.py
@@ -28,7 +28,7 @@
 HEADERS = Headers({b"content-type": [b"application/json"]})
 
 
-class HeldLease(NamedTuple):
+class ActiveLease(NamedTuple):
     """The term and the slot under which this member may act on a task at this moment."""
 
     term: int
@@ -80,18 +80,18 @@
 class TaskActions:
     """The actions of all tasks that have an address.
 
-    `held_lease(task)` is called before each action and returns the lease, or None if this member holds none.
+    `active_lease(task)` is called before each action and returns the lease, None if this member holds none.
     """
 
     def __init__(
         self, member: str, tasks: tuple[TaskSettings, ...], reactor: Any, log: Log,
-        held_lease: Callable[[str], HeldLease | None],
+        active_lease: Callable[[str], ActiveLease | None],
     ) -> None:  # fmt: skip
         """Set a timer for each task."""
         self.member = member
         self.reactor = reactor
         self.log = log
-        self.held_lease = held_lease
+        self.active_lease = active_lease
         self.agent = Agent(
             reactor, connectTimeout=CONNECT_TIMEOUT, pool=HTTPConnectionPool(reactor, persistent=False)
         )
@@ -106,7 +106,7 @@
 
     def _act(self, task: TaskSettings, address: tuple[str, int]) -> None:
         self._schedule(task, address)
-        lease = self.held_lease(task.task)
+        lease = self.active_lease(task.task)
         if lease is None or task.task in self.in_flight:
             return
         action = {"task": task.task, "place": lease.slot, "term": lease.term, "by": self.member}
--- a/tests/compatibility/test_task_actions.py
+++ b/tests/compatibility/test_task_actions.py
@@ -11,7 +11,7 @@
 from twisted.internet.testing import StringTransport
 
 from linenbridge.fleet.configuration import TaskSettings
-from linenbridge.fleet.hosting.task_actions import HeldLease, TaskActions
+from linenbridge.fleet.hosting.task_actions import ActiveLease, TaskActions
 from linenbridge.logging.event_log import Log
 from tests.compatibility.fleet_fakes import ResolvingReactor, log_rows
 
@@ -26,7 +26,7 @@
     reactor = ResolvingReactor()
     stream = io.BytesIO()
     log = Log(stream)
-    may_act = None if row["may_act"] is None else HeldLease(*row["may_act"])
+    may_act = None if row["may_act"] is None else ActiveLease(*row["may_act"])
     task = TaskSettings(row["task"], 1, tuple(row["address"]), row["every"])
     actions = TaskActions(row["member"], (task,), reactor, log, lambda _: may_act)
     reactor.advance(row["every"] / 1e6 - 0.0001)
--- a/tests/distribution/hosting/test_hosts.py
+++ b/tests/distribution/hosting/test_hosts.py
@@ -143,7 +143,7 @@
     def __init__(self, *row: object, on_task_changed: Callable[[str], None]) -> None:
         self.on_task_changed, self.term = on_task_changed, None
 
-    def held_lease(self, task: str) -> tuple[int, int] | None:
+    def active_lease(self, task: str) -> tuple[int, int] | None:
         return None if task != "publish-eu" or self.term is None else (self.term, 0)
 
     def facts(self) -> dict[str, int]:
