--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -1,88 +1,102 @@
-"""A gateway on a reactor: a follower of relays, its view, and the view's store. No front, no thread.
+"""Hosts a gateway's part in the distribution: a follower of relays, its view, and the view's store.
 
-Owns the wiring, and the queue of what is to come into force: sets of routes are checked in short steps with
-turns of the reactor between, then all of one batch comes into force in one turn, between two requests. Many
-can share a process, each under its own name. It must never decide: what the core says is carried out.
+Owns the connections to relays, and connects the follower, the queue of content that is checked, and the
+writer of the view's pages. Decides nothing. It has no thread of its own, so that many gateways, each under
+its own name, can share a process.
 """
 
 from __future__ import annotations
 
-from collections import deque
-from collections.abc import Callable, Iterator
+from collections.abc import Callable
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
-from linenbridge.distribution.changes import Change, Kind, Position
+from linenbridge.distribution.changes import Position
 from linenbridge.distribution.configuration import DistributionSettings
 from linenbridge.distribution.decisions import Apply, Decision, Dial, Event, HangUp, ReplaceRange, Send
-from linenbridge.distribution.errors import ViewStoreError
 from linenbridge.distribution.dissemination.follower import Follower
-from linenbridge.distribution.hosting.core_driver import Carrier, Core
+from linenbridge.distribution.hosting.apply_queue import ApplyQueue, Content
+from linenbridge.distribution.hosting.core_driver import CoreDriver, StateMachine
 from linenbridge.distribution.hosting.follower_settings import (
+    deliver,
     follower_settings,
-    hear,
+    relay_locations,
     relay_names,
-    relay_places,
 )
+from linenbridge.distribution.hosting.link_messages import FOLLOWER_DECODER
 from linenbridge.distribution.hosting.methods import Methods
-from linenbridge.distribution.hosting.link_messages import FOLLOWER_TAKES
-from linenbridge.distribution.hosting.disk_writer import GroupWriter
-from linenbridge.distribution.view.results import ApplyResult, StoredPage, ViewLimits
+from linenbridge.distribution.hosting.page_writer import ViewPageWriter
 from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
+from linenbridge.distribution.view.results import ApplyResult, ViewLimits
 from linenbridge.distribution.view.view import View
+from linenbridge.logging.event_log import Log
 from linenbridge.peering import clock
 from linenbridge.peering.connections import PeerConnections
-from linenbridge.logging.event_log import Log
-
-STORE_EVERY = 1.0  # seconds between two writes of the view's pages
 
 
 class Gateway:
-    """`view` is what it has in force, from its store where it was restored. `applied` is told of each change
-    of it, right after."""
+    """Follows relays and keeps `view` up to date; `store` holds its pages. Calls `on_applied` after each
+    change of the view, in the same turn."""
 
     def __init__(
-        self, settings: DistributionSettings, reactor: Any, log: Log, view: View, random: Random,
-        store: ViewStore | None = None, applied: Callable[[ApplyResult], None] = lambda applied: None,
-    ) -> None:  # fmt: skip
-        self.settings, self.reactor, self.log, self.view = settings, reactor, log, view
-        self.applied = applied
+        self,
+        settings: DistributionSettings,
+        reactor: Any,
+        log: Log,
+        view: View,
+        random: Random,
+        store: ViewStore | None = None,
+        on_applied: Callable[[ApplyResult], None] = lambda applied: None,
+    ) -> None:
+        self.settings = settings
+        self.reactor = reactor
+        self.log = log
+        self.view = view
+        self.on_applied = on_applied
         self.follower = Follower(
-            settings.name, settings.region, relay_places(settings, list(settings.regions)),
-            list(settings.regions), view.positions(), follower_settings(settings, settings.rate), random,
-            clock.now(), view.range_digests,
-        )  # fmt: skip
+            settings.name,
+            settings.region,
+            relay_locations(settings, list(settings.regions)),
+            list(settings.regions),
+            view.positions(),
+            follower_settings(settings, settings.rate),
+            random,
+            clock.now(),
+            view.range_digests,
+        )
         self.connections = PeerConnections(
-            settings.name, relay_names(settings), reactor, log, self._heard, decoder=FOLLOWER_TAKES,
-            on_peer_changed=self._link_changed,
-        )  # fmt: skip
-        self.pages = None if store is None else StoredPages(reactor, log, view, store)
-        self.queue: deque[Apply | ReplaceRange] = deque()
-        self.unchecked: deque[Change] = deque()  # sets of routes of the queue's first
-        self.steps: Iterator[None] = iter(())  # of the check of one of them
-        self.closed = False
-        self.carrier = Carrier(reactor, [self.follower], self._carry_out)
+            settings.name,
+            relay_names(settings),
+            reactor,
+            log,
+            self._on_message,
+            decoder=FOLLOWER_DECODER,
+            on_peer_changed=self._on_connection_changed,
+        )
+        self.page_writer = None if store is None else ViewPageWriter(reactor, log, view, store)
+        self.apply_queue = ApplyQueue(reactor, view, self._put_in_force)
+        self.driver = CoreDriver(reactor, [self.follower], self._execute)
         log.event("distribution.started", role="gateway", name=settings.name, region=settings.region)
-        self.carrier.turn()
+        self.driver.turn()
 
-    # ---- links -------------------------------------------------------------------------------------------
+    # ---- connections -----------------------------------------------------------------------------------
 
-    def _heard(self, far: str, message: Any) -> None:
-        hear(self.follower, clock.now(), far, message)
-        self.carrier.turn()
+    def _on_message(self, peer: str, message: Any) -> None:
+        deliver(self.follower, clock.now(), peer, message)
+        self.driver.turn()
 
-    def _link_changed(self, far: str, *, connected: bool) -> None:
-        self.follower.on_link(clock.now(), far, connected=connected)
-        self.carrier.turn()
+    def _on_connection_changed(self, peer: str, *, connected: bool) -> None:
+        self.follower.on_link(clock.now(), peer, connected=connected)
+        self.driver.turn()
 
-    # ---- decisions ---------------------------------------------------------------------------------------
+    # ---- decisions -------------------------------------------------------------------------------------
 
-    def _carry_out(self, core: Core, now: int, decision: Decision) -> None:
+    def _execute(self, _state_machine: StateMachine, _now: int, decision: Decision) -> None:
         match decision:
             case Send():
                 self.connections.send(decision.to, decision.message)
             case Apply() | ReplaceRange():
-                self._enqueue(decision)
+                self.apply_queue.put(decision)
             case Dial():
                 address = self.settings.relay_address(decision.relay)
                 if address is not None:
@@ -92,151 +106,96 @@
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
-    # ---- what comes into force ---------------------------------------------------------------------------
-
-    def _enqueue(self, content: Apply | ReplaceRange) -> None:
-        self.queue.append(content)
-        if len(self.queue) == 1:
-            self._begin_first()
-
-    def _begin_first(self) -> None:
-        """Only checks of routes take long enough to be spread over turns."""
-        changes = self.queue[0].changes
-        self.unchecked = deque(change for change in changes if change.kind == Kind.ROUTES and change.value)
-        self._step()
-
-    def _step(self) -> None:
-        if self.closed or not self.queue:
-            return
-        if self._checks_more():
-            self.reactor.callLater(0, self._step)
-            return
-        self._put_in_force(self.queue[0])
-        self.queue.popleft()
-        if self.queue:
-            self.reactor.callLater(0, self._begin_first)
-
-    def _checks_more(self) -> bool:
-        """One step of the checks, a millisecond or so; False once all are done."""
-        for _ in self.steps:
-            return True
-        if not self.unchecked:
-            return False
-        self.steps = self.view.validation_steps(self.unchecked.popleft())
-        return True
-
-    def _put_in_force(self, content: Apply | ReplaceRange) -> None:
-        view = self.view
-        applied = view.apply(content) if isinstance(content, Apply) else view.replace(content)
+    # ---- content ---------------------------------------------------------------------------------------
+
+    def _put_in_force(self, content: Content) -> None:
+        match content:
+            case Apply():
+                applied = self.view.apply(content)
+            case ReplaceRange():
+                applied = self.view.replace(content)
         self.follower.on_applied(clock.now(), applied.region, applied.upto, applied.digest)
-        self._tell(applied)
-        self.applied(applied)
-        if self.pages is not None:
-            self.pages.changed()
-        self.carrier.turn()
-
-    def _tell(self, applied: ApplyResult) -> None:
-        for refused in applied.rejected:
-            self.log.event("distribution.refused_change", **refused.error().fields())
+        self._log_applied(applied)
+        self.on_applied(applied)
+        if self.page_writer is not None:
+            self.page_writer.on_changed()
+        self.driver.turn()
+
+    def _log_applied(self, applied: ApplyResult) -> None:
+        for rejected in applied.rejected:
+            self.log.event("distribution.rejected_change", **rejected.error().fields())
         if applied.applied:
-            place = {"region": applied.region, "epoch": applied.upto.epoch, "sequence": applied.upto.sequence}
-            self.log.event("distribution.in_force", changes=applied.applied, **place)
+            self.log.event(
+                "distribution.in_force",
+                changes=applied.applied,
+                region=applied.region,
+                epoch=applied.upto.epoch,
+                sequence=applied.upto.sequence,
+            )
 
-    # ---- the process -------------------------------------------------------------------------------------
+    # ---- the process -----------------------------------------------------------------------------------
 
     def facts(self) -> dict[str, int]:
-        """For the counters' line."""
-        counters, view = self.follower.counters, self.view
+        """The gateway's fields of the counters' line."""
+        counters = self.follower.counters
+        view = self.view
         return {
             "following": int(self.follower.following),
             "sessions": counters.sessions,
             "batches": counters.batches,
             "ranges": counters.ranges,
-            "passed_over": counters.ignored,
+            "skipped": counters.ignored,
             "gaps": counters.gaps,
-            "spoilt": counters.malformed,
+            "corrupt": counters.malformed,
             "digests_differed": counters.digest_mismatches,
             "relays_lost": counters.lost,
             "relays_silent": counters.silent,
-            "changes_taken": view.counters.applied,
-            "changes_refused": view.counters.rejected,
-            "keys_refused": len(view.rejected()),
+            "changes_applied": view.counters.applied,
+            "changes_rejected": view.counters.rejected,
+            "keys_rejected": len(view.rejected()),
         }
 
     def reload(self, path: str) -> None:
-        """At SIGHUP: settings of the distribution count from the next start."""
+        """SIGHUP: settings of the distribution take effect at the next start; log that."""
         self.log.event("distribution.not_reloaded", path=path, do="restart the process to take them up")
 
     def close(self, closed: Callable[[], None] = lambda: None) -> None:
-        """In order: links, then turns, then the last pages on disk; `closed()` at the end."""
-        self.closed = True
-        self.carrier.close()
+        """End checks and turns, close connections, write the last pages; then call `closed`."""
+        self.apply_queue.close()
+        self.driver.close()
         self.connections.close()
-        if self.pages is None:
+        if self.page_writer is None:
             closed()
         else:
-            self.pages.close(closed)
-
-
-class StoredPages:
-    """Brings a view's changed pages to its store, every now and then and all of them together."""
-
-    def __init__(self, reactor: Any, log: Log, view: View, store: ViewStore) -> None:
-        self.reactor, self.log, self.view, self.store = reactor, log, view, store
-        self.writer = GroupWriter[list[StoredPage]](reactor, self._write, self._done, self._failed)
-        self.timer: Any = None
-
-    def changed(self) -> None:
-        """The view has changed."""
-        if self.timer is None and self.store.error is None:
-            self.timer = self.reactor.callLater(STORE_EVERY, self._put)
-
-    def _put(self) -> None:
-        self.timer = None
-        if self.store.error is None:
-            self.writer.put(self.view.take_changed_pages())
-
-    def _write(self, groups: list[list[StoredPage]]) -> None:
-        for pages in groups:
-            self.store.write(pages)
-
-    def _done(self, groups: list[list[StoredPage]]) -> None:
-        """The store says itself what went wrong."""
+            self.page_writer.close(closed)
 
-    def _failed(self, groups: list[list[StoredPage]], error: BaseException) -> None:
-        self.log.failed("distribution.store", error)
-        if self.store.error is None:
-            self.store.error = ViewStoreError(f"{type(error).__name__}: {error}", self.store.path)
 
-    def close(self, closed: Callable[[], None]) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-            self._put()
-        self.writer.close(lambda: self._close_store(closed))
+class OpenedView(NamedTuple):
+    """A view and the store that it came from, if the settings name one."""
 
-    def _close_store(self, closed: Callable[[], None]) -> None:
-        self.store.close()
-        closed()
+    view: View
+    store: ViewStore | None
 
 
-def open_view(
-    settings: DistributionSettings, methods: Methods, log: Log, unix_offset: int = 0
-) -> tuple[View, ViewStore | None]:
-    """The view of the last life where the settings name a store that holds one, else a new one. `unix_offset`
-    is the view's."""
+def open_view(settings: DistributionSettings, methods: Methods, log: Log, unix_offset: int = 0) -> OpenedView:
+    """Open the view of the last life where the settings name a store that holds one, else a new one.
 
+    `unix_offset` is the view's: the microseconds that make Unix time of the gateway's clock.
+    """
     limits = ViewLimits(max_compiled_bytes=settings.compiled_routes)
 
     def new_view() -> View:
-        return View(methods.methods, methods.longest, unix_offset, limits)
+        return View(methods.methods, methods.max_deadline, unix_offset, limits)
 
     if not settings.store:
-        return new_view(), None
+        return OpenedView(new_view(), None)
     store = ViewStore(settings.store, fingerprint(method.name for method in methods.methods), log.event)
     view = restored(store, new_view)
-    log.event("distribution.restored", positions=[_plain(position) for position in view.positions()])
-    return view, store
+    log.event(
+        "distribution.restored", positions=[_position_fields(position) for position in view.positions()]
+    )
+    return OpenedView(view, store)
 
 
-def _plain(position: Position) -> dict[str, object]:
+def _position_fields(position: Position) -> dict[str, object]:
     return {"region": position.region, "epoch": position.epoch, "sequence": position.sequence}
--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -1,104 +1,120 @@
-"""A candidate for a region's publisher on a reactor: a member of the fleet, the core, relays and authors.
+"""Hosts a candidate for its region's publisher: a member of the fleet, the state machine, and connections.
 
-Owns the wiring. The lease is looked at before each pull of decisions, so that one that was lost while the
-process stood still sends nothing more. It must never decide: what the core says is carried out.
+Owns the connections to relays and from change clients. The lease's term is read before each pull of
+decisions, so that a process that lost the lease while it was paused sends nothing more. Decides nothing.
 """
 
 from __future__ import annotations
 
 import secrets
+from collections.abc import Callable
 from random import Random
 from typing import Any
 
 from linenbridge.distribution.configuration import DistributionSettings, publishers_task
 from linenbridge.distribution.decisions import Decision, Event, Send
-from linenbridge.distribution.hosting.core_driver import Carrier, Core
-from linenbridge.distribution.hosting.link_messages import PUBLISHER_TAKES, PUBLISHER_TAKES_OF_AUTHORS
-from linenbridge.distribution.messages import Appended, Fetched, Prepared, Progress, Publish, Published
-from linenbridge.distribution.log.replication import PublisherPace
+from linenbridge.distribution.hosting.core_driver import CoreDriver, StateMachine
+from linenbridge.distribution.hosting.link_messages import CHANGE_REQUEST_DECODER, PUBLISHER_DECODER
 from linenbridge.distribution.log.publisher import Check, Publisher
+from linenbridge.distribution.log.replication import PublisherPace
+from linenbridge.distribution.messages import Appended, Fetched, Prepared, Progress, Publish, Published
 from linenbridge.fleet.configuration import FleetSettings
-from linenbridge.peering import clock
-from linenbridge.peering.connections import PeerConnections, WellFormedNames
 from linenbridge.fleet.hosting.member import Member
 from linenbridge.fleet.hosting.quorum_member import reload_settings
 from linenbridge.logging.event_log import Log
+from linenbridge.peering import clock
+from linenbridge.peering.connections import PeerConnections, WellFormedNames
 
 
 class PublisherProcess:
-    """One candidate; it publishes while it holds its region's task. `check` is asked of each value."""
+    """One candidate; it publishes while it holds its region's task. `check` examines each value."""
 
     def __init__(
-        self, settings: DistributionSettings, told: FleetSettings, reactor: Any, log: Log, check: Check,
+        self,
+        settings: DistributionSettings,
+        fleet_settings: FleetSettings,
+        reactor: Any,
+        log: Log,
+        check: Check,
         random: Random,
-    ) -> None:  # fmt: skip
-        self.settings, self.reactor, self.log = settings, reactor, log
+    ) -> None:
+        self.settings = settings
+        self.reactor = reactor
+        self.log = log
         self.task = publishers_task(settings.region)
         relays = settings.home.relays
         self.publisher = Publisher(
             settings.region, settings.name, tuple(relays), PublisherPace(), random, check
         )
-        self.authors = PeerConnections(
-            settings.name, WellFormedNames(), reactor, log, self._heard_author,
-            decoder=PUBLISHER_TAKES_OF_AUTHORS, max_connections=settings.authors,
-        )  # fmt: skip
+        self.clients = PeerConnections(
+            settings.name,
+            WellFormedNames(),
+            reactor,
+            log,
+            self._on_change_request,
+            decoder=CHANGE_REQUEST_DECODER,
+            max_connections=settings.authors,
+        )
         self.relays = PeerConnections(
-            settings.name, frozenset(relays), reactor, log, self._heard_relay, decoder=PUBLISHER_TAKES
+            settings.name, frozenset(relays), reactor, log, self._on_relay_message, decoder=PUBLISHER_DECODER
+        )
+        self.driver = CoreDriver(reactor, [self.publisher], self._execute, self._refresh_term)
+        self.member = Member(
+            fleet_settings, reactor, log, secrets.randbits(60), on_task_changed=self._on_task_changed
         )
-        self.carrier = Carrier(reactor, [self.publisher], self._carry_out, self._look_at_lease)
-        self.member = Member(told, reactor, log, secrets.randbits(60), on_task_changed=self._tasks_changed)
         if settings.listen is None:
             raise ValueError("a publisher listens")
-        self.port = reactor.listenTCP(settings.listen[1], self.authors, interface=settings.listen[0])
+        self.port = reactor.listenTCP(settings.listen[1], self.clients, interface=settings.listen[0])
         for relay, address in relays.items():
             self.relays.dial(relay, address)
         log.event("distribution.started", role="publisher", name=settings.name, region=settings.region)
-        self.carrier.turn()
+        self.driver.turn()
 
-    def _look_at_lease(self, now: int) -> None:
-        held = self.member.active_lease(self.task)
-        self.publisher.on_term(now, None if held is None else held[0])
+    def _refresh_term(self, now: int) -> None:
+        grant = self.member.active_lease(self.task)
+        term = None if grant is None else grant.term
+        self.publisher.on_term(now, term)
 
-    def _tasks_changed(self, task: str) -> None:
+    def _on_task_changed(self, task: str) -> None:
         if task == self.task:
-            self.carrier.turn()
+            self.driver.turn()
 
-    def _heard_author(self, far: str, message: Publish) -> None:
+    def _on_change_request(self, peer: str, message: Publish) -> None:
         now = clock.now()
-        self._look_at_lease(now)
-        self.publisher.on_publish(now, far, message)
-        self.carrier.turn()
+        self._refresh_term(now)
+        self.publisher.on_publish(now, peer, message)
+        self.driver.turn()
 
-    def _heard_relay(self, far: str, message: Any) -> None:
+    def _on_relay_message(self, peer: str, message: Any) -> None:
         now = clock.now()
         match message:
-            case Prepared() if message.relay == far:
+            case Prepared() if message.relay == peer:
                 self.publisher.on_prepared(now, message)
-            case Fetched() if message.relay == far:
+            case Fetched() if message.relay == peer:
                 self.publisher.on_fetched(now, message)
-            case Appended() if message.relay == far:
+            case Appended() if message.relay == peer:
                 self.publisher.on_appended(now, message)
-            case Progress() if message.follower == far:
-                self.publisher.on_progress(now, far, message)
+            case Progress() if message.follower == peer:
+                self.publisher.on_progress(now, peer, message)
             case _:
-                self.log.rarely("distribution.misnamed", "relay", far=far)
-        self.carrier.turn()
+                self.log.rarely("distribution.name_mismatch", "relay", peer=peer)
+        self.driver.turn()
 
-    def _carry_out(self, core: Core, now: int, decision: Decision) -> None:
+    def _execute(self, _state_machine: StateMachine, _now: int, decision: Decision) -> None:
         match decision:
             case Send(to, Published() as answer):
-                self.authors.send(to, answer)
+                self.clients.send(to, answer)
             case Send(to, message):
                 self.relays.send(to, message)
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
     def facts(self) -> dict[str, int]:
-        """For the counters' line."""
+        """The publisher's fields of the counters' line."""
         publisher = self.publisher
         return {
             **self.member.facts(),
-            "authors": len(self.authors.by_peer),
+            "change_clients": len(self.clients.by_peer),
             "relays": len(self.relays.by_peer),
             "epoch": publisher.epoch,
             "publishing": int(publisher.leading),
@@ -107,17 +123,17 @@
         }
 
     def reload(self, path: str) -> None:
-        """At SIGHUP: the fleet's part counts at once, the distribution's from the next start."""
+        """SIGHUP: settings of the fleet take effect at once, those of the distribution at the next start."""
         reload_settings(path, self.member, self.log)
 
-    def close(self, closed: Any) -> None:
-        """The lease is given back; `closed()` at the end."""
+    def close(self, closed: Callable[[], None]) -> None:
+        """Release the lease, then close all connections; then call `closed`."""
         self.port.stopListening()
         self.member.leave(lambda: self._close(closed))
 
-    def _close(self, closed: Any) -> None:
-        self.carrier.turn()
-        self.carrier.close()
-        self.authors.close()
+    def _close(self, closed: Callable[[], None]) -> None:
+        self.driver.turn()
+        self.driver.close()
+        self.clients.close()
         self.relays.close()
         closed()
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -13,45 +13,45 @@
 from functools import partial
 from typing import TYPE_CHECKING, Any
 
-from linenbridge.logging.structured import structured
-from linenbridge.net.discovery import host_port
+from linenbridge.configuration.read import Configuration, ConfigurationError
 from linenbridge.logging.event_log import Log
+from linenbridge.logging.structured import structured
 from linenbridge.net.decision_loop import DecisionLoop
-from linenbridge.configuration.read import Configuration, ConfigurationError
+from linenbridge.net.discovery import host_port
 from linenbridge.process import lifecycle
 from linenbridge.process.components import build, reload
 from linenbridge.process.configuration import ProcessConfiguration
 from linenbridge.processor import tls
+from linenbridge.processor.configuration import Directory, ProcessorSettings, processor_settings, routes
 from linenbridge.processor.evidence import Evidence
-from linenbridge.processor.stream_session import Conversation
-from linenbridge.processor.external_processor import Front
+from linenbridge.processor.external_processor import ExternalProcessor
 from linenbridge.processor.health import Health
 from linenbridge.processor.http2 import PERMISSION_DENIED, Call, Server
-from linenbridge.processor.configuration import Directory, ProcessorSettings, processor_settings, routes
-from linenbridge.processor.store import Store
-from linenbridge.processor.reservations import Ledger
-from linenbridge.processor.response_classification import Verdicts
+from linenbridge.processor.reservations import ReservationLedger
+from linenbridge.processor.response_classification import ResponseClassifier
+from linenbridge.processor.store import ReservationStore
+from linenbridge.processor.stream_session import StreamSession
 from linenbridge.routes.table import Routing, Table
 from linenbridge.startup import micros, startup
 
 if TYPE_CHECKING:
     from linenbridge.distribution.view.view import View
-    from linenbridge.processor.distributed import Distributed
+    from linenbridge.processor.distributed import DistributedState
 
 PROCESS = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 HEALTH = b"/grpc.health.v1.Health/"
 LEAVE_MORE = 1.0  # seconds after the longest deadline within which streams have ended on a planned stop
 
 
-class Stranger:
+class UnauthorizedStream:
     """The receiver of a stream from nobody that the settings name."""
 
     def __init__(self, call: Call) -> None:
         call.finish(PERMISSION_DENIED, "no partner of these settings")
 
-    def message(self, data: memoryview) -> None: ...
-    def half_closed(self) -> None: ...
-    def gone(self) -> None: ...
+    def on_message(self, data: memoryview) -> None: ...
+    def on_half_closed(self) -> None: ...
+    def on_closed(self) -> None: ...
 
 
 class ProcessorServer:
@@ -66,38 +66,39 @@
         self.longest = micros(max(profile.give_up for profile in at.settings.profiles))
         self.table = routes(settings, list(start.methods), self.longest)
         self.routing = _routing(self.table, view)
-        self.directory = Directory(settings.partners)
+        self.directory = Directory(settings.peers)
         self.health = Health()
         self.keys = tls.Keys(settings.tls) if settings.tls is not None else None
-        self.front: Front | None = None
+        self.processor: ExternalProcessor | None = None
         self.server: Server | None = None
 
-    def open(self, loop: DecisionLoop) -> Front:
+    def open(self, loop: DecisionLoop) -> ExternalProcessor:
         """The front on this loop; it listens only when told to."""
         settings = self.settings
-        ours = frozenset(known.partner.name for known in settings.partners if known.partner.ours)
-        store = None if settings.store is None else Store(*settings.store, self.log.event)
-        front = self.front = Front(
-            loop, self.reactor, self.routing, Ledger(settings.terms), Evidence(ours),
-            Verdicts(settings.proofs), settings.form, store, settings.passes_unrouted, time.time,
+        ours = frozenset(known.peer.name for known in settings.peers if known.peer.is_own)
+        store = None if settings.store is None else ReservationStore(*settings.store, self.log.event)
+        processor = self.processor = ExternalProcessor(
+            loop, self.reactor, self.routing, ReservationLedger(settings.terms), Evidence(ours),
+            ResponseClassifier(settings.non_execution_rules), settings.response_format, store,
+            settings.pass_unrouted, time.time,
         )  # fmt: skip
-        front.start()
+        processor.start()
         named = tls.names if self.keys is not None else lambda transport: ()
-        self.server = Server(self.reactor, loop.now, settings.bounds, settings.connections, self.log, named)
+        self.server = Server(self.reactor, loop.now, settings.limits, settings.connections, self.log, named)
         self.server.services = {
-            PROCESS: self._converse,
+            PROCESS: self._open_session,
             HEALTH + b"Check": self.health.check,
             HEALTH + b"Watch": self.health.watch,
         }
         loop.on_turn_end.append(self.server.flush)
-        return front
+        return processor
 
-    def _converse(self, call: Call) -> Conversation | Stranger:
-        partner = self.directory.find(call.peer.address, call.peer.names or ())
-        if partner is None or self.front is None:
-            self.log.rarely("stranger", call.peer.address, names=call.peer.names)
-            return Stranger(call)
-        return Conversation(self.front, partner, call)
+    def _open_session(self, call: Call) -> StreamSession | UnauthorizedStream:
+        peer = self.directory.find(call.peer.address, call.peer.names or ())
+        if peer is None or self.processor is None:
+            self.log.rarely("unauthorized_peer", call.peer.address, names=call.peer.names)
+            return UnauthorizedStream(call)
+        return StreamSession(self.processor, peer, call)
 
     def listen(self) -> None:
         server, settings = self.server, self.settings
@@ -126,19 +127,19 @@
         self.server.leave(self.longest / 1e6 + LEAVE_MORE, partial(self._left, stopped))
 
     def _left(self, stopped: Any) -> None:
-        if self.front is not None and self.front.store is not None:
-            self.front.store.close()
+        if self.processor is not None:
+            self.processor.ids.close()
         stopped()
 
     def open_now(self) -> dict[str, int]:
         """What stands open at present, for the counters' line."""
-        front, server = self.front, self.server
-        if front is None or server is None:
+        processor, server = self.processor, self.server
+        if processor is None or server is None:
             return {}
         return {
             "proxies": len(server.open),
-            "tickets": len(front.ledger.by_id),
-            "ids": len(front.ledger.known),
+            "tickets": len(processor.ledger.by_id),
+            "ids": len(processor.ledger.ended),
         }
 
 
@@ -153,21 +154,21 @@
 
 def _distributed(
     configuration: Configuration, at: ProcessConfiguration, log: Log, reactor: Any
-) -> Distributed | None:
+) -> DistributedState | None:
     """What is spread to this process, where the settings have a distribution."""
     if configuration.part("distribution") is None:
         return None
-    from linenbridge.processor.distributed import distributed
+    from linenbridge.processor.distributed import open_distributed_state
 
-    return distributed(configuration, at, log, reactor)
+    return open_distributed_state(configuration, at, log, reactor)
 
 
 def _member(configuration: Configuration, log: Log, reactor: Any, loop: DecisionLoop):  # noqa: ANN202  (imported where it is used)
     """This process as a member of the fleet, where the settings have one."""
     if configuration.part("fleet") is None:
         return None
-    from linenbridge.fleet.hosting.member import Member
     from linenbridge.fleet.configuration import fleet_settings
+    from linenbridge.fleet.hosting.member import Member
 
     told = fleet_settings(configuration)
     if told is None:
@@ -194,7 +195,7 @@
     server.listen()
     if resp:
         parts.clients.listen(reactor, *host_port(at.listen))
-    follower = None if distributed is None else distributed.follow()
+    follower = None if distributed is None else distributed.start_following()
     log.event("started", gateway=at.name, listen=at.listen if resp else "")
     left = {"processor"} | ({"resp"} if resp else set()) | ({"view"} if follower is not None else set())
 
