--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -71,8 +71,8 @@
         self.driver.turn()
 
     def _refresh_term(self, now: int) -> None:
-        grant = self.member.held_lease(self.task)
-        term = None if grant is None else grant[0]
+        grant = self.member.active_lease(self.task)
+        term = None if grant is None else grant.term
         self.publisher.on_term(now, term)
 
     def _on_task_changed(self, task: str) -> None:
