--- a/linenbridge/distribution/hosting/apply_queue.py
+++ b/linenbridge/distribution/hosting/apply_queue.py
@@ -62,5 +62,5 @@
             return True
         if not self._unchecked:
             return False
-        self._check_steps = self.view.examining(self._unchecked.popleft())
+        self._check_steps = self.view.validation_steps(self._unchecked.popleft())
         return True
--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -27,7 +27,7 @@
 from linenbridge.distribution.hosting.methods import Methods
 from linenbridge.distribution.hosting.page_writer import ViewPageWriter
 from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
-from linenbridge.distribution.view.results import Applied, ViewLimits
+from linenbridge.distribution.view.results import ApplyResult, ViewLimits
 from linenbridge.distribution.view.view import View
 from linenbridge.logging.event_log import Log
 from linenbridge.peering import clock
@@ -46,7 +46,7 @@
         view: View,
         random: Random,
         store: ViewStore | None = None,
-        on_applied: Callable[[Applied], None] = lambda applied: None,
+        on_applied: Callable[[ApplyResult], None] = lambda applied: None,
     ) -> None:
         self.settings = settings
         self.reactor = reactor
@@ -121,13 +121,13 @@
             self.page_writer.on_changed()
         self.driver.turn()
 
-    def _log_applied(self, applied: Applied) -> None:
-        for rejected in applied.refused:
+    def _log_applied(self, applied: ApplyResult) -> None:
+        for rejected in applied.rejected:
             self.log.event("distribution.rejected_change", **rejected.error().fields())
-        if applied.taken:
+        if applied.applied:
             self.log.event(
                 "distribution.in_force",
-                changes=applied.taken,
+                changes=applied.applied,
                 region=applied.region,
                 epoch=applied.upto.epoch,
                 sequence=applied.upto.sequence,
@@ -150,9 +150,9 @@
             "digests_differed": counters.digest_mismatches,
             "relays_lost": counters.lost,
             "relays_silent": counters.silent,
-            "changes_applied": view.counts["taken"],
-            "changes_rejected": view.counts["refused"],
-            "keys_rejected": len(view.refused()),
+            "changes_applied": view.counters.applied,
+            "changes_rejected": view.counters.rejected,
+            "keys_rejected": len(view.rejected()),
         }
 
     def reload(self, path: str) -> None:
@@ -182,7 +182,7 @@
 
     `unix_offset` is the view's: the microseconds that make Unix time of the gateway's clock.
     """
-    limits = ViewLimits(compiled_bytes=settings.compiled_routes)
+    limits = ViewLimits(max_compiled_bytes=settings.compiled_routes)
 
     def new_view() -> View:
         return View(methods.methods, methods.max_deadline, unix_offset, limits)
--- a/linenbridge/distribution/hosting/page_writer.py
+++ b/linenbridge/distribution/hosting/page_writer.py
@@ -37,7 +37,7 @@
     def _write_changed(self) -> None:
         self.timer = None
         if self.store.error is None:
-            self.writer.put(self.view.dirty())
+            self.writer.put(self.view.take_changed_pages())
 
     def _write(self, groups: list[list[StoredPage]]) -> None:
         for pages in groups:
--- a/linenbridge/processor/distributed.py
+++ b/linenbridge/processor/distributed.py
@@ -16,7 +16,7 @@
 from linenbridge.distribution.configuration import distribution
 from linenbridge.distribution.hosting.gateway import Gateway, open_view
 from linenbridge.distribution.hosting.methods import methods_in
-from linenbridge.distribution.view.serving import TenantShares
+from linenbridge.distribution.view.serving import TenantQuotas
 from linenbridge.distribution.view.view import View
 from linenbridge.interface import Startup
 from linenbridge.logging.event_log import Log
@@ -48,7 +48,7 @@
         return None
     view, store = open_view(settings, methods_in(platform), log)
     start = startup(platform.settings)
-    start = replace(start, tenant_quotas=TenantShares(view, start.tenant_quotas))
+    start = replace(start, tenant_quotas=TenantQuotas(view, start.tenant_quotas))
 
     def start_following() -> Gateway:
         return Gateway(settings, reactor, log, view, Random(secrets.randbits(64)), store)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -52,7 +52,11 @@
     told = processor_settings(parse(file(inside), "/etc/lb/x.xml"))
     assert told.tls.key == "/etc/lb/k.pem" and told.store == ("/etc/lb/h.db", "power")
     assert (told.limits.max_streams, told.limits.max_message_bytes) == (7, 2 << 20)
-    assert (told.response_format.endpoint, told.response_format.pushed_back, told.response_format.aborted) == ("x-to", 429, 504)
+    assert (
+        told.response_format.endpoint,
+        told.response_format.pushed_back,
+        told.response_format.aborted,
+    ) == ("x-to", 429, 504)
     partner = told.peers[0].peer
     assert (partner.is_own, partner.attempts, partner.fail_open) == (True, 4, False)
 
