--- a/linenbridge/distribution/dissemination/flow_control.py
+++ b/linenbridge/distribution/dissemination/flow_control.py
@@ -8,7 +8,8 @@
 
 from collections import deque
 
-SECOND = 1_000_000  # microseconds
+from linenbridge.distribution.dissemination.settings import SECOND
+
 MESSAGE_OVERHEAD = 96  # bytes of a message beside its changes: its fields, the link's framing, the headers
 BUCKET_PARTS = 4  # a bucket holds a quarter of a second's bytes, a page at most as many
 MAX_PAGE_BYTES = 48_000  # bytes of changes in one message, unless a single one is larger
--- a/linenbridge/distribution/dissemination/progress.py
+++ b/linenbridge/distribution/dissemination/progress.py
@@ -13,10 +13,9 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
+from linenbridge.distribution.dissemination.settings import MILLISECOND, SECOND
 from linenbridge.distribution.messages import Progress, Summary
 
-MILLISECOND = 1_000  # microseconds
-SECOND = 1_000_000  # microseconds
 LAG_BUCKETS = 24  # bucket n: less than 2**n ms; the last one has all above as well
 MAX_SLOWEST = 8  # names in one summary
 MAX_UNREACHED = 32  # names in one summary
--- a/linenbridge/distribution/dissemination/relay_selection.py
+++ b/linenbridge/distribution/dissemination/relay_selection.py
@@ -11,8 +11,8 @@
 from hashlib import blake2b
 from random import Random
 
-MILLISECOND = 1_000  # microseconds
-SECOND = 1_000_000  # microseconds
+from linenbridge.distribution.dissemination.settings import MILLISECOND, SECOND
+
 MIN_BACKOFF = 500 * MILLISECOND
 MAX_BACKOFF = 4 * SECOND
 
--- a/tests/distribution/dissemination/harness.py
+++ b/tests/distribution/dissemination/harness.py
@@ -1,4 +1,4 @@
-"""One core with the other side of its links played by hand: a follower with relays, a feed with followers."""
+"""One core and the other side of its links, played by a test: a follower's relays, a feed's followers."""
 
 from __future__ import annotations
 
@@ -125,7 +125,7 @@
         self.pull()
 
     def progress(self) -> Progress:
-        """The last word to the relay that is followed."""
+        """The last report to the followed relay."""
         reports = [send.message for send in self.sent if isinstance(send.message, Progress)]
         return [progress for progress in reports if progress.session][-1]
 
--- a/tests/distribution/dissemination/simulation/checker.py
+++ b/tests/distribution/dissemination/simulation/checker.py
@@ -18,7 +18,7 @@
 
 
 class Published(NamedTuple):
-    """One change as its author handed it in."""
+    """One change as it was published."""
 
     region: str
     sequence: int
@@ -38,8 +38,8 @@
 
 
 def breaches_of_versions(record: Iterable, published: Iterable[Published]) -> list[Breach]:
-    """Over the whole record: no older version over a newer, nothing that was not published, nothing gone that
-    was not deleted."""
+    """Over the whole record: no older version over a newer, nothing that was not published, nothing removed
+    that was not deleted."""
     written = {(p.region, p.kind, p.name, p.sequence): p.value for p in published}
     deleted: dict[Key, list[int]] = defaultdict(list)
     for region, kind, name, sequence in written:
@@ -59,7 +59,7 @@
         if line.version is None:
             if not any(
                 sequence >= here.get(key, 0) for sequence in deleted[key]
-            ):  # equal: it was gone before
+            ):  # equal: it was removed before
                 found.append(Breach("gone without a deletion", where))
             continue
         sequence = line.version.sequence
@@ -142,7 +142,7 @@
     followed: list[tuple[int, str, str]],
     silence: int,
 ) -> list[Breach]:
-    """Whenever the newest reports of a region's relays say that a sequence is in force everywhere, each
+    """Whenever the newest reports of a region's relays have a sequence in force everywhere, each
     gateway that ever followed a relay has had it in force, or is named, or is behind a relay that is named or
     silent. `reached` are (time, gateway, region, sequence), `followed` (time, follower, relay), of a relay as
     "name:region"; all lists are in order of time."""
--- a/tests/distribution/dissemination/simulation/faults.py
+++ b/tests/distribution/dissemination/simulation/faults.py
@@ -1,4 +1,4 @@
-"""What is done to a simulated installation, and how its records are handed to the checker."""
+"""Changes and faults of a simulated installation, and its records in the checker's form."""
 
 from __future__ import annotations
 
--- a/tests/distribution/dissemination/simulation/gateway_tables.py
+++ b/tests/distribution/dissemination/simulation/gateway_tables.py
@@ -17,8 +17,8 @@
 
 @dataclass(frozen=True)
 class InForce:
-    """One line of the record: at a gateway, a key has come to a version (None: it is gone). Without a region:
-    the gateway was started with an emptied store."""
+    """One line of the record: at a gateway, a key is now at a version (None: it is removed). Without a
+    region: the gateway was started with an emptied store."""
 
     at: int
     gateway: str
--- a/tests/distribution/dissemination/simulation/test_faults.py
+++ b/tests/distribution/dissemination/simulation/test_faults.py
@@ -27,8 +27,8 @@
 
 @pytest.mark.parametrize("seed", range(8))
 def test_all_tables_are_equal_after_any_faults(seed):
-    """Relays killed and stopped, gateways restarted with stores kept and emptied, connections broken, regions
-    apart; half of the seeds with so few tombstones that ranges are needed."""
+    """Relays killed and stopped, gateways restarted with and without their stores, connections broken,
+    regions apart; half of the seeds with so few tombstones that ranges are needed."""
     world = World(Shape(feed=FEW_TOMBSTONES if seed % 2 else FeedSettings()), seed)
     world.run(2)
     publish_over(world, 24, 60)
@@ -80,7 +80,7 @@
     world.start_relay("r0-relay2")
     world.run(90)
     assert following(world) == gateways(world)
-    assert len(world.feeds["r0-relay2"].sessions) >= 4, "those whose first relay it is have gone back"
+    assert len(world.feeds["r0-relay2"].sessions) >= 4, "followers whose first relay it is have returned"
 
 
 def test_relays_of_another_region_are_followed_when_those_of_the_own_are_full():
@@ -99,7 +99,7 @@
 @pytest.mark.parametrize("relay", ["r1-relay1", "r0-relay1"])
 def test_a_relay_whose_log_lacks_a_key_spreads_no_wrong_state(relay):
     """Of its own region: its followers go elsewhere and name it. Of another one: it is a follower itself, and
-    mended."""
+    repaired."""
     world = World(Shape(), 2)
     world.run(2)
     publish_over(world, 4, 40)
--- a/tests/distribution/dissemination/simulation/test_partitions.py
+++ b/tests/distribution/dissemination/simulation/test_partitions.py
@@ -55,18 +55,20 @@
     a gateway takes as long as they need at its rate."""
     world = partitioned_for_an_hour(keys, changes, tombstones)
     before = {name: follower.counters.ranges for name, follower in world.followers.items()}
-    took = time_until_equal(world)
+    elapsed = time_until_equal(world)
     assert breaches(world) == []
     allowed = MAX_TIME_TO_EQUAL
     for relay, other in (("r0-relay0", "r1"), ("r1-relay0", "r0")):
         differs = changed_bytes(world, other)
         sent = sum(size for _, size in world.bytes_to[relay])
         ranges = world.followers[f"{relay}:{other}"].counters.ranges - before[f"{relay}:{other}"]
-        print(f"cut: {relay} {took / SECOND:.1f} s, {sent} bytes for {differs} that differ, {ranges} ranges")
+        print(
+            f"partition: {relay} {elapsed / SECOND:.1f} s, {sent} bytes for {differs} that differ, {ranges} ranges"
+        )
         if tombstones == 65_536:
             assert ranges == 0
             assert sent <= 2 * differs
         else:
             assert 0 < ranges <= 1024
             allowed = max(allowed, MAX_TIME_TO_EQUAL + sent * SECOND // world.shape.follower.rate)
-    assert took <= allowed
+    assert elapsed <= allowed
--- a/tests/distribution/dissemination/simulation/test_planted_breaches.py
+++ b/tests/distribution/dissemination/simulation/test_planted_breaches.py
@@ -1,4 +1,4 @@
-"""The checker catches what it is there for: breaches planted in the record, and guards taken out."""
+"""The checker catches breaches that are planted in the record, and those that follow without a guard."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
     ],
 )
 def test_a_malformed_message_without_its_guard_is_a_breach_that_is_caught(monkeypatch, guard, kind, rule):
-    """The guard of acceptance is taken out, and the digests with it."""
+    """Without the check of a batch's bytes, and without digests."""
     monkeypatch.setattr(acceptance, guard, lambda message: "")
     monkeypatch.setattr(acceptance.Acceptance, "compare", lambda self, batch: None)
     monkeypatch.setattr(acceptance.Acceptance, "_expect", lambda self, upto, digest: None)
@@ -77,8 +77,8 @@
 
 @pytest.mark.parametrize("guarded", [True, False])
 def test_the_state_is_wrong_without_the_check_of_the_order(monkeypatch, guarded):
-    """A batch that does not follow on: a follower that takes it in spite of the gap lacks a key."""
-    original = acceptance.Acceptance._judge_batch  # noqa: SLF001  # the guard that is taken out
+    """A batch behind a gap: a follower that accepts it lacks a key."""
+    original = acceptance.Acceptance._judge_batch  # noqa: SLF001  # the guard that the test removes
 
     def judge(self, batch):
         verdict = original(self, batch)
--- a/tests/distribution/dissemination/simulation/test_summaries.py
+++ b/tests/distribution/dissemination/simulation/test_summaries.py
@@ -1,4 +1,4 @@
-"""The sums along the tree in simulated time: what they say to be in force is in force."""
+"""Summaries along the tree in simulated time: what they report in force is in force."""
 
 from __future__ import annotations
 
--- a/tests/distribution/dissemination/simulation/world.py
+++ b/tests/distribution/dissemination/simulation/world.py
@@ -166,7 +166,7 @@
             self._break_link(pair)
 
     def stop(self, name: str, seconds: float) -> None:
-        """A process is stopped and goes on later; its links stay."""
+        """A process is stopped and resumes later; its links stay connected."""
         self.stopped.add(name)
         self.at(self.now + int(seconds * SECOND), self._resume, name)
 
@@ -216,7 +216,7 @@
             self.publish(region, kind, name, value)
 
     def _commit(self, relay: str) -> None:
-        """What is on the relay's disk of its own region's log goes to its feed, if it runs."""
+        """Commit what the relay's disk has of its own region's log to its feed, if the relay runs."""
         if relay in self.down:
             return
         if relay in self.stopped:
@@ -247,7 +247,7 @@
         self._input(core, self._on_link, core, relay, True)
 
     def _break_link(self, pair: tuple[str, str]) -> None:
-        """The connection is gone, and with it what is under way."""
+        """The connection breaks; messages in flight are lost."""
         del self.links[pair]
         core, relay = pair
         self._input(core, self._on_link, core, relay, False)
--- a/tests/distribution/dissemination/test_acceptance.py
+++ b/tests/distribution/dissemination/test_acceptance.py
@@ -1,4 +1,4 @@
-"""What a follower takes of a relay's batches and ranges, what it passes over, and what is spoilt."""
+"""Which batches and ranges a follower accepts, which it ignores, and which are malformed."""
 
 from __future__ import annotations
 
--- a/tests/distribution/dissemination/test_compacted_log.py
+++ b/tests/distribution/dissemination/test_compacted_log.py
@@ -91,7 +91,7 @@
 @given(steps, steps, some.booleans())
 @settings(max_examples=150, deadline=None)
 def test_replacing_all_ranges_gives_the_other_log(older, newer, compacted):
-    """A log that took some of the changes and then every range is as the one that they came from."""
+    """A log that applied some changes and then replaced every range equals the log that they came from."""
     changes = changes_of(older)
     changes += changes_of(newer, len(changes) + 1)
     source = CompactedLog(REGION, max_tombstones=2 if compacted else 100)
--- a/tests/distribution/dissemination/test_feed.py
+++ b/tests/distribution/dissemination/test_feed.py
@@ -1,4 +1,4 @@
-"""One feed with followers played by hand: bounds, refusals, shared encodings, heartbeats, reports."""
+"""One feed whose followers the test plays: bounds, rejections, shared encodings, heartbeats, reports."""
 
 from __future__ import annotations
 
--- a/tests/distribution/dissemination/test_follower.py
+++ b/tests/distribution/dissemination/test_follower.py
@@ -1,4 +1,4 @@
-"""One follower with relays played by hand: which relay it follows, and what it reports."""
+"""One follower whose relays the test plays: which relay it follows, and what it reports."""
 
 from __future__ import annotations
 
@@ -57,7 +57,7 @@
     for _ in range(40):
         gateway.run(1)
         gateway.take(gateway.batch(0, 0))
-    assert gateway.dialled.count(full) <= 2, "to follow it, and to say that another one is followed"
+    assert gateway.dialled.count(full) <= 2, "to follow it, and to notify it that another one is followed"
 
 
 def test_progress_is_reported_each_second_and_soon_after_a_change(gateway):
--- a/tests/distribution/dissemination/test_progress.py
+++ b/tests/distribution/dissemination/test_progress.py
@@ -1,4 +1,4 @@
-"""The sums along the tree against hand-worked examples."""
+"""Summaries along the tree against hand-worked examples."""
 
 from __future__ import annotations
 
--- a/tests/distribution/dissemination/test_standby_link.py
+++ b/tests/distribution/dissemination/test_standby_link.py
@@ -1,4 +1,4 @@
-"""A follower's second link: kept to the next relay, and gone back to where it is the better one."""
+"""A follower's standby link: to the next relay, which is followed again if it is the better one."""
 
 from __future__ import annotations
 
