--- a/tests/distribution/dissemination/simulation/test_partitions.py
+++ b/tests/distribution/dissemination/simulation/test_partitions.py
@@ -62,9 +62,8 @@
         differs = changed_bytes(world, other)
         sent = sum(size for _, size in world.bytes_to[relay])
         ranges = world.followers[f"{relay}:{other}"].counters.ranges - before[f"{relay}:{other}"]
-        print(
-            f"partition: {relay} {elapsed / SECOND:.1f} s, {sent} bytes for {differs} that differ, {ranges} ranges"
-        )
+        sizes = f"{sent} bytes for {differs} that differ, {ranges} ranges"
+        print(f"partition: {relay} {elapsed / SECOND:.1f} s, {sizes}")
         if tombstones == 65_536:
             assert ranges == 0
             assert sent <= 2 * differs
