--- /dev/null
+++ b/tests/policy/test_evidence.py
@@ -0,0 +1,50 @@
+"""Which outcomes count: tallies and own ones."""
+
+from __future__ import annotations
+
+
+from linenbridge.interface import Outcome, RolloutPhase, SECOND, Vote
+from tests.helpers import MS, entry, running
+from tests.policy.helpers import outcome
+
+
+def test_a_gateway_with_few_requests_uses_tallies_in_place_of_its_own_outcomes():
+    gateway = running(tally_period=2 * SECOND, gateway_count=100, rollback_votes=35)
+    for invalid in (("none", 2, 9, 9), ("look", 7, 9, 9), ("look", 2, 0, 0), ("look", 2, 4, 5)):
+        gateway.on_tally(0, invalid[1], invalid[0], invalid[2], invalid[3], 0, 0)
+    assert not gateway.detector.outcomes and all(value <= 0 for value in gateway.detector.sums.sums.values())
+    for period in range(4):
+        gateway.on_tally(period, 1, "look", 30, 0, 100 * MS, period)
+        gateway.on_tally(period, 2, "look", 10, 4, 100 * MS, period)
+        assert bool(gateway.detector.sums.alarms) is (period >= 1), "one period alone is not the build"
+    assert gateway.voter.wanted(SECOND) == Vote.ROLL_BACK
+
+
+def test_without_an_earlier_build_a_tally_alarms_on_one_method_not_on_all_alike():
+    for faulty, failed, alarmed in (
+        ({"charge"}, 6, True), ({"charge"}, 1, False), ({"look", "store", "charge"}, 6, False)
+    ):  # fmt: skip
+        gateway = running(tally_period=2 * SECOND, gateway_count=100, rollback_votes=35)
+        gateway.on_endpoint_list(0, [entry(4, build=2)], is_snapshot=True, is_poll_response=True)
+        for period in range(8):
+            for method in ("look", "store", "charge"):
+                gateway.on_tally(period, 2, method, 10, failed * (method in faulty), 100 * MS, period)
+        assert bool(gateway.detector.sums.alarms) is alarmed
+
+
+def test_a_gateway_with_few_requests_counts_its_own_errors_without_an_earlier_build():
+    """Seen at three gateways: one alarmed, the others heard tallies, in which all methods failed alike."""
+    gateway = running(gateway_count=3, tally_period=SECOND, rollback_votes=2)
+    now, number = 10 * SECOND, 0
+    gateway.on_endpoint_list(
+        now, [entry(n, build=2) for n in range(1, 5)], is_snapshot=True, is_poll_response=True
+    )
+    gateway.on_rollout_update(now, 2, 1, RolloutPhase.RELEASED, 1.0, is_vote_response=False, is_valid=True)
+    while now < 70 * SECOND and not gateway.detector.sums.alarms:
+        now, number = now + SECOND // 2, number + 1
+        if number % 2:
+            for method in gateway.methods:
+                gateway.on_tally(now, 2, method.name, 10, 1, 80 * MS, now)
+        outcome(gateway, now, f"r{number}", Outcome.ERROR if number % 5 == 0 else Outcome.OK)
+    assert gateway.evidence.has_few_outcomes(now) and gateway.detector.sums.alarms
+    assert gateway.voter.wanted(now) == Vote.ROLL_BACK
--- /dev/null
+++ b/tests/policy/test_outlier_detection.py
@@ -0,0 +1,76 @@
+"""When an instance is suspected."""
+
+from __future__ import annotations
+
+from dataclasses import replace
+
+from linenbridge.decisions import SendAttempt
+from linenbridge.interface import Outcome, SECOND
+from linenbridge.policy import DecisionModule
+from tests.helpers import MS, entry, pull, running, startup
+
+
+def test_silence_is_judged_by_how_much_is_in_flight():
+    """In a slow hour every instance with one heavy RPC would else look dead to the pace of four."""
+    gateway, now = running(), 0
+    fleet, instance_index = gateway.fleet, gateway.fleet.index[1]
+    for _ in range(4):
+        fleet.on_sent(instance_index, now)
+    for _ in range(100):
+        now += 40 * MS
+        fleet.in_flight[instance_index] -= 1
+        fleet.on_response(instance_index, now, 0.1)
+        fleet.on_sent(instance_index, now)
+    fleet.in_flight[instance_index] = 1
+    list(gateway.hedger.decisions(now + 600 * MS))
+    assert not fleet.consecutive_failures[instance_index]
+    list(gateway.hedger.decisions(now + 1400 * MS))
+    assert fleet.consecutive_failures[instance_index] == 1
+    (
+        fleet.consecutive_failures[instance_index],
+        fleet.ejected_until[instance_index],
+        fleet.in_flight[instance_index],
+    ) = 0, 0, 4
+    list(gateway.hedger.decisions(now + 600 * MS))
+    assert fleet.consecutive_failures[instance_index] == 1
+
+
+def test_attempts_sent_together_to_an_idle_instance_do_not_shorten_the_expected_gap():
+    """A gateway with few RPCs has two out at one of many instances now and then: both come after a whole
+    service time, and half of the silence allowed would shun each instance on a slow path."""
+    gateway, now = running(), 0
+    fleet, instance_index = gateway.fleet, gateway.fleet.index[1]
+    for _ in range(100):
+        fleet.on_sent(instance_index, now)
+        now += 100 * MS
+        fleet.in_flight[instance_index] -= 1
+        fleet.on_response(instance_index, now, 0.1)
+    fleet.on_sent(instance_index, now)
+    fleet.on_sent(instance_index, now)
+    list(gateway.hedger.decisions(now + 700 * MS))
+    assert not fleet.consecutive_failures[instance_index]
+    list(gateway.hedger.decisions(now + 900 * MS))
+    assert fleet.consecutive_failures[instance_index] == 1
+
+
+def test_a_silent_instance_is_suspected_well_before_any_latency_objective():
+    """At a fixed pace of 50 ms a silent instance was doubted too late where the aim is a quarter second."""
+    start = startup()
+    quick = tuple(
+        replace(method, latency_objective=method.latency_objective // 5) for method in start.methods
+    )
+    gateway = DecisionModule(replace(start, methods=quick), seed=7, now=0)
+    gateway.on_endpoint_list(0, [entry(n) for n in range(4)], is_snapshot=True, is_poll_response=True)
+    silent, hedged, now = None, set(), 0
+    for n in range(600):
+        now += 2 * MS
+        gateway.on_request(now, f"r{n}", "look", SECOND, None, "", None)
+        for sent in [d for d in pull(gateway, now) if isinstance(d, SendAttempt)]:
+            rpc, instance = sent.rpc_id, sent.instance
+            silent = instance if n == 400 else silent
+            if instance != silent:
+                hedged |= {rpc} - {f"r{n}"}
+                gateway.on_attempt_finished(
+                    now, rpc, len(gateway.requests[rpc].attempts) - 1, Outcome.OK, True, MS, {}
+                )
+    assert "r400" in hedged
