--- a/linenbridge/distribution/hosting/follower_settings.py
+++ b/linenbridge/distribution/hosting/follower_settings.py
@@ -1,23 +1,20 @@
-"""What gateways and relays share as followers: their settings for the core, and messages handed to it.
-
-Owns the translation between links and a `Follower`'s inputs.
-"""
+"""What gateways and relays share as hosts of a `Follower`: its settings, and its inputs for messages."""
 
 from __future__ import annotations
 
 from linenbridge.distribution.configuration import DistributionSettings
 from linenbridge.distribution.dissemination.follower import Follower
+from linenbridge.distribution.dissemination.relay_selection import RelayLocation
 from linenbridge.distribution.dissemination.settings import FollowerSettings
 from linenbridge.distribution.messages import Batch, Refused, Whole
-from linenbridge.distribution.dissemination.relay_selection import RelayLocation
 
 
 def follower_settings(settings: DistributionSettings, rate: int) -> FollowerSettings:
-    """`rate` in bytes a second; 0: no bound."""
+    """Settings of a `Follower` that takes `rate` bytes a second; 0: no bound."""
     return FollowerSettings(rate=rate, relay_timeout=settings.silence, heartbeat=settings.heartbeat)
 
 
-def relay_places(settings: DistributionSettings, regions: list[str]) -> list[RelayLocation]:
+def relay_locations(settings: DistributionSettings, regions: list[str]) -> list[RelayLocation]:
     """The relays of these regions."""
     return [RelayLocation(relay, region) for region in regions for relay in settings.regions[region].relays]
 
@@ -27,8 +24,8 @@
     return frozenset(relay for region in settings.regions.values() for relay in region.relays)
 
 
-def hear(follower: Follower, now: int, relay: str, message: Batch | Whole | Refused) -> None:
-    """A relay's message to the core's input of its kind."""
+def deliver(follower: Follower, now: int, relay: str, message: Batch | Whole | Refused) -> None:
+    """Call the input of the follower for a relay's message. `now` in microseconds."""
     match message:
         case Batch():
             follower.on_batch(now, relay, message)
--- a/tests/distribution/hosting/installation.py
+++ b/tests/distribution/hosting/installation.py
@@ -1,36 +1,57 @@
-"""Processes of a distribution on loopback: relays, candidates for publishers, a witness, gateways, authors.
+"""Processes of a distribution on loopback: relays, candidates for publisher, gateways, `publish` commands.
 
-Owns their settings, disks, starts and ends. Only processes that it started are signalled, by id. It must
-never reach into one: what they did is read from their logs.
+Owns their settings, disks, starts and ends. Only processes that it started are signalled, by id. What they
+did is read from their logs and their output.
 """
 
 from __future__ import annotations
 
+import itertools
 import json
 import os
 import signal
 import time
 from collections.abc import Callable
 from dataclasses import dataclass
-from multiprocessing.process import BaseProcess
 from pathlib import Path
+from typing import Protocol
 
-from tests.distribution.hosting.processes import begin
+from tests.distribution.hosting.processes import start_program
 from tests.fleet.procs.installation import ROOT, free_ports
 
-PLATFORM = ROOT / "examples" / "config.json"
-START_WAIT = 60.0  # seconds: how long a busy machine takes to load a program is none of what is promised
+PLATFORM_FILE = ROOT / "examples" / "config.json"
+MAX_START_SECONDS = (
+    60.0  # seconds: how long a busy machine takes to load a program is none of what is promised
+)
 ROUTES = 'route a {{ when always method "look" soft {soft}ms }}'
 
 
-SAYS_WHETHER_IT_PUBLISHES = frozenset(
+PUBLISHING_EVENTS = frozenset(
     ("distribution.publishing", "distribution.stopped", "distribution.replaced", "distribution.reading")
 )
 
 
+class RunningProcess(Protocol):
+    """A process of the program as `multiprocessing` shows it. `exitcode` is None while it runs."""
+
+    @property
+    def pid(self) -> int | None: ...
+    @property
+    def exitcode(self) -> int | None: ...
+    def terminate(self) -> None: ...
+    def kill(self) -> None: ...
+    def join(self, timeout: float | None = None) -> None: ...
+
+
+class Launch(Protocol):
+    """Starts `linenbridge ARGUMENTS` in a folder, with its output and its errors appended to two files."""
+
+    def __call__(self, arguments: list[str], folder: Path, output: Path, error: Path) -> RunningProcess: ...
+
+
 @dataclass
-class Told:
-    """What an author was told: the command's output and exit code."""
+class PublishResult:
+    """What one `publish` command printed: its output and exit code."""
 
     code: int
     lines: list[str]
@@ -39,46 +60,56 @@
 
 class Installation:
     """Relays eu-1.. of the region eu, its publishers p1 and p2, whose quorum has the witness w as third
-    acceptor, and gateways g-1..; `others` are relays of the region us, which then has the gateway g-us.
-    Nothing runs before `start`."""
+    acceptor, and gateways g-1..; `other_relays` are relays of the region us, which then has the gateway g-us.
+    Every member stands for the tasks of `fleet_tasks` (XML) as well. Nothing runs before `start`."""
 
     def __init__(
-        self, folder: Path, relays: int = 3, gateways: int = 2, others: tuple[str, ...] = ()
+        self,
+        folder: Path,
+        relays: int = 3,
+        gateways: int = 2,
+        other_relays: tuple[str, ...] = (),
+        fleet_tasks: str = "",
+        launch: Launch = start_program,
     ) -> None:
         self.folder = folder
+        self.fleet_tasks = fleet_tasks
+        self.launch = launch
         self.relays = [f"eu-{number}" for number in range(1, relays + 1)]
         self.publishers = ["p1", "p2"]
         self.gateways = [f"g-{number}" for number in range(1, gateways + 1)]
-        self.others = list(others)
-        self.gateways += ["g-us"] if others else []
+        self.other_relays = list(other_relays)
+        self.gateways += ["g-us"] if other_relays else []
         members = [*self.publishers, "w"]
-        names = [*self.relays, *self.others, *self.publishers]
+        names = [*self.relays, *self.other_relays, *self.publishers]
         ports = free_ports(len(names) + len(members))
         self.ports = dict(zip(names, ports, strict=False))
         self.fleet_ports = dict(zip(members, ports[len(names) :], strict=True))
-        self.running: dict[str, BaseProcess] = {}
-        self.stopped: set[str] = set()
-        self.authors = 0
+        self.running: dict[str, RunningProcess] = {}
+        self.paused: set[str] = set()
+        self.command_numbers = itertools.count(1)
         self._write_all()
 
     # ---- settings ----------------------------------------------------------------------------------------
 
     def _write_all(self) -> None:
-        for relay in (*self.relays, *self.others):
+        for relay in (*self.relays, *self.other_relays):
             (self.folder / relay).mkdir()
             region = "eu" if relay in self.relays else "us"
-            words = f'role="relay" name="{relay}" region="{region}" store="{relay}" {self._listen(relay)}'
-            self.write(relay, self.distribution(words))
+            attributes = (
+                f'role="relay" name="{relay}" region="{region}" store="{relay}" {self._listen(relay)}'
+            )
+            self.write(relay, self.distribution(attributes))
         for publisher in self.publishers:
-            words = f'role="publisher" name="{publisher}" region="eu" platform="{PLATFORM}" '
-            element = self.distribution(words + self._listen(publisher))
+            attributes = f'role="publisher" name="{publisher}" region="eu" platform="{PLATFORM_FILE}" '
+            element = self.distribution(attributes + self._listen(publisher))
             self.write(publisher, self.fleet(publisher, '<task name="publish-eu"/>') + element)
         self.write("w", self.fleet("w", ""))
         for gateway in self.gateways:
             region = "us" if gateway == "g-us" else "eu"
-            words = f'role="gateway" name="{gateway}" region="{region}" store="{gateway}.db" '
-            words += f'platform="{PLATFORM}"'
-            self.write(gateway, self.distribution(words))
+            attributes = f'role="gateway" name="{gateway}" region="{region}" store="{gateway}.db" '
+            attributes += f'platform="{PLATFORM_FILE}"'
+            self.write(gateway, self.distribution(attributes))
 
     def write(self, name: str, inside: str) -> None:
         text = f'<linenbridge xmlns="urn:linenbridge:premises:1">\n{inside}\n</linenbridge>'
@@ -87,13 +118,13 @@
     def _listen(self, name: str) -> str:
         return f'listen="127.0.0.1:{self.ports[name]}"'
 
-    def distribution(self, words: str) -> str:
+    def distribution(self, attributes: str) -> str:
         """The element; heartbeats are short so that tests are."""
         rows = [self._region("eu", self.relays, self.publishers)]
-        if self.others:
-            rows.append(self._region("us", self.others, []))
+        if self.other_relays:
+            rows.append(self._region("us", self.other_relays, []))
         return (
-            f'<distribution {words} gather="50ms" heartbeat="300ms" silence="900ms">\n'
+            f'<distribution {attributes} gather="50ms" heartbeat="300ms" silence="900ms">\n'
             + "\n".join(rows)
             + "\n</distribution>"
         )
@@ -112,24 +143,25 @@
             for other, port in self.fleet_ports.items()
             if other != member
         )
-        seats = "".join(f'<seat name="{seat}"/>' for seat in self.fleet_ports)
+        acceptors = "".join(f'<seat name="{acceptor}"/>' for acceptor in self.fleet_ports)
         return (
             f'<fleet member="{member}" listen="127.0.0.1:{self.fleet_ports[member]}" lease="1s" longest="1s" '
-            f'beat="200ms" store="{member}.db">{others}<council>{seats}</council>{tasks}</fleet>\n'
+            f'beat="200ms" store="{member}.db">{others}<council>{acceptors}</council>'
+            f"{tasks}{self.fleet_tasks}</fleet>\n"
         )
 
     # ---- processes ---------------------------------------------------------------------------------------
 
-    def everybody(self) -> list[str]:
-        return [*self.relays, *self.others, *self.publishers, "w", *self.gateways]
+    def process_names(self) -> list[str]:
+        return [*self.relays, *self.other_relays, *self.publishers, "w", *self.gateways]
 
     def start(self, *names: str) -> None:
         for name in names:
             log = self.folder / f"{name}.log"
-            self.running[name] = begin(["serve", "--settings", f"{name}.xml"], self.folder, log, log)
+            self.running[name] = self.launch(["serve", "--settings", f"{name}.xml"], self.folder, log, log)
 
-    def up(self, *names: str) -> None:
-        """Until each has said that it stands, in this life."""
+    def wait_until_started(self, *names: str) -> None:
+        """Wait until the present process of each has logged its start."""
         for name in names:
             event = "member.started" if name == "w" else "distribution.started"
             pid = self.running[name].pid
@@ -138,25 +170,37 @@
             )
 
     def kill(self, name: str) -> None:
-        """At once; what it has logged before counts for no later `events`."""
+        """End a process at once; its log no longer counts in `events`."""
+        self.running[name].kill()
+        self._set_log_aside(name)
+
+    def end(self, name: str) -> int | None:
+        """End a process by SIGTERM; the exit code. Its log no longer counts in `events`."""
+        process = self.running[name]
+        process.terminate()
+        process.join(MAX_START_SECONDS)
+        if process.exitcode is None:
+            raise TimeoutError(f"{name} did not end within {MAX_START_SECONDS:.0f} s")
+        self._set_log_aside(name)
+        return process.exitcode
+
+    def _set_log_aside(self, name: str) -> None:
         process = self.running.pop(name)
-        self.stopped.discard(name)
-        process.kill()
+        self.paused.discard(name)
         process.join()
-        log = self.folder / f"{name}.log"
-        log.rename(self.folder / f"{name}.{process.pid}.log")
+        (self.folder / f"{name}.log").rename(self.folder / f"{name}.{process.pid}.log")
 
     def pause(self, name: str) -> None:
         os.kill(self.running[name].pid, signal.SIGSTOP)
-        self.stopped.add(name)
+        self.paused.add(name)
 
-    def wake(self, name: str) -> None:
-        self.stopped.discard(name)
+    def resume(self, name: str) -> None:
+        self.paused.discard(name)
         os.kill(self.running[name].pid, signal.SIGCONT)
 
     def close(self) -> None:
-        for name in list(self.stopped):
-            self.wake(name)
+        for name in list(self.paused):
+            self.resume(name)
         for process in self.running.values():
             process.terminate()
         for process in self.running.values():
@@ -165,10 +209,10 @@
                 process.kill()
                 process.join()
 
-    # ---- what they said ----------------------------------------------------------------------------------
+    # ---- what they logged --------------------------------------------------------------------------------
 
     def events(self, name: str, event: str = "") -> list[dict]:
-        """The lines of a process's present life, of one kind or all."""
+        """The lines that the present process of a name has logged, of one event or all."""
         log = self.folder / f"{name}.log"
         rows = []
         for line in log.read_bytes().split(b"\n") if log.exists() else ():
@@ -177,8 +221,8 @@
         return [row for row in rows if row["event"] == event] if event else rows
 
     @staticmethod
-    def until(found: Callable[[], bool], what: str, wait: float = START_WAIT) -> float:
-        """The seconds that it took."""
+    def until(found: Callable[[], bool], what: str, wait: float = MAX_START_SECONDS) -> float:
+        """Wait until `found` is true; the seconds that it took. TimeoutError after `wait` seconds."""
         began = time.monotonic()
         while not found():
             if time.monotonic() - began > wait:
@@ -187,12 +231,12 @@
         return time.monotonic() - began
 
     def publisher(self) -> str:
-        """Who publishes, by its own last word; "" where nobody says so."""
+        """The name of the process that publishes, by its own log; "" where none does."""
         return next((name for name in self.publishers if self.publisher_of(name)), "")
 
     def publisher_of(self, name: str) -> bool:
-        """Whether this one's last word is that it publishes."""
-        rows = [row for row in self.events(name) if row["event"] in SAYS_WHETHER_IT_PUBLISHES]
+        """Whether a process publishes, by the last such line of its log."""
+        rows = [row for row in self.events(name) if row["event"] in PUBLISHING_EVENTS]
         return name in self.running and bool(rows) and rows[-1]["event"] == "distribution.publishing"
 
     def followed_by(self, gateway: str) -> str:
@@ -202,34 +246,37 @@
         return rows[-1]["relay"] if rows and rows[-1]["event"] == "distribution.following" else ""
 
     def has_joined(self, relay: str) -> bool:
-        """Whether the publisher has taken up the relay's present life."""
+        """Whether a publisher counts the relay in its present life."""
         (began,) = self.events(relay, "distribution.life_began")
         joined = [row for name in self.publishers for row in self.events(name, "distribution.relay_joins")]
         return any((row["relay"], row["life"]) == (relay, began["life"]) for row in joined)
 
     def in_force(self, gateway: str) -> int:
-        """The newest sequence that a gateway has said to be in force in this life."""
+        """The newest sequence in force that the present process of a gateway has logged."""
         return max((row["sequence"] for row in self.events(gateway, "distribution.in_force")), default=0)
 
-    def publish(self, name: str, value: str, *more: str, kind: str = "routes") -> Told:
-        """As an author does, with the settings of the first gateway; in the end, what was told."""
-        return self.told(self.begin_publish(name, value, *more, kind=kind))
+    def publish(self, name: str, value: str, *more: str, kind: str = "routes") -> PublishResult:
+        """Run the `publish` command with the settings of the first gateway until its end."""
+        return self.publish_result(self.begin_publish(name, value, *more, kind=kind))
 
     def begin_publish(
-        self, name: str, value: str, *more: str, kind: str = "routes"
-    ) -> tuple[BaseProcess, Path]:
-        """The same without waiting."""
-        self.authors += 1
-        file = self.folder / f"value-{self.authors}"
+        self, name: str, value: str, *more: str, kind: str = "routes", launch: Launch | None = None
+    ) -> tuple[RunningProcess, Path]:
+        """Start the `publish` command, by another way of starting it where one is given."""
+        file = self.folder / f"value-{next(self.command_numbers)}"
         file.write_text(value)
-        words = ["publish", "--settings", f"{self.gateways[0]}.xml", "--kind", kind, "--name", name]
-        out = file.with_suffix(".out")
-        value_words = [] if "--delete" in more else ["--value", str(file)]
-        process = begin([*words, *value_words, *more], self.folder, out, file.with_suffix(".err"))
-        return process, out
+        arguments = ["publish", "--settings", f"{self.gateways[0]}.xml", "--kind", kind, "--name", name]
+        output = file.with_suffix(".out")
+        value_arguments = [] if "--delete" in more else ["--value", str(file)]
+        process = (launch or self.launch)(
+            [*arguments, *value_arguments, *more], self.folder, output, file.with_suffix(".err")
+        )
+        return process, output
 
     @staticmethod
-    def told(author: tuple[BaseProcess, Path]) -> Told:
-        process, out = author
+    def publish_result(command: tuple[RunningProcess, Path]) -> PublishResult:
+        process, output = command
         process.join(90)
-        return Told(process.exitcode, out.read_text().splitlines(), out.with_suffix(".err").read_text())
+        return PublishResult(
+            process.exitcode, output.read_text().splitlines(), output.with_suffix(".err").read_text()
+        )
