--- a/linenbridge/policy/change_detection.py
+++ b/linenbridge/policy/change_detection.py
@@ -65,7 +65,8 @@
 
     def has_baseline(self, build: int) -> bool:
         """Whether an earlier instance is ready: only then do response times and time-outs tell the build's
-        faults from those of the hour."""
+        faults from those of the hour.
+        """
         latest = self.rollout.latest_build
         return build < latest or min(self.fleet.ready_by_build, default=build) < latest
 
@@ -147,9 +148,13 @@
         self._add_to_sum(key, min(increment, max_increment), LATENCY_DIVERGENCE, instance_index, ratio)
 
     def _add_to_sum(
-        self, key: tuple[int, str], increment: float, divergence: float, instance_index: int | None,
+        self,
+        key: tuple[int, str],
+        increment: float,
+        divergence: float,
+        instance_index: int | None,
         baseline: float,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """W = max(0, W) + Z, with an alarm above max(5, divergence x factor).
 
         Gateways that share evidence raise their alarms together: their level is that of all the votes needed
--- a/linenbridge/policy/decision_module.py
+++ b/linenbridge/policy/decision_module.py
@@ -65,37 +65,69 @@
             [method.latency_objective * INITIAL_RESPONSE_TIME for method in methods], RESPONSE_WEIGHT
         )
         self.log = LogMessages()
-        # Builds: evidence, votes, gossip.
+        self.polling = EndpointPolling(allowances.polls_endpoints, random, now)
+        self._compose_instance_components(startup, random)
+        self._compose_build_components(startup, random, now)
+        self._compose_request_components(startup, random)
+
+    def _compose_instance_components(self, startup: Startup, random: Random) -> None:
+        """What an instance may get, and whether it is healthy."""
+        self.shedder = LoadShedder(startup, self.fleet, self.traffic, self.response_times, random)
+        self.slow_start = SlowStart(startup, self.fleet, self.shedder, random)
+        self.limits = ConcurrencyLimits(startup, self.fleet)
+        self.outliers = OutlierDetector(self.fleet, self.sweep_period, self.log)
+
+    def _compose_build_components(self, startup: Startup, random: Random, now: int) -> None:
+        """Evidence on builds, votes, gossip, and the share of requests that a build may get."""
         self.freeze = RolloutFreeze(self.rollout, self.fleet, self.log)
         self.detector = ChangeDetector(startup, self.rollout, self.fleet, self.log)
         self.voter = RolloutVoter(
             startup, self.rollout, self.fleet, self.freeze, self.detector, random, self.log, now
         )
         self.gossip = GossipExchange(startup, self.rollout, self.voter, random, now)
-        # Requests and instances.
-        self.priorities = RequestPriorities(startup, self.response_times)
-        self.shedder = LoadShedder(startup, self.fleet, self.traffic, self.response_times, random)
-        self.slow_start = SlowStart(startup, self.fleet, self.shedder, random)
         self.evidence = EvidenceIntake(
             startup, self.fleet, self.traffic, self.slow_start, self.detector, self.gossip
         )
-        self.safety = SafetyRules(startup, self.requests, self.fleet, self.sweep_period)
         self.exposure = ExposureLimits(startup, self.rollout, self.freeze, self.traffic)
-        self.limits = ConcurrencyLimits(startup, self.fleet)
-        self.outliers = OutlierDetector(self.fleet, self.sweep_period, self.log)
+
+    def _compose_request_components(self, startup: Startup, random: Random) -> None:
+        """The order of requests, and their first and further attempts."""
+        self.priorities = RequestPriorities(startup, self.response_times)
+        self.safety = SafetyRules(startup, self.requests, self.fleet, self.sweep_period)
         self.balancer = LoadBalancer(
-            startup, self.fleet, self.rollout, self.affinity, self.safety, self.exposure, self.slow_start,
-            self.limits, self.outliers, random,
-        )  # fmt: skip
+            startup,
+            self.fleet,
+            self.rollout,
+            self.affinity,
+            self.safety,
+            self.exposure,
+            self.slow_start,
+            self.limits,
+            self.outliers,
+            random,
+        )
         self.dispatcher = Dispatcher(
-            startup, self.fleet, self.safety, self.exposure, self.slow_start, self.shedder, self.balancer,
+            startup,
+            self.fleet,
+            self.safety,
+            self.exposure,
+            self.slow_start,
+            self.shedder,
+            self.balancer,
             self.response_times,
-        )  # fmt: skip
+        )
         self.hedger = Hedger(
-            startup, self.fleet, self.requests, self.traffic, self.response_times, self.safety, self.balancer,
-            self.outliers, self.dispatcher, self.sweep_period,
-        )  # fmt: skip
-        self.polling = EndpointPolling(allowances.polls_endpoints, random, now)
+            startup,
+            self.fleet,
+            self.requests,
+            self.traffic,
+            self.response_times,
+            self.safety,
+            self.balancer,
+            self.outliers,
+            self.dispatcher,
+            self.sweep_period,
+        )
 
     def on_endpoint_list(
         self, now: int, entries: list[EndpointEntry], *, is_snapshot: bool, is_poll_response: bool
--- a/linenbridge/policy/evidence.py
+++ b/linenbridge/policy/evidence.py
@@ -99,7 +99,8 @@
 
     def on_flag(self, instance: Id, method: str, sent_at: int) -> None:
         """The platform reports a failure of an attempt sent then; an instance that has started since, with
-        another build, is not its cause."""
+        another build, is not its cause.
+        """
         instance_index = self.fleet.index.get(instance)
         if instance_index is not None and self.fleet.started_at[instance_index] <= sent_at:
             build = self.fleet.build[instance_index]
--- a/linenbridge/policy/gossip.py
+++ b/linenbridge/policy/gossip.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from linenbridge.decisions import Gossip
-from linenbridge.interface import SECOND, RolloutPhase, Startup
+from linenbridge.interface import SECOND, Startup
 from linenbridge.policy.rollout_votes import RolloutVoter
 from linenbridge.state.counters import Counts
 from linenbridge.state.peers import NewCounts, PeerBounds, PeerCounts, pack
@@ -65,10 +65,7 @@
         """
         if not (self.allowed and self._has_new_counts and now >= self._next_at):
             return []
-        rollout = self.rollout
-        if rollout.build >= rollout.latest_build and rollout.phase not in (
-            RolloutPhase.ON_TRIAL, RolloutPhase.RELEASED
-        ):  # fmt: skip
+        if not self.rollout.is_latest_in_use():
             return []
         self._has_new_counts = False
         self._next_at = now + int(GOSSIP_PERIOD * self.random.uniform(0.5, 1.5))
--- a/linenbridge/policy/log_messages.py
+++ b/linenbridge/policy/log_messages.py
@@ -37,9 +37,15 @@
         )
 
     def alarm(
-        self, raised: bool, method: str, statistic: str, build: int, value: float, threshold: float,
+        self,
+        raised: bool,
+        method: str,
+        statistic: str,
+        build: int,
+        value: float,
+        threshold: float,
         baseline: float,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """A cumulative sum crosses its threshold, or falls back far enough to clear the alarm."""
         self._add(
             "alarm" if raised else "alarm_cleared",
--- a/linenbridge/policy/rollout_votes.py
+++ b/linenbridge/policy/rollout_votes.py
@@ -165,9 +165,13 @@
                 return None
         if changed:
             self.log.vote(
-                vote, visible.build, visible.stage, self.rollout.stage, self.detector.outcomes,
+                vote,
+                visible.build,
+                visible.stage,
+                self.rollout.stage,
+                self.detector.outcomes,
                 self.detector.sums.highest(),
-            )  # fmt: skip
+            )
         self.cast_stage = visible
         self.cast_vote = vote
         self.pending = True
--- a/linenbridge/state/rollout.py
+++ b/linenbridge/state/rollout.py
@@ -30,12 +30,18 @@
         self.stage = stage
         self.phase = phase
         self.cap = cap
-        if phase == RolloutPhase.ON_TRIAL or phase == RolloutPhase.RELEASED:
+        if phase in (RolloutPhase.ON_TRIAL, RolloutPhase.RELEASED):
             self.withdrawn.discard(build)
         else:
             self.withdrawn.add(build)
         return changed
 
+    def is_latest_in_use(self) -> bool:
+        """Whether the latest build is on trial or released, as reported, or not reported yet."""
+        if self.build < self.latest_build:
+            return True
+        return self.phase in (RolloutPhase.ON_TRIAL, RolloutPhase.RELEASED)
+
     def on_listed(self, builds: dict[int, list[int]]) -> None:
         """Note the lowest of the builds listed as ready, given in ascending order."""
         lowest = min(builds)
--- a/tests/policy/test_evidence.py
+++ b/tests/policy/test_evidence.py
@@ -22,8 +22,10 @@
 
 def test_without_an_earlier_build_a_tally_alarms_on_one_method_not_on_all_alike():
     for faulty, failed, alarmed in (
-        ({"charge"}, 6, True), ({"charge"}, 1, False), ({"look", "store", "charge"}, 6, False)
-    ):  # fmt: skip
+        ({"charge"}, 6, True),
+        ({"charge"}, 1, False),
+        ({"look", "store", "charge"}, 6, False),
+    ):
         gateway = running(tally_period=2 * SECOND, gateway_count=100, rollback_votes=35)
         gateway.on_endpoint_list(0, [entry(4, build=2)], is_snapshot=True, is_poll_response=True)
         for period in range(8):
--- a/tests/policy/test_rollout_votes.py
+++ b/tests/policy/test_rollout_votes.py
@@ -57,8 +57,11 @@
 def test_gateways_that_share_tallies_vote_to_promote_only_where_the_sum_would_clear_an_alarm():
     """Seen on join+mass: 325 'on' at W 2.4 of one sum, and a build that fails when busy was released."""
     for tallied, value, wanted in (
-        (False, 2.4, Vote.PROMOTE), (True, 2.4, Vote.NONE), (True, 1.1, Vote.NONE), (True, 0.9, Vote.PROMOTE)
-    ):  # fmt: skip
+        (False, 2.4, Vote.PROMOTE),
+        (True, 2.4, Vote.NONE),
+        (True, 1.1, Vote.NONE),
+        (True, 0.9, Vote.PROMOTE),
+    ):
         gateway = running(tally_period=2 * SECOND, gateway_count=100, rollback_votes=35)
         if tallied:
             gateway.on_tally(SECOND, 2, "look", 10, 0, 100 * MS, SECOND)
--- a/tests/state/test_counters.py
+++ b/tests/state/test_counters.py
@@ -37,7 +37,7 @@
         st.sampled_from((*sorted(NAMES), "t0", "t0", "unknown")),
     ),
     max_size=60,
-)  # fmt: skip
+)
 
 
 @settings(max_examples=300, deadline=None)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -39,9 +39,13 @@
     here = digest(6, 1200)
     for hashes in ("1", "77"):
         printed = subprocess.run(
-            [sys.executable, "-m", "tests.days", "6"], cwd=Path(__file__).parents[1], check=True, text=True,
-            capture_output=True, env={**os.environ, "PYTHONHASHSEED": hashes},
-        )  # fmt: skip
+            [sys.executable, "-m", "tests.days", "6"],
+            cwd=Path(__file__).parents[1],
+            check=True,
+            text=True,
+            capture_output=True,
+            env={**os.environ, "PYTHONHASHSEED": hashes},
+        )
         assert printed.stdout.split() == [here[0], str(here[1])]
 
 
