--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -68,3 +68,34 @@
 def test_what_it_may_not_say_fails_the_run(tmp_path, reds, why):
     code, said = played(tmp_path, reds)
     assert code != 0 and why in said
+
+
+WORKERS = ("-n", "2", "--dist", "loadgroup")
+
+
+def test_workers_pass_over_the_same_tests_and_the_controller_prints_them(tmp_path):
+    code, output = played(
+        tmp_path, RED + CASE + "tests/test_other.py::test_other | rare | issue 3\n", *WORKERS
+    )
+    assert code == 0
+    assert "known red, failed: tests/test_some.py::test_red: it divides (issue 9)" in output
+    assert "known red, failed: tests/test_some.py::test_cases[2]: off by one (issue 10)" in output
+    assert "known red, passed this time: tests/test_other.py::test_other: rare (issue 3)" in output
+
+
+def test_workers_fail_the_run_for_a_test_that_is_not_named(tmp_path):
+    assert played(tmp_path, RED, *WORKERS)[0] == 1
+
+
+@pytest.mark.parametrize(
+    "reds, reason",
+    [
+        (RED + RED, "each test once"),
+        ("tests/test_some.py::test_gone | it divides | issue 9\n", "no such test"),
+        ("tests/test_gone.py::test_red | it divides | issue 9\n", "no such test"),
+    ],
+)
+def test_a_wrong_line_fails_the_run_with_workers_too(tmp_path, reds, reason):
+    code, output = played(tmp_path, reds, *WORKERS)
+    assert code == pytest.ExitCode.USAGE_ERROR
+    assert reason in output
