--- a/tests/distribution/hosting/fakes.py
+++ b/tests/distribution/hosting/fakes.py
@@ -21,6 +21,7 @@
     Progress,
     Published,
 )
+from linenbridge.fleet.hosting.task_actions import ActiveLease
 from linenbridge.peering.connections import PeerConnections
 
 
@@ -107,8 +108,8 @@
         self.on_task_changed = on_task_changed
         self.term: int | None = None
 
-    def held_lease(self, task: str) -> tuple[int, int] | None:
-        return None if task != "publish-eu" or self.term is None else (self.term, 0)
+    def active_lease(self, task: str) -> ActiveLease | None:
+        return None if task != "publish-eu" or self.term is None else ActiveLease(self.term, 0)
 
     def facts(self) -> dict[str, int]:
         return {}
