--- a/linenbridge/distribution/dissemination/page_cache.py
+++ b/linenbridge/distribution/dissemination/page_cache.py
@@ -7,7 +7,6 @@
 from __future__ import annotations
 
 from dataclasses import dataclass
-from typing import NamedTuple
 
 from msgspec import Raw
 
@@ -31,43 +30,35 @@
     digest: int | None
 
 
-class _Position(NamedTuple):
-    """The key of a page."""
-
-    region: str
-    after: int
-    max_bytes: int
-
-
 class PageCache:
     """Pages of all regions; beyond MAX_PAGES the oldest is dropped."""
 
     def __init__(self, logs: dict[str, CompactedLog], counters: FeedCounters) -> None:
         self._logs = logs
         self._counters = counters
-        self._pages: dict[_Position, SharedPage] = {}
+        self._pages: dict[tuple[str, int, int], SharedPage] = {}  # by the arguments of `page`
 
     def page(self, region: str, after: int, max_bytes: int) -> SharedPage:
         """The page behind a sequence, of at most `max_bytes` bytes of changes, one change at least."""
-        position = _Position(region, after, max_bytes)
-        page = self._pages.get(position)
+        key = region, after, max_bytes
+        page = self._pages.get(key)
         if page is None:
-            page = self._encode(position)
+            page = self._encode(region, after, max_bytes)
             if len(self._pages) >= MAX_PAGES:
                 del self._pages[next(iter(self._pages))]
-            self._pages[position] = page
+            self._pages[key] = page
         return page
 
     def drop(self, region: str) -> None:
         """Drop the pages of a region whose log has changed."""
-        for position in [position for position in self._pages if position.region == region]:
-            del self._pages[position]
+        for key in [key for key in self._pages if key[0] == region]:
+            del self._pages[key]
 
-    def _encode(self, position: _Position) -> SharedPage:
-        log = self._logs[position.region]
-        page = log.page(position.after, position.max_bytes)
+    def _encode(self, region: str, after: int, max_bytes: int) -> SharedPage:
+        log = self._logs[region]
+        page = log.page(after, max_bytes)
         encoded = joined(page.encoded)
         digest = log.digest if log.consistent and page.upto == log.head else None
         self._counters.encoded += 1
-        checksum = batch_checksum(position.region, position.after, page.upto, encoded)
+        checksum = batch_checksum(region, after, page.upto, encoded)
         return SharedPage(page.upto, Raw(encoded), checksum, digest)
