--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -1,8 +1,9 @@
-"""A relay on a reactor: its region's replica with its disk, the feed, and a follower of each other region.
+"""Hosts a relay: its region's replica with its disk, the feed, and a follower of each other region.
 
-Owns the wiring. The log is written by one thread at a time, in order, and answers leave after it. A message
-counts only from whom it may come: appends from publishers that the settings name, a follower's words under
-its own name. It must never decide: what the cores say is carried out.
+Owns two sets of connections: downstream (followers and publishers connect to it) and upstream (it connects to
+relays of other regions). The log is written by one thread at a time, in order, and responses leave after the
+write. A message is taken only from a peer that may send it: appends from publishers that the settings name, a
+follower's messages under its own name. Decides nothing.
 """
 
 from __future__ import annotations
@@ -13,49 +14,69 @@
 
 from linenbridge.distribution.configuration import DistributionSettings
 from linenbridge.distribution.decisions import (
-    Apply, Committed, Decision, Dial, Event, HangUp, Keep, ReplaceRange, Send, SumsBelow,
-)  # fmt: skip
-from linenbridge.distribution.errors import RelayStoreError
+    Apply,
+    Committed,
+    Decision,
+    Dial,
+    Event,
+    HangUp,
+    Keep,
+    ReplaceRange,
+    Send,
+    SumsBelow,
+)
 from linenbridge.distribution.dissemination.feed import Feed
-from linenbridge.distribution.dissemination.settings import FeedSettings
 from linenbridge.distribution.dissemination.follower import Follower
-from linenbridge.distribution.hosting.core_driver import Carrier, Core
+from linenbridge.distribution.dissemination.settings import FeedSettings
+from linenbridge.distribution.errors import RelayStoreError
+from linenbridge.distribution.hosting.core_driver import CoreDriver, StateMachine
+from linenbridge.distribution.hosting.disk_writer import GroupWriter
 from linenbridge.distribution.hosting.follower_settings import (
+    deliver,
     follower_settings,
-    hear,
+    relay_locations,
     relay_names,
-    relay_places,
 )
-from linenbridge.distribution.hosting.link_messages import FOLLOWER_TAKES, RELAY_TAKES
-from linenbridge.distribution.hosting.disk_writer import GroupWriter
-from linenbridge.distribution.messages import Append, Digests, Fetch, Follow, Prepare, Progress
+from linenbridge.distribution.hosting.link_messages import FOLLOWER_DECODER, RELAY_DECODER
 from linenbridge.distribution.log.replica import Replica
+from linenbridge.distribution.messages import Append, Digests, Fetch, Follow, Prepare, Progress
 from linenbridge.distribution.storage.log_store import RelayLog
+from linenbridge.logging.event_log import Log
 from linenbridge.peering import clock
 from linenbridge.peering.connections import PeerConnections, WellFormedNames, call_soon
-from linenbridge.logging.event_log import Log
 
-SPARE_CONNECTIONS = 64  # for relays of other regions and publishers, beside two for each follower
-HEARTBEATS_BEYOND = 2  # a follower is let go when it has been silent so much longer than relays may be
+RESERVED_CONNECTIONS = 64  # for relays of other regions and publishers, beside two for each follower
+EXTRA_SILENT_HEARTBEATS = 2  # a follower may be silent for so many heartbeats more than a relay
 
 
 class Relay:
-    """One relay of `settings.region`. RelayStoreError where its disk cannot be used. A relay whose disk fails
-    later on gets nothing newer for its followers: `broken` is called once, for the process to end."""
+    """One relay of `settings.region`. Raises RelayStoreError where its disk cannot be used. A disk that fails
+    later on ends the relay's use, so `on_broken` is called once, for the process to end."""
 
     def __init__(
-        self, settings: DistributionSettings, reactor: Any, log: Log, random: Random,
-        broken: Callable[[], None] = lambda: None,
-    ) -> None:  # fmt: skip
-        self.settings, self.reactor, self.log = settings, reactor, log
-        self._broken: Callable[[], None] | None = broken
+        self,
+        settings: DistributionSettings,
+        reactor: Any,
+        log: Log,
+        random: Random,
+        on_broken: Callable[[], None] = lambda: None,
+    ) -> None:
+        self.settings = settings
+        self.reactor = reactor
+        self.log = log
+        self._on_broken: Callable[[], None] | None = on_broken
         now = clock.now()
         self.disk = RelayLog(settings.store, settings.region)
         self.replica = Replica(settings.region, settings.name, self.disk.read(), settings.trusted, random)
         self.feed = Feed(
-            settings.name, settings.region, list(settings.regions), _feed_settings(settings), random, now,
+            settings.name,
+            settings.region,
+            list(settings.regions),
+            _feed_settings(settings),
+            random,
+            now,
             relay_names(settings),
-        )  # fmt: skip
+        )
         self.followers = {
             region: self._follower(region, random, now)
             for region in settings.regions
@@ -64,97 +85,113 @@
         self.region_of = {
             relay: region for region, found in settings.regions.items() for relay in found.relays
         }
-        self.writer = GroupWriter[Keep](reactor, self.disk.keep, self._kept, self._not_kept)
+        self.writer = GroupWriter[Keep](reactor, self.disk.keep, self._on_persisted, self._on_persist_failed)
         self.downstream = PeerConnections(
-            settings.name, WellFormedNames(), reactor, log, self._heard_downstream, decoder=RELAY_TAKES,
-            max_connections=2 * settings.followers + SPARE_CONNECTIONS,
-            on_peer_changed=self._downstream_changed,
-        )  # fmt: skip
+            settings.name,
+            WellFormedNames(),
+            reactor,
+            log,
+            self._on_downstream_message,
+            decoder=RELAY_DECODER,
+            max_connections=2 * settings.followers + RESERVED_CONNECTIONS,
+            on_peer_changed=self._on_downstream_changed,
+        )
         self.upstream = PeerConnections(
-            settings.name, relay_names(settings), reactor, log, self._heard_upstream, decoder=FOLLOWER_TAKES,
-            on_peer_changed=self._upstream_changed,
-        )  # fmt: skip
-        cores = [self.replica, *self.followers.values(), self.feed]
-        self.carrier = Carrier(reactor, cores, self._carry_out, after=self._look_at_replica)
+            settings.name,
+            relay_names(settings),
+            reactor,
+            log,
+            self._on_upstream_message,
+            decoder=FOLLOWER_DECODER,
+            on_peer_changed=self._on_upstream_changed,
+        )
+        state_machines: list[StateMachine] = [self.replica, *self.followers.values(), self.feed]
+        self.driver = CoreDriver(reactor, state_machines, self._execute, on_turn_end=self._report_broken_disk)
         if settings.listen is None:
             raise ValueError("a relay listens")
         self.port = reactor.listenTCP(settings.listen[1], self.downstream, interface=settings.listen[0])
         log.event("distribution.started", role="relay", name=settings.name, region=settings.region)
-        self.carrier.turn()
+        self.driver.turn()
 
     def _follower(self, region: str, random: Random, now: int) -> Follower:
-        """Of another region. What the feed's tables hold is not kept on disk: it is asked for anew."""
+        """The follower of another region. What the feed holds of it is not on disk, so it starts from the
+        beginning."""
         settings = self.settings
         return Follower(
-            settings.name, region, relay_places(settings, [region]), [region], [],
-            follower_settings(settings, settings.rate_between_regions), random, now, self.feed.range_digests,
-        )  # fmt: skip
+            settings.name,
+            region,
+            relay_locations(settings, [region]),
+            [region],
+            [],
+            follower_settings(settings, settings.rate_between_regions),
+            random,
+            now,
+            self.feed.range_digests,
+        )
 
-    # ---- links -------------------------------------------------------------------------------------------
+    # ---- connections -----------------------------------------------------------------------------------
 
-    def _heard_downstream(self, far: str, message: Any) -> None:
+    def _on_downstream_message(self, peer: str, message: Any) -> None:
         now = clock.now()
         match message:
             case Prepare() | Fetch() | Append():
-                self._heard_publisher(now, far, message)
-            case Follow() if message.follower == far:
+                self._on_publisher_message(now, peer, message)
+            case Follow() if message.follower == peer:
                 self.feed.on_follow(now, message)
-            case Progress() if message.follower == far:
+            case Progress() if message.follower == peer:
                 self.feed.on_progress(now, message)
             case Digests():
-                self.feed.on_digests(now, far, message)
+                self.feed.on_digests(now, peer, message)
             case _:
-                self.log.rarely("distribution.misnamed", "follower", far=far, named=message.follower[:64])
-        self.carrier.turn()
+                self.log.rarely(
+                    "distribution.name_mismatch", "follower", peer=peer, claimed_name=message.follower[:64]
+                )
+        self.driver.turn()
 
-    def _heard_publisher(self, now: int, far: str, message: Prepare | Fetch | Append) -> None:
-        if far not in self.settings.home.publishers:
-            self.log.rarely("distribution.stranger", "publisher", far=far)
+    def _on_publisher_message(self, now: int, peer: str, message: Prepare | Fetch | Append) -> None:
+        if peer not in self.settings.home.publishers:
+            self.log.rarely("distribution.unauthorized_peer", "publisher", peer=peer)
             return
         match message:
             case Prepare():
-                self.replica.on_prepare(now, far, message)
+                self.replica.on_prepare(now, peer, message)
             case Fetch():
-                self.replica.on_fetch(now, far, message)
+                self.replica.on_fetch(now, peer, message)
             case Append():
-                self.replica.on_append(now, far, message)
+                self.replica.on_append(now, peer, message)
         self.feed.on_publisher(now, self.replica.publisher)
 
-    def _downstream_changed(self, far: str, *, connected: bool) -> None:
+    def _on_downstream_changed(self, peer: str, *, connected: bool) -> None:
         if not connected:
-            self.feed.on_lost(clock.now(), far)
-            self.carrier.turn()
+            self.feed.on_lost(clock.now(), peer)
+            self.driver.turn()
 
-    def _heard_upstream(self, far: str, message: Any) -> None:
-        follower = self.followers.get(self.region_of[far])
+    def _on_upstream_message(self, peer: str, message: Any) -> None:
+        follower = self.followers.get(self.region_of[peer])
         if follower is not None:
-            hear(follower, clock.now(), far, message)
-            self.carrier.turn()
+            deliver(follower, clock.now(), peer, message)
+            self.driver.turn()
 
-    def _upstream_changed(self, far: str, *, connected: bool) -> None:
-        follower = self.followers.get(self.region_of[far])
+    def _on_upstream_changed(self, peer: str, *, connected: bool) -> None:
+        follower = self.followers.get(self.region_of[peer])
         if follower is not None:
-            follower.on_link(clock.now(), far, connected=connected)
-            self.carrier.turn()
+            follower.on_link(clock.now(), peer, connected=connected)
+            self.driver.turn()
 
-    # ---- decisions ---------------------------------------------------------------------------------------
+    # ---- decisions -------------------------------------------------------------------------------------
 
-    def _carry_out(self, core: Core, now: int, decision: Decision) -> None:
+    def _execute(self, state_machine: StateMachine, now: int, decision: Decision) -> None:
         match decision:
             case Send():
-                connections = self.upstream if isinstance(core, Follower) else self.downstream
+                connections = self.upstream if isinstance(state_machine, Follower) else self.downstream
                 connections.send(decision.to, decision.message)
             case Keep():
                 self.writer.put(decision)
             case Committed():
                 settled = self.replica.log.settled
                 self.feed.on_committed(now, decision.region, decision.changes, settled)
-            case Apply():
-                digest = self.feed.on_apply(now, decision)
-                self.followers[decision.region].on_applied(now, decision.region, decision.upto, digest)
-            case ReplaceRange():
-                digest = self.feed.on_range(now, decision)
-                self.followers[decision.region].on_applied(now, decision.region, decision.upto, digest)
+            case Apply() | ReplaceRange():
+                self._put_into_feed(now, decision)
             case SumsBelow():
                 for follower in self.followers.values():
                     follower.on_progress_below(now, decision.summaries)
@@ -165,36 +202,45 @@
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
-    def _look_at_replica(self) -> None:
-        if self.replica.broken and self._broken is not None:
-            broken, self._broken = self._broken, None
-            call_soon(self.reactor, broken)
+    def _put_into_feed(self, now: int, content: Apply | ReplaceRange) -> None:
+        """What a follower of another region brings goes to the feed, which then is where the follower is."""
+        match content:
+            case Apply():
+                digest = self.feed.on_apply(now, content)
+            case ReplaceRange():
+                digest = self.feed.on_range(now, content)
+        self.followers[content.region].on_applied(now, content.region, content.upto, digest)
+
+    def _report_broken_disk(self) -> None:
+        if self.replica.broken and self._on_broken is not None:
+            on_broken, self._on_broken = self._on_broken, None
+            call_soon(self.reactor, on_broken)
 
     def _address(self, relay: str) -> tuple[str, int]:
         return self.settings.regions[self.region_of[relay]].relays[relay]
 
-    def _kept(self, keeps: list[Keep]) -> None:
+    def _on_persisted(self, persists: list[Keep]) -> None:
         now = clock.now()
-        for keep in keeps:
-            self.replica.on_kept(now, keep.number)
-            for send in keep.then:
+        for persist in persists:
+            self.replica.on_kept(now, persist.number)
+            for send in persist.then:
                 self.downstream.send(send.to, send.message)
-        self.carrier.turn()
+        self.driver.turn()
 
-    def _not_kept(self, keeps: list[Keep], error: BaseException) -> None:
+    def _on_persist_failed(self, _persists: list[Keep], error: BaseException) -> None:
         if not isinstance(error, RelayStoreError):
             error = RelayStoreError(f"{type(error).__name__}: {error}", self.settings.store)
         self.replica.on_store_failed(clock.now(), error)
-        self.carrier.turn()
+        self.driver.turn()
 
-    # ---- the process -------------------------------------------------------------------------------------
+    # ---- the process -----------------------------------------------------------------------------------
 
     def facts(self) -> dict[str, int]:
-        """For the counters' line."""
+        """The relay's fields of the counters' line."""
         counters = self.feed.counters
         return {
             "followers": len(self.feed.sessions),
-            "links": len(self.downstream.by_peer),
+            "connections": len(self.downstream.by_peer),
             "epoch": self.replica.epoch,
             "member": int(self.replica.member),
             "committed": self.replica.log.committed,
@@ -203,18 +249,18 @@
             "batches_encoded": counters.encoded,
             "ranges": counters.ranges,
             "bytes": counters.bytes,
-            "refused_followers": counters.rejected,
+            "rejected_followers": counters.rejected,
             "silent_followers": counters.silent,
         }
 
     def reload(self, path: str) -> None:
-        """At SIGHUP: settings of the distribution count from the next start."""
+        """SIGHUP: settings of the distribution take effect at the next start; log that."""
         self.log.event("distribution.not_reloaded", path=path, do="restart the process to take them up")
 
     def close(self, closed: Callable[[], None]) -> None:
-        """In order: no connection, then no turn, then the disk; `closed()` at the end."""
+        """Close connections, end turns, then close the disk after its last write; then call `closed`."""
         self.port.stopListening()
-        self.carrier.close()
+        self.driver.close()
         self.downstream.close()
         self.upstream.close()
         self.writer.close(lambda: self._close_disk(closed))
@@ -228,6 +274,6 @@
     return FeedSettings(
         batch_interval=settings.gather,
         heartbeat=settings.heartbeat,
-        follower_timeout=settings.silence + HEARTBEATS_BEYOND * settings.heartbeat,
+        follower_timeout=settings.silence + EXTRA_SILENT_HEARTBEATS * settings.heartbeat,
         max_followers=settings.followers,
     )
