--- a/tests/distribution/dissemination/simulation/test_budget.py
+++ b/tests/distribution/dissemination/simulation/test_budget.py
@@ -20,8 +20,11 @@
     for region in world.regions:
         world.publish_some(region, 2_000)
     world.run(20)
+
     assert breaches(world) == []
+
     sent = sum(size for _, size in world.bytes_to["r0-gateway0"])
+
     assert sent < 2 * 400 * 200, "the newest of each key, not every change"
 
 
@@ -32,7 +35,9 @@
     world.run(3)
     publish_over(world, 20, 110)
     world.run(30)
+
     assert breaches(world) == []
+
     times = sorted(
         line.at - world.published_at[line.region, line.version.sequence]
         for line in world.record
@@ -44,6 +49,7 @@
     print(
         f"sent to a gateway: at most {max(sent) / 33:.0f} bytes a second, {6 * 110 / 20:.0f} changes a second"
     )
+
     assert p99 <= 1_500_000
     assert longest <= 4 * SECOND
 
@@ -56,6 +62,7 @@
     began = world.now
     world.run(30)
     last = checker.last_in_force_at(world.record, ("r1", Kind.TENANT, "urgent"), 0, gateways(world))
+
     assert last is not None
     assert last - began < MAX_RECOVERY
     assert breaches(world) == []
--- a/tests/distribution/dissemination/simulation/test_corruption.py
+++ b/tests/distribution/dissemination/simulation/test_corruption.py
@@ -18,6 +18,7 @@
 def test_a_relay_that_corrupts_its_messages_causes_no_wrong_state(seed, kind):
     settings = FEW_TOMBSTONES if seed % 2 else FeedSettings()
     world = corrupted_world(kind, seed, Shape(feed=settings))
+
     assert breaches(world) == []
 
 
@@ -25,6 +26,7 @@
     world = corrupted_world("changed", 0, Shape())
     relay = world.locations[0].name
     named = [event for _, _, event in world.events if event.name == "distribution.malformed"]
+
     assert named
     assert {event.fields["relay"] for event in named} == {relay}
     assert sum(follower.counters.malformed for follower in world.followers.values()) == len(named)
--- a/tests/distribution/dissemination/simulation/test_faults.py
+++ b/tests/distribution/dissemination/simulation/test_faults.py
@@ -35,6 +35,7 @@
     for _ in range(14):
         world.at(world.now + world.random.randrange(24 * SECOND), random_fault, world, world.random)
     world.run(70)
+
     assert breaches(world) == []
     assert not world.down
 
@@ -62,6 +63,7 @@
         last = checker.last_in_force_at(world.record, key, 0, gateways(world))
         assert last is not None
         assert last - began <= MAX_RECOVERY
+
     assert checker.breaches_of_versions(world.record, published(world)) == []
 
 
@@ -71,14 +73,19 @@
     bound = 9
     world = World(Shape(relays=4, gateways=24, feed=FeedSettings(max_followers=bound)), seed)
     world.run(8)
+
     assert following(world) == gateways(world)
+
     world.kill("r0-relay2")
     world.run(4)
+
     assert following(world) == gateways(world)
+
     for feed in world.feeds.values():
         assert sum("gateway" in name for name in feed.sessions) <= bound
     world.start_relay("r0-relay2")
     world.run(90)
+
     assert following(world) == gateways(world)
     assert len(world.feeds["r0-relay2"].sessions) >= 4, "followers whose first relay it is have returned"
 
@@ -88,11 +95,16 @@
     world.run(8)
     world.kill("r0-relay0")
     world.run(20)
+
     assert following(world) == gateways(world)
+
     relays = {world.followers[f"r0-gateway{n}"].relay for n in range(10)}
+
     assert relays >= {"r0-relay1", "r1-relay0"} or relays >= {"r0-relay1", "r1-relay1"}
+
     publish_over(world, 2, 10)
     world.run(10)
+
     assert breaches(world) == []
 
 
@@ -111,14 +123,18 @@
     world.run(40)
     found = checker.breaches_of_versions(world.record, published(world))
     found += checker.breaches_at_end(world.record, published(world), gateways(world))
+
     assert found == []
+
     named = {
         event.fields["relay"]
         for _, core, event in world.events
         if event.name == "distribution.digest_differs" and core != f"{relay}:r1"
     }
     own = relay.startswith("r1")
+
     assert named == ({relay} if own else set())
+
     if not own:
         assert different_digests(world) == []
 
@@ -133,6 +149,9 @@
     tables.drop("r1", key)
     world.publish_some("r1", 1)
     world.run(20)
+
     assert tables.sums["r1"] == world.feeds["r0-relay0"].digest("r1")
+
     follower = world.followers["r0-gateway2"]
+
     assert 1 <= follower.counters.ranges <= 2, "what differs, not everything"
--- a/tests/distribution/dissemination/simulation/test_partitions.py
+++ b/tests/distribution/dissemination/simulation/test_partitions.py
@@ -56,7 +56,9 @@
     world = partitioned_for_an_hour(keys, changes, tombstones)
     before = {name: follower.counters.ranges for name, follower in world.followers.items()}
     elapsed = time_until_equal(world)
+
     assert breaches(world) == []
+
     allowed = MAX_TIME_TO_EQUAL
     for relay, other in (("r0-relay0", "r1"), ("r1-relay0", "r0")):
         differs = changed_bytes(world, other)
@@ -70,4 +72,5 @@
         else:
             assert 0 < ranges <= 1024
             allowed = max(allowed, MAX_TIME_TO_EQUAL + sent * SECOND // world.shape.follower.rate)
+
     assert elapsed <= allowed
--- a/tests/distribution/dissemination/simulation/test_summaries.py
+++ b/tests/distribution/dissemination/simulation/test_summaries.py
@@ -22,7 +22,9 @@
     for _ in range(5):
         world.at(world.now + world.random.randrange(10 * SECOND), random_fault, world, world.random)
     world.run(30)
+
     assert breaches_of_summaries(world) == []
+
     for region in world.regions:
         newest = {
             relay: progress.below[0] for _, relay, progress in world.reports if relay.startswith(region)
@@ -48,5 +50,6 @@
         assert {report.min_sequence for report in newest.values()} == {3}
     world.restart_gateway(lost)
     world.run(6)
+
     assert {name for report in reports(world)[-6:] for name in report.unreached} == set()
     assert breaches_of_summaries(world) == []
--- a/tests/distribution/dissemination/simulation/test_views.py
+++ b/tests/distribution/dissemination/simulation/test_views.py
@@ -51,4 +51,5 @@
         assert len(tables) == 1
         assert {view.digest(region) for view in world.tables.values()} == tables
     ranges = sum(follower.counters.ranges for follower in world.followers.values())
+
     assert bool(ranges) == (world.shape.feed == FEW_TOMBSTONES)
--- a/tests/distribution/dissemination/test_acceptance.py
+++ b/tests/distribution/dissemination/test_acceptance.py
@@ -23,10 +23,13 @@
 def test_batches_are_accepted_in_order_and_acknowledged_once_applied(gateway):
     gateway.take(gateway.batch(0, 2, "ab"))
     gateway.run(0.3)
+
     assert gateway.progress().received == 1
+
     gateway.answer()
     gateway.run(0.3)
     progress = gateway.progress()
+
     assert (progress.received, progress.positions) == (2, [Position("r1", 1, 2)])
     assert [change.name for change in gateway.applied[0].changes] == ["a", "b"]
 
@@ -36,12 +39,15 @@
     session = gateway.session
     relay = gateway.core.relay
     gateway.take(gateway.batch(5, 6, "c"))
+
     assert gateway.session != session
     assert gateway.last(Follow).message.positions == [Position("r1", 1, 2)]
     assert len(gateway.applied) == 1
+
     for _ in range(3):
         gateway.take(gateway.batch(5, 6, "c"))
     gateway.run(0.5)
+
     assert gateway.core.relay != relay
     assert gateway.core.counters.gaps == 4
 
@@ -53,6 +59,7 @@
     gateway.take(gateway.batch(0, 2, "ab"))
     gateway.take(msgspec.structs.replace(gateway.batch(2, 3, "c"), session=1))
     gateway.take(gateway.batch(2, 3, "c"), relay=gateway.order[3])
+
     assert len(gateway.applied) == 1
     assert gateway.core.counters.ignored == 4
 
@@ -90,11 +97,16 @@
 def test_a_malformed_batch_is_rejected_counted_and_logged_and_its_relay_is_left(gateway, corrupt):
     relay = gateway.core.relay
     gateway.take(corrupt(gateway.batch(0, 2, "ab")))
+
     assert gateway.applied == []
     assert gateway.core.counters.malformed == 1
+
     event = next(each for each in gateway.events if each.name == "distribution.malformed")
+
     assert event.fields["relay"] == relay
+
     gateway.run(1)
+
     assert gateway.core.relay != relay
 
 
@@ -102,14 +114,21 @@
     gateway = FollowerHarness([Position("r1", 1, 3)]).following()
     gateway.take(gateway.batch(3, 3, horizon=9))
     requests = gateway.last(Digests)
+
     assert (requests.message.at, requests.message.digests) == (Version(1, 3), b"d")
+
     index = range_of(Kind.TENANT, "a")
     gateway.take(gateway.snapshot(9, index, "a"))
     replaced = gateway.applied[-1]
+
     assert (replaced.range, replaced.final, replaced.upto) == (index, True, Version(1, 9))
+
     gateway.answer()
+
     assert gateway.core.positions() == [Position("r1", 1, 9)]
+
     gateway.take(gateway.batch(9, 10, "b"))
+
     assert gateway.applied[-1].upto == Version(1, 10)
 
 
@@ -118,8 +137,11 @@
     gateway.take(gateway.batch(3, 3, horizon=9))
     index = range_of(Kind.TENANT, "a")
     gateway.take(gateway.snapshot(9, index, "a", last=False, final=False))
+
     assert gateway.applied == []
+
     gateway.take(gateway.snapshot(9, index, "a", part=2))
+
     assert (gateway.applied, gateway.core.counters.gaps) == ([], 1)
 
 
@@ -128,12 +150,14 @@
     gateway = FollowerHarness([Position("r1", 1, 3)]).following()
     gateway.take(gateway.batch(3, 3, horizon=9))
     gateway.take(gateway.snapshot(9, index, name))
+
     assert (gateway.applied, gateway.core.counters.malformed) == ([], 1)
 
 
 def test_unrequested_ranges_are_ignored():
     gateway = FollowerHarness([Position("r1", 1, 3)]).following()
     gateway.take(gateway.snapshot(9, range_of(Kind.TENANT, "a"), "a"))
+
     assert (gateway.applied, gateway.core.counters.ignored) == ([], 1)
 
 
@@ -143,4 +167,5 @@
         gateway.take(gateway.batch(3, 3, horizon=9))
         gateway.run(1)
     requests = [send for send in gateway.sent if isinstance(send.message, Digests)]
+
     assert len(requests) == 2
--- a/tests/distribution/dissemination/test_compacted_log.py
+++ b/tests/distribution/dissemination/test_compacted_log.py
@@ -59,11 +59,13 @@
         log.apply(part[-1].version, part)
         log.apply(part[-1].version, part)  # repeats change nothing
     rows = model_of(changes)
+
     assert len(log) == len(rows)
     assert log.digest == model_digest(rows)
     assert all(log.newest(*key) == change for key, change in rows.items())
     assert sequences(log, after) == sorted(c.sequence for c in rows.values() if c.sequence > after)
     assert log.head == (changes[-1].version if changes else START)
+
     for index in {range_of(*key) for key in KEYS}:
         expected = {key: change for key, change in rows.items() if range_of(*key) == index}
         assert model_of(log.range(index)) == expected
@@ -81,8 +83,11 @@
     rows = model_of(changes)
     deleted = sorted(change.sequence for change in rows.values() if not change.value)
     remembered = [sequence for sequence in sequences(log) if sequence in deleted]
+
     assert log.tombstones == len(remembered) <= max_tombstones
+
     dropped = [sequence for sequence in deleted if sequence not in remembered]
+
     assert all(sequence <= log.horizon for sequence in dropped)
     assert all(sequence > log.horizon for sequence in remembered)
     assert log.digest == model_digest(rows)
@@ -101,14 +106,17 @@
     for index in range(RANGES):
         snapshot = source.range(index)
         target.replace(index, source.head, snapshot, final=index == RANGES - 1, horizon=source.horizon)
+
     assert not target.replacing
     assert target.head == source.head
     assert target.digest == source.digest
     assert target.range_digests() == source.range_digests()
     assert target.horizon >= source.horizon
     assert sequences(target) == sequences(source)
+
     after = sealed(REGION, Version(2, len(changes) + 1), *KEYS[0], b"after")
     target.apply(after.version, [after])
+
     assert target.newest(*KEYS[0]) == after
     assert sequences(target, len(changes)) == [after.sequence]
 
@@ -119,10 +127,15 @@
     new = sealed(REGION, Version(1, 9), 2, "t", b"new")
     log.apply(new.version, [new])
     log.replace(range_of(2, "t"), Version(1, 5), [old], final=True)
+
     assert log.newest(2, "t") == new
+
     log.replace(range_of(2, "t"), Version(1, 5), [], final=True)
+
     assert log.newest(2, "t") == new, "a key newer than the transfer is not dropped because it is not named"
+
     log.replace(range_of(2, "t"), Version(1, 9), [], final=True)
+
     assert log.newest(2, "t") is None
 
 
@@ -144,5 +157,6 @@
         assert len(page.encoded) == 1 or sum(map(len, page.encoded)) <= 500
         after = page.upto.sequence
         seen += len(page.encoded)
+
     assert (page.upto, seen) == (Version(2, 45), 40)
     assert len(log.page(0, 1).encoded) == 1, "a change larger than the bytes left goes alone"
--- a/tests/distribution/dissemination/test_digest_repair.py
+++ b/tests/distribution/dissemination/test_digest_repair.py
@@ -20,20 +20,29 @@
     differing(gateway)
     gateway.run(0.5)
     second = gateway.core.relay
+
     assert second not in ("", first)
     assert not any(isinstance(send.message, Digests) for send in gateway.sent)
+
     gateway.take(gateway.batch(1, 1, digest=7))
     gateway.answer(digest=8)
+
     assert gateway.last(Digests).to == second
+
     gateway.take(gateway.snapshot(1, range_of(Kind.TENANT, "a"), "a"))
     gateway.answer(digest=8)
+
     assert gateway.core.relay == second
+
     gateway.take(gateway.batch(1, 1, digest=7))
     gateway.answer(digest=8)
     gateway.run(0.5)
+
     assert gateway.core.relay not in ("", first, second)
     assert gateway.core.counters.digest_mismatches == 3
+
     left = [event for event in gateway.events if event.name == "distribution.left"]
+
     assert [event.fields["reason"] for event in left] == ["digest", "digest"]
 
 
@@ -44,6 +53,7 @@
     gateway.take(gateway.batch(1, 1, digest=8))
     gateway.answer(digest=8)
     gateway.run(1)
+
     assert gateway.core.following
     assert not any(isinstance(send.message, Digests) for send in gateway.sent)
 
@@ -58,6 +68,7 @@
             gateway.answer(digest=8)
         gateway.run(1)
     request = gateway.last(Digests)
+
     assert (request.to, request.message.at) == (gateway.order[0], Version(1, 3))
 
 
@@ -67,6 +78,7 @@
     gateway.take(gateway.batch(2, 2, digest=7))
     gateway.take(gateway.batch(2, 3, "c", digest=9))
     gateway.answer(digest=None)
+
     assert not any(isinstance(send.message, Digests) for send in gateway.sent)
 
 
@@ -74,6 +86,9 @@
     gateway = FollowerHarness([Position("r1", 1, 5)]).following()
     gateway.run(0.5)
     gateway.take(gateway.batch(5, 5, digest=3))
+
     assert (gateway.applied[-1].changes, gateway.applied[-1].digest) == ([], 3)
+
     gateway.answer(digest=4)
+
     assert gateway.core.counters.digest_mismatches == 1
--- a/tests/distribution/dissemination/test_feed.py
+++ b/tests/distribution/dissemination/test_feed.py
@@ -24,10 +24,13 @@
         relay.run(0.02)
     relay.run(1)
     first, second = relay.batches("g1")
+
     assert (first.after, first.upto.sequence) == (0, 2)
     assert (second.after, second.upto.sequence) == (2, 20)
     assert second.digest == relay.feed.digest("r1")
+
     numbers = [each.number for each in relay.sent["g1"]]
+
     assert numbers == list(range(1, len(numbers) + 1))
 
 
@@ -37,6 +40,7 @@
     relay.run(0.5)
     relay.commit(5)
     relay.run(0.5)
+
     assert all(len(relay.batches(f"g{n}")) == 1 for n in range(100))
     assert relay.feed.counters.encoded == 1
 
@@ -50,14 +54,19 @@
         relay.run(0.1)
         relay.acknowledge("awake")
     outstanding = relay.feed.sessions["silent"].window.outstanding
+
     assert outstanding <= 2 * MAX_PAGE_BYTES + 4_000
     assert relay.batches("awake")[-1].upto.sequence == relay.sequence
+
     relay.run(2)
+
     assert "silent" not in relay.feed.sessions
     assert isinstance(relay.sent["silent"][-1], Refused)
     assert relay.sent["silent"][-1].code == "silent"
     assert relay.feed.counters.silent == 1
+
     relay.run(10)
+
     assert relay.feed.summaries(relay.now)[0].unreached == ["silent", "awake"]
 
 
@@ -69,6 +78,7 @@
         relay.run(0.05)
     relay.acknowledge("slow")
     relay.run(1)
+
     assert sum(len(batch.changes) for batch in relay.batches("slow")) < 100
     assert relay.batches("slow")[-1].upto.sequence == 5_000
 
@@ -78,24 +88,31 @@
     for name in ("g1", "g2", "g3"):
         relay.follow(name)
     rejection = relay.sent["g3"][0]
+
     assert (rejection.code, rejection.session) == ("full", 1)
     assert SETTINGS.rejection_wait <= rejection.after <= SETTINGS.rejection_wait * 3 // 2
+
     relay.follow("g2", session=2)
+
     assert relay.sent["g2"][-1].session == 2
     assert [event.fields["follower"] for event in relay.events] == ["g3"]
 
 
 def test_a_relay_that_has_just_started_rejects_followers_that_are_ahead(relay):
     relay.follow("ahead", sequence=7)
+
     assert relay.sent["ahead"][0].code == "relay_behind"
+
     relay.now += SETTINGS.catch_up_time + 1
     relay.follow("ahead", sequence=7)
+
     assert "ahead" in relay.feed.sessions, "after a while it is the best there is"
 
 
 def test_a_forgotten_follower_is_rejected(relay):
     relay.feed.on_progress(0, Progress("g1", 5, [], [], 0))
     relay.pull()
+
     assert relay.sent["g1"] == [Refused(5, "silent", 0)]
 
 
@@ -104,6 +121,7 @@
     relay.commit(900, size=100)
     relay.follow("g1")
     relay.run(5)
+
     assert [len(batch.changes) for batch in relay.batches("g1")][:2] == [1, 1]
     assert all(len(_encode(message)) < 60_000 for message in relay.sent["g1"])
     assert relay.batches("g1")[-1].upto.sequence == 903
@@ -114,6 +132,7 @@
     relay.follow("g1", sequence=5)
     relay.run(3.2)
     beats = relay.sent["g1"]
+
     assert 3 <= len(beats) <= 5
     assert all(beat.digest == relay.feed.digest("r1") and not beat.changes for beat in beats)
 
@@ -126,13 +145,16 @@
     relay.acknowledge("g1")
     relay.run(3)
     report = relay.sent["publisher"][-1]
+
     assert (report.follower, report.positions[0]) == ("relay", Position("r1", 1, 3))
     assert [(each.region, each.followers, each.least) for each in report.below] == [("r1", 1, 3)]
     assert 4 <= len(relay.sent["publisher"]) <= 8
     assert [summary.region for summary in relay.sums[-1].summaries] == ["r2"]
+
     relay.feed.on_publisher(relay.now, "")
     count = len(relay.sent["publisher"])
     relay.run(2)
+
     assert len(relay.sent["publisher"]) == count
 
 
@@ -140,4 +162,5 @@
     relay.feed.on_follow(0, Follow("g1", 1, [Position("r9", 4, 4)], 0, ["r9"]))
     relay.commit(5)
     relay.run(2)
+
     assert "g1" not in relay.sent
--- a/tests/distribution/dissemination/test_flow_control.py
+++ b/tests/distribution/dissemination/test_flow_control.py
@@ -16,6 +16,7 @@
             bucket.take(700)
             sent += 700
         now += 50_000
+
     assert 57_000 <= sent <= 61_000
     assert TokenBucket(0, 0).ready(0)
     assert TokenBucket(0, 0).max_page_bytes == MAX_PAGE_BYTES
@@ -25,9 +26,14 @@
     window = Window(1_000)
     for _ in range(3):
         window.sent(600)
+
     assert not window.open
+
     window.acknowledge(2)
     window.acknowledge(2)
+
     assert (window.open, window.outstanding) == (True, 600)
+
     window.acknowledge(99)
+
     assert window.outstanding == 0
--- a/tests/distribution/dissemination/test_follower.py
+++ b/tests/distribution/dissemination/test_follower.py
@@ -19,6 +19,7 @@
     began = gateway.now
     gateway.core.on_link(gateway.now, lost, connected=False)
     gateway.run(0.5)
+
     assert gateway.core.relay == gateway.order[1]
     assert gateway.last(Follow).to == gateway.order[1]
     assert gateway.now - began <= SECOND
@@ -28,11 +29,14 @@
 def test_a_silent_relay_is_left_and_notified_later(gateway):
     silent = gateway.core.relay
     gateway.run(3)
+
     assert gateway.core.relay == gateway.order[1]
     assert gateway.core.counters.silent == 1
     assert silent in gateway.disconnected
+
     gateway.take(gateway.batch(0, 0))
     gateway.run(2)
+
     assert Send(silent, Progress("gateway", 0, [], [])) in gateway.sent
 
 
@@ -41,8 +45,11 @@
     gateway.dead = {relay.name for relay in HOME_RELAYS + REMOTE_RELAYS}
     gateway.run(12)
     first = list(dict.fromkeys(gateway.dialled))
+
     assert first == gateway.order
+
     gateway.run(60)
+
     assert 12 <= len(gateway.dialled) <= 60, "each is tried again, with back-off"
 
 
@@ -52,11 +59,14 @@
     full = gateway.core.relay
     gateway.core.on_rejected(gateway.now, full, Refused(gateway.session, "full", 50 * SECOND))
     gateway.run(1)
+
     assert gateway.core.relay == gateway.order[1]
+
     gateway.take(gateway.batch(0, 0))
     for _ in range(40):
         gateway.run(1)
         gateway.take(gateway.batch(0, 0))
+
     assert gateway.dialled.count(full) <= 2, "to follow it, and to notify it that another one is followed"
 
 
@@ -65,4 +75,5 @@
         gateway.run(1)
         gateway.take(gateway.batch(0, 0))
     reports = [send for send in gateway.sent if isinstance(send.message, Progress) and send.message.session]
+
     assert 5 <= len(reports) <= 11
--- a/tests/distribution/dissemination/test_progress.py
+++ b/tests/distribution/dissemination/test_progress.py
@@ -54,9 +54,12 @@
 
 def test_the_lag_is_that_of_the_first_change_that_is_lacking():
     marks = heads((5, 100), (6, 200), (9, 300))
+
     assert [marks.lag(sequence, 1_000) for sequence in (4, 5, 6, 8, 9, 10)] == [900, 800, 700, 700, 0, 0]
+
     for sequence in range(10, 3 * MAX_HEADS):
         marks.on_head(sequence, sequence)
+
     assert len(marks._sequences) <= 2 * MAX_HEADS  # noqa: SLF001  # memory
 
 
@@ -65,6 +68,7 @@
     followers = [follower("a", 9), follower("b", 6), follower("relay", 8, below)]
     marks = heads((8, 0), (9, 6 * SECOND))
     found = summarize("r1", 9, marks, followers, Departed(), 6 * SECOND + 3_000)
+
     assert (found.followers, found.least) == (6, 4)
     assert found.slowest == ["c", "d", "b", "relay"]
     assert (found.unreached, found.unreached_count) == (["lost"], 2)
@@ -80,6 +84,7 @@
         "r1", 500, 1, [f"s{n}" for n in range(500)], [f"u{n}" for n in range(500)], 500, [500] * 99
     )
     found = summarize("r1", 9, heads((9, 0)), [follower("relay", 9, below)], Departed(), 0)
+
     assert len(found.slowest) == MAX_SLOWEST
     assert len(found.unreached) == MAX_UNREACHED
     assert (found.followers, found.unreached_count, len(found.lag)) == (501, 500, LAG_BUCKETS)
@@ -90,13 +95,20 @@
     below = Summary("r1", 4, 3, [], [], 0, histogram(b0=4))
     departed.add(follower("relay", 5, below), 0)
     soon = summarize("r1", 9, heads((9, 0)), [follower("a", 9)], departed, GRACE)
+
     assert (soon.followers, soon.least, soon.unreached) == (6, 3, [])
+
     later = summarize("r1", 9, heads((9, 0)), [follower("a", 9)], departed, GRACE + 1)
+
     assert (later.followers, later.least) == (1, 9)
     assert (later.unreached, later.unreached_count) == (["relay"], 5)
+
     departed.forget(EXPIRE_AFTER)
+
     assert len(departed) == 1
+
     departed.forget(EXPIRE_AFTER + 1)
+
     assert len(departed) == 0
 
 
@@ -106,17 +118,23 @@
     departed.elsewhere("a", SECOND)
     departed.elsewhere("a", SECOND + 1)
     departed.elsewhere("never seen", SECOND)
+
     assert [each.name for each in departed.counted("r1", 10 * SECOND)] == ["a"]
     assert departed.unreached("r1", 10 * SECOND) == []
+
     departed.forget(SECOND + GRACE_ELSEWHERE + 1)
+
     assert len(departed) == 0
 
 
 def test_a_follower_that_returns_is_no_longer_lost_and_other_regions_are_not_concerned():
     departed = Departed()
     departed.add(follower("a", 5), 0)
+
     assert departed.unreached("r2", 10 * SECOND) == []
+
     departed.returned("a")
+
     assert len(departed) == 0
 
 
@@ -124,5 +142,6 @@
     departed = Departed()
     for n in range(MAX_DEPARTED + 5):
         departed.add(follower(f"g{n}", 1), n)
+
     assert len(departed) == MAX_DEPARTED
     assert departed.unreached("r1", 60 * SECOND)[0].name == "g5"
--- a/tests/distribution/dissemination/test_range_transfer.py
+++ b/tests/distribution/dissemination/test_range_transfer.py
@@ -20,15 +20,20 @@
     relay.feed.on_committed(0, "r1", deletions)
     relay.follow("g1", sequence=10)
     relay.run(0.5)
+
     assert relay.batches("g1") == []
     assert relay.sent["g1"][0].horizon == 33
+
     relay.feed.on_digests(relay.now, "g1", Digests(1, "r1", Version(1, 10), 0, b"", True))
     relay.run(1)
     wholes = [each for each in relay.sent["g1"] if isinstance(each, Whole)]
+
     assert [snapshot.range for snapshot in wholes] == list(range(RANGES))
     assert [snapshot.final for snapshot in wholes] == [False] * (RANGES - 1) + [True]
     assert sum(len(snapshot.changes) for snapshot in wholes) == 27
+
     relay.acknowledge("g1")
+
     assert relay.feed.sessions["g1"].window.outstanding == 0
 
 
@@ -40,6 +45,7 @@
     relay.follow("before", sequence=29)
     relay.follow("after", sequence=30)
     relay.run(1)
+
     assert relay.batches("before") == []
     assert relay.sent["before"][0].horizon == 30
     assert [batch.upto.sequence for batch in relay.batches("after")] == [40]
@@ -51,11 +57,14 @@
     own = bytearray(relay.feed.range_digests("r1"))
     relay.feed.on_digests(0, "g1", Digests(1, "r1", Version(1, 50), 0, bytes(own), True))
     relay.run(1)
+
     assert [each.range for each in relay.sent["g1"] if isinstance(each, Whole)] == [0]
+
     own[8 * 77] ^= 1
     own[8 * 300] ^= 1
     relay.feed.on_digests(relay.now, "g1", Digests(1, "r1", Version(1, 50), 0, bytes(own), True))
     relay.run(1)
+
     assert [each.range for each in relay.sent["g1"] if isinstance(each, Whole)][1:] == [77, 300]
 
 
@@ -67,6 +76,7 @@
     relay.follow("g1", sequence=5)
     relay.feed.on_digests(0, "g1", Digests(1, "r1", Version(1, 5), first, digests, last))
     relay.run(1)
+
     assert relay.feed.counters.malformed == 1
     assert not any(isinstance(each, Whole) for each in relay.sent["g1"])
 
@@ -77,14 +87,19 @@
     relay.feed.on_follow(0, Follow("g1", 1, [Position("r2", 1, 3)], 0, ["r2"]))
     relay.feed.on_digests(0, "g1", Digests(1, "r2", Version(1, 3), 0, b"", True))
     relay.run(2)
+
     assert {each.digest for each in relay.sent["g1"]} == {None}
+
     digest = relay.feed.digest("r2")
     relay.feed.on_apply(relay.now, Apply("r2", change.version, [], digest))
     relay.run(2)
+
     assert relay.sent["g1"][-1].digest == digest
+
     relay.feed.on_range(relay.now, ReplaceRange("r2", Version(1, 4), 0, [], True))
     relay.feed.on_digests(relay.now, "g1", Digests(1, "r2", Version(1, 3), 0, b"", True))
     relay.run(2)
+
     assert not any(isinstance(each, Whole) for each in relay.sent["g1"])
 
 
@@ -94,9 +109,12 @@
     relay.feed.on_committed(0, "r1", [change])
     relay.now = SETTINGS.catch_up_time + 1
     relay.follow("g1", sequence=100)
+
     assert relay.sent["g1"][0].horizon > 100
+
     relay.feed.on_digests(relay.now, "g1", Digests(1, "r1", Version(1, 100), 0, b"", True))
     relay.run(1)
     final = [each for each in relay.sent["g1"] if isinstance(each, Whole)][-1]
+
     assert final.final
     assert final.upto == change.version > Version(1, 100)
--- a/tests/distribution/dissemination/test_standby_link.py
+++ b/tests/distribution/dissemination/test_standby_link.py
@@ -12,9 +12,12 @@
 def test_the_first_relay_is_followed_and_the_second_has_a_standby_link():
     gateway = FollowerHarness([Position("r1", 1, 5)]).following()
     gateway.run(1)
+
     assert gateway.core.relay == gateway.order[0]
     assert gateway.order[1] in gateway.dialled
+
     follow = gateway.last(Follow).message
+
     assert (follow.positions, follow.rate, follow.regions) == ([Position("r1", 1, 5)], 14_000, ["r1"])
 
 
@@ -22,10 +25,13 @@
     best = gateway.core.relay
     gateway.core.on_link(gateway.now, best, connected=False)
     gateway.run(1)
+
     assert gateway.core.relay != best
+
     left = 0
     while gateway.core.relay != best and left < 90:
         gateway.take(gateway.batch(0, 0))
         gateway.run(1)
         left += 1
+
     assert 20 <= left <= 45
