--- a/linenbridge/faults/fake_proxy.py
+++ b/linenbridge/faults/fake_proxy.py
@@ -21,7 +21,7 @@
 
 from linenbridge.faults.fake_world import LOOPBACK, World
 from linenbridge.processor import wire_pb2 as wire
-from linenbridge.processor.goaway_filter import GoAways
+from linenbridge.processor.goaway_filter import GoAwayFilter
 
 PROCESS = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 ENDPOINT = "x-gateway-destination-endpoint"
@@ -62,7 +62,7 @@
             h2.config.H2Configuration(client_side=True, header_encoding=None)
         )
         self.streams: dict[int, Stream] = {}
-        self.goaways = GoAways()
+        self.goaways = GoAwayFilter()
         self.usable = False
         self.rest: dict[int, bytes] = {}
         self.flushing: Any = None
@@ -122,7 +122,7 @@
                 case h2.events.StreamEnded() | h2.events.StreamReset():
                     if (stream := self.streams.pop(event.stream_id, None)) is not None:
                         stream.ended()
-        if self.goaways.last and self.usable:
+        if self.goaways.last_streams and self.usable:
             self.usable = False  # What is open runs to its end; new streams go by another connection.
             self.proxy.redial(self)
         self.flush()
--- a/linenbridge/processor/codec.py
+++ b/linenbridge/processor/codec.py
@@ -1,7 +1,7 @@
-"""Messages of the protocol, read and written. It owns the form alone and must never decide what is said.
+"""Messages of the external-processing protocol: requests decoded, responses encoded.
 
-A message that cannot be read raises MalformedError with a plain word. Names of headers come in lower case;
-values that are no text keep their bytes as latin-1. What is not known is passed over, as the protocol asks.
+A message that cannot be read raises MalformedError. Names of headers are lower-cased; values that are no text
+keep their bytes as latin-1. Unknown fields are ignored, as the protocol asks.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 class MalformedError(ValueError):
-    """A message that is none; the text goes to the proxy."""
+    """The bytes are no message of the protocol; the text goes to the proxy."""
 
 
 @dataclass(slots=True)
 class ProxyMessage:
-    """One message of a proxy in plain words."""
+    """One message of a proxy. `ended`: nothing of its direction follows; `observed`: it gets no response."""
 
     kind: MessageKind
     headers: dict[str, str] = field(default_factory=dict)
@@ -47,12 +47,12 @@
 
 
 def decode(data: bytes | memoryview) -> ProxyMessage:
-    """One ProcessingRequest."""
+    """Decode one ProcessingRequest; MalformedError where that fails."""
     message = wire.ProcessingRequest()
     try:
         message.ParseFromString(bytes(data))
-    except (DecodeError, RecursionError, ValueError):
-        raise MalformedError("the message is no ProcessingRequest") from None
+    except (DecodeError, RecursionError, ValueError) as error:
+        raise MalformedError("the message is no ProcessingRequest") from error
     name = message.WhichOneof("request")
     kind = MessageKind(name or "")
     decoded = ProxyMessage(kind, observed=message.observability_mode)
@@ -60,9 +60,11 @@
         return decoded
     part = getattr(message, kind)
     if kind in HEADER_KINDS:
-        decoded.headers, decoded.ended = _headers(part.headers), part.end_of_stream
+        decoded.headers = _headers(part.headers)
+        decoded.ended = part.end_of_stream
     elif kind in (MessageKind.REQUEST_TRAILERS, MessageKind.RESPONSE_TRAILERS):
-        decoded.headers, decoded.ended = _headers(part.trailers), True
+        decoded.headers = _headers(part.trailers)
+        decoded.ended = True
     else:
         decoded.ended = part.end_of_stream
     if message.attributes:
@@ -71,7 +73,8 @@
 
 
 def _headers(found: wire.HeaderMap) -> dict[str, str]:
-    """Several of one name are joined by a comma, as HTTP reads them; of pseudo headers there is one."""
+    """Headers by name. Several of one name are joined by a comma (RFC 9110, section 5.2); a pseudo-header
+    comes once."""
     if len(found.headers) > MAX_HEADERS:
         raise MalformedError(f"more than {MAX_HEADERS} headers")
     named: dict[str, str] = {}
@@ -87,7 +90,7 @@
 
 
 def _attributes(found: dict[str, Struct]) -> dict[str, str]:
-    """All groups' plain values under their names; numbers without a fraction as whole ones."""
+    """The plain values of all groups by name; numbers without a fraction as whole ones."""
     named: dict[str, str] = {}
     for _, group in sorted(found.items()):
         for name, value in sorted(group.fields.items()):
@@ -102,7 +105,7 @@
     return named
 
 
-# ---- answers -------------------------------------------------------------------------------------------
+# ---- responses ------------------------------------------------------------------------------------------
 
 
 def _set_headers(mutation: wire.HeaderMutation, headers: dict[str, str]) -> None:
@@ -116,41 +119,40 @@
 def dispatch_response(
     headers: dict[str, str], metadata: tuple[str, dict[str, str]] | None, trailers: bool
 ) -> bytes:
-    """The answer to request headers that go on; `metadata` is a namespace with its values. The proxy is asked
-    to show the response's headers, and its trailers where only they tell how it went."""
-    answer = wire.ProcessingResponse()
-    common = answer.request_headers.response
+    """The response to request headers that go on; `metadata` is a namespace with its values. It asks the
+    proxy to show the instance's response headers, and with `trailers` its trailers."""
+    response = wire.ProcessingResponse()
+    common = response.request_headers.response
     _set_headers(common.header_mutation, headers)
     common.clear_route_cache = True
     if metadata is not None:
-        answer.dynamic_metadata[metadata[0]] = metadata[1]
-    mode = answer.mode_override
+        response.dynamic_metadata[metadata[0]] = metadata[1]
+    mode = response.mode_override
     mode.response_header_mode = wire.ProcessingMode.SEND
     mode.request_trailer_mode = wire.ProcessingMode.SKIP
     mode.response_trailer_mode = wire.ProcessingMode.SEND if trailers else wire.ProcessingMode.SKIP
-    return answer.SerializeToString()
+    return response.SerializeToString()
 
 
 def continue_response(kind: MessageKind, headers: dict[str, str] | None = None) -> bytes:
-    """The answer to any other message: it passes, with these headers set where it is headers."""
-    answer = wire.ProcessingResponse()
+    """The response that lets any other message pass, with these headers set unless it is a body."""
+    response = wire.ProcessingResponse()
+    part = getattr(response, kind)
     if kind in (MessageKind.REQUEST_TRAILERS, MessageKind.RESPONSE_TRAILERS):
-        part = getattr(answer, kind)
         part.SetInParent()
         if headers:
             _set_headers(part.header_mutation, headers)
     else:
-        part = getattr(answer, kind)
         part.response.SetInParent()
         if headers:
             _set_headers(part.response.header_mutation, headers)
-    return answer.SerializeToString()
+    return response.SerializeToString()
 
 
 def immediate_response(code: int, headers: dict[str, str], details: str, grpc: int | None) -> bytes:
-    """A final answer from here; `grpc` is the status for callers that speak gRPC."""
-    answer = wire.ProcessingResponse()
-    part = answer.immediate_response
+    """A final response in place of an instance's; `grpc` is the status for callers that use gRPC."""
+    response = wire.ProcessingResponse()
+    part = response.immediate_response
     part.status.code = code
     _set_headers(part.headers, headers)
     part.details = details
@@ -158,4 +160,4 @@
         part.body = f"{details}\n".encode()
     else:
         part.grpc_status.status = grpc
-    return answer.SerializeToString()
+    return response.SerializeToString()
--- a/linenbridge/processor/goaway_filter.py
+++ b/linenbridge/processor/goaway_filter.py
@@ -1,50 +1,63 @@
-"""GOAWAY taken out of a connection's bytes before `h2` reads them.
+"""Removes GOAWAY frames from a connection's bytes before `h2` reads them.
 
-By the published protocol a GOAWAY says that its sender opens or takes no more streams, and those that are
-open run on. `h2` ends the whole connection at one and drops what was to be written; so it never sees it. It
-also keeps a frame of any length until its end has come: here its head tells. Owns the few bytes of a head
-that have not wholly come, or of a GOAWAY. It must never change any other byte.
+By RFC 9113 (section 6.8) the sender of a GOAWAY opens or takes no more streams, and open ones run on. `h2`
+ends the whole connection at a GOAWAY and drops what was to be written, so it is never given one. It also
+buffers a frame of any length until its end has come; here its head shows that it is too long. The filter
+holds the bytes of an incomplete head or GOAWAY, and changes no other byte.
 """
 
 from __future__ import annotations
 
-HEAD, GOAWAY, LENGTH_MOST = 9, 7, 16_384
+HEAD = 9  # bytes of a frame's head
+GOAWAY = 7  # type of the frame
+MIN_GOAWAY_LENGTH = 8  # bytes: the last stream and an error code
+MAX_FRAME_LENGTH = 16_384  # bytes: the protocol's default, which is not raised here
 PREFACE = 24  # bytes that a client sends before its first frame
+STREAM_MASK = 0x7FFF_FFFF  # the highest bit of a stream's number is reserved
 
 
-class GoAways:
-    """Feeds on what was read; `last` holds the last stream that each GOAWAY named, `oversized` that a frame
-    is longer than was allowed."""
+class GoAwayFilter:
+    """Takes bytes as they are read. `last_streams` holds the last stream that each GOAWAY named; `oversized`
+    is set by a frame that is longer than allowed. `preface` bytes are passed before the first frame."""
 
-    __slots__ = ("last", "left", "oversized", "rest")
+    __slots__ = ("incomplete", "last_streams", "oversized", "passing")
 
     def __init__(self, preface: int = 0) -> None:
-        self.rest, self.left = b"", preface
-        self.last: list[int] = []
+        self.incomplete = b""
+        self.passing = preface  # bytes to come that belong to a frame which is passed on
+        self.last_streams: list[int] = []
         self.oversized = False
 
     def feed(self, data: bytes) -> bytes:
-        """The bytes for `h2`; what it cannot be given yet waits for the next read."""
-        buffer, self.rest = self.rest + data if self.rest else data, b""
-        at, kept, start = 0, [], 0
+        """The bytes for `h2`; bytes of an incomplete head or GOAWAY wait for the next read."""
+        buffer = self.incomplete + data if self.incomplete else data
+        self.incomplete = b""
+        passed: list[bytes] = []  # pieces before GOAWAY frames
+        start = 0  # of the piece that is being passed
+        at = 0
         while at < len(buffer):
-            if self.left:
-                step = min(self.left, len(buffer) - at)
-                at, self.left = at + step, self.left - step
+            if self.passing:
+                step = min(self.passing, len(buffer) - at)
+                at += step
+                self.passing -= step
                 continue
             if len(buffer) - at < HEAD:
-                self.rest = buffer[at:]
+                self.incomplete = buffer[at:]
                 break
             length = int.from_bytes(buffer[at : at + 3], "big")
-            self.oversized = self.oversized or length > LENGTH_MOST
-            if buffer[at + 3] != GOAWAY or not 8 <= length <= LENGTH_MOST:
-                self.left = HEAD + length
+            self.oversized = self.oversized or length > MAX_FRAME_LENGTH
+            if buffer[at + 3] != GOAWAY or not MIN_GOAWAY_LENGTH <= length <= MAX_FRAME_LENGTH:
+                self.passing = HEAD + length
                 continue
             if len(buffer) - at < HEAD + length:
-                self.rest = buffer[at:]
+                self.incomplete = buffer[at:]
                 break
-            self.last.append(int.from_bytes(buffer[at + HEAD : at + HEAD + 4], "big") & 0x7FFF_FFFF)
-            kept.append(buffer[start:at])
-            at = start = at + HEAD + length
-        end = len(buffer) - len(self.rest)
-        return buffer if not kept and end == len(buffer) else b"".join([*kept, buffer[start:end]])
+            last_stream = int.from_bytes(buffer[at + HEAD : at + HEAD + 4], "big")
+            self.last_streams.append(last_stream & STREAM_MASK)
+            passed.append(buffer[start:at])
+            at += HEAD + length
+            start = at
+        end = len(buffer) - len(self.incomplete)
+        if not passed and end == len(buffer):
+            return buffer
+        return b"".join([*passed, buffer[start:end]])
--- a/linenbridge/processor/health.py
+++ b/linenbridge/processor/health.py
@@ -1,6 +1,6 @@
-"""`grpc.health.v1`: whether proxies may ask here. Owns the streams that watch it, and the present answer.
+"""The service `grpc.health.v1`: whether this process serves proxies.
 
-It must never make anything up: the program says when it serves and when it stops.
+Owns the present status and the streams that watch it; the process sets the status when it starts and stops.
 """
 
 from __future__ import annotations
@@ -10,61 +10,69 @@
 from linenbridge.processor import http2
 from linenbridge.processor import wire_pb2 as wire
 
-SERVING, NOT_SERVING = wire.HealthCheckResponse.SERVING, wire.HealthCheckResponse.NOT_SERVING
+SERVING = wire.HealthCheckResponse.SERVING
+NOT_SERVING = wire.HealthCheckResponse.NOT_SERVING
 SERVICES = ("", "envoy.service.ext_proc.v3.ExternalProcessor")
 
 
-def _answer(status: int) -> bytes:
+def _response(status: int) -> bytes:
     return wire.HealthCheckResponse(status=status).SerializeToString()
 
 
-class Health:
-    """The present answer, and who watches it."""
+class HealthService:
+    """The present status, and the streams that watch it."""
 
     def __init__(self) -> None:
         self.status = NOT_SERVING
-        self.watching: dict[Asker, None] = {}
+        self.watchers: dict[HealthStream, None] = {}  # in the order in which they came
 
-    def say(self, serves: bool) -> None:
-        status = SERVING if serves else NOT_SERVING
+    def set_serving(self, *, serving: bool) -> None:
+        """Set the status; watching streams get it where it changes."""
+        status = SERVING if serving else NOT_SERVING
         if status != self.status:
             self.status = status
-            for asker in list(self.watching):
-                asker.call.send(_answer(status))
+            for watcher in list(self.watchers):
+                watcher.call.send(_response(status))
 
-    def check(self, call: http2.Call) -> Asker:
-        return Asker(self, call, watches=False)
+    def check(self, call: http2.Call) -> HealthStream:
+        """The receiver of a stream of the method `Check`."""
+        return HealthStream(self, call, watches=False)
 
-    def watch(self, call: http2.Call) -> Asker:
-        return Asker(self, call, watches=True)
+    def watch(self, call: http2.Call) -> HealthStream:
+        """The receiver of a stream of the method `Watch`."""
+        return HealthStream(self, call, watches=True)
 
 
-class Asker:
-    """One question on a stream."""
+class HealthStream:
+    """One stream: a check gets one response, a watch one now and one at each change."""
 
-    def __init__(self, health: Health, call: http2.Call, watches: bool) -> None:
-        self.health, self.call, self.watches = health, call, watches
+    def __init__(self, service: HealthService, call: http2.Call, *, watches: bool) -> None:
+        self.service = service
+        self.call = call
+        self.watches = watches
 
     def on_message(self, data: memoryview) -> None:
+        """The request, with the name of the service that it is about."""
         try:
-            asked = wire.HealthCheckRequest.FromString(bytes(data))
+            request = wire.HealthCheckRequest.FromString(bytes(data))
         except DecodeError:
             self.call.finish(http2.INVALID_ARGUMENT, "the message is no HealthCheckRequest")
             return
-        known = asked.service in SERVICES
+        known = request.service in SERVICES
         if not self.watches:
             if known:
-                self.call.send(_answer(self.health.status))
+                self.call.send(_response(self.service.status))
                 self.call.finish(http2.OK)
             else:
                 self.call.finish(http2.NOT_FOUND, "no such service here")
             return
-        self.call.send(_answer(self.health.status if known else wire.HealthCheckResponse.SERVICE_UNKNOWN))
+        self.call.send(_response(self.service.status if known else wire.HealthCheckResponse.SERVICE_UNKNOWN))
         if known:
-            self.health.watching[self] = None
+            self.service.watchers[self] = None
 
     def on_half_closed(self) -> None:
-        """A watch goes on when its question has been asked."""
+        """A watch goes on after its request."""
 
     def on_closed(self) -> None:
-        self.health.watching.pop(self, None)
+        """A watch has ended."""
+        self.service.watchers.pop(self, None)
--- a/linenbridge/processor/http2/connection.py
+++ b/linenbridge/processor/http2/connection.py
@@ -19,7 +19,7 @@
 from twisted.internet.protocol import Protocol
 
 from linenbridge.logging.event_log import Log
-from linenbridge.processor.goaway_filter import PREFACE, GoAways
+from linenbridge.processor.goaway_filter import PREFACE, GoAwayFilter
 from linenbridge.processor.http2.status import INVALID_ARGUMENT, UNAVAILABLE, UNIMPLEMENTED, percent_encoded
 from linenbridge.processor.http2.stream import Call, MessageError, Peer, Receiver, framed
 from linenbridge.processor.connection_limits import ConnectionBudget, ConnectionLimits, ControlFrame
@@ -59,7 +59,7 @@
         self.paused = self.lost = self.dirty = self.ending = self.greeted = False
         self.born = server.now()
         self.budget = ConnectionBudget(server.limits, server.now())
-        self.goaways = GoAways(PREFACE)
+        self.goaways = GoAwayFilter(PREFACE)
         config = h2.config.H2Configuration(client_side=False, header_encoding=None)
         self.h2 = h2.connection.H2Connection(config)
         self.h2.local_settings = h2.settings.Settings(
@@ -95,7 +95,7 @@
                 if self.ending:
                     break
                 self._event(event)
-            if len(self.goaways.last) > GOAWAYS_MOST:
+            if len(self.goaways.last_streams) > GOAWAYS_MOST:
                 self.end("it says goodbye again and again")
         except h2.exceptions.ProtocolError as error:
             self.server.log.rarely("malformed", "proxy", error=str(error)[:200], peer=self.peer.address)
--- a/linenbridge/processor/responses.py
+++ b/linenbridge/processor/responses.py
@@ -1,7 +1,4 @@
-"""How a decision is worded for proxies: headers, statuses, the time to come again.
-
-Owns the form of every answer. It must never decide which one is given.
-"""
+"""Responses to proxies: the headers and statuses that a decision has, in the names of the settings."""
 
 from __future__ import annotations
 
@@ -13,20 +10,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseFormat:
-    """How a decision is worded for proxies: names of headers, and statuses of final answers."""
+    """Names of headers and statuses of final responses. The names of the fields are those of the settings'
+    element `answer`, by which `settings show` prints them as well."""
 
     endpoint: str = "x-gateway-destination-endpoint"
     metadata: str = "envoy.lb"
-    ticket: str = "x-linenbridge-ticket"
-    left: str = "x-envoy-upstream-rq-timeout-ms"
+    ticket: str = "x-linenbridge-ticket"  # the reservation's id
+    left: str = "x-envoy-upstream-rq-timeout-ms"  # the time that is left to the deadline
     use_within: str = "x-linenbridge-use-within-ms"
     outcome: str = "x-linenbridge-outcome"
     again: str = "x-linenbridge-again"
     load: str = "x-linenbridge-load"
     request_id: str = "x-request-id"
     attempt: str = "x-envoy-attempt-count"
-    pushed_back: int = 503
-    aborted: int = 502
+    pushed_back: int = 503  # rejected: safe to retry
+    aborted: int = 502  # failed
     timed_out: int = 504
     unrouted: int = 404
 
@@ -35,7 +33,8 @@
         return {REJECTED: "pushed_back", FAILED: "aborted"}.get(outcome, outcome)
 
     def rejection(self, grpc: bool, retry_after: int, text: str) -> bytes:
-        """The pushback, with when to come again where that was said."""
+        """The final response for a request that is safe to retry: after `retry_after` microseconds, if that
+        is not 0."""
         headers = {self.outcome: "pushed_back"}
         if retry_after:
             headers["retry-after"] = retry_after_seconds(retry_after)
@@ -43,18 +42,20 @@
         return self.final_response(grpc, self.pushed_back, headers, text)
 
     def final_response(self, grpc: bool, code: int, headers: dict[str, str], text: str) -> bytes:
-        """A final answer from here, in the proxy's stead."""
-        status = None
-        if grpc:
-            status = http2.UNAVAILABLE if code == self.pushed_back else http2.INTERNAL
-            status = http2.NOT_FOUND if code == self.unrouted else status
-        return codec.immediate_response(code, headers, text, status)
+        """A final response in place of an instance's; `grpc`: with a gRPC status as well."""
+        return codec.immediate_response(code, headers, text, self._grpc_status(code) if grpc else None)
+
+    def _grpc_status(self, code: int) -> int:
+        if code == self.unrouted:
+            return http2.NOT_FOUND
+        return http2.UNAVAILABLE if code == self.pushed_back else http2.INTERNAL
 
-    def dispatch(self, grpc: bool, endpoint: str, ticket: str, left: int, use_within: int) -> bytes:
-        """Where the request goes, under which ticket, for how long; times in microseconds."""
+    def dispatch(self, grpc: bool, endpoint: str, reservation: str, left: int, use_within: int) -> bytes:
+        """Send the request to an endpoint under a reservation's id. `left` is the time to its deadline,
+        `use_within` that until it has to be sent, both in microseconds."""
         headers = {
             self.endpoint: endpoint,
-            self.ticket: ticket,
+            self.ticket: reservation,
             self.left: str(max(1, left // 1000)),
             self.use_within: str(max(1, use_within // 1000)),
         }
@@ -63,5 +64,5 @@
 
 
 def retry_after_seconds(micros: int) -> str:
-    """`retry-after` knows whole seconds alone: never sooner than was said."""
+    """Microseconds as a value of `retry-after`, which has whole seconds: rounded up, 1 at least."""
     return str(max(1, -(-micros // 1_000_000)))
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -25,7 +25,7 @@
 from linenbridge.processor.configuration import Directory, ProcessorSettings, processor_settings, routes
 from linenbridge.processor.evidence import Evidence
 from linenbridge.processor.external_processor import ExternalProcessor
-from linenbridge.processor.health import Health
+from linenbridge.processor.health import HealthService
 from linenbridge.processor.http2 import PERMISSION_DENIED, Call, Server
 from linenbridge.processor.reservations import ReservationLedger
 from linenbridge.processor.response_classification import ResponseClassifier
@@ -67,8 +67,8 @@
         self.table = routes(settings, list(start.methods), self.longest)
         self.routing = _routing(self.table, view)
         self.directory = Directory(settings.peers)
-        self.health = Health()
-        self.keys = tls.Keys(settings.tls) if settings.tls is not None else None
+        self.health = HealthService()
+        self.tls_context = tls.TlsContextFactory(settings.tls) if settings.tls is not None else None
         self.processor: ExternalProcessor | None = None
         self.server: Server | None = None
 
@@ -83,7 +83,7 @@
             settings.pass_unrouted, time.time,
         )  # fmt: skip
         processor.start()
-        named = tls.names if self.keys is not None else lambda transport: ()
+        named = tls.certificate_names if self.tls_context is not None else lambda transport: ()
         self.server = Server(self.reactor, loop.now, settings.limits, settings.connections, self.log, named)
         self.server.services = {
             PROCESS: self._open_session,
@@ -104,25 +104,27 @@
         server, settings = self.server, self.settings
         if server is None:
             raise RuntimeError("the server has not been opened")
-        if self.keys is not None:
-            server.port = self.reactor.listenSSL(settings.port, server, self.keys, interface=settings.host)
+        if self.tls_context is not None:
+            server.port = self.reactor.listenSSL(
+                settings.port, server, self.tls_context, interface=settings.host
+            )
         else:
             server.port = self.reactor.listenTCP(settings.port, server, interface=settings.host)
-        self.health.say(True)
+        self.health.set_serving(serving=True)
         self.log.event("processor.listening", host=settings.host, port=server.port.getHost().port,
-                       tls=self.keys is not None, routes=len(self.table.rules))  # fmt: skip
+                       tls=self.tls_context is not None, routes=len(self.table.rules))  # fmt: skip
 
     def reload(self) -> None:
         """Keys anew; routes and all else count from the next start."""
-        if self.keys is not None and (why := self.keys.reload()) is not None:
-            self.log.event("tls.refused", error=why)
+        if self.tls_context is not None and (why := self.tls_context.reload()) is not None:
+            self.log.event("tls.reload.failed", error=why)
 
     def leave(self, stopped: Any) -> None:
         """Proxies are told to go elsewhere; what is open ends within its time."""
         if self.server is None:
             stopped()
             return
-        self.health.say(False)
+        self.health.set_serving(serving=False)
         self.server.port.stopListening()
         self.server.leave(self.longest / 1e6 + LEAVE_MORE, partial(self._left, stopped))
 
--- a/linenbridge/processor/tls.py
+++ b/linenbridge/processor/tls.py
@@ -1,7 +1,7 @@
-"""TLS towards proxies: keys, certificates, and who a proxy's certificate says it is.
+"""TLS towards proxies: keys, certificates, and the names in a proxy's certificate.
 
-Owns the context that new connections take. It must never hold a key longer than its files name it: a reload
-takes all files anew or, where any cannot be used, leaves all as it is.
+Owns the context that new connections take. A reload reads all files; where any of them cannot be used, the
+context stays as it is.
 """
 
 from __future__ import annotations
@@ -11,27 +11,29 @@
 
 from OpenSSL import SSL, crypto
 
-NAMES_MOST = 32  # names of one certificate that are looked at
+MAX_NAMES = 32  # of one certificate; others are ignored
 
 
 @dataclass(frozen=True, slots=True)
 class KeyFiles:
-    """PEM files: our key and certificates, and the authorities of proxies' certificates ("": none asked)."""
+    """PEM files: this process's key and certificates, and the authorities of proxies' certificates; without
+    authorities ("") proxies need no certificate."""
 
     certificate: str
     key: str
     authorities: str = ""
 
 
-class Keys:
-    """What `listenSSL` takes for a context factory."""
+class TlsContextFactory:
+    """The context factory of `listenSSL`."""
 
     def __init__(self, files: KeyFiles) -> None:
         self.files = files
         self.context = _context(files)
 
     def reload(self) -> str | None:
-        """Take the files anew; why not, or None. Open connections keep what they have."""
+        """Read the files again: None, or the error that left the context as it was. Open connections keep
+        theirs."""
         try:
             self.context = _context(self.files)
         except (SSL.Error, crypto.Error, OSError, ValueError) as error:
@@ -39,6 +41,7 @@
         return None
 
     def getContext(self) -> SSL.Context:
+        """The context of a new connection; Twisted calls it by this name."""
         return self.context
 
 
@@ -48,7 +51,7 @@
     context.use_certificate_chain_file(files.certificate)
     context.use_privatekey_file(files.key)
     context.check_privatekey()
-    context.set_alpn_select_callback(_protocol)
+    context.set_alpn_select_callback(_select_protocol)
     if files.authorities:
         context.load_verify_locations(files.authorities)
         context.set_verify(SSL.VERIFY_PEER | SSL.VERIFY_FAIL_IF_NO_PEER_CERT, lambda *found: bool(found[-1]))
@@ -56,16 +59,16 @@
     return context
 
 
-def _protocol(connection: SSL.Connection, offered: list[bytes]) -> Any:
+def _select_protocol(connection: SSL.Connection, offered: list[bytes]) -> Any:
     return b"h2" if b"h2" in offered else SSL.NO_OVERLAPPING_PROTOCOLS
 
 
-def names(transport: Any) -> tuple[str, ...]:
-    """The names that a proxy's certificate gives it: its common name and its DNS and URI names."""
+def certificate_names(transport: Any) -> tuple[str, ...]:
+    """The common name, DNS names and URIs of the certificate that a peer has shown; none without one."""
     certificate = getattr(transport, "getPeerCertificate", lambda: None)()
     if certificate is None:
         return ()
-    from cryptography import x509  # Only where a certificate came.
+    from cryptography import x509  # loaded only where a peer shows a certificate
 
     found = certificate.to_cryptography()
     named = [str(part.value) for part in found.subject.get_attributes_for_oid(x509.NameOID.COMMON_NAME)]
@@ -76,4 +79,4 @@
     named += [
         str(name.value) for name in more if isinstance(name, x509.DNSName | x509.UniformResourceIdentifier)
     ]
-    return tuple(named[:NAMES_MOST])
+    return tuple(named[:MAX_NAMES])
