--- a/linenbridge/net/discovery.py
+++ b/linenbridge/net/discovery.py
@@ -1,8 +1,8 @@
-"""Discovery: the list of instances, followed for the life of the process.
+"""Discovery: the endpoint list, watched for the life of the process.
 
-Owns the version last heard and the watch's stream. It turns entries into the module's, with Unix times
-moved to the gateway's clock in one place. It must never judge an instance, nor take a list or its changes in
-part: one that cannot be read whole ends its stream, and the next is asked from the version last read whole.
+Owns the version last received and the watch. Converts entries to the decision module's, with Unix times moved
+to the gateway's clock in one place. It does not judge an instance, nor apply a list or its changes in part:
+one that can't be read as a whole ends its stream, and the next requests changes since the version applied.
 """
 
 from __future__ import annotations
@@ -15,25 +15,33 @@
 
 from linenbridge.interface import EndpointEntry, InstanceState
 from linenbridge.net import http
-from linenbridge.net.watch_stream import Follow
-from linenbridge.logging.event_log import Log
 from linenbridge.net.decision_loop import DecisionLoop
 from linenbridge.net.resp import MalformedError
+from linenbridge.net.watch_stream import WatchSettings, WatchStream
 from linenbridge.startup import LONG_AGO
 
-SIGN_OF_LIFE = 2.0  # PROTOCOL, Discovery: an empty line comes every 2 s
-TOLD_ANYWAY = 6.0  # STANDING: what a watch fallen silent misses counts as told so long after, in s
-STATES = {"active": InstanceState.READY, "leaving": InstanceState.DRAINING, "left": InstanceState.REMOVED}
+KEEPALIVE_INTERVAL = 2.0  # seconds; PROTOCOL, Discovery
+MISSED_UPDATE_DEADLINE = 6.0  # seconds; STANDING: what a silent watch misses counts as delivered then
+MAX_PORT = (1 << 16) - 1
+STATES = {
+    "active": InstanceState.READY,
+    "leaving": InstanceState.DRAINING,
+    "left": InstanceState.REMOVED,
+}
 
+ListedEndpoint = tuple[EndpointEntry, tuple[str, int]]  # with its host and port
 
-class Taker(Protocol):
-    """Who has to know where instances are: entries with their addresses, as discovery has them now."""
 
-    def listed(self, listed: Sequence[tuple[EndpointEntry, tuple[str, int]]], whole: bool) -> None: ...
+class EndpointListener(Protocol):
+    """Anyone who has to know where instances are."""
+
+    def listed(self, listed: Sequence[ListedEndpoint], is_snapshot: bool) -> None:
+        """Take in the endpoints as discovery has them now; all of them where it is a snapshot."""
+        ...
 
 
 class Endpoint(Struct):
-    """One entry of the list."""
+    """One entry of the list, as discovery sends it."""
 
     name: str
     address: str
@@ -45,7 +53,7 @@
     since_ms: float | None = 0.0
 
 
-class Listing(Struct):
+class EndpointList(Struct):
     """A version of the list: all of it, or what has changed."""
 
     index: int
@@ -54,74 +62,96 @@
 
 
 def host_port(address: str) -> tuple[str, int]:
-    """An address as `host:port` in its two parts."""
+    """Split `host:port`; ValueError where it is no such address."""
     host, _, port = address.rpartition(":")
-    if not host or not port.isdecimal() or not 0 < int(port) < 1 << 16:
+    if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"{address!r} is no address")
     return host, int(port)
 
 
 class Discovery:
-    """What discovery tells, handed to the instances' connections and to the module."""
+    """Passes the endpoint list on to its listeners and to the decision module.
+
+    `unix_offset` is added to Unix times in microseconds to give the gateway's clock. `is_pushed` says that
+    changes come without a request of the module's. `open_watch` makes the watch of given settings.
+    """
 
     def __init__(
-        self, loop: DecisionLoop, takers: Sequence[Taker], unix_offset: int, pushes: bool, log: Log,
-        follow: Callable[..., Follow],
-    ) -> None:  # fmt: skip
-        self.loop, self.takers, self.log = loop, takers, log
-        self.unix_offset, self.pushes, self.index = unix_offset, pushes, 0
-        self.follow = follow(
-            name="discovery", path=self._path, told=self.told, sign=SIGN_OF_LIFE, cut=http.Objects,
-            told_anyway=TOLD_ANYWAY,
-        )  # fmt: skip
+        self,
+        loop: DecisionLoop,
+        listeners: Sequence[EndpointListener],
+        unix_offset: int,
+        is_pushed: bool,
+        open_watch: Callable[..., WatchStream],
+        connect_timeout: int,
+        max_length: int,
+    ) -> None:
+        self.loop = loop
+        self.listeners = listeners
+        self.unix_offset = unix_offset
+        self.is_pushed = is_pushed
+        self.index = 0
+        settings = WatchSettings(
+            "discovery",
+            KEEPALIVE_INTERVAL,
+            connect_timeout,
+            max_length,
+            http.ObjectSplitter,
+            MISSED_UPDATE_DEADLINE,
+        )
+        self.stream = open_watch(settings, path=self._path, on_message=self.on_message)
 
     def _path(self) -> str:
         return f"/catalog/members?follow=1&since={self.index}"
 
     def start(self) -> None:
-        """Where the list comes unasked, the watch stands from the start; else the module asks for it."""
-        if self.pushes:
-            self.follow.start()
+        """Open the watch where changes are pushed; elsewhere the module requests it."""
+        if self.is_pushed:
+            self.stream.start()
 
-    def once_told(self, call: Callable[[], object]) -> None:
-        """When discovery has first said what it has, or let a sign of life's time pass: it is silent then."""
-        self.follow.first = call
-        self.follow.reactor.callLater(SIGN_OF_LIFE, call)
+    def on_first_update(self, call: Callable[[], object]) -> None:
+        """Call when discovery has first delivered, or has been silent for a keep-alive interval."""
+        self.stream.on_first_message = call
+        self.stream.reactor.callLater(KEEPALIVE_INTERVAL, call)
 
     def watch(self) -> None:
-        self.follow.start()
+        """Open the watch, as the module requests it."""
+        self.stream.start()
 
     def move(self, address: tuple[str, int]) -> None:
-        """The list comes from another address, from the version last heard on."""
-        self.follow.move(address)
+        """Watch at another address, from the version last received on."""
+        self.stream.move(address)
 
-    def told(self, line: memoryview) -> None:
+    def on_message(self, line: memoryview) -> None:
+        """Apply one message of the watch; MalformedError where it can't be read as a whole."""
         try:
-            listing = msgspec.json.decode(line, type=Listing)
-            self.take(listing, answers=True)
+            update = msgspec.json.decode(line, type=EndpointList)
+            self.apply(update, is_poll_response=True)
         except (msgspec.DecodeError, ValueError) as error:
             raise MalformedError(str(error)) from None
 
-    def take(self, listing: Listing, answers: bool) -> None:
-        """A list or its changes, to the connections now and to the module in the next turn. Changes from
-        before what is known have been heard at an address now left."""
-        if not listing.snapshot and listing.index < self.index:
+    def apply(self, update: EndpointList, *, is_poll_response: bool) -> None:
+        """Pass a list or its changes to the listeners now, and to the module in the next turn.
+
+        Changes older than the known version were received at an address now left, and are ignored.
+        """
+        if not update.snapshot and update.index < self.index:
             return
-        listed = [(self._entry(row), host_port(row.address)) for row in listing.endpoints]
-        self.index, whole = listing.index, listing.snapshot
-        for taker in self.takers:
-            taker.listed(listed, whole)
+        listed = [(self._entry(row), host_port(row.address)) for row in update.endpoints]
+        self.index = update.index
+        is_snapshot = update.snapshot
+        for listener in self.listeners:
+            listener.listed(listed, is_snapshot)
         entries = [entry for entry, _ in listed]
         self.loop.enqueue(
             lambda now: self.loop.decision_module.on_endpoint_list(
-                now, entries, is_snapshot=whole, is_poll_response=answers
+                now, entries, is_snapshot=is_snapshot, is_poll_response=is_poll_response
             )
         )
 
     def _entry(self, row: Endpoint) -> EndpointEntry:
-        """Unix milliseconds become the gateway's microseconds: here alone, and always to the same figure."""
-        started = round(row.since_ms * 1000) + self.unix_offset if row.since_ms else LONG_AGO
+        """Convert an entry; the same Unix milliseconds always give the same microseconds."""
+        started_at = round(row.since_ms * 1000) + self.unix_offset if row.since_ms else LONG_AGO
         size = 1.0 if row.weight is None else row.weight
-        return EndpointEntry(
-            row.name, row.release, row.zone or "", row.group or 0, STATES[row.status], size, started
-        )
+        state = STATES[row.status]
+        return EndpointEntry(row.name, row.release, row.zone or "", row.group or 0, state, size, started_at)
--- a/linenbridge/net/downstream.py
+++ b/linenbridge/net/downstream.py
@@ -30,7 +30,7 @@
 
 LAST_CONNECTIONS = 0.4 + 0.05  # PROTOCOL, Figures and rules: how long after SIGTERM new ones come, in s
 LAST_COMMANDS = 0.7  # PROTOCOL, Figures: what comes later than this after SIGTERM may be met by SIGKILL, in s
-QUIET = 2_000_000  # LATER, The long day: a connection with no open RPC may be closed after 2 s
+IDLE_TIMEOUT = 2_000_000  # LATER, The long day: a connection with no open RPC may be closed after 2 s
 BATCH = 21  # Twisted's Port, doRead: after a batch of one it accepts up to twenty more in the next
 COMMANDS = {b"SVC.QUERY": True, b"SVC.SUBMIT": False}  # whether they take methods that may run again
 
@@ -40,7 +40,7 @@
 OPEN, DRAINING, LINGERING = range(3)
 
 
-class UnfitError(ValueError):
+class InvalidCommandError(ValueError):
     """A command that is no RPC; the text goes to the client."""
 
 
@@ -95,7 +95,7 @@
                 try:
                     self.clients.command(response, words)
                     self.asked = True
-                except UnfitError as error:
+                except InvalidCommandError as error:
                     self.clients.log.count("unfit")
                     response.answer((f"-ERR {error}\r\n".encode(),))
         except resp.MalformedError as error:
@@ -104,7 +104,7 @@
             self.refuse(str(error))
         self.reading = False
         if self.state == OPEN:
-            self.clients.holds(self, self.reader.size)
+            self.clients.set_buffered(self, self.reader.size)
         if self.state == OPEN and not self.pending:
             self.clients.waits(self)
         if self.clients.closing and not self.reader.size:
@@ -127,7 +127,7 @@
     def _drain(self) -> None:
         """No command is read any more: what comes was not taken, its client sends it once more elsewhere."""
         self.state, self.reader = DRAINING, resp.Reader(commands=True)
-        self.clients.holds(self, 0)
+        self.clients.set_buffered(self, 0)
         watch_end(self.transport)
 
     def flush(self) -> None:
@@ -164,7 +164,7 @@
         instances: AttemptTransport,
         methods: dict[str, Method],
         longest: int,
-        held_most: int,
+        max_buffered: int,
         descriptors: Descriptors,
         pool: int,
         log: Log,
@@ -173,13 +173,13 @@
         self.instances = instances
         self.pool = pool  # Its usual clients hold so many connections at most: an idle one keeps an RPC out.
         self.methods = {name.encode(): method for name, method in methods.items()}
-        self.longest, self.held, self.held_most = longest, 0, held_most
+        self.longest, self.held, self.max_buffered = longest, 0, max_buffered
         self.open: dict[Client, None] = {}
         # Connections with no open RPC, each kind in the order in which they came to be so: those that have
         # asked nothing yet or half of something, those that have asked before, and those told to go.
         self.silent: dict[Client, None] = {}
         self.idle: dict[Client, None] = {}
-        self.going: dict[Client, None] = {}
+        self.closing_clients: dict[Client, None] = {}
         self.timer: Any = None
         self.port: Any = None
         self.paused = self.closing = False
@@ -194,8 +194,8 @@
             return None
         self.log.count("client.connected")
         self.port.numberAccepts = 1
-        if not self.paused and self._crowded():
-            self._make_room()
+        if not self.paused and self._is_saturated():
+            self._evict_idle()
         client = Client(self)
         self.open[client] = None
         return client
@@ -204,7 +204,7 @@
 
     def waits(self, client: Client) -> None:
         """Nothing is owed on it; one that goes on with what it has half sent stands where it stood."""
-        kind = self.silent if client.state == OPEN else self.going
+        kind = self.silent if client.state == OPEN else self.closing_clients
         if client not in self.open:
             return
         if client.asked and not client.reader.size and client.state == OPEN:
@@ -214,83 +214,85 @@
         self.busy(client)
         kind[client], client.since = None, self.loop.now()
         if kind is self.idle and self.paused:
-            self._make_room()
+            self._evict_idle()
         elif kind is not self.idle and self.timer is None:
-            self.timer = self.reactor.callLater(QUIET / 1e6, self._sweep)
+            self.timer = self.reactor.callLater(IDLE_TIMEOUT / 1e6, self._sweep)
 
     def busy(self, client: Client) -> None:
-        for kind in (self.silent, self.idle, self.going):
+        for kind in (self.silent, self.idle, self.closing_clients):
             kind.pop(client, None)
 
     def _sweep(self) -> None:
         """Who has asked nothing, or half of something, for the whole time is told so and closed; who was told
         and has not closed its end is cut off. The others of `idle` go only where room is short."""
-        before = self.loop.now() - QUIET
+        before = self.loop.now() - IDLE_TIMEOUT
         for client in [client for client in self.silent if client.since <= before]:
             if not client.reader.size and not untouched(client.transport):
                 continue  # After a stall: what it asked has come and is read next.
             self.log.count("client.silent")
             client.refuse("nothing was asked in time")
-        for client in [client for client in self.going if client.since <= before]:
+        for client in [client for client in self.closing_clients if client.since <= before]:
             self.log.count("client.cut_off")
             client.transport.abortConnection()
         if self.paused:
-            self._make_room()
-        first = [next(iter(kind)).since for kind in (self.silent, self.going) if kind]
+            self._evict_idle()
+        first = [next(iter(kind)).since for kind in (self.silent, self.closing_clients) if kind]
         self.timer = None  # Not before: what was done above would have set one too.
         if first or self.paused:
-            due = min(first, default=self.loop.now()) + QUIET - self.loop.now()
+            due = min(first, default=self.loop.now()) + IDLE_TIMEOUT - self.loop.now()
             self.timer = self.reactor.callLater(max(0, due) / 1e6, self._sweep)
 
-    def holds(self, client: Client, size: int) -> None:
+    def set_buffered(self, client: Client, size: int) -> None:
         """Bytes of commands half read, over all clients: whoever holds most goes where they are too many."""
         self.held, client.held = self.held + size - client.held, size
-        while self.held > self.held_most:
+        while self.held > self.max_buffered:
             most = max(self.open, key=lambda other: other.held)
             self.held, most.held = self.held - most.held, 0
             self.log.count("client.too_much")
             most.refuse("too much of a command without its end")
 
-    def _short(self, more: int = 0) -> bool:
+    def _descriptors_short(self, more: int = 0) -> bool:
         return self.descriptors.left() + more <= BATCH
 
-    def _crowded(self) -> bool:
-        return len(self.open) - len(self.going) >= self.pool - BATCH or self._short(len(self.going))
+    def _is_saturated(self) -> bool:
+        return len(self.open) - len(self.closing_clients) >= self.pool - BATCH or self._descriptors_short(
+            len(self.closing_clients)
+        )
 
-    def _make_room(self) -> None:
+    def _evict_idle(self) -> None:
         """What is accepted is owed an answer, and a whole batch may come at once. Those idle for the time
         go, then silent ones, those that have just had their answer, and those slow with a command, the oldest
         of each first and none with something unread: PROTOCOL lets a gateway close between RPCs, and a crowd
         of clients that ask once and stay would else keep all others out. Where these are too few, new ones
         wait in the system's queue, where time runs on."""
-        before = self.loop.now() - QUIET
-        for client in list(self.going)[: max(0, BATCH + 1 - self.descriptors.left())]:
+        before = self.loop.now() - IDLE_TIMEOUT
+        for client in list(self.closing_clients)[: max(0, BATCH + 1 - self.descriptors.left())]:
             client.transport.abortConnection()
         free = [client for client in self.idle if client.since <= before]
         free += [client for client in self.silent if not client.reader.size]
         free += [client for client in self.idle if client.since > before]
         free += [client for client in self.silent if client.reader.size]
         for client in free:
-            if not self._crowded():
+            if not self._is_saturated():
                 break
             if untouched(client.transport):
                 self.log.count("client.spared")
                 # To one that has asked before an error line would pass as the answer to what it asks next.
                 client.leave() if client in self.idle else client.refuse("room is short, nothing was asked")
-        if not self.closing and self.paused != self._short():
+        if not self.closing and self.paused != self._descriptors_short():
             self.paused = not self.paused
             (self.port.stopReading if self.paused else self.port.startReading)()
             self.log.rarely("accept", "paused" if self.paused else "resumed", clients=len(self.open))
         if self.paused and self.timer is None:
-            self.timer = self.reactor.callLater(QUIET / 1e6, self._sweep)
+            self.timer = self.reactor.callLater(IDLE_TIMEOUT / 1e6, self._sweep)
 
     def closed(self, client: Client) -> None:
         self.open.pop(client, None)
         self.busy(client)
-        self.holds(client, 0)
+        self.set_buffered(client, 0)
         self.descriptors.give_back()
         if self.paused:
-            self._make_room()
+            self._evict_idle()
         self._last()
 
     def command(self, response: PendingResponse, words: Any) -> None:
@@ -302,30 +304,30 @@
             if name == b"PING":
                 response.answer((b"+PONG\r\n",))
                 return
-            raise UnfitError("unknown command")
+            raise InvalidCommandError("unknown command")
         if not 4 <= len(words) <= 5:
-            raise UnfitError("a command holds a key, an id, fields and at most one body")
+            raise InvalidCommandError("a command holds a key, an id, fields and at most one body")
         # Copied, as they outlive the buffer: further picks need them.
         key, rpc, fields = bytes(words[1]), bytes(words[2]).decode("latin-1"), bytes(words[3]).split(b",")
         try:
             named = dict([field.split(b"=", 1) for field in fields])
         except ValueError:
-            raise UnfitError("the fields are no names and values") from None
+            raise InvalidCommandError("the fields are no names and values") from None
         wait, work, tenant = named.get(b"d", b""), named.get(b"h", b""), named.get(b"t", b"")
         method = self.methods.get(named.get(b"c", b""))
         if method is None:
-            raise UnfitError("no such method" if b"c" in named else "the field c is missing")
+            raise InvalidCommandError("no such method" if b"c" in named else "the field c is missing")
         if again != (method.idempotency == Idempotency.IDEMPOTENT):
-            raise UnfitError("this method goes by the other command")
-        if not (wait.isdigit() and len(wait) <= resp.DIGITS_MOST):
-            raise UnfitError("the field d is missing or no number")
+            raise InvalidCommandError("this method goes by the other command")
+        if not (wait.isdigit() and len(wait) <= resp.MAX_DIGITS):
+            raise InvalidCommandError("the field d is missing or no number")
         if rpc in self.loop.open or not rpc:
-            raise UnfitError("this id is in use" if rpc else "the id is empty")
-        if work and not (work.isdigit() and len(work) <= resp.DIGITS_MOST):
-            raise UnfitError("the field h is no number")
+            raise InvalidCommandError("this id is in use" if rpc else "the id is empty")
+        if work and not (work.isdigit() and len(work) <= resp.MAX_DIGITS):
+            raise InvalidCommandError("the field h is no number")
         passed = b"".join([field + b"," for field in fields if field[:2] != b"d="])
         head = (b"SVC.QUERY" if again else b"SVC.SUBMIT", key, rpc.encode("latin-1"))
-        command = resp.Passed((*head, *map(bytes, words[4:])), passed)
+        command = resp.ForwardedCommand((*head, *map(bytes, words[4:])), passed)
         response.taken = ActiveRequest(rpc, method.name, self.instances, command, response.final)
         # Nobody waits longer than the settings say; a longer time would only keep what is forgotten open.
         ttl = min(int(wait) * 1000, self.longest)
--- a/linenbridge/net/http.py
+++ b/linenbridge/net/http.py
@@ -12,13 +12,13 @@
 
 from linenbridge.net.resp import END, MalformedError
 
-HEAD_MOST = 64 * 1024  # of a status line with its fields: what RESP allows a value
+MAX_HEAD_BYTES = 64 * 1024  # of a status line with its fields: what RESP allows a value
 HEX = b"0123456789abcdefABCDEF"
 NEWLINE = re.compile(rb"\n")
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
-class Piece(NamedTuple):
+class BodyPart(NamedTuple):
     """Part of an answer's body; `last` where the answer ends with it."""
 
     status: int
@@ -26,7 +26,7 @@
     last: bool
 
 
-class Answers:
+class ResponseParser:
     """Cuts one connection's bytes into answers, each with a stated length or in chunks."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         self.status, self.left = 0, 0
         self.at = self._head
 
-    def feed(self, data: bytes) -> Iterator[Piece]:
+    def feed(self, data: bytes) -> Iterator[BodyPart]:
         """What has come of the answers; MalformedError where the framing is lost."""
         buffer = self.rest + data if self.rest else data
         view, start = memoryview(buffer), 0
@@ -48,12 +48,12 @@
         self.rest = buffer[start:]
 
     def _line(self, buffer: bytes, start: int, ending: bytes) -> int:
-        end = buffer.find(ending, start, start + HEAD_MOST)
-        if end < 0 and len(buffer) - start >= HEAD_MOST:
+        end = buffer.find(ending, start, start + MAX_HEAD_BYTES)
+        if end < 0 and len(buffer) - start >= MAX_HEAD_BYTES:
             raise MalformedError("a head or line is too long")
         return end
 
-    def _head(self, buffer: bytes, view: memoryview, start: int) -> tuple[Piece | None, int]:
+    def _head(self, buffer: bytes, view: memoryview, start: int) -> tuple[BodyPart | None, int]:
         end = self._line(buffer, start, END + END)
         if end < 0:
             return None, start
@@ -77,20 +77,20 @@
             raise MalformedError("an answer has neither a length nor chunks")
         self.left = int(length)
         if not self.left:
-            return Piece(self.status, view[after:after], True), after
+            return BodyPart(self.status, view[after:after], True), after
         self.at = self._body
         return None, after
 
-    def _body(self, buffer: bytes, view: memoryview, start: int) -> tuple[Piece | None, int]:
+    def _body(self, buffer: bytes, view: memoryview, start: int) -> tuple[BodyPart | None, int]:
         end = min(len(buffer), start + self.left)
         if end == start:
             return None, start
         self.left -= end - start
         if not self.left:
             self.at = self._head
-        return Piece(self.status, view[start:end], not self.left), end
+        return BodyPart(self.status, view[start:end], not self.left), end
 
-    def _size(self, buffer: bytes, view: memoryview, start: int) -> tuple[Piece | None, int]:
+    def _size(self, buffer: bytes, view: memoryview, start: int) -> tuple[BodyPart | None, int]:
         end = self._line(buffer, start, END)
         if end < 0:
             return None, start
@@ -101,16 +101,16 @@
         self.at = self._chunk if self.left else self._trailer
         return None, end + 2
 
-    def _chunk(self, buffer: bytes, view: memoryview, start: int) -> tuple[Piece | None, int]:
+    def _chunk(self, buffer: bytes, view: memoryview, start: int) -> tuple[BodyPart | None, int]:
         end = min(len(buffer), start + self.left)
         if end == start:
             return None, start
         self.left -= end - start
         if not self.left:
             self.at = self._chunk_end
-        return Piece(self.status, view[start:end], False), end
+        return BodyPart(self.status, view[start:end], False), end
 
-    def _chunk_end(self, buffer: bytes, view: memoryview, start: int) -> tuple[Piece | None, int]:
+    def _chunk_end(self, buffer: bytes, view: memoryview, start: int) -> tuple[BodyPart | None, int]:
         if len(buffer) < start + 2:
             return None, start
         if buffer[start : start + 2] != END:
@@ -118,74 +118,74 @@
         self.at = self._size
         return None, start + 2
 
-    def _trailer(self, buffer: bytes, view: memoryview, start: int) -> tuple[Piece | None, int]:
+    def _trailer(self, buffer: bytes, view: memoryview, start: int) -> tuple[BodyPart | None, int]:
         end = self._line(buffer, start, END)
         if end < 0:
             return None, start
         if end > start:
             return None, end + 2
         self.at = self._head
-        return Piece(self.status, view[start:start], True), end + 2
+        return BodyPart(self.status, view[start:start], True), end + 2
 
 
-class Cutter(Protocol):
+class Splitter(Protocol):
     """Cuts the pieces of a body that never ends into what is told one by one."""
 
     def feed(self, piece: memoryview) -> Iterator[memoryview]: ...
 
 
-class Lines:
+class LineSplitter:
     """Cuts pieces into lines; a line within one piece is a slice of it, the rest is copied until its end."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.begun = most, bytearray()
+    def __init__(self, max_length: int) -> None:
+        self.max_length, self.partial = max_length, bytearray()
 
     def feed(self, piece: memoryview) -> Iterator[memoryview]:
         start = 0
         for found in NEWLINE.finditer(piece):
             line, start = piece[start : found.start()], found.end()
-            if self.begun:
-                line = memoryview(bytes(self.begun) + line)
-                self.begun.clear()
+            if self.partial:
+                line = memoryview(bytes(self.partial) + line)
+                self.partial.clear()
             yield line
-        self.begun += piece[start:]
-        if len(self.begun) > self.most:
+        self.partial += piece[start:]
+        if len(self.partial) > self.max_length:
             raise MalformedError("a line is too long")
 
 
-class Objects:
+class ObjectSplitter:
     """Cuts pieces into JSON objects, on one line each or indented over many: one ends where its brackets
     close, with the line or without. An empty line outside of any is passed on as it came; within one it is
     white space. One that breaks off holds what comes after it, up to `most`: nothing is heard from then."""
 
-    def __init__(self, most: int) -> None:
-        self.lines, self.most = Lines(most), most
-        self.held: list[bytes] = []
+    def __init__(self, max_length: int) -> None:
+        self.lines, self.max_length = LineSplitter(max_length), max_length
+        self.parts: list[bytes] = []
         self.size = self.open = 0
 
     def feed(self, piece: memoryview) -> Iterator[memoryview]:
         for line in self.lines.feed(piece):
-            if (whole := self._take(bytes(line) + b"\n")) is not None:
-                yield whole
-        if self.lines.begun[-1:] == b"}":
-            rest = bytes(self.lines.begun)
+            if (complete := self._take(bytes(line) + b"\n")) is not None:
+                yield complete
+        if self.lines.partial[-1:] == b"}":
+            rest = bytes(self.lines.partial)
             if (opened := _opened(rest)) is not None and self.open + opened == 0:
-                self.lines.begun.clear()
-                if (whole := self._take(rest)) is not None:
-                    yield whole
+                self.lines.partial.clear()
+                if (complete := self._take(rest)) is not None:
+                    yield complete
 
     def _take(self, line: bytes) -> memoryview | None:
         opened = _opened(line)
         if opened is None:
             raise MalformedError("a string does not end on its line")
-        self.held.append(line)
+        self.parts.append(line)
         self.size, self.open = self.size + len(line), self.open + opened
-        if self.size > self.most:
+        if self.size > self.max_length:
             raise MalformedError("an object is too long")
         if self.open > 0:
             return None
-        whole, self.held, self.size, self.open = b"".join(self.held), [], 0, 0
-        return memoryview(whole)
+        complete, self.parts, self.size, self.open = b"".join(self.parts), [], 0, 0
+        return memoryview(complete)
 
 
 def _opened(text: bytes | bytearray) -> int | None:
--- a/linenbridge/net/platform.py
+++ b/linenbridge/net/platform.py
@@ -1,13 +1,13 @@
-"""The platform: its news as they come, and this gateway's votes.
+"""The platform: the rollout feed as it comes in, and this gateway's votes.
 
-Owns the feed's stream and one connection a vote, so that no vote meets a connection that the platform has
-closed. It must never word or repeat a vote by itself: the module hears what became of each and decides.
+Owns the feed's watch and one connection for each vote, so that no vote meets a connection that the platform
+has closed. It neither makes nor repeats a vote: the decision module learns what became of each, and decides.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Literal
+from typing import Any, Literal, NamedTuple
 
 import msgspec
 import orjson
@@ -16,25 +16,26 @@
 from twisted.internet.protocol import ClientCreator, Protocol
 
 from linenbridge.interface import Method, RolloutPhase, Vote
-from linenbridge.net import http
-from linenbridge.net.watch_stream import HTTP_OK, Follow
 from linenbridge.logging.event_log import Log
+from linenbridge.net import http
 from linenbridge.net.decision_loop import DecisionLoop
 from linenbridge.net.resp import MalformedError
+from linenbridge.net.watch_stream import HTTP_OK, WatchSettings, WatchStream
 
-SIGN_OF_LIFE = 1.0  # PROTOCOL, The platform: every second a sign of life comes
-MOOT = 409
+KEEPALIVE_INTERVAL = 1.0  # seconds; PROTOCOL, The platform
+HTTP_CONFLICT = 409
+MICROSECONDS = 1e6  # of a second
 PHASES = {
     "testing": RolloutPhase.ON_TRIAL,
     "recalling": RolloutPhase.ROLLING_BACK,
     "live": RolloutPhase.RELEASED,
     "recalled": RolloutPhase.WITHDRAWN,
 }
-VERDICTS = {Vote.NONE: "none", Vote.PROMOTE: "on", Vote.HOLD: "hold", Vote.ROLL_BACK: "back"}
+VOTES = {Vote.NONE: "none", Vote.PROMOTE: "on", Vote.HOLD: "hold", Vote.ROLL_BACK: "back"}
 
 
-class News(Struct, rename="camel"):
-    """How the newest build stands."""
+class RolloutStatus(Struct, rename="camel"):
+    """The state of the newest build's rollout."""
 
     version: int
     step: int
@@ -43,7 +44,7 @@
 
 
 class Tally(Struct, rename="camel"):
-    """What the platform counted of one method at one build."""
+    """The platform's counts of one method at one build."""
 
     version: int
     kind: str
@@ -54,58 +55,74 @@
 
 
 class Flag(Struct, rename="camel"):
-    """A wrong answer that a client has reported."""
+    """A client's report of a wrong response."""
 
     pod: str
     kind: str
     observed_ago_ms: float = 0.0
 
 
-class Told(Struct):
-    """One line of the feed; a sign of life holds nothing."""
+class FeedMessage(Struct):
+    """One line of the feed; a keep-alive is empty."""
 
     type: Literal["", "stage", "tally", "flag"] = ""
     object: msgspec.Raw = msgspec.Raw(b"{}")
 
 
-class Refusal(Struct):
-    """Why a vote was not taken."""
+class VoteError(Struct):
+    """Why a vote was rejected."""
 
     error: Literal["limit", "moot", "error", "malformed"]
 
 
+class Response(NamedTuple):
+    """A complete response to a vote."""
+
+    status: int
+    body: bytes
+
+
 class Call(Protocol):
-    """One request on a connection of its own; `answer` fires with its status and body, or fails."""
+    """One request on a connection of its own; `response` fires with its response, or fails."""
+
+    transport: Any  # ITCPTransport, whose methods mypy can't read
 
     def __init__(self, request: bytes) -> None:
         self.request = request
-        self.answers, self.body = http.Answers(), b""
-        self.answer: Deferred = Deferred(lambda _: self.transport.abortConnection())
+        self.parser = http.ResponseParser()
+        self.body = b""
+        self.response: Deferred[Response] = Deferred(lambda _: self.transport.abortConnection())
 
     def connectionMade(self) -> None:
+        """Send the request."""
         self.transport.write(self.request)
 
     def dataReceived(self, data: bytes) -> None:
+        """Read the response; one that is malformed or too long fails the call."""
         try:
-            for piece in self.answers.feed(data):
-                self.body += piece.body
-                if len(self.body) > http.HEAD_MOST:
-                    raise MalformedError("an answer to a vote is too long")
-                if piece.last and not self.answer.called:
-                    self.answer.callback((piece.status, self.body))
+            for part in self.parser.feed(data):
+                self.body += part.body
+                if len(self.body) > http.MAX_HEAD_BYTES:
+                    raise MalformedError("a response to a vote is too long")
+                if part.last and not self.response.called:
+                    self.response.callback(Response(part.status, self.body))
                     self.transport.loseConnection()
         except MalformedError as error:
-            if not self.answer.called:
-                self.answer.errback(error)
+            if not self.response.called:
+                self.response.errback(error)
             self.transport.abortConnection()
 
-    def connectionLost(self, reason: Any) -> None:
-        if not self.answer.called:
-            self.answer.errback(reason)
+    def connectionLost(self, reason: Any = None) -> None:
+        """Fail the call, unless it has its response."""
+        if not self.response.called:
+            self.response.errback(reason)
 
 
 class Platform:
-    """What the platform tells, handed to the module; what the module votes, handed to the platform."""
+    """Reports the rollout feed to the decision module, and the module's votes to the platform.
+
+    `connect_timeout` and `response_timeout` are microseconds; `open_watch` makes the watch of given settings.
+    """
 
     def __init__(
         self,
@@ -113,112 +130,134 @@
         reactor: Any,
         address: tuple[str, int],
         methods: dict[str, Method],
-        connect_wait: int,
-        answer_wait: int,
+        connect_timeout: int,
+        response_timeout: int,
+        max_length: int,
         log: Log,
-        follow: Callable[..., Follow],
+        open_watch: Callable[..., WatchStream],
     ) -> None:
-        self.loop, self.reactor, self.address, self.methods, self.log = loop, reactor, address, methods, log
-        self.connect_wait, self.answer_wait = connect_wait / 1e6, answer_wait / 1e6
-        self.news: News | None = None
-        self.feed = follow(name="feed", path=lambda: "/api/feed", told=self.told, sign=SIGN_OF_LIFE)
+        self.loop = loop
+        self.reactor = reactor
+        self.address = address
+        self.methods = methods
+        self.log = log
+        self.connect_timeout = connect_timeout / MICROSECONDS
+        self.response_timeout = response_timeout / MICROSECONDS
+        self.status: RolloutStatus | None = None
+        settings = WatchSettings("rollout_feed", KEEPALIVE_INTERVAL, connect_timeout, max_length)
+        self.feed = open_watch(settings, path=lambda: "/api/feed", on_message=self.on_message)
 
     def start(self) -> None:
+        """Open the feed."""
         self.feed.start()
 
     def move(self, address: tuple[str, int]) -> None:
-        """News and votes go by another address; a vote that is out ends where it went."""
+        """Use another address for the feed and for votes; a vote in flight ends where it was sent."""
         self.address = address
         self.feed.move(address)
 
-    # ---- news ------------------------------------------------------------------------------------
+    # ---- the feed --------------------------------------------------------------------------------
 
-    def told(self, line: memoryview) -> None:
-        """One that can be read whole is true; another ends its stream, and the next begins with the stage."""
+    def on_message(self, line: memoryview) -> None:
+        """Report one message; MalformedError where it can't be read, which ends the stream."""
         try:
-            told = msgspec.json.decode(line, type=Told)
-            match told.type:
+            message = msgspec.json.decode(line, type=FeedMessage)
+            match message.type:
                 case "stage":
-                    self.stands(msgspec.json.decode(told.object, type=News), vote=False)
+                    status = msgspec.json.decode(message.object, type=RolloutStatus)
+                    self.on_rollout_status(status, is_vote_response=False)
                 case "tally":
-                    self._tally(msgspec.json.decode(told.object, type=Tally))
+                    self._on_tally(msgspec.json.decode(message.object, type=Tally))
                 case "flag":
-                    self._flag(msgspec.json.decode(told.object, type=Flag))
+                    self._on_flag(msgspec.json.decode(message.object, type=Flag))
         except msgspec.DecodeError as error:
             raise MalformedError(str(error)) from None
 
-    def stands(self, news: News, vote: bool) -> None:
-        """How the newest build stands. What was decided when it stood otherwise and has not left yet is
-        decided anew: its connection may come up only after a lower cap binds."""
-        phase = PHASES[news.status]
-        if news != self.news:
-            self.news = news
+    def on_rollout_status(self, status: RolloutStatus, *, is_vote_response: bool) -> None:
+        """Report the rollout's state.
+
+        Attempts that were decided on in another state and are not sent yet are rescheduled: their connections
+        may come up only after a lower cap binds.
+        """
+        phase = PHASES[status.status]
+        if status != self.status:
+            self.status = status
             self.loop.reschedule_unsent()
         self.loop.enqueue(
             lambda now: self.loop.decision_module.on_rollout_update(
                 now,
-                news.version,
-                news.step,
+                status.version,
+                status.step,
                 phase,
-                news.max_weight,
-                is_vote_response=vote,
+                status.max_weight,
+                is_vote_response=is_vote_response,
                 is_valid=True,
                 is_stale=False,
             )
         )
 
-    def _tally(self, tally: Tally) -> None:
+    def _on_tally(self, tally: Tally) -> None:
         ended = self.loop.now() - round(tally.observed_ago_ms * 1000)
-        took = round(tally.avg_ms * 1000)
+        duration = round(tally.avg_ms * 1000)
         self.loop.enqueue(
             lambda now: self.loop.decision_module.on_tally(
-                now, tally.version, tally.kind, tally.requests, tally.failures, took, ended
+                now, tally.version, tally.kind, tally.requests, tally.failures, duration, ended
             )
         )
 
-    def _flag(self, flag: Flag) -> None:
+    def _on_flag(self, flag: Flag) -> None:
         sent = self.loop.now() - round(flag.observed_ago_ms * 1000)
         if flag.kind in self.methods:
             self.loop.enqueue(lambda now: self.loop.decision_module.on_flag(now, flag.pod, flag.kind, sent))
 
     # ---- votes -----------------------------------------------------------------------------------
 
-    def vote(self, build: int, stage: int, verdict: int) -> None:
-        """One call; whatever comes of it, the module hears it once."""
-        body = orjson.dumps({"version": build, "step": stage, "vote": VERDICTS[verdict]})
-        host = f"{self.address[0]}:{self.address[1]}"
-        request = http.request("POST", "/api/ballots", host, body)
-        asked = ClientCreator(self.reactor, Call, request).connectTCP(
-            *self.address, timeout=self.connect_wait
+    def vote(self, build: int, stage: int, vote: Vote) -> None:
+        """Send one vote; the module learns once what became of it."""
+        body = orjson.dumps({"version": build, "step": stage, "vote": VOTES[vote]})
+        host, port = self.address
+        request = http.request("POST", "/api/ballots", f"{host}:{port}", body)
+        called = ClientCreator(self.reactor, Call, request).connectTCP(
+            *self.address, timeout=self.connect_timeout
         )
-        asked.addCallback(lambda call: call.answer)
-        asked.addTimeout(self.answer_wait, self.reactor)
-        asked.addCallbacks(self._answered, self._unanswered)
-        asked.addErrback(lambda failure: self.log.failed("vote", failure.value))
+        called.addCallback(lambda call: call.response)
+        called.addTimeout(self.response_timeout, self.reactor)
+        called.addCallbacks(self._on_response, self._on_no_response)
+        called.addErrback(lambda failure: self.log.failed("vote", failure.value))
 
-    def _answered(self, answer: tuple[int, bytes]) -> None:
-        status, body = answer
+    def _on_response(self, response: Response) -> None:
         try:
-            if status == HTTP_OK:
-                self.stands(msgspec.json.decode(body, type=News), vote=True)
+            if response.status == HTTP_OK:
+                status = msgspec.json.decode(response.body, type=RolloutStatus)
+                self.on_rollout_status(status, is_vote_response=True)
                 self.log.count("vote.counted")
                 return
-            msgspec.json.decode(body, type=Refusal)
+            msgspec.json.decode(response.body, type=VoteError)
         except msgspec.DecodeError as error:
             self.log.rarely("malformed", "vote", error=str(error))
-            self._uncounted("vote.unanswered", False)  # It may have counted.
+            self._on_not_counted("vote.unanswered", is_stale=False)  # It may have counted.
             return
-        self._uncounted("vote.moot" if status == MOOT else f"vote.status_{status}", status == MOOT)
+        is_stale = response.status == HTTP_CONFLICT
+        self._on_not_counted(
+            "vote.stale" if is_stale else f"vote.status_{response.status}", is_stale=is_stale
+        )
 
-    def _unanswered(self, failure: Any) -> None:
+    def _on_no_response(self, failure: Any) -> None:
         if failure.check(MalformedError):
             self.log.rarely("malformed", "vote", error=str(failure.value))
-        self._uncounted("vote.unanswered", False)
+        self._on_not_counted("vote.unanswered", is_stale=False)
 
-    def _uncounted(self, what: str, moot: bool) -> None:
-        self.log.count(what)
+    def _on_not_counted(self, counter: str, *, is_stale: bool) -> None:
+        self.log.count(counter)
         self.loop.enqueue(
             lambda now: self.loop.decision_module.on_rollout_update(
-                now, 0, 0, RolloutPhase.ON_TRIAL, 0.0, is_vote_response=True, is_valid=False, is_stale=moot
+                now,
+                0,
+                0,
+                RolloutPhase.ON_TRIAL,
+                0.0,
+                is_vote_response=True,
+                is_valid=False,
+                is_stale=is_stale,
             )
         )
--- a/linenbridge/net/resp.py
+++ b/linenbridge/net/resp.py
@@ -1,4 +1,4 @@
-"""RESP2: cuts what was read into messages, and words messages to be written.
+"""RESP2: cuts what was read into messages, and arguments messages to be written.
 
 Owns the form of commands and answers and the bytes of a message that has not wholly come. Messages are
 slices of the buffer that they were read into. It must never touch a socket, a clock or the meaning of a
@@ -10,9 +10,11 @@
 from collections.abc import Iterator, Sequence
 from typing import NamedTuple
 
-VALUE_MOST = 64 * 1024  # PROTOCOL, first paragraph: a value holds 64 KiB at most
-WORDS_MOST = 5  # PROTOCOL: the words of its longest command, a submit with a body; an answer has three
-DIGITS_MOST = 9
+MAX_VALUE_BYTES = 64 * 1024  # PROTOCOL, first paragraph: a value holds 64 KiB at maximum
+MAX_ARRAY_LENGTH = (
+    5  # PROTOCOL: the arguments of its longest command, a submit with a body; an answer has three
+)
+MAX_DIGITS = 9
 END = b"\r\n"
 ARRAY, BULK = b"*$"
 
@@ -69,32 +71,32 @@
             if self.commands:
                 raise MalformedError("a command is an array of bulk strings")
             return self._single(buffer, view, at)
-        count, at = self._number(buffer, at, WORDS_MOST, "an array")
+        count, at = self._number(buffer, at, MAX_ARRAY_LENGTH, "an array")
         if count < 0:
             return None, at
-        words: list[Value] = []
+        arguments: list[Value] = []
         for _ in range(count):
-            # The words of a command and most of an answer's: a value that has wholly come.
-            line = buffer.find(END, at, at + DIGITS_MOST + 3)
+            # The arguments of a command and maximum of an answer's: a value that has wholly come.
+            line = buffer.find(END, at, at + MAX_DIGITS + 3)
             if line > at and buffer[at] == BULK and buffer[at + 1 : line].isdigit():
                 start, length = line + 2, int(buffer[at + 1 : line])
                 end = start + length
-                if length <= VALUE_MOST and buffer[end : end + 2] == END:
-                    words.append(view[start:end])
+                if length <= MAX_VALUE_BYTES and buffer[end : end + 2] == END:
+                    arguments.append(view[start:end])
                     at = end + 2
                     continue
             if self.commands and buffer[at : at + 1] not in (b"", b"$"):
                 raise MalformedError("a command is an array of bulk strings")
-            word, at = self._single(buffer, view, at)
-            if self.commands and word is None:
-                raise MalformedError("a word of a command is null")
-            words.append(word)
-        return words, at
+            argument, at = self._single(buffer, view, at)
+            if self.commands and argument is None:
+                raise MalformedError("a argument of a command is null")
+            arguments.append(argument)
+        return arguments, at
 
     def _single(self, buffer: bytes, view: memoryview, at: int) -> tuple[Value, int]:
         mark = buffer[at : at + 1]
         if mark == b"$":
-            length, start = self._number(buffer, at, VALUE_MOST, "a value")
+            length, start = self._number(buffer, at, MAX_VALUE_BYTES, "a value")
             if length < 0:
                 return None, start
             end = start + length
@@ -105,24 +107,24 @@
             return view[start:end], end + 2
         if mark and mark not in b"+-:":
             raise MalformedError(f"no message begins with {mark!r}")
-        end = self._line(buffer, at, VALUE_MOST)
+        end = self._line(buffer, at, MAX_VALUE_BYTES)
         return Line(mark, buffer[at + 1 : end]), end + 2
 
-    def _number(self, buffer: bytes, at: int, most: int, what: str) -> tuple[int, int]:
-        end = self._line(buffer, at, DIGITS_MOST)
+    def _number(self, buffer: bytes, at: int, maximum: int, what: str) -> tuple[int, int]:
+        end = self._line(buffer, at, MAX_DIGITS)
         digits = buffer[at + 1 : end]
         if digits == b"-1":
             return -1, end + 2
         if not digits.isdigit():
             raise MalformedError(f"the length of {what} is no number")
-        if (number := int(digits)) > most:
-            raise MalformedError(f"{what} of {number} is over {most}")
+        if (number := int(digits)) > maximum:
+            raise MalformedError(f"{what} of {number} is over {maximum}")
         return number, end + 2
 
-    def _line(self, buffer: bytes, at: int, most: int) -> int:
-        end = buffer.find(END, at, at + most + 3)
+    def _line(self, buffer: bytes, at: int, maximum: int) -> int:
+        end = buffer.find(END, at, at + maximum + 3)
         if end < 0:
-            if len(buffer) >= at + most + 3:
+            if len(buffer) >= at + maximum + 3:
                 raise MalformedError("a line is too long")
             raise _ShortError(len(buffer) + 1)
         return end
@@ -133,20 +135,25 @@
     return b"$%d\r\n" % len(value), value, END
 
 
-class Passed:
-    """A client's command as it passes on to instances: its words, and its fields but for the time."""
+class ForwardedCommand:
+    """A client's command as it passes on to instances: its arguments, and its fields but for the time."""
 
-    __slots__ = ("fields", "words")
+    __slots__ = ("fields", "arguments")
 
-    def __init__(self, words: tuple[bytes, ...], fields: bytes) -> None:
-        self.words, self.fields = words, fields
+    def __init__(self, arguments: tuple[bytes, ...], fields: bytes) -> None:
+        self.arguments, self.fields = arguments, fields
 
     def command(self, wait: int) -> bytes:
         """As the client sent it, but for the time in milliseconds that this gateway will wait."""
         fields = b"%bd=%d" % (self.fields, max(1, wait // 1000))
-        return command((*self.words[:3], fields, *self.words[3:]))
+        return command((*self.arguments[:3], fields, *self.arguments[3:]))
 
 
-def command(words: Sequence[bytes]) -> bytes:
+def command(arguments: Sequence[bytes]) -> bytes:
     """A command as it goes out."""
-    return b"".join([b"*%d\r\n" % len(words), *(b"$%d\r\n%b\r\n" % (len(word), word) for word in words)])
+    return b"".join(
+        [
+            b"*%d\r\n" % len(arguments),
+            *(b"$%d\r\n%b\r\n" % (len(argument), argument) for argument in arguments),
+        ]
+    )
--- a/linenbridge/net/upstream.py
+++ b/linenbridge/net/upstream.py
@@ -26,7 +26,7 @@
 # PROTOCOL, Gateways to instances: the error lines and the load report that may come last in them.
 ERROR_LINE = re.compile(rb"(BUSY|ERR|SYNTAX|NOPERM)( [ -~]*)?")
 REPORT = re.compile(rb"[a-z_]+=\d{1,9}(\.\d{1,9})?(,[a-z_]+=\d{1,9}(\.\d{1,9})?)*")
-REST = 20_000  # STANDING, join+mass: a second answer may come some milliseconds late
+REST_AFTER_RESPONSE = 20_000  # STANDING, join+mass: a second answer may come some milliseconds late
 
 
 class Descriptors:
@@ -48,7 +48,7 @@
         self.open -= 1
 
 
-class Pick:
+class Attempt:
     """One pick: waiting for a connection, out on one, or ended."""
 
     __slots__ = ("connection", "ended", "number", "pool", "rpc", "sent", "until")
@@ -65,8 +65,8 @@
     def __init__(self, entry: EndpointEntry, address: tuple[str, int]) -> None:
         self.entry, self.address = entry, address
         self.idle: deque[Connection] = deque()
-        self.waiting: deque[Pick] = deque()
-        self.coming = 0
+        self.waiting: deque[Attempt] = deque()
+        self.connecting = 0
         self.timer: Any = None  # when the first of its connections has rested, while a pick waits for that
 
 
@@ -77,7 +77,7 @@
         self.instances, self.pool = instances, pool
         self.reader = resp.Reader(commands=False)
         self.address, self.process = pool.address, (pool.entry.started_at, pool.entry.build)
-        self.pick: Pick | None = None
+        self.pick: Attempt | None = None
         self.idle_since = 0
         self.lost = self.used = False
 
@@ -111,16 +111,16 @@
     """All connections of one gateway to instances."""
 
     def __init__(
-        self, loop: DecisionLoop, reactor: Any, most: int, connect_wait: int, idle_close: int, log: Log
+        self, loop: DecisionLoop, reactor: Any, most: int, connect_timeout: int, idle_timeout: int, log: Log
     ) -> None:
         self.loop, self.reactor, self.log = loop, reactor, log
-        self.connect_wait = connect_wait / 1e6
+        self.connect_timeout = connect_timeout / 1e6
         # The far side closes at this idle time at the latest: well before it, none is written to any more.
-        self.idle_close = idle_close // 2
+        self.idle_timeout = idle_timeout // 2
         self.descriptors = Descriptors(most, self._spare)
         self.pools: dict[Id, ConnectionPool] = {}
-        self.picks: dict[tuple[str, int], Pick] = {}
-        self.due: list[tuple[int, int, Pick]] = []
+        self.picks: dict[tuple[str, int], Attempt] = {}
+        self.due: list[tuple[int, int, Attempt]] = []
         self.serial = count()
         self.timer: Any = None
         self.timer_at = 0
@@ -158,13 +158,13 @@
 
     # ---- picks -----------------------------------------------------------------------------------
 
-    def send(self, now: int, rpc: ActiveRequest, number: int, instance: Id, time_out: int) -> None:
+    def send(self, now: int, rpc: ActiveRequest, number: int, instance: Id, timeout: int) -> None:
         """Write it to an idle connection, or as soon as one is idle or has come up."""
         pool = self.pools.get(instance)
         if pool is None:  # It has left the list since the module last heard of it.
             self.loop.attempt_finished(rpc, number, now, Outcome.NOT_SENT, {})
             return
-        pick = self.picks[rpc.id, number] = Pick(rpc, number, pool, now, now + time_out)
+        pick = self.picks[rpc.id, number] = Attempt(rpc, number, pool, now, now + timeout)
         while self.due and self.due[0][2].ended:
             heappop(self.due)
         heappush(self.due, (pick.until, next(self.serial), pick))
@@ -175,13 +175,13 @@
             return
         pool.waiting.append(pick)
         self._rest(pool, now)
-        if pool.coming < len(pool.waiting):
+        if pool.connecting < len(pool.waiting):
             self._connect(pool)
 
     def _rested(self, pool: ConnectionPool, now: int) -> Connection | None:
         """The connection idle longest, once it has rested: what its instance sends late would pass as the
         next pick's answer, and has come by then. None is kept that has any."""
-        while pool.idle and pool.idle[0].idle_since + REST <= now:
+        while pool.idle and pool.idle[0].idle_since + REST_AFTER_RESPONSE <= now:
             if untouched((connection := pool.idle.popleft()).transport):
                 return connection
             self.log.count("line.spent")
@@ -191,7 +191,7 @@
     def _rest(self, pool: ConnectionPool, now: int) -> None:
         """Whoever waits is served by whichever is there first: a connection that comes up, or has rested."""
         if pool.idle and pool.waiting and pool.timer is None:
-            wait = max(0, pool.idle[0].idle_since + REST - now)
+            wait = max(0, pool.idle[0].idle_since + REST_AFTER_RESPONSE - now)
             pool.timer = self.reactor.callLater(wait / 1e6, self._has_rested, pool)
 
     def _has_rested(self, pool: ConnectionPool) -> None:
@@ -211,7 +211,7 @@
             if pick is not None and pick.connection is None:
                 self._ended(pick, Outcome.NOT_SENT)
 
-    def _write(self, connection: Connection, pick: Pick) -> None:
+    def _write(self, connection: Connection, pick: Attempt) -> None:
         connection.pick, pick.connection, connection.used = pick, connection, True
         write_out(connection.transport, pick.rpc.payload.command(pick.until - self.loop.now()))
 
@@ -233,7 +233,7 @@
             self._ended(pick, Outcome.TIMED_OUT if pick.connection else Outcome.CONNECT_FAILED)
         self._arm(now)
 
-    def answered(self, connection: Connection, pick: Pick, message: resp.Value) -> None:
+    def answered(self, connection: Connection, pick: Attempt, message: resp.Value) -> None:
         """PROTOCOL's table, to the letter: what only looks like a refusal may have run."""
         match message:
             case [memoryview() as value, None, (None | memoryview()) as report]:
@@ -254,7 +254,7 @@
         self._close(connection)
 
     def _ended(
-        self, pick: Pick, outcome: str, load: dict[str, float] | None = None, value: tuple = ()
+        self, pick: Attempt, outcome: str, load: dict[str, float] | None = None, value: tuple = ()
     ) -> None:
         """The one place where a pick is given back; its connection stays only if its answer has come."""
         if pick.ended:
@@ -278,31 +278,31 @@
             self.log.count("line.no_descriptor")
             self._ended(pool.waiting[-1], Outcome.CONNECT_FAILED)
             return
-        pool.coming += 1
+        pool.connecting += 1
         self.log.count("line.opened")
         connection = Connection(self, pool)
-        coming = ClientCreator(self.reactor, lambda: connection).connectTCP(
-            *pool.address, timeout=self.connect_wait
+        connecting = ClientCreator(self.reactor, lambda: connection).connectTCP(
+            *pool.address, timeout=self.connect_timeout
         )
-        coming.addCallbacks(self._up, lambda failure: self._failed(pool))
-        coming.addErrback(lambda failure: self.log.failed("connecting", failure.value))
+        connecting.addCallbacks(self._up, lambda failure: self._failed(pool))
+        connecting.addErrback(lambda failure: self.log.failed("connecting", failure.value))
 
     def _up(self, connection: Connection) -> None:
-        connection.pool.coming -= 1
+        connection.pool.connecting -= 1
         if connection.lost:
             self._too_many_waiting(connection.pool)
         else:
             self.free(connection)
 
     def _failed(self, pool: ConnectionPool) -> None:
-        pool.coming -= 1
+        pool.connecting -= 1
         self.descriptors.give_back()
         self.log.count("line.failed")
         self._too_many_waiting(pool)
 
     def _too_many_waiting(self, pool: ConnectionPool) -> None:
         """A pick for which no connection comes up any more was never written."""
-        while len(pool.waiting) > pool.coming:
+        while len(pool.waiting) > pool.connecting:
             self._ended(pool.waiting[0], Outcome.CONNECT_FAILED)
 
     def free(self, connection: Connection) -> None:
@@ -322,20 +322,20 @@
             self._write(connection, pool.waiting.popleft())
         else:
             now = self.loop.now()
-            connection.idle_since = now if connection.used else now - REST
+            connection.idle_since = now if connection.used else now - REST_AFTER_RESPONSE
             (pool.idle.append if connection.used else pool.idle.appendleft)(connection)
             self._rest(pool, now)
             if self.sweeping is None:
-                self.sweeping = self.reactor.callLater(self.idle_close / 2e6, self._sweep)
+                self.sweeping = self.reactor.callLater(self.idle_timeout / 2e6, self._sweep)
 
     def _sweep(self) -> None:
         """Idle connections that have been so for half the time, or will be before the next sweep, close."""
-        self.sweeping, idle_since = None, self.loop.now() - self.idle_close // 2
+        self.sweeping, idle_since = None, self.loop.now() - self.idle_timeout // 2
         for pool in self.pools.values():
             for connection in [connection for connection in pool.idle if connection.idle_since <= idle_since]:
                 self._close(connection)
         if any(pool.idle for pool in self.pools.values()):
-            self.sweeping = self.reactor.callLater(self.idle_close / 2e6, self._sweep)
+            self.sweeping = self.reactor.callLater(self.idle_timeout / 2e6, self._sweep)
 
     def _spare(self) -> bool:
         """Close the connection that has been idle longest, if any is."""
--- a/linenbridge/net/watch_stream.py
+++ b/linenbridge/net/watch_stream.py
@@ -1,144 +1,203 @@
-"""One HTTP answer that never ends, JSON objects one after another: kept up for the life of the process.
+"""A watch: one HTTP response without end, JSON messages one after another, reopened for the process's life.
 
-Owns the connections it is read from: one, and a second while the first is silent, since a dead link says
-nothing, or while it moves to another address. It must never read a line's meaning; whoever follows is handed
-each line in its order, and says with MalformedError that it could not be read.
+Owns the connections that it is read from: one, and a second while the first is silent, as a dead connection
+reports nothing, or while the watch moves to another address. It does not interpret messages: its owner gets
+each in order, and raises MalformedError for one that can't be read, which ends that connection.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
+from dataclasses import dataclass
 from math import inf
 from random import Random
 from typing import Any
 
 from twisted.internet.protocol import ClientCreator, Protocol
 
-from linenbridge.net import http
 from linenbridge.logging.event_log import Log
+from linenbridge.net import http
 from linenbridge.net.decision_loop import read_out
 from linenbridge.net.resp import MalformedError
 
-MISSED = 3  # signs of life left out before a silent connection is doubted
 HTTP_OK = 200
-REFUSED_MOST = 16  # the longest wait after refusals in a row, in waits for a connection
+MAX_MISSED_KEEPALIVES = 3  # before a silent connection is suspected
+MAX_RETRY_FACTOR = 16  # of the wait after rejections in a row, in connect timeouts
+MICROSECONDS = 1e6  # of a second
+
+
+def _nothing() -> None:
+    """Do nothing: the callback of a watch that nobody waits for."""
 
 
 class Stream(Protocol):
-    """One connection; its answer is cut into lines."""
+    """One connection of a watch; its response is split into messages."""
 
-    def __init__(self, follow: Follow) -> None:
-        self.follow, self.address = follow, follow.address
-        self.answers, self.lines = http.Answers(), follow.cut(follow.most)
-        self.over = self.spoke = False
+    transport: Any  # ITCPTransport, whose methods mypy can't read
+
+    def __init__(self, watch: WatchStream) -> None:
+        self.watch = watch
+        self.address = watch.address
+        self.responses = http.ResponseParser()
+        self.messages = watch.settings.splitter(watch.settings.max_length)
+        self.over = False
+        self.has_delivered = False
 
     def connectionMade(self) -> None:
+        """Send the request."""
         self.transport.setTcpNoDelay(True)
-        self.transport.write(http.request("GET", self.follow.path(), "{}:{}".format(*self.address)))
+        host, port = self.address
+        self.transport.write(http.request("GET", self.watch.path(), f"{host}:{port}"))
 
     def dataReceived(self, data: bytes) -> None:
+        """Deliver the messages that are complete; one that is malformed ends the connection."""
         try:
-            for piece in self.answers.feed(data):
-                if piece.status != HTTP_OK:
-                    raise MalformedError(f"answered with status {piece.status}")
-                for line in self.lines.feed(piece.body):
+            for part in self.responses.feed(data):
+                if part.status != HTTP_OK:
+                    raise MalformedError(f"answered with status {part.status}")
+                for message in self.messages.feed(part.body):
                     if not self.over:
-                        self.follow.heard(self, line)
-                if piece.last:
+                        self.watch.on_received(self, message)
+                if part.last:
                     self.transport.abortConnection()
         except MalformedError as error:
-            self.follow.log.rarely("malformed", self.follow.name, error=str(error))
+            self.watch.log.rarely("malformed", self.watch.settings.name, error=str(error))
             self.transport.abortConnection()
 
-    def connectionLost(self, reason: Any) -> None:
-        self.follow.ended(self)
+    def connectionLost(self, reason: Any = None) -> None:  # noqa: ARG002  # Twisted's signature
+        """Report the end to the watch."""
+        self.watch.on_stream_ended(self)
+
+
+@dataclass(frozen=True, slots=True)
+class WatchSettings:
+    """What one watch is, and its times.
 
+    `name` begins its events and counters. The server sends a keep-alive each `keepalive_interval` seconds;
+    what a silent watch misses counts as delivered after `missed_update_deadline` seconds. `connect_timeout`
+    is in microseconds, `max_length` in bytes of one message.
+    """
 
-class Follow:
-    """Keeps one stream open from `address`; `path` says what to ask for each time it is opened anew."""
+    name: str
+    keepalive_interval: float
+    connect_timeout: int
+    max_length: int
+    splitter: Callable[[int], http.Splitter] = http.LineSplitter
+    missed_update_deadline: float = inf
+
+    def max_silence(self) -> float:
+        """Seconds of silence before another connection is opened.
+
+        Another one has come up and delivered before missed updates count as delivered, with half an interval
+        to spare; none is opened before one and a half intervals have passed.
+        """
+        interval = self.keepalive_interval
+        early = self.missed_update_deadline - interval / 2 - self.connect_timeout / MICROSECONDS
+        return min(MAX_MISSED_KEEPALIVES * interval, max(1.5 * interval, early))
+
+
+class WatchStream:
+    """Keeps one stream open from `address`; `path` gives the request's path each time one is opened."""
 
     def __init__(
-        self, name: str, reactor: Any, address: tuple[str, int], path: Callable[[], str],
-        told: Callable[[memoryview], None], sign: float, connect_wait: int, most: int, log: Log,
-        cut: Callable[[int], http.Cutter] = http.Lines, told_anyway: float = inf,
+        self,
+        settings: WatchSettings,
+        reactor: Any,
+        address: tuple[str, int],
+        path: Callable[[], str],
+        on_message: Callable[[memoryview], None],
+        log: Log,
         random: Random | None = None,
-    ) -> None:  # fmt: skip
-        self.name, self.reactor, self.address, self.path, self.told = name, reactor, address, path, told
-        self.connect_wait = connect_wait / 1e6
-        self.random, self.refusals = random or Random(0), 0
-        # What a silent stream misses may count as told after a while: another has come up and spoken by then,
-        # half a sign's time to spare, but none is asked for before one and a half have passed.
-        early = max(1.5 * sign, told_anyway - sign / 2 - self.connect_wait)
-        self.silence = min(MISSED * sign, early)
-        self.most, self.log, self.cut = most, log, cut
+    ) -> None:
+        self.settings = settings
+        self.reactor = reactor
+        self.address = address
+        self.path = path
+        self.on_message = on_message
+        self.log = log
+        self.random = random or Random(0)
+        self.connect_timeout = settings.connect_timeout / MICROSECONDS
+        self.max_silence = settings.max_silence()
+        self.rejections = 0
         self.streams: list[Stream] = []
-        self.coming: Any = None
+        self.connecting: Any = None
         self.timer: Any = None
-        self.well: bool | None = None
-        self.started = False
-        self.first: Callable[[], object] = lambda: None  # called once, when it has first spoken
+        self.healthy: bool | None = None
+        self.is_started = False
+        self.on_first_message: Callable[[], object] = _nothing  # called once
 
     def start(self) -> None:
-        """One more connection, unless one is coming up; it has as long to speak as silence may last."""
-        self.started = True
-        self._arm(self.silence)
-        if self.coming is None:
-            self.log.count(self.name, "opened")
-            self.coming = ClientCreator(self.reactor, Stream, self).connectTCP(
-                *self.address, timeout=self.connect_wait
+        """Open one more connection, unless one is being opened; it may be silent for `max_silence`."""
+        self.is_started = True
+        self._arm(self.max_silence)
+        if self.connecting is None:
+            self.log.count(self.settings.name, "opened")
+            self.connecting = ClientCreator(self.reactor, Stream, self).connectTCP(
+                *self.address, timeout=self.connect_timeout
             )
-            self.coming.addCallbacks(self._up, self._failed)
+            self.connecting.addCallbacks(self._on_connected, self._on_connect_failed)
 
     def move(self, address: tuple[str, int]) -> None:
-        """From now on at another address. What is open at the old one is read until the new one speaks: what
-        is told in between is not missed, whichever closes or comes up first."""
+        """Continue at another address.
+
+        What is open at the old one is read until the new one delivers, so that no update in between is
+        missed, whichever closes or comes up first.
+        """
         if address != self.address:
             self.address = address
-            if self.coming is not None:
-                self.coming.cancel()
-            if self.started:
+            if self.connecting is not None:
+                self.connecting.cancel()
+            if self.is_started:
                 self.start()
 
-    def _arm(self, wait: float) -> None:
+    def _arm(self, delay: float) -> None:
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        self.timer = self.reactor.callLater(wait, self._silent)
+        self.timer = self.reactor.callLater(delay, self._on_silence)
 
-    def _up(self, stream: Stream) -> None:
-        self.coming = None
+    def _on_connected(self, stream: Stream) -> None:
+        self.connecting = None
         if not stream.over:
             self.streams.append(stream)
         elif not self.streams:
-            self._arm(self.connect_wait)
+            self._arm(self.connect_timeout)
 
-    def _failed(self, failure: Any) -> None:
-        self.coming = None
-        self._state(False, failure.getErrorMessage())
-        self._arm(self.connect_wait)
+    def _on_connect_failed(self, failure: Any) -> None:
+        self.connecting = None
+        self._set_healthy(False, failure.getErrorMessage())
+        self._arm(self.connect_timeout)
 
-    def _silent(self) -> None:
-        """Nothing for long: the newest gets one more beside it, and an older one than that is let go."""
-        self._state(False, "silent")
+    def _on_silence(self) -> None:
+        """Open another connection beside the newest, and drop those older than that."""
+        self._set_healthy(False, "silent")
         for stream in self.streams[:-1]:
             self._drop(stream)
         self.start()
 
-    def heard(self, stream: Stream, line: memoryview) -> None:
-        """A line that can be read, on any of them: that one stays, the others have served. One at an address
-        left behind ends nothing at the present one, and is read out before what comes after it."""
-        present = stream.address == self.address
-        served = [s for s in self.streams if s is not stream and (present or s.address != self.address)]
+    def on_received(self, stream: Stream, message: memoryview) -> None:
+        """Deliver a message of any stream: that stream stays, the others have served.
+
+        A message from an address left behind ends nothing at the present one, and is read out before what
+        comes after it.
+        """
+        is_present = stream.address == self.address
+        served = [
+            other
+            for other in self.streams
+            if other is not stream and (is_present or other.address != self.address)
+        ]
         for other in served:
-            if present and other.address != self.address:
+            if is_present and other.address != self.address:
                 read_out(other.transport)
-        if bytes(line).strip():
-            self.told(line)
-        stream.spoke, self.refusals = True, 0
-        first, self.first = self.first, lambda: None
+        if bytes(message).strip():
+            self.on_message(message)
+        stream.has_delivered = True
+        self.rejections = 0
+        first, self.on_first_message = self.on_first_message, _nothing
         first()
-        if present:
-            self._state(True, "")
-            self._arm(self.silence)
+        if is_present:
+            self._set_healthy(True, "")
+            self._arm(self.max_silence)
         for other in served:
             if not other.over:
                 self._drop(other)
@@ -148,24 +207,30 @@
         self.streams.remove(stream)
         stream.transport.abortConnection()
 
-    def ended(self, stream: Stream) -> None:
-        """The one place where a connection is given back; taken up anew when none is left: at once after one
-        that spoke, so that what it could not tell is soon told anew, else after a wait."""
-        dropped, stream.over = stream.over, True
+    def on_stream_ended(self, stream: Stream) -> None:
+        """Release a connection, the one place for that, and reopen the watch if none is left.
+
+        At once after one that has delivered, so that what it could not is soon delivered; else after a delay.
+        """
+        was_dropped = stream.over
+        stream.over = True
         if stream in self.streams:
             self.streams.remove(stream)
-        if not dropped and not self.streams and self.coming is None:
-            self._state(False, "ended")
-            self._arm(0 if stream.spoke else self._refused())
-
-    def _refused(self) -> float:
-        """How long to wait after an answer that ended without a word, in s: a server that a whole fleet asks
-        anew at once goes on refusing, so the wait's longest doubles each time, and its length is random."""
-        longest = min(2**self.refusals, REFUSED_MOST)
-        self.refusals += 1
-        return self.connect_wait * self.random.uniform(1, longest)
-
-    def _state(self, well: bool, why: str) -> None:
-        if well != self.well:
-            self.well = well
-            self.log.event(f"{self.name}.{'regained' if well else 'lost'}", why=why)
+        if not was_dropped and not self.streams and self.connecting is None:
+            self._set_healthy(False, "ended")
+            self._arm(0 if stream.has_delivered else self._retry_delay())
+
+    def _retry_delay(self) -> float:
+        """Return seconds to wait after a response that ended without a message.
+
+        The longest delay doubles each time and its length is random: a server that a whole fleet asks again
+        at once would go on rejecting.
+        """
+        longest = min(2**self.rejections, MAX_RETRY_FACTOR)
+        self.rejections += 1
+        return self.connect_timeout * self.random.uniform(1, longest)
+
+    def _set_healthy(self, healthy: bool, why: str) -> None:
+        if healthy != self.healthy:
+            self.healthy = healthy
+            self.log.event(f"{self.settings.name}.{'regained' if healthy else 'lost'}", why=why)
--- a/linenbridge/process/__init__.py
+++ b/linenbridge/process/__init__.py
@@ -1,1 +1,1 @@
-"""Starting and ending one process: what it is told, its parts, its signals. Nothing here decides."""
+"""Start and end of one process: its configuration, its components, its signals."""
--- a/linenbridge/process/components.py
+++ b/linenbridge/process/components.py
@@ -1,6 +1,6 @@
-"""One gateway's parts, put together, and its configuration read anew.
+"""The components of one gateway: built from its configuration, and reloaded.
 
-Owns which part knows which. It must never decide, nor hold anything once the parts run.
+Owns which component knows which. Decides nothing, and holds nothing once the components run.
 """
 
 from __future__ import annotations
@@ -8,32 +8,38 @@
 import os
 import time
 from collections.abc import Callable
+from dataclasses import dataclass
 from functools import partial
 from random import Random
 from typing import Any, NamedTuple
 
-from linenbridge.policy import DecisionModule
 from linenbridge.interface import Startup
-from linenbridge.net.downstream import Clients
-from linenbridge.net.discovery import Discovery, Taker, host_port
-from linenbridge.net.watch_stream import Follow
-from linenbridge.net.upstream import Descriptors, Instances
 from linenbridge.logging.event_log import Log
 from linenbridge.net.decision_loop import DecisionLoop
+from linenbridge.net.discovery import Discovery, EndpointListener, host_port
+from linenbridge.net.downstream import Clients
 from linenbridge.net.platform import Platform
+from linenbridge.net.upstream import Descriptors, Instances
+from linenbridge.net.watch_stream import WatchStream
+from linenbridge.policy import DecisionModule
 from linenbridge.process.configuration import ProcessConfiguration, load
 from linenbridge.startup import micros, startup
 
-# The listener, both streams with their second connections, two votes, and the configuration when read anew.
-BESIDE_INSTANCES = 8
+# Descriptors for the listener, both watches with their second connections, two votes, and the configuration
+# when it is read again.
+RESERVED_DESCRIPTORS = 8
+MEBIBYTE = 1 << 20
+LINE_SHARE_OF_MEMORY = 16  # a list, or half-read commands, may take one part in so many
+CLIENT_POOL_SHARE = 3  # LATER, Score: clients hold one descriptor in so many at most
 
 
 def now() -> int:
+    """Return the gateway's clock, in microseconds."""
     return time.monotonic_ns() // 1000
 
 
-class Parts(NamedTuple):
-    """One gateway's parts. `clients` and `instances` serve RESP2 once the former listen."""
+class GatewayComponents(NamedTuple):
+    """One gateway's components. `clients` and `instances` serve RESP2 once the former listen."""
 
     clients: Clients
     instances: Instances
@@ -42,61 +48,107 @@
     loop: DecisionLoop
 
 
+@dataclass(frozen=True, slots=True)
+class _Budgets:
+    """What one gateway may use: descriptors for clients and instances together, and bytes of one message."""
+
+    descriptors: int
+    max_line: int
+
+
+def _budgets(configuration: ProcessConfiguration) -> _Budgets:
+    in_use = len(os.listdir("/proc/self/fd")) + RESERVED_DESCRIPTORS
+    max_line = int(configuration.limits.memory_mb * MEBIBYTE) // LINE_SHARE_OF_MEMORY
+    return _Budgets(configuration.limits.sockets - in_use, max_line)
+
+
 def build(
-    at: ProcessConfiguration, log: Log, reactor: Any, more: Callable[[DecisionLoop], Taker] | None = None,
+    configuration: ProcessConfiguration,
+    log: Log,
+    reactor: Any,
+    add_front: Callable[[DecisionLoop], EndpointListener] | None = None,
     start: Startup | None = None,
-) -> Parts:  # fmt: skip
-    """The parts of one gateway; the module has heard the list and the news before anyone can ask. `more` adds
-    another front to the same loop; `start` is what the module is given, where not what the settings say."""
-    settings, start = at.settings, start or startup(at.settings)
+) -> GatewayComponents:
+    """Build one gateway; the module has the list and the rollout's state before anyone can send a request.
+
+    `add_front` adds another front to the same loop. `start` replaces what the settings give the module.
+    """
+    settings = configuration.settings
+    start = start or startup(settings)
     methods = {method.name: method for method in start.methods}
-    connect_wait = micros(settings.permissions.connect_timeout)
-    answer_wait = micros(settings.family_info.answer_wait)
-    # An RPC that is out holds one of each.
-    most = at.limits.sockets - len(os.listdir("/proc/self/fd")) - BESIDE_INSTANCES
-    loop = DecisionLoop(DecisionModule(start, int(at.seed, 16), now()), reactor, now, log)
-    instances = Instances(
-        loop, reactor, most // 2, connect_wait, micros(settings.permissions.idle_close), log
-    )
-    # A list, or half-read commands, beyond this would not be held anyway.
-    line_most = int(at.limits.memory_mb * (1 << 20)) // 16
-    random = Random(int(at.seed, 16))
-    follow = partial(
-        Follow, reactor=reactor, connect_wait=connect_wait, most=line_most, log=log, random=random
-    )
-    unix_offset = now() - time.time_ns() // 1000
-    takers = (instances,) if more is None else (instances, more(loop))
+    budgets = _budgets(configuration)
+    seed = int(configuration.seed, 16)
+    connect_timeout = micros(settings.permissions.connect_timeout)
+
+    loop = DecisionLoop(DecisionModule(start, seed, now()), reactor, now, log)
+    idle_timeout = micros(settings.permissions.idle_close)
+    # A request in flight holds one descriptor on each side.
+    instances = Instances(loop, reactor, budgets.descriptors // 2, connect_timeout, idle_timeout, log)
+    listeners = (instances,) if add_front is None else (instances, add_front(loop))
+
+    open_watch = partial(WatchStream, reactor=reactor, log=log, random=Random(seed))
     discovery = Discovery(
-        loop, takers, unix_offset, settings.discovery == "push", log,
-        partial(follow, address=host_port(at.discovery)),
-    )  # fmt: skip
-    address = host_port(at.platform.address)
+        loop,
+        listeners,
+        now() - time.time_ns() // 1000,
+        settings.discovery == "push",
+        partial(open_watch, address=host_port(configuration.discovery)),
+        connect_timeout,
+        budgets.max_line,
+    )
+    address = host_port(configuration.platform.address)
     platform = Platform(
-        loop, reactor, address, methods, connect_wait, answer_wait, log, partial(follow, address=address)
+        loop,
+        reactor,
+        address,
+        methods,
+        connect_timeout,
+        micros(settings.family_info.answer_wait),
+        budgets.max_line,
+        log,
+        partial(open_watch, address=address),
     )
-    loop.platform, loop.discovery = platform, discovery
-    if at.known is not None:
-        discovery.take(at.known, answers=False)
-    if at.platform.news is not None:
-        platform.stands(at.platform.news, vote=False)
+    loop.platform = platform
+    loop.discovery = discovery
+    _begin(configuration, discovery, platform, loop)
+
+    clients = Clients(
+        loop,
+        reactor,
+        instances,
+        methods,
+        micros(max(profile.give_up for profile in settings.profiles)),
+        budgets.max_line,
+        Descriptors(budgets.descriptors - budgets.descriptors // 2),
+        configuration.limits.sockets // CLIENT_POOL_SHARE,
+        log,
+    )
+    return GatewayComponents(clients, instances, platform, discovery, loop)
+
+
+def _begin(
+    configuration: ProcessConfiguration, discovery: Discovery, platform: Platform, loop: DecisionLoop
+) -> None:
+    """Report the state that the configuration has, then watch for what changes."""
+    if configuration.known is not None:
+        discovery.apply(configuration.known, is_poll_response=False)
+    if configuration.platform.news is not None:
+        platform.on_rollout_status(configuration.platform.news, is_vote_response=False)
     loop.turn()
     discovery.start()
     platform.start()
-    longest = micros(max(profile.give_up for profile in settings.profiles))
-    descriptors = Descriptors(most - most // 2)
-    pool = at.limits.sockets // 3  # LATER, Score: what clients hold of the descriptors for RPCs, at most
-    clients = Clients(loop, reactor, instances, methods, longest, line_most, descriptors, pool, log)
-    return Parts(clients, instances, platform, discovery, loop)
 
 
-def reload(parts: Parts, log: Log, environ: dict[str, str]) -> None:
-    """The configuration read anew: discovery and the platform are taken up where it says. What else it holds
-    counts from the next start. One that cannot be used leaves all as it is."""
+def reload(components: GatewayComponents, log: Log, environ: dict[str, str]) -> None:
+    """Read the configuration again, and use discovery and the platform at the addresses in it.
+
+    All else in it counts from the next start. One that can't be used changes nothing, and is logged.
+    """
     try:
-        at = load(environ)
+        configuration = load(environ)
     except ValueError as error:
-        log.event("reload.refused", error=str(error))
+        log.event("reload.rejected", error=str(error))
         return
-    parts.discovery.move(host_port(at.discovery))
-    parts.platform.move(host_port(at.platform.address))
-    log.event("reloaded", discovery=at.discovery, platform=at.platform.address)
+    components.discovery.move(host_port(configuration.discovery))
+    components.platform.move(host_port(configuration.platform.address))
+    log.event("reloaded", discovery=configuration.discovery, platform=configuration.platform.address)
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -223,7 +223,7 @@
     def counters() -> None:
         log.counters(
             open=parts.loop.unanswered, clients=parts.clients.descriptors.open,
-            lines=parts.instances.descriptors.open, **server.open_now(),
+            upstream=parts.instances.descriptors.open, **server.open_now(),
             **({} if member is None else member.facts()),
             **({} if follower is None else follower.facts()),
         )  # fmt: skip
