--- a/linenbridge/cli/commands.py
+++ b/linenbridge/cli/commands.py
@@ -12,6 +12,7 @@
 from pathlib import Path
 from typing import Annotated
 
+import msgspec
 import typer
 from rich.console import Console
 from rich.table import Table as Grid
@@ -190,7 +191,7 @@
     request = Request(authority, path, verb, "http", headers, attributes)
     asked, steps = table.find(request), table.explain(request)
     if as_json:
-        found = None if asked is None else {name: getattr(asked, name) for name in asked.__struct_fields__}
+        found = msgspec.to_builtins(asked)
         rows = [{"route": s.rule, "took": s.took, "answers": [list(a) for a in s.answers]} for s in steps]
         print(json.dumps({"rpc": found, "routes": rows}))
     else:
--- a/linenbridge/routes/table.py
+++ b/linenbridge/routes/table.py
@@ -15,6 +15,7 @@
 from typing import Protocol
 from urllib.parse import parse_qsl
 
+import msgspec
 from msgspec import Struct
 
 from linenbridge.interface import Method
@@ -76,7 +77,9 @@
     method: str
     tenant: str
     key: str | None
-    latency_objective: int
+    latency_objective: int = msgspec.field(
+        name="soft_deadline"
+    )  # the name that `route explain --json` prints
     deadline: int
     cost: int | None
 
--- /dev/null
+++ b/tests/compatibility/test_command_line.py
@@ -0,0 +1,48 @@
+"""The command line has the commands, options and exit codes of commit 4d24a08."""
+
+from __future__ import annotations
+
+import json
+from pathlib import Path
+from typing import Any
+
+import pytest
+from typer.main import get_command
+
+from linenbridge.cli.commands import app
+from tests.compatibility.command_line import CALLS, call, lay_out, options
+
+ROOT = Path(__file__).parents[2]
+RECORD: dict[str, Any] = json.loads(
+    Path(__file__).with_name("data").joinpath("command_line.json").read_text()
+)
+
+
+@pytest.fixture
+def files(tmp_path, monkeypatch):
+    """A working folder with the files that the calls name."""
+    for name in ("LB_SETTINGS", "LB_CONFIG"):
+        monkeypatch.delenv(name, raising=False)
+    lay_out(tmp_path, ROOT / "examples" / "config.json")
+    monkeypatch.chdir(tmp_path)
+    return tmp_path
+
+
+@pytest.mark.parametrize("path", sorted(RECORD["commands"]), ids=lambda path: path or "linenbridge")
+def test_a_command_has_the_same_options(path):
+    found = dict(options(get_command(app)))
+
+    assert found[path] == RECORD["commands"][path]
+
+
+@pytest.mark.parametrize("row", RECORD["calls"], ids=lambda row: " ".join(row["words"]) or "linenbridge")
+def test_a_call_ends_with_the_same_code(files, row):
+    words = tuple(row["words"])
+
+    found = json.loads(json.dumps(call(app, words)).replace(str(files), "FOLDER"))
+
+    assert {"words": row["words"], **found} == row
+
+
+def test_every_call_is_recorded():
+    assert [tuple(row["words"]) for row in RECORD["calls"]] == list(CALLS)
