--- a/linenbridge/fleet/__init__.py
+++ b/linenbridge/fleet/__init__.py
@@ -1,5 +1,7 @@
-"""What the copies of linenbridge do together, in installations where gateways may talk to each other.
+"""Coordination among the gateways of an installation, where they may talk to each other.
 
-Leases for fleet-wide tasks, the links between members, what outlives a process. Nothing here is imported by
-the platform's gateway. How it is made: docs/fleet-together.md; how to run it: docs/oncall-fleet.md.
+`leases` decides who holds a fleet-wide task, `store` keeps an acceptor's records on disk, `freezes` decides
+when rollouts are frozen, `hosting` runs all of these on Twisted's reactor, and `configuration` reads the
+settings. None of it is imported by a gateway on the users' platform. How it works: docs/fleet-together.md;
+how to run it: docs/oncall-fleet.md.
 """
--- a/linenbridge/fleet/freezes/configuration.py
+++ b/linenbridge/fleet/freezes/configuration.py
@@ -16,7 +16,7 @@
     attributes,
     duration,
     read,
-)  # fmt: skip
+)
 from linenbridge.configuration.values import flag
 from linenbridge.errors import FileFaultError
 from linenbridge.fleet.freezes.windows import Window
--- a/linenbridge/fleet/hosting/acceptor_host.py
+++ b/linenbridge/fleet/hosting/acceptor_host.py
@@ -30,9 +30,15 @@
     whose record is on disk, `on_store_failed()` after a write has failed."""
 
     def __init__(
-        self, settings: FleetSettings, reactor: Any, log: Log, incarnation: int, now: int,
-        on_persisted: Callable[[Send], None], on_store_failed: Callable[[], None],
-    ) -> None:  # fmt: skip
+        self,
+        settings: FleetSettings,
+        reactor: Any,
+        log: Log,
+        incarnation: int,
+        now: int,
+        on_persisted: Callable[[Send], None],
+        on_store_failed: Callable[[], None],
+    ) -> None:
         """Read the store, then start the acceptor, which grants nothing if the store can't be used."""
         self.reactor = reactor
         self.log = log
--- a/linenbridge/fleet/hosting/freezes.py
+++ b/linenbridge/fleet/hosting/freezes.py
@@ -28,9 +28,12 @@
     everywhere, None for nowhere."""
 
     def __init__(
-        self, windows: tuple[Window, ...], reactor: Any, log: Log,
+        self,
+        windows: tuple[Window, ...],
+        reactor: Any,
+        log: Log,
         on_change: Callable[[frozenset[str] | None], None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Begin at once: windows that are open now are reported before this returns."""
         self.reactor = reactor
         self.log = log
--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -61,10 +61,14 @@
     """
 
     def __init__(
-        self, settings: FleetSettings, reactor: Any, log: Log, incarnation: int,
+        self,
+        settings: FleetSettings,
+        reactor: Any,
+        log: Log,
+        incarnation: int,
         on_rollout_freeze: Callable[[frozenset[str] | None], None] = ignore_rollout_freeze,
         on_task_changed: Callable[[str], None] = ignore_task_change,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Start: listen, connect to the acceptors and request the leases of all tasks."""
         now = clock.now()
         self.settings = settings
@@ -81,21 +85,32 @@
         self.has_left = False
         if settings.is_acceptor():
             self._start_acceptor(now)
-        self.connections = PeerConnections(
-            settings.member, frozenset(settings.members), reactor, log, self._on_message,
-            decoder=MESSAGE_DECODER,
-        )  # fmt: skip
+        self.connections = self._new_connections()
         host, port = settings.listen
         self.port = reactor.listenTCP(port, self.connections, interface=host)
         self._dial_acceptors()
-        for task in settings.tasks:
-            if task.task != RESTARTS_TASK:
-                self.proposer.request_lease(now, task.task, task.slots)
+        self._request_leases(now)
         self.freezes = RolloutFreezes(settings.windows, reactor, log, on_rollout_freeze)
         self.actions = TaskActions(self.name, settings.tasks, reactor, log, self.active_lease)
         self._log_start()
         self.turn()
 
+    def _new_connections(self) -> PeerConnections:
+        return PeerConnections(
+            self.settings.member,
+            frozenset(self.settings.members),
+            self.reactor,
+            self.log,
+            self._on_message,
+            decoder=MESSAGE_DECODER,
+        )
+
+    def _request_leases(self, now: int) -> None:
+        """Request the leases of all tasks; a turn to restart is requested by `leave` alone."""
+        for task in self.settings.tasks:
+            if task.task != RESTARTS_TASK:
+                self.proposer.request_lease(now, task.task, task.slots)
+
     def _log_start(self) -> None:
         self.log.event(
             "member.started",
@@ -106,9 +121,14 @@
 
     def _start_acceptor(self, now: int) -> None:
         self.acceptor_host = AcceptorHost(
-            self.settings, self.reactor, self.log, self.incarnation, now,
-            on_persisted=self._send, on_store_failed=self.turn,
-        )  # fmt: skip
+            self.settings,
+            self.reactor,
+            self.log,
+            self.incarnation,
+            now,
+            on_persisted=self._send,
+            on_store_failed=self.turn,
+        )
 
     @property
     def acceptor(self) -> Acceptor | None:
--- a/linenbridge/fleet/hosting/task_actions.py
+++ b/linenbridge/fleet/hosting/task_actions.py
@@ -84,9 +84,13 @@
     """
 
     def __init__(
-        self, member: str, tasks: tuple[TaskSettings, ...], reactor: Any, log: Log,
+        self,
+        member: str,
+        tasks: tuple[TaskSettings, ...],
+        reactor: Any,
+        log: Log,
         active_lease: Callable[[str], ActiveLease | None],
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Set a timer for each task."""
         self.member = member
         self.reactor = reactor
--- a/linenbridge/peering/connections.py
+++ b/linenbridge/peering/connections.py
@@ -228,11 +228,18 @@
     noisy = False
 
     def __init__(
-        self, name: str, peer_names: PeerNames, reactor: Any, log: Log,
-        on_message: Callable[[str, Any], None], *, decoder: msgspec.msgpack.Decoder[Any],
-        max_connections: int | None = None, max_unsent_bytes: int = MAX_UNSENT_BYTES,
+        self,
+        name: str,
+        peer_names: PeerNames,
+        reactor: Any,
+        log: Log,
+        on_message: Callable[[str, Any], None],
+        *,
+        decoder: msgspec.msgpack.Decoder[Any],
+        max_connections: int | None = None,
+        max_unsent_bytes: int = MAX_UNSENT_BYTES,
         on_peer_changed: PeerChanged = ignore_peer_change,
-    ) -> None:  # fmt: skip
+    ) -> None:
         """Raise ValueError if the names are a rule and there is no bound on connections."""
         if max_connections is None and not isinstance(peer_names, frozenset):
             raise ValueError("connections to names by a rule need a bound on connections")
--- a/tests/fleet/freezes/test_windows.py
+++ b/tests/fleet/freezes/test_windows.py
@@ -28,8 +28,10 @@
 def test_every_second_week_in_seoul():
     often = window("2026-12-08T02:00", "2026-12-08T04:30", every=2, unit="week")
     assert shown(list(islice(occurrences(often, 0), 3))) == [
-        ("12-07T17:00", "12-07T19:30"), ("12-21T17:00", "12-21T19:30"), ("01-04T17:00", "01-04T19:30"),
-    ]  # fmt: skip
+        ("12-07T17:00", "12-07T19:30"),
+        ("12-21T17:00", "12-21T19:30"),
+        ("01-04T17:00", "01-04T19:30"),
+    ]
 
 
 def test_occurrences_that_are_over_are_left_out_and_those_that_have_begun_are_not():
@@ -64,15 +66,19 @@
 def test_the_31st_comes_back_after_short_months():
     monthly = window("2027-01-31T10:00", "2027-01-31T11:00", every=1, unit="month")
     assert [row[0][:5] for row in shown(list(islice(occurrences(monthly, 0), 4)))] == [
-        "01-31", "02-28", "03-31", "04-30"
-    ]  # fmt: skip
+        "01-31",
+        "02-28",
+        "03-31",
+        "04-30",
+    ]
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(
-    st.datetimes(datetime(2026, 1, 1), datetime(2029, 1, 1)), st.integers(1, 10_000),
+    st.datetimes(datetime(2026, 1, 1), datetime(2029, 1, 1)),
+    st.integers(1, 10_000),
     st.sampled_from((SEOUL, BERLIN, SYDNEY)),
-)  # fmt: skip
+)
 def test_every_minute_that_a_clock_shows_inside_is_inside(begin, minutes, zone):
     """Against the plain reading: an instant is inside where the zone's clock shows a time within the
     window."""
--- a/tests/fleet/procs/installation.py
+++ b/tests/fleet/procs/installation.py
@@ -84,8 +84,9 @@
     def write_settings(self, member: str) -> None:
         others = "".join(
             f'<member name="{other}" address="127.0.0.1:{self.network.ports.get((member, other), 9)}"/>'
-            for other in self.members if other != member
-        )  # fmt: skip
+            for other in self.members
+            if other != member
+        )
         acceptors = "".join(f'<seat name="{acceptor}"/>' for acceptor in self.acceptors)
         (self.folder / f"{member}.xml").write_text(
             f'<linenbridge xmlns="urn:linenbridge:premises:1">\n<fleet member="{member}" '
--- a/tests/fleet/procs/test_rollout_freezes.py
+++ b/tests/fleet/procs/test_rollout_freezes.py
@@ -37,10 +37,21 @@
     (tmp_path / "s.xml").write_text(SETTINGS.format(processor=processor, fleet=fleet))
     (tmp_path / "freezes.xml").write_text(window())
     process = subprocess.Popen(
-        [sys.executable, "-m", "linenbridge", "serve", "-s", str(tmp_path / "s.xml"),
-         "-c", str(tmp_path / "config.json")],
-        cwd=ROOT, stderr=subprocess.PIPE, text=True, env=dict(os.environ),
-    )  # fmt: skip
+        [
+            sys.executable,
+            "-m",
+            "linenbridge",
+            "serve",
+            "-s",
+            str(tmp_path / "s.xml"),
+            "-c",
+            str(tmp_path / "config.json"),
+        ],
+        cwd=ROOT,
+        stderr=subprocess.PIPE,
+        text=True,
+        env=dict(os.environ),
+    )
     yield process
     process.kill()
     process.wait()
--- a/tests/fleet/test_configuration.py
+++ b/tests/fleet/test_configuration.py
@@ -57,19 +57,32 @@
 @pytest.mark.parametrize(
     ("data", "line"),
     [
-        (settings_text(attributes='lease="5s" longest="2s"'), "x.xml:2:1: the lease is longer than `longest`; raise"),
+        (
+            settings_text(attributes='lease="5s" longest="2s"'),
+            "x.xml:2:1: the lease is longer than `longest`; raise",
+        ),
         (settings_text(attributes='lease="5s" beat="4s"'), "three beats; shorten"),
         (settings_text(attributes='clocks-apart="50%"'), "by half; name the bound"),
         (settings_text(OTHERS + OTHERS + ACCEPTORS), "x.xml:3:133: two members are named g2; give each"),
         (settings_text(OTHERS + ACCEPTORS.replace('"g3"', '"g9"')), "nobody is named g9; add the member"),
         (settings_text(OTHERS + ACCEPTORS.replace('"g3"', '"g2"')), "g2 is an acceptor already"),
         (settings_text(OTHERS + '<quorum><acceptor name="g1"/></quorum>'), "3 to 7 acceptors, not 1"),
-        (settings_text(OTHERS + ACCEPTORS.replace('name="g2"', 'name="g2" leaves="true"').replace(
-            "</quorum>", '<acceptor name="g4" joins="true"/></quorum>')), "two acceptors change at once; change one"),
-        (settings_text(OTHERS + ACCEPTORS + '<task name="a"/><task name="a"/>'), "the task a is there already; name it once"),
+        (
+            settings_text(
+                OTHERS
+                + ACCEPTORS.replace('name="g2"', 'name="g2" leaves="true"').replace(
+                    "</quorum>", '<acceptor name="g4" joins="true"/></quorum>'
+                )
+            ),
+            "two acceptors change at once; change one",
+        ),
+        (
+            settings_text(OTHERS + ACCEPTORS + '<task name="a"/><task name="a"/>'),
+            "the task a is there already; name it once",
+        ),
         (settings_text(OTHERS + ACCEPTORS + '<task name="a" places="65"/>'), "64 places at most"),
     ],
-)  # fmt: skip
+)
 def test_a_fault_is_named_with_its_place_and_what_to_do(data, line):
     with pytest.raises(ConfigurationError) as error:
         fleet_settings(parse(data, "x.xml"))
@@ -95,8 +108,11 @@
         (tmp_path / "x.xml").write_bytes(data)
         run = subprocess.run(
             [sys.executable, "-m", "linenbridge", "serve", "--settings", str(tmp_path / "x.xml")],
-            cwd=root, capture_output=True, text=True, timeout=60,
-        )  # fmt: skip
+            cwd=root,
+            capture_output=True,
+            text=True,
+            timeout=60,
+        )
 
         assert run.returncode == BAD_SETTINGS
         assert "x.xml" in run.stderr
--- a/tests/peering/test_connections.py
+++ b/tests/peering/test_connections.py
@@ -17,8 +17,14 @@
 
 from linenbridge.logging.event_log import Log
 from linenbridge.peering.connections import (
-    CONNECT_TIMEOUT, Deliver, Hello, PeerConnection, PeerConnections, PeerNames, WellFormedNames,
-)  # fmt: skip
+    CONNECT_TIMEOUT,
+    Deliver,
+    Hello,
+    PeerConnection,
+    PeerConnections,
+    PeerNames,
+    WellFormedNames,
+)
 from tests.compatibility.fleet_fakes import SocketInMemory, amp_box
 
 
@@ -72,10 +78,14 @@
         self.changes: list[tuple[str, bool]] = []
         names = frozenset(peer_names.split()) if isinstance(peer_names, str) else peer_names
         self.connections = PeerConnections(
-            name, names, self.reactor, self.log, lambda *message: self.messages.append(message),
+            name,
+            names,
+            self.reactor,
+            self.log,
+            lambda *message: self.messages.append(message),
             on_peer_changed=lambda peer, *, connected: self.changes.append((peer, connected)),
             **{"decoder": msgpack.Decoder(Ping)} | options,
-        )  # fmt: skip
+        )
 
     def accept(self, transport: Any = None) -> PeerConnection | None:
         """A connection as from a listening port; None if it is not accepted."""
@@ -238,8 +248,10 @@
 
     assert ends[3][0] is None, "no more connections than the bound"
     assert {names for names in process.log.counts if names[0].startswith("peer.")} == {
-        ("peer.connected", "any"), ("peer.unauthorized", "any"), ("peer.too_many_connections", "all"),
-    }  # fmt: skip
+        ("peer.connected", "any"),
+        ("peer.unauthorized", "any"),
+        ("peer.too_many_connections", "all"),
+    }
 
 
 def stuck(max_unsent_bytes: int) -> tuple[Process, PeerConnection, StuckSocket]:
