--- a/tests/days.py
+++ b/tests/days.py
@@ -52,7 +52,9 @@
         self.start = replace(self._settings(), tenant_quotas=shares or {})
         self.tenants = (*NAMES, *self.start.tenant_quotas)
         self.gateways = self.start.allowances.gateway_count
-        self.now, self.count, self.lines = 0, 0, list[str]()
+        self.now = 0
+        self.count = 0
+        self.lines = list[str]()
         self.gateway = DecisionModule(self.start, seed, 0)
         self.entries = {
             number: self._entry(number, 1, InstanceState.READY, LONG_AGO) for number in range(self._size())
@@ -120,13 +122,12 @@
 
     def _arrive(self) -> None:
         self.count += 1
-        rpc, method = f"r{self.count}", self.random.choice(self.start.methods)
+        rpc = f"r{self.count}"
+        method = self.random.choice(self.start.methods)
         work = self.random.choice((None, 5, 50))
         ttl = self.random.randrange(300 * MS, 4 * SECOND)
-        tenant, key = (
-            self.random.choice(self.tenants),
-            self.random.choice((None, self.random.randrange(40))),
-        )
+        tenant = self.random.choice(self.tenants)
+        key = self.random.choice((None, self.random.randrange(40)))
         self.open[rpc] = 0
         self.gateway.on_request(self.now, rpc, method.name, ttl, work, tenant, key)
 
@@ -170,10 +171,8 @@
         if random.random() < 0.1:
             self.gateway.on_endpoint_list_failed(self.now)
         if random.random() < 0.4:
-            build, phase = (
-                2 if turn < 12 else 3,
-                random.choice((RolloutPhase.ON_TRIAL, RolloutPhase.ON_TRIAL, RolloutPhase.ROLLING_BACK)),
-            )
+            build = 2 if turn < 12 else 3
+            phase = random.choice((RolloutPhase.ON_TRIAL, RolloutPhase.ON_TRIAL, RolloutPhase.ROLLING_BACK))
             cap = random.choice((0.2, 1.0)) if phase == RolloutPhase.ON_TRIAL else 0.0
             self.gateway.on_rollout_update(
                 self.now,
@@ -185,7 +184,8 @@
                 is_valid=True,
                 is_stale=False,
             )
-        build, method = random.choice((1, 2, 3)), random.choice(self.start.methods).name
+        build = random.choice((1, 2, 3))
+        method = random.choice(self.start.methods).name
         attempts = random.randrange(60)
         failed = random.randrange(attempts // 3 + 1)
         self.gateway.on_tally(
@@ -216,7 +216,8 @@
             elif isinstance(decision, CastVote):
                 valid = self.random.random() < 0.7
                 build, stage = (decision.build, decision.stage) if valid else (0, 0)
-                cap, stale = self.start.plan.caps[stage], not valid and self.random.random() < 0.3
+                cap = self.start.plan.caps[stage]
+                stale = not valid and self.random.random() < 0.3
                 self.gateway.on_rollout_update(
                     self.now,
                     build,
@@ -311,7 +312,8 @@
 
 def digest(seeds: int, steps: int = 1200, kind: str = "plain") -> tuple[str, int]:
     """Of the records of days 0 to `seeds` of a kind, and how many lines they hold."""
-    found, lines = hashlib.sha256(), 0
+    found = hashlib.sha256()
+    lines = 0
     day, shares = KINDS[kind]
     for seed in range(seeds):
         record = day(seed, shares).play(steps)
--- a/tests/policy/helpers.py
+++ b/tests/policy/helpers.py
@@ -22,7 +22,8 @@
     """RPCs that fail at build 2 only, until `count` of them did."""
     failures = number = 0
     while failures < count:
-        now, number = now + 10 * MS, number + 1
+        now += 10 * MS
+        number += 1
         gateway.on_request(now, f"f{now}", "look", 4 * SECOND, None, "", None)
         attempt = next(d for d in pull(gateway, now) if isinstance(d, SendAttempt) and d.rpc_id == f"f{now}")
         at_trial = attempt.instance == 4
--- a/tests/policy/test_change_detection.py
+++ b/tests/policy/test_change_detection.py
@@ -78,7 +78,8 @@
 
 def test_a_few_response_times_of_the_earlier_build_are_no_baseline():
     """After a restart late in a rollout the first quick answers of what drains were the whole comparison."""
-    gateway, without_alarm = running(), []
+    gateway = running()
+    without_alarm = []
     for attempts in (3, 40):
         gateway.detector.add(1, 0, Counts(attempts, 0, attempts, attempts * 10 * MS))
         for _ in range(12):
--- a/tests/policy/test_decision_module.py
+++ b/tests/policy/test_decision_module.py
@@ -10,7 +10,8 @@
 
 def test_unbounded_ids_and_tenants_do_not_make_tables_grow():
     """Instances come and go under new ids, with RPCs open on them; an index in use is never given away."""
-    gateway, now = running(), 0
+    gateway = running()
+    now = 0
     for n in range(300):
         now += 20 * MS
         gateway.on_request(now, f"r{n}", "look", SECOND, None, f"tenant{n}", None)
--- a/tests/policy/test_evidence.py
+++ b/tests/policy/test_evidence.py
@@ -37,13 +37,15 @@
 def test_a_gateway_with_few_requests_counts_its_own_errors_without_an_earlier_build():
     """Seen at three gateways: one alarmed, the others heard tallies, in which all methods failed alike."""
     gateway = running(gateway_count=3, tally_period=SECOND, rollback_votes=2)
-    now, number = 10 * SECOND, 0
+    now = 10 * SECOND
+    number = 0
     gateway.on_endpoint_list(
         now, [entry(n, build=2) for n in range(1, 5)], is_snapshot=True, is_poll_response=True
     )
     gateway.on_rollout_update(now, 2, 1, RolloutPhase.RELEASED, 1.0, is_vote_response=False, is_valid=True)
     while now < 70 * SECOND and not gateway.detector.sums.alarms:
-        now, number = now + SECOND // 2, number + 1
+        now += SECOND // 2
+        number += 1
         if number % 2:
             for method in gateway.methods:
                 gateway.on_tally(now, 2, method.name, 10, 1, 80 * MS, now)
--- a/tests/policy/test_gossip.py
+++ b/tests/policy/test_gossip.py
@@ -21,10 +21,8 @@
 
 
 def test_payloads_are_sent_to_peers_and_counted_there():
-    gateway, peer = (
-        running(gossip_allowed=True, gateway_count=3),
-        running(gossip_allowed=True, gateway_count=3),
-    )
+    gateway = running(gossip_allowed=True, gateway_count=3)
+    peer = running(gossip_allowed=True, gateway_count=3)
     payloads = []
     for n in range(40):
         gateway.on_request(n * 50 * MS, f"r{n}", "look", 4 * SECOND, None, "", None)
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -10,7 +10,9 @@
 
 def test_a_lost_response_is_hedged_within_the_budget():
     """An instance that goes on answering has lost one: its silence would not tell before the deadline."""
-    gateway, now, hedged = running(), 0, 0
+    gateway = running()
+    now = 0
+    hedged = 0
     for n in range(400):
         now += 10 * MS
         gateway.on_request(now, f"r{n}", ("look", "charge")[n % 2], 4 * SECOND, None, "", None)
--- a/tests/policy/test_load_balancing.py
+++ b/tests/policy/test_load_balancing.py
@@ -25,7 +25,8 @@
         now = n * 20 * MS
         gateway.on_request(now, f"r{n}", "look", 4 * SECOND, None, "", None)
         for sent in [d for d in pull(gateway, now) if isinstance(d, SendAttempt)]:
-            rpc, full = sent.rpc_id, sent.instance == 1
+            rpc = sent.rpc_id
+            full = sent.instance == 1
             gateway.on_attempt_finished(
                 now + MS, rpc, 0, Outcome.OVERLOADED if full else Outcome.OK, not full, MS, {}
             )
--- a/tests/policy/test_load_shedding.py
+++ b/tests/policy/test_load_shedding.py
@@ -33,12 +33,14 @@
     """Of forty gateways each finds room for its twenty RPCs a second while instances drown: one out from each
     is more than they answer in time. Four gateways' limits can keep the queue short."""
     for gateways, acts in ((40, True), (4, False)):
-        gateway, shed = DecisionModule(startup(gateway_count=gateways), seed=7, now=0), 0
+        gateway = DecisionModule(startup(gateway_count=gateways), seed=7, now=0)
+        shed = 0
         gateway.on_endpoint_list(
             0, [entry(number) for number in range(60)], is_snapshot=True, is_poll_response=True
         )
         for n in range(400):
-            now, outcome = n * 50 * MS, Outcome.OK if n < 200 else Outcome.OVERLOADED
+            now = n * 50 * MS
+            outcome = Outcome.OK if n < 200 else Outcome.OVERLOADED
             gateway.on_request(now, f"r{n}", "look", 4 * SECOND, None, "", None)
             shed += not sent(pull(gateway, now), f"r{n}")
             gateway.on_attempt_finished(now + 40 * MS, f"r{n}", 0, outcome, True, 40 * MS, {})
@@ -67,7 +69,8 @@
 
 def test_shedding_ends_within_seconds_where_few_responses_come():
     """Seventeen RPCs a second, one in twenty let through: too few answers to bring the level down soon."""
-    gateway, attempted = DecisionModule(startup(gateway_count=40), seed=7, now=0), []
+    gateway = DecisionModule(startup(gateway_count=40), seed=7, now=0)
+    attempted = []
     gateway.on_endpoint_list(
         0, [entry(number) for number in range(60)], is_snapshot=True, is_poll_response=True
     )
--- a/tests/policy/test_outlier_detection.py
+++ b/tests/policy/test_outlier_detection.py
@@ -12,8 +12,10 @@
 
 def test_silence_is_judged_by_how_much_is_in_flight():
     """In a slow hour every instance with one heavy RPC would else look dead to the pace of four."""
-    gateway, now = running(), 0
-    fleet, instance_index = gateway.fleet, gateway.fleet.index[1]
+    gateway = running()
+    now = 0
+    fleet = gateway.fleet
+    instance_index = gateway.fleet.index[1]
     for _ in range(4):
         fleet.on_sent(instance_index, now)
     for _ in range(100):
@@ -26,11 +28,9 @@
     assert not fleet.consecutive_failures[instance_index]
     list(gateway.hedger.decisions(now + 1400 * MS))
     assert fleet.consecutive_failures[instance_index] == 1
-    (
-        fleet.consecutive_failures[instance_index],
-        fleet.ejected_until[instance_index],
-        fleet.in_flight[instance_index],
-    ) = 0, 0, 4
+    fleet.consecutive_failures[instance_index] = 0
+    fleet.ejected_until[instance_index] = 0
+    fleet.in_flight[instance_index] = 4
     list(gateway.hedger.decisions(now + 600 * MS))
     assert fleet.consecutive_failures[instance_index] == 1
 
@@ -38,8 +38,10 @@
 def test_attempts_sent_together_to_an_idle_instance_do_not_shorten_the_expected_gap():
     """A gateway with few RPCs has two out at one of many instances now and then: both come after a whole
     service time, and half of the silence allowed would shun each instance on a slow path."""
-    gateway, now = running(), 0
-    fleet, instance_index = gateway.fleet, gateway.fleet.index[1]
+    gateway = running()
+    now = 0
+    fleet = gateway.fleet
+    instance_index = gateway.fleet.index[1]
     for _ in range(100):
         fleet.on_sent(instance_index, now)
         now += 100 * MS
@@ -61,12 +63,15 @@
     )
     gateway = DecisionModule(replace(start, methods=quick), seed=7, now=0)
     gateway.on_endpoint_list(0, [entry(n) for n in range(4)], is_snapshot=True, is_poll_response=True)
-    silent, hedged, now = None, set(), 0
+    silent = None
+    hedged = set()
+    now = 0
     for n in range(600):
         now += 2 * MS
         gateway.on_request(now, f"r{n}", "look", SECOND, None, "", None)
         for sent in [d for d in pull(gateway, now) if isinstance(d, SendAttempt)]:
-            rpc, instance = sent.rpc_id, sent.instance
+            rpc = sent.rpc_id
+            instance = sent.instance
             silent = instance if n == 400 else silent
             if instance != silent:
                 hedged |= {rpc} - {f"r{n}"}
--- a/tests/policy/test_rollout_votes.py
+++ b/tests/policy/test_rollout_votes.py
@@ -73,7 +73,10 @@
 def test_votes_of_two_hundred_gateways_are_in_effect_together_within_the_call_rate():
     """16 calls a second and 32 in a burst, votes that stand 6 s, 120 needed: a call for a vote that stands
     already, or to take an 'on' back for a moment, is one too few."""
-    gateways, in_effect_until, calls, at = [], [0] * 200, 32.0, 0
+    gateways = []
+    in_effect_until = [0] * 200
+    calls = 32.0
+    at = 0
     for number in range(200):
         gateway = DecisionModule(
             startup(gateway_number=number, gateway_count=200, calls_per_second=16.0), seed=number, now=0
@@ -89,7 +92,8 @@
         for number, gateway in enumerate(gateways):
             gateway.detector.sums.sums[0, LATENCY] = 0.3 if (number + at // (300 * MS)) % 10 == 0 else -0.1
             for vote in [decision for decision in pull(gateway, at) if isinstance(decision, CastVote)]:
-                counted, calls = calls >= 1.0, calls - (calls >= 1.0)
+                counted = calls >= 1.0
+                calls = calls - (calls >= 1.0)
                 in_effect_until[number] = (
                     at + 6 * SECOND * (vote.vote == Vote.PROMOTE) if counted else in_effect_until[number]
                 )
--- a/tests/policy/test_safety_rules.py
+++ b/tests/policy/test_safety_rules.py
@@ -21,7 +21,8 @@
         start.methods[0],
         Method("store", Idempotency.IDEMPOTENT_BY_KEY, group, window, 4 * SECOND, 2.0),
     )
-    gateway, now = DecisionModule(replace(start, methods=methods), seed=3, now=0), 10 * SECOND
+    gateway = DecisionModule(replace(start, methods=methods), seed=3, now=0)
+    now = 10 * SECOND
     gateway.on_endpoint_list(now, [entry(n) for n in (1, 2, 3)], is_snapshot=True, is_poll_response=True)
     gateway.on_request(now, "r", "store", 8 * SECOND, None, "", None)
     assert [type(decision) for decision in pull(gateway, now)] == [SendAttempt]
@@ -45,7 +46,8 @@
 
 
 def test_a_possibly_executed_request_by_key_is_rejected_only_while_its_client_can_retry_in_the_window():
-    wait, lead = SECOND, 250 * MS + 50 * MS
+    wait = SECOND
+    lead = 250 * MS + 50 * MS
     for after, group, answer in (
         (5 * SECOND - lead - wait - MS, "all", Reject("r", wait)),
         (5 * SECOND - lead - wait, "all", Fail("r")),
--- a/tests/state/test_counters.py
+++ b/tests/state/test_counters.py
@@ -43,7 +43,9 @@
 @settings(max_examples=300, deadline=None)
 @given(ARRIVALS)
 def test_usage_is_the_same_to_the_last_bit_though_rates_are_evicted(arrivals):
-    quota_usage, plain, now = QuotaUsage(MEMORY, NAMES, 1_000), PlainQuotaUsage(NAMES), 0
+    quota_usage = QuotaUsage(MEMORY, NAMES, 1_000)
+    plain = PlainQuotaUsage(NAMES)
+    now = 0
     for wait, name in arrivals:
         now += wait
         assert quota_usage.usage(now, name) == plain.usage(now, name)
@@ -52,10 +54,13 @@
 @settings(max_examples=200, deadline=None)
 @given(ARRIVALS, st.integers(1, 5))
 def test_with_more_tenants_than_rates_usage_is_too_low_by_the_evicted_rest(arrivals, max_wait):
-    quota_usage, plain, now = QuotaUsage(MEMORY, NAMES, max_wait), PlainQuotaUsage(NAMES), 0
+    quota_usage = QuotaUsage(MEMORY, NAMES, max_wait)
+    plain = PlainQuotaUsage(NAMES)
+    now = 0
     for wait, name in arrivals:
         now += wait
-        stored, right = name in quota_usage.rates or name not in NAMES, plain.usage(now, name)
+        stored = name in quota_usage.rates or name not in NAMES
+        right = plain.usage(now, name)
         remaining = plain.rates[name][0] - 1.0 if name in NAMES else 0.0
         error = right - quota_usage.usage(now, name)
         assert -1e-12 <= error <= remaining / plain.rates["all"][0] + 1e-12
--- a/tests/state/test_fleet.py
+++ b/tests/state/test_fleet.py
@@ -12,7 +12,8 @@
 from linenbridge.state import fleet as fleet_module
 from linenbridge.state.fleet import Fleet
 
-GAP, LIMIT = 400_000.0, 3.0
+GAP = 400_000.0
+LIMIT = 3.0
 NUMBER = 3
 
 
@@ -44,10 +45,8 @@
                 if free:
                     instance_index = free[0]
                     del self.index[self.slots[instance_index].instance]
-                    self.slots[instance_index], self.resets[instance_index] = (
-                        entry,
-                        self.resets[instance_index] + 1,
-                    )
+                    self.slots[instance_index] = entry
+                    self.resets[instance_index] = self.resets[instance_index] + 1
                 else:
                     instance_index = len(self.slots)
                     self.slots.append(entry)
@@ -126,7 +125,8 @@
 
 def played(lists: list[tuple[list[EndpointEntry], bool, set[int]]]) -> tuple[Fleet, PlainFleet]:
     """Both after these lists, compared after each of them."""
-    fleet, plain = Fleet(NUMBER, 0), PlainFleet()
+    fleet = Fleet(NUMBER, 0)
+    plain = PlainFleet()
     for changes, is_snapshot, used in lists:
         resets = plain.resets[:]
         for instance_index in range(len(fleet.ids)):
--- a/tests/state/test_peers.py
+++ b/tests/state/test_peers.py
@@ -49,7 +49,8 @@
 
 
 def test_random_tokens_builds_and_peers_cost_bounded_memory():
-    peer_counts, random = PeerCounts(METHODS, BOUNDS), Random(3)
+    peer_counts = PeerCounts(METHODS, BOUNDS)
+    random = Random(3)
     for _ in range(20_000):
         payload_sent = payload(random.randrange(1 << 16), random.randrange(1, 99), random.randrange(1 << 16))
         new_attempts(peer_counts, random.randrange(1 << 16), payload_sent)
@@ -62,7 +63,8 @@
 
 
 def test_random_payloads_of_a_peer_do_not_affect_other_peers():
-    peer_counts, random = PeerCounts(METHODS, BOUNDS), Random(4)
+    peer_counts = PeerCounts(METHODS, BOUNDS)
+    random = Random(4)
     assert new_attempts(peer_counts, 1, payload(7, 5, 1, 2)) == 20
     for _ in range(5_000):
         new_attempts(peer_counts, 2, random.randbytes(random.randrange(200)))
@@ -104,14 +106,17 @@
 )
 def test_no_outcome_counts_twice_in_any_order_with_repeats(steps, random):
     """A peer's incarnations with growing counts of builds; payloads arrive in any order, some twice."""
-    sent, builds, totals = [], [1, 2, 3, 4, 5], {}
+    sent = []
+    builds = [1, 2, 3, 4, 5]
+    totals = {}
     for incarnation, build, attempts in sorted(steps):
         payload_sent = totals.get((incarnation, build), 0) + attempts
         totals[incarnation, build] = payload_sent
         sent.append(payload(100 + incarnation, payload_sent, builds[build]))
     arrived = sent + random.sample(sent, len(sent) // 2)
     random.shuffle(arrived)
-    peer_counts, counted = PeerCounts(METHODS, BOUNDS), dict[tuple[int, int, int], int]()
+    peer_counts = PeerCounts(METHODS, BOUNDS)
+    counted = dict[tuple[int, int, int], int]()
     for received_payload in arrived:
         token = next(unpack(received_payload, METHODS))[0]
         for build, method_index, counts in peer_counts.new_counts(0, received_payload):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -50,7 +50,8 @@
         self.report_rollout(*self.stage)
 
     def report_rollout(self, build: int, stage: int, phase: RolloutPhase, cap: float) -> None:
-        self.stage, self.cap_since = (build, stage, phase, cap), self.now
+        self.stage = (build, stage, phase, cap)
+        self.cap_since = self.now
         self.trial.clear()
         if phase not in (RolloutPhase.ON_TRIAL, RolloutPhase.RELEASED) or build != 2:
             self.moved.clear()
@@ -93,8 +94,10 @@
 
     def arrive(self) -> None:
         self.count += 1
-        name, method = f"r{self.count}", self.random.choice(list(self.methods))
-        key, ttl = self.random.randrange(40), self.random.randrange(300 * MS, 4 * SECOND)
+        name = f"r{self.count}"
+        method = self.random.choice(list(self.methods))
+        key = self.random.randrange(40)
+        ttl = self.random.randrange(300 * MS, 4 * SECOND)
         self.admitted.append((self.now, method))
         self.open[name] = {"method": method, "deadline": self.now + ttl, "key": key, "attempts": []}
         self.gateway.on_request(self.now, name, method, ttl, None, "", key)
@@ -137,7 +140,8 @@
         state = self.random.choice(
             (InstanceState.READY, InstanceState.READY, InstanceState.DRAINING, InstanceState.REMOVED)
         )
-        build, started = self.random.choice((1, 2)), self.random.choice((LONG_AGO, self.now - 500 * MS))
+        build = self.random.choice((1, 2))
+        started = self.random.choice((LONG_AGO, self.now - 500 * MS))
         self.rows[number] = entry(number, build=build, state=state, started=started, zone="ab"[number % 2])
         self.gateway.on_endpoint_list(self.now, [self.rows[number]], is_snapshot=False, is_poll_response=True)
 
@@ -153,8 +157,10 @@
 
     def attempt(self, name: str, instance: Id, timeout: int) -> None:
         assert name in self.open, "rule 1: an attempt after the end"
-        rpc, row = self.open[name], self.rows[instance]
-        method, attempts = self.methods[rpc["method"]], rpc["attempts"]
+        rpc = self.open[name]
+        row = self.rows[instance]
+        method = self.methods[rpc["method"]]
+        attempts = rpc["attempts"]
         assert row.state == InstanceState.READY, "rule 3: an attempt at an instance that drains or is removed"
         assert timeout > 0 and len(attempts) < self.start.allowances.max_attempts
         assert self.now + timeout <= rpc["deadline"], "rule 1: a timeout after the deadline"
@@ -180,7 +186,8 @@
         if build < reported or (build == reported and phase == RolloutPhase.RELEASED):
             return
         if build > reported:
-            stage, cap = 0, self.start.plan.caps[0]
+            stage = 0
+            cap = self.start.plan.caps[0]
         assert cap > 0, "rule 5: cap 0"
         assert stage >= self.start.plan.closed_stages or effect == Idempotency.IDEMPOTENT, "rule 5: closed"
         self.trial.append((self.now, build, method))
@@ -197,7 +204,8 @@
             )
 
     def check_slow_start(self, row: EndpointEntry, instance: Id) -> None:
-        allow, age = self.start.allowances, self.now - row.started_at
+        allow = self.start.allowances
+        age = self.now - row.started_at
         sends = self.sent.setdefault(instance, [])
         sends.append(self.now)
         if age < allow.slow_start_duration:
