--- /dev/null
+++ b/tests/compatibility/settings_values.py
@@ -0,0 +1,113 @@
+"""Settings as plain values, equal whatever the classes and attributes that hold them are called.
+
+`record_settings.py` renders with it what commit 4d24a08 reads, `test_settings.py` what the code of today
+reads.
+"""
+
+from __future__ import annotations
+
+import dataclasses
+import re
+from collections.abc import Callable, Iterator, Mapping
+from enum import Enum
+from pathlib import Path
+from typing import Any
+
+import msgspec
+from lxml import etree
+
+PATH = "/etc/linenbridge/settings.xml"  # the path that recorded documents are read under
+PLACE = re.compile(r"^[^:]*:(\d+(?::\d+)?): ")
+SPACE = "{http://www.w3.org/2001/XMLSchema}"
+
+Leaf = tuple[str, Any]
+
+
+def leaves(value: Any, name: str = "") -> Iterator[Leaf]:
+    """Every plain value within `value` with its dotted name, in the order of the fields; sets sorted."""
+    if isinstance(value, Enum):
+        yield name, value.value
+    elif dataclasses.is_dataclass(value):
+        for field in dataclasses.fields(value):
+            yield from leaves(getattr(value, field.name), f"{name}.{field.name}")
+    elif isinstance(value, msgspec.Struct):
+        for field_name in value.__struct_fields__:
+            yield from leaves(getattr(value, field_name), f"{name}.{field_name}")
+    elif isinstance(value, Mapping):
+        yield f"{name}.len", len(value)
+        for key, inner in value.items():
+            yield f"{name}.key", str(key)
+            yield from leaves(inner, f"{name}.{key}")
+    elif isinstance(value, list | tuple):
+        if not hasattr(value, "_fields"):
+            yield f"{name}.len", len(value)
+        for index, inner in enumerate(value):
+            yield from leaves(inner, f"{name}.{index}")
+    elif isinstance(value, set | frozenset):
+        yield name, sorted(value)
+    elif value is None or isinstance(value, bool | int | float | str):
+        yield name, value
+    elif isinstance(value, bytes):
+        yield name, value.hex()
+    else:
+        yield name, str(value)
+
+
+def outcome(read: Callable[[], Any], refusal: type[Exception]) -> dict[str, Any]:
+    """The values that `read` returns, or the places that its refusal names."""
+    try:
+        return {"values": [list(leaf) for leaf in leaves(read())]}
+    except refusal as error:
+        found = [PLACE.match(line) for line in str(error).splitlines()]
+        return {"refused": [match.group(1) if match else "" for match in found]}
+
+
+def balancer_keys(text: str) -> list[str]:
+    """The top keys of `deploy/balancer.toml`."""
+    return sorted(re.findall(r"^([a-z_]+) = ", text, re.MULTILINE))
+
+
+def schema_rows(text: bytes) -> list[str]:
+    """Each element and attribute of the schema by its path, with its occurrence, default and form."""
+    root = etree.fromstring(text)
+    types = {row.get("name"): row for row in root if row.tag in (f"{SPACE}complexType", f"{SPACE}simpleType")}
+    return sorted(
+        row for element in root.findall(f"{SPACE}element") for row in _element_rows(element, "", types)
+    )
+
+
+def _element_rows(element: etree._Element, path: str, types: dict[str, etree._Element]) -> Iterator[str]:
+    path = f"{path}/{element.get('name')}"
+    occurs = f"{element.get('minOccurs', '1')}..{element.get('maxOccurs', '1')}"
+    yield f"{path} {occurs} {_form(element, types)}"
+    kind = types.get(element.get("type"))
+    inner = kind if kind is not None else element.find(f"{SPACE}complexType")
+    if inner is None or inner.tag == f"{SPACE}simpleType":
+        return
+    for attribute in inner.iter(f"{SPACE}attribute"):
+        words = f"{attribute.get('use', 'optional')} default={attribute.get('default')!r}"
+        yield f"{path}@{attribute.get('name')} {words} {_form(attribute, types)}"
+    for row in inner.iter(f"{SPACE}element"):
+        yield from _element_rows(row, path, types)
+
+
+def _form(row: etree._Element, types: dict[str, etree._Element]) -> str:
+    """The base type and the facets of a row's simple type; the name of a built-in type; else ``."""
+    kind = types.get(row.get("type"))
+    simple = kind if kind is not None else row.find(f"{SPACE}simpleType")
+    if simple is None or simple.tag != f"{SPACE}simpleType":
+        return row.get("type", "") if row.get("type", "").startswith("xs:") else ""
+    facets = [
+        f"{etree.QName(facet).localname}={facet.get('value')}"
+        for facet in simple.iter()
+        if isinstance(facet.tag, str) and facet.get("value") is not None
+    ]
+    base = simple.find(f"{SPACE}restriction")
+    return " ".join(["" if base is None else base.get("base", ""), *facets])
+
+
+def read_freezes(windows: Callable[[str], Any], folder: Path, text: str) -> Any:
+    """The windows of a file of freezes, written into `folder` for the time of the call."""
+    path = folder / "freezes.xml"
+    path.write_text(text)
+    return windows(str(path))
