--- /dev/null
+++ b/tests/fleet/hosting/test_acceptor_host.py
@@ -0,0 +1,71 @@
+"""An acceptor and its store: what happens to a member whose store can't be used."""
+
+from __future__ import annotations
+
+from pathlib import Path
+from unittest.mock import Mock
+
+import pytest
+
+from linenbridge.configuration.read import parse
+from linenbridge.fleet.configuration import FleetSettings, fleet_settings
+from linenbridge.fleet.hosting.acceptor_host import AcceptorHost
+from linenbridge.peering import clock
+from tests.compatibility.fleet_fakes import log_rows
+
+MEMBERS = "".join(f'<member name="g{number}" address="127.0.0.1:710{number}"/>' for number in (2, 3))
+QUORUM = '<quorum><acceptor name="g1"/><acceptor name="g2"/><acceptor name="g3"/></quorum>'
+
+
+def settings_with_store(folder: Path, store: str) -> FleetSettings:
+    text = (
+        f'<linenbridge xmlns="urn:linenbridge:premises:1"><fleet member="g1" listen="127.0.0.1:7101" '
+        f'store="{store}">{MEMBERS}{QUORUM}</fleet></linenbridge>'
+    )
+    found = fleet_settings(parse(text.encode(), str(folder / "x.xml")))
+    assert found is not None
+    return found
+
+
+@pytest.fixture
+def start(tmp_path, reactor, log):
+    """Starts the host of an acceptor with a store of that name; closed at the end."""
+    hosts = []
+
+    def start_host(store: str) -> AcceptorHost:
+        settings = settings_with_store(tmp_path, store)
+        hosts.append(AcceptorHost(settings, reactor, log, 7, clock.now(), Mock(), Mock()))
+        return hosts[-1]
+
+    yield start_host
+    for host in hosts:
+        host.close()
+
+
+def test_a_store_on_disk_is_opened_beside_the_settings(start, tmp_path, log):
+    host = start("g1.db")
+
+    assert (tmp_path / "g1.db").exists()
+    assert not host.acceptor.store_error
+    assert not log.stream.getvalue()
+
+
+def test_a_store_that_cant_be_opened_is_logged_and_the_acceptor_grants_nothing(start, log):
+    host = start("no-such-folder/g1.db")
+
+    (row,) = log_rows(log.stream.getvalue())
+    assert (row["event"], row["kind"]) == ("store.failed", "StoreUnusable")
+    assert host.acceptor.store_error
+    assert not host.acceptor.grants()
+    assert host.acceptor.wake_at() is None
+
+
+def test_a_store_that_is_damaged_is_logged_and_stays_as_it_is(start, tmp_path, log):
+    (tmp_path / "g1.db").write_bytes(b"no database" * 1_000)
+
+    host = start("g1.db")
+
+    (row,) = log_rows(log.stream.getvalue())
+    assert (row["event"], row["kind"]) == ("store.failed", "StoreTorn")
+    assert not host.acceptor.grants()
+    assert (tmp_path / "g1.db").read_bytes() == b"no database" * 1_000
--- /dev/null
+++ b/tests/fleet/hosting/test_freezes.py
@@ -0,0 +1,76 @@
+"""The rollout freezes of a process: windows around the wall clock, one timer, and what is reported."""
+
+from __future__ import annotations
+
+from datetime import UTC, datetime, timedelta
+from typing import Any
+from zoneinfo import ZoneInfo
+
+import pytest
+
+from linenbridge.fleet.freezes.windows import Window
+from linenbridge.fleet.hosting import freezes
+from linenbridge.fleet.hosting.freezes import MAX_WAIT, RolloutFreezes
+from tests.compatibility.fleet_fakes import log_rows
+
+START = datetime(2026, 12, 8, 2)
+START_MICROSECONDS = int(START.replace(tzinfo=UTC).timestamp()) * 1_000_000
+Zones = frozenset[str] | None
+
+
+@pytest.fixture
+def changes(reactor, monkeypatch) -> list[Zones]:
+    """What is reported; the wall clock goes with the reactor's from `START` on."""
+    monkeypatch.setattr(freezes, "wall_clock", lambda: START_MICROSECONDS + round(reactor.seconds() * 1e6))
+    return []
+
+
+def window(begin: float, end: float, **options: Any) -> Window:
+    """A rollout freeze from and until so many seconds after the start."""
+    first = START + timedelta(seconds=begin)
+    last = START + timedelta(seconds=end)
+    return Window("move", "hold", first, last, ZoneInfo("UTC"), **options)
+
+
+def test_a_window_that_is_open_at_the_start_is_reported_at_once(reactor, log, changes):
+    RolloutFreezes((window(-60, 60),), reactor, log, changes.append)
+
+    assert changes == [frozenset()]
+    assert log_rows(log.stream.getvalue()) == [
+        {"event": "rollout_freeze.opened", "window": "move", "seconds": 60}
+    ]
+
+
+def test_a_window_is_reported_when_it_begins_and_when_it_ends(reactor, log, changes):
+    RolloutFreezes((window(5, 8, zones=frozenset({"west"})),), reactor, log, changes.append)
+    assert changes == []
+
+    reactor.advance(5)
+    assert changes == [frozenset({"west"})]
+
+    reactor.advance(3)
+    assert changes == [frozenset({"west"}), None]
+
+
+def test_the_wall_clock_is_read_again_after_the_longest_wait(reactor, log, changes):
+    RolloutFreezes((window(3_600, 7_200),), reactor, log, changes.append)
+
+    (timer,) = reactor.getDelayedCalls()
+
+    assert timer.getTime() == MAX_WAIT
+
+
+def test_a_window_that_is_cancelled_by_a_newer_file_ends_at_once(reactor, log, changes):
+    rollout_freezes = RolloutFreezes((window(-60, 60),), reactor, log, changes.append)
+
+    rollout_freezes.update((window(-60, 60, cancelled=True),))
+
+    assert changes == [frozenset(), None]
+
+
+def test_close_leaves_no_timer(reactor, log, changes):
+    rollout_freezes = RolloutFreezes((window(5, 8),), reactor, log, changes.append)
+
+    rollout_freezes.close()
+
+    assert not reactor.getDelayedCalls()
