--- a/tests/scale/change_client.py
+++ b/tests/scale/change_client.py
@@ -119,10 +119,13 @@
     """All regions' changes."""
 
     def __init__(self, spec: ChangeClientSpec, recorder: Recorder, reactor: Any, log: Any) -> None:
-        self.spec, self.recorder, self.reactor = spec, recorder, reactor
+        self.spec = spec
+        self.recorder = recorder
+        self.reactor = reactor
         self.requests = count(spec.first_request)
         self.accepted = self.in_force = self.retried = 0
-        self.rejected, self.last = dict[str, int](), dict[str, int]()
+        self.rejected = dict[str, int]()
+        self.last = dict[str, int]()
         self.exit_code = 1
         known = frozenset(name for candidates in spec.publishers.values() for name in candidates)
         self.connections = PeerConnections(
--- a/tests/scale/checker.py
+++ b/tests/scale/checker.py
@@ -114,13 +114,15 @@
 def _older_over_newer(evidence: Evidence) -> list[str]:
     """No older version of a key replaces a newer one at a gateway, in one life or in the next one that
     serves from the store of the last."""
-    found, newest = list[str](), defaultdict[str, dict[Key, KeyVersion]](dict)
+    found = list[str]()
+    newest = defaultdict[str, dict[Key, KeyVersion]](dict)
     for record in _events_in_order(evidence):
         current = newest[record.gateway]
         if isinstance(record, Serving):
             _forget(current, record)
             continue
-        key, version = (record.region, record.kind, record.name), (record.epoch, record.sequence)
+        key = (record.region, record.kind, record.name)
+        version = (record.epoch, record.sequence)
         before = current.get(key, NOTHING)[:2]
         if version < before:
             found.append(f"{record.gateway}: {record.name} went back from {before} to {version}")
@@ -131,7 +133,8 @@
 
 def _two_at_one_place(evidence: Evidence) -> list[str]:
     """Everybody sees the same change at one sequence of a region."""
-    found, at = list[str](), dict[tuple[str, int], tuple]()
+    found = list[str]()
+    at = dict[tuple[str, int], tuple]()
     for seen in evidence.seen:
         change = (seen.epoch, seen.kind, seen.name, seen.value)
         before = at.setdefault((seen.region, seen.sequence), change)
--- a/tests/scale/families.py
+++ b/tests/scale/families.py
@@ -57,7 +57,8 @@
     notes: dict[str, float] = field(default_factory=dict)
 
     def line(self) -> str:
-        scale, took = self.scale, self.lag
+        scale = self.scale
+        took = self.lag
         notes = "".join(f", {name} {value:.2f} s" for name, value in self.notes.items())
         return (
             f"scale {self.family}: {scale.gateways} gateways, {scale.relays} relays, seed {self.seed}, "
@@ -138,7 +139,8 @@
 
 def play_relays(play: Play) -> None:
     """A relay killed and started again, then another one stopped for a while."""
-    installation, random = play.installation, play.random("relays")
+    installation = play.installation
+    random = play.random("relays")
     region = random.choice(installation.scale.region_names())
     killed, stopped = random.sample(installation.relays[region], 2)
     client = play.start_client(
@@ -162,7 +164,8 @@
 
 def play_restarts(play: Play) -> None:
     """A tenth of the gateways restarted together with their stores kept, then with stores emptied."""
-    installation, random = play.installation, play.random("restarts")
+    installation = play.installation
+    random = play.random("restarts")
     stored = [
         name for one in installation.hollow.values() for name in one.gateways[:: _every(installation.scale)]
     ]
@@ -227,7 +230,8 @@
     """The families one after the other on one installation, from an empty folder to the checker's verdict,
     which is over everything that was recorded and stands with each of them."""
     installation = Installation(folder, scale, seed)
-    last, plays = dict[str, int](), list[Play]()
+    last = dict[str, int]()
+    plays = list[Play]()
     try:
         installation.open()
         _fill(Play(installation, shape, times, seed, "fill", last))
@@ -254,7 +258,8 @@
 def _play(play: Play) -> None:
     """One family, between two readings of all meters."""
     installation = play.installation
-    before, began = installation.processor_seconds(), time.monotonic()
+    before = installation.processor_seconds()
+    began = time.monotonic()
     installation.request_all(Command("usage"))
     play.began = now()
     FAMILIES[play.family](play)
@@ -275,7 +280,8 @@
 def _outcome(play: Play, evidence: Evidence, found: list[str]) -> Outcome:
     outcome = Outcome(play.family, play.installation.scale, play.seed, play.changes, notes=play.notes)
     outcome.lag = lag(evidence, play.began, play.ended)
-    outcome.equal, outcome.breaches = play.equal, found
+    outcome.equal = play.equal
+    outcome.breaches = found
     usage = [each for each in evidence.usage if play.began < each.at <= play.ended and each.seconds > 0]
     _add_gateways(outcome, [each for each in usage if each.role == "gateways"])
     for each in usage:
--- a/tests/scale/full_tables.py
+++ b/tests/scale/full_tables.py
@@ -22,10 +22,14 @@
 from tests.scale.tables.content import EPOCH, REGIONS, SEED, Content, Size
 from tests.scale.tables.process import FILL, Frame, write_frame
 
-SMALL, SHARES = 0.01, (0.01, 0.1, 1.0)
-CHANGES, SET_CHANGES, ZONE_CHANGES = 3_000, 100, 20
+SMALL = 0.01
+SHARES = (0.01, 0.1, 1.0)
+CHANGES = 3_000
+SET_CHANGES = 100
+ZONE_CHANGES = 20
 RULES = 26  # of a set that is changed
-ROLE, MEASURED_BY = "gateway: view of all tables", "tests.scale.full_tables"
+ROLE = "gateway: view of all tables"
+MEASURED_BY = "tests.scale.full_tables"
 MODULE = "tests.scale.tables.process"
 ROOT = Path(__file__).parents[2]
 MEGABYTE = 1e6
@@ -102,7 +106,9 @@
 
 def lines(found: dict) -> Iterator[str]:
     """What was measured at one size, for a terminal."""
-    size, fill, again = found["size"], found["fill"], found["restart"]
+    size = found["size"]
+    fill = found["fill"]
+    again = found["restart"]
     yield (
         f"{size.routes} routes in {size.services} sets, {size.tenants} tenants, {size.instances} instances: "
         f"filled in {fill['fill_s']:.1f} s of processor time"
--- a/tests/scale/hollow.py
+++ b/tests/scale/hollow.py
@@ -117,7 +117,8 @@
 class RecordingView(View):
     """A view that says which version of each changed key it holds, read from its tables after the change."""
 
-    gateway, recorder = "", None
+    gateway: str
+    recorder: Recorder
 
     def apply(self, batch: Apply) -> ApplyResult:
         applied = super().apply(batch)
@@ -148,7 +149,10 @@
     """All gateways of one process."""
 
     def __init__(self, spec: HollowSpec, recorder: Recorder, log: Log, reactor: Any) -> None:
-        self.spec, self.recorder, self.log, self.reactor = spec, recorder, log, reactor
+        self.spec = spec
+        self.recorder = recorder
+        self.log = log
+        self.reactor = reactor
         self.random = Random(f"{spec.process} {spec.seed}")
         self.gateways: dict[str, Gateway] = {}
         self.checks = SharedChecks()
@@ -180,7 +184,8 @@
                 file.unlink()
         self.recorder.write(Started(now(), gateway, store_retained))
         view, store = self._view(settings)
-        view.gateway, view.recorder = gateway, self.recorder
+        view.gateway = gateway
+        view.recorder = self.recorder
         view.validator.checks = self.checks
         positions = {position.region: position.sequence for position in view.positions()}
         self.recorder.write(Serving(now(), gateway, positions))
@@ -282,14 +287,17 @@
     """Processor time, bytes on links and memory of the process, since the last reading."""
 
     def __init__(self, spec: HollowSpec, recorder: Recorder) -> None:
-        self.spec, self.recorder = spec, recorder
+        self.spec = spec
+        self.recorder = recorder
         self.received = self.sent = 0
-        self.since, self.used = now(), _processor_seconds()
+        self.since = now()
+        self.used = _processor_seconds()
         self._count_links()
 
     def _count_links(self) -> None:
         """Count what all links of the process read and write."""
-        read, write = connections.PeerConnection.dataReceived, connections.SendBuffer.write
+        read = connections.PeerConnection.dataReceived
+        write = connections.SendBuffer.write
 
         def counted_read(link: connections.PeerConnection, data: bytes) -> None:
             self.received += len(data)
@@ -299,17 +307,22 @@
             self.sent += len(data)
             write(buffer, data)
 
-        connections.PeerConnection.dataReceived, connections.SendBuffer.write = counted_read, counted_write
+        connections.PeerConnection.dataReceived = counted_read
+        connections.SendBuffer.write = counted_write
 
     def read(self) -> None:
-        at, used = now(), _processor_seconds()
+        at = now()
+        used = _processor_seconds()
         self.recorder.write(
             Usage(
                 at, self.spec.process, "gateways", len(self.spec.gateways), (at - self.since) / 1e6,
                 used - self.used, self.received, self.sent, resident_bytes(os.getpid()),
             )
         )  # fmt: skip
-        self.since, self.used, self.received, self.sent = at, used, 0, 0
+        self.since = at
+        self.used = used
+        self.received = 0
+        self.sent = 0
 
 
 def _processor_seconds() -> float:
--- a/tests/scale/installation.py
+++ b/tests/scale/installation.py
@@ -176,7 +176,8 @@
         self._open_hollow()
 
     def _open_hollow(self) -> None:
-        scale, regions = self.scale, self.scale.region_names()
+        scale = self.scale
+        regions = self.scale.region_names()
         each = scale.gateways // scale.processes
         for number in range(scale.processes):
             process = f"hollow{number}"
--- a/tests/scale/measure/gateway.py
+++ b/tests/scale/measure/gateway.py
@@ -21,8 +21,11 @@
 MEASURED_BY = "tests.scale.measure.gateway"
 SIZES = (20, 200, 2_000, 20_000, 200_000)
 LIMITS = {"cores": 1.0, "memory_mb": 4_096, "sockets": 1_024}
-IDLE, CHANGES, BETWEEN = 3.0, 10, 0.1  # seconds; changes one by one; seconds between two
-QUIET, QUIET_SHARE = 0.5, 0.05  # the process is idle once it used less of a core than this for so long
+IDLE = 3.0  # seconds
+CHANGES = 10  # one by one
+BETWEEN = 0.1  # seconds between two changes
+QUIET = 0.5  # seconds after which a process is idle that used less than QUIET_SHARE of a core
+QUIET_SHARE = 0.05
 PAGE = os.sysconf("SC_PAGESIZE")
 
 
@@ -74,7 +77,8 @@
         started = processor_seconds(pid)
         time.sleep(IDLE)
         idle = (processor_seconds(pid) - started) / IDLE
-        started, began = processor_seconds(pid), time.monotonic()
+        started = processor_seconds(pid)
+        began = time.monotonic()
         for number in range(CHANGES):
             row = rows[number % len(rows)] | {"status": "leaving"}
             running.watch.chunk({"index": 2 + number, "snapshot": False, "endpoints": [row]})
--- a/tests/scale/measure/instances.py
+++ b/tests/scale/measure/instances.py
@@ -14,7 +14,9 @@
 SIZES = (20, 200, 2_000, 20_000, 200_000)
 ZONES = 19
 LONG_AGO = -1_000_000_000_000  # microseconds; none of them is cold
-GAP, LIMIT = 400_000.0, 3.0  # as the module passes them in
+# As the decision module passes them in.
+GAP = 400_000.0
+LIMIT = 3.0
 
 
 def listed(count: int) -> list[EndpointEntry]:
--- a/tests/scale/measure/leases.py
+++ b/tests/scale/measure/leases.py
@@ -24,11 +24,16 @@
 from tests.scale.measure.costs import text_of
 from tests.scale.slopes import Slope, record, slope
 
-ROLE, MEMBER = "lease quorum: a seat", "gateway: membership in leases"
+ROLE = "lease quorum: a seat"
+MEMBER = "gateway: membership in leases"
 MEASURED_BY = "tests.scale.measure.leases"
 SIZES = (32, 320, 3_200)
-ACCEPTORS, SEED = 5, 38
-STEADY_FROM, RESTART_AT, SECONDS = 7, 11, 16  # simulated seconds; what comes first is the rush of the start
+ACCEPTORS = 5
+SEED = 38
+# Simulated seconds; the rush of the start comes before.
+STEADY_FROM = 7
+RESTART_AT = 11
+SECONDS = 16
 RESTARTED = 0.1  # a tenth of the members, at the same time
 SHARED = (type, ModuleType, FunctionType, BuiltinFunctionType, MethodType)
 
@@ -41,7 +46,8 @@
         self.calls_in = Counter[int]()  # by simulated second
         self.bytes_in = self.bytes_out = self.nanoseconds = self.member_nanoseconds = 0
         super().__init__(shape, seed)
-        self.counted_acceptor, self.member = self.acceptors[0], self.names[-1]
+        self.counted_acceptor = self.acceptors[0]
+        self.member = self.names[-1]
         for name in self.names[ACCEPTORS : ACCEPTORS + round(RESTARTED * len(self.names))]:
             self._at(RESTART_AT * SECOND, ("start", name))
 
@@ -77,7 +83,9 @@
 
 def deep_bytes(made: object) -> int:
     """Bytes of an object and all that it alone leads to; types, modules and functions are not counted."""
-    seen, waiting, total = set[int](), [made], 0
+    seen = set[int]()
+    waiting = [made]
+    total = 0
     while waiting:
         item = waiting.pop()
         if id(item) in seen or isinstance(item, SHARED):
--- a/tests/scale/measure/module.py
+++ b/tests/scale/measure/module.py
@@ -19,14 +19,17 @@
 MEMORY_SIZES = (0, 20, 200, 2_000, 20_000)
 RATE = 719  # RPCs a second: 2.3 million over 3,200 gateways
 TOOK = 5_000  # microseconds until an instance answers
-METHOD, TTL = "look", 2_000_000
+METHOD = "look"
+TTL = 2_000_000
 
 
 class Traffic:
     """RPCs at a steady pace on the module's own clock, each answered well after a fixed time."""
 
     def __init__(self, gateway: DecisionModule) -> None:
-        self.gateway, self.now, self.number = gateway, 0, 0
+        self.gateway = gateway
+        self.now = 0
+        self.number = 0
         self.out: deque[tuple[int, str]] = deque()
 
     def one(self) -> None:
--- a/tests/scale/measure/peers.py
+++ b/tests/scale/measure/peers.py
@@ -13,7 +13,9 @@
 ROLE = "gateway: release decisions"
 MEASURED_BY = "tests.scale.measure.peers"
 SIZES = (32, 320, 3_200, 32_000)
-METHODS, BUILDS, PEERS = 3, (1, 2), 3_200
+METHODS = 3
+BUILDS = (1, 2)
+PEERS = 3_200
 NEXT = 0xFFFF  # the token of a life that was not told of yet
 BOUNDS = PeerBounds(PEERS, MAX_BUILDS, MAX_INCARNATIONS)
 
--- a/tests/scale/measure/pools.py
+++ b/tests/scale/measure/pools.py
@@ -18,7 +18,9 @@
 MEASURED_BY = "tests.scale.measure.pools"
 SIZES = (20, 200, 2_000, 20_000, 200_000)
 ADDRESS = ("127.0.0.1", 9)
-DESCRIPTORS, WAIT, IDLE = 500, 250_000, 15_000_000
+DESCRIPTORS = 500
+WAIT = 250_000
+IDLE = 15_000_000
 
 
 def change_time(count: int) -> float:
--- a/tests/scale/measure/relay.py
+++ b/tests/scale/measure/relay.py
@@ -43,7 +43,8 @@
 from tests.scale.slopes import Slope, record, slope
 
 MEASURED_BY = "tests.scale.measure.relay"
-RELAY, PUBLISHER = "relay", "publisher"
+RELAY = "relay"
+PUBLISHER = "publisher"
 FOLLOWERS = (14, 140, 1_400)
 KEYS = (5_600, 56_000, 560_000)  # routes' sets, tenants and instances of all regions
 LOG_KEYS = (1_000, 10_000, 100_000)  # of one region
@@ -95,7 +96,8 @@
 
 def feed_costs(count: int) -> tuple[float, float]:
     """Microseconds of a relay's core a second, and bytes a second that a follower is sent."""
-    followers, sequences = Followers(count), dict.fromkeys(REGIONS, 0)
+    followers = Followers(count)
+    sequences = dict.fromkeys(REGIONS, 0)
     followers.pull(0)
     followers.bytes = followers.nanoseconds = 0
     due = 0.0
@@ -120,7 +122,8 @@
 
 
 def filled(count: int) -> CompactedLog:
-    table, batch = CompactedLog("one"), list[Change]()
+    table = CompactedLog("one")
+    batch = list[Change]()
     for change in instance_changes(ChangeSource(), count):
         batch.append(change)
         if len(batch) == BATCH:
@@ -134,7 +137,8 @@
 def change_time(count: int) -> float:
     """Microseconds for one change of a key that a relay's table holds."""
     table = filled(count)
-    calls, repeats = 100, 5
+    calls = 100
+    repeats = 5
     changes = iter(
         [
             sealed("one", Version(1, count + n + 1), Kind.INSTANCE, instance_key(n), instance_value(n))
--- a/tests/scale/measure/releases.py
+++ b/tests/scale/measure/releases.py
@@ -13,7 +13,8 @@
 ROLE = "gateway: release decisions"
 MEASURED_BY = "tests.scale.measure.releases"
 SIZES = (20, 200, 2_000)
-EARLIER, ON_TRIAL_BUILD = 1, 2
+EARLIER = 1
+ON_TRIAL_BUILD = 2
 TIMED = Counts(attempts=1, failed=0, timed=1, total_time=5_000)
 FAILED = Counts(attempts=1, failed=1, timed=0, total_time=0)
 
--- a/tests/scale/measure/tenants.py
+++ b/tests/scale/measure/tenants.py
@@ -36,7 +36,8 @@
 
 def count_time(count: int) -> float:
     """Microseconds to count one request of a tenant, each of another one than the last 997."""
-    parts, requested = seen(shares(count)), itertools.cycle(names(count)[: min(count, 997)])
+    parts = seen(shares(count))
+    requested = itertools.cycle(names(count)[: min(count, 997)])
     return processor_time(lambda: parts.usage(1_000_000, next(requested)), 5_000)
 
 
--- a/tests/scale/measure/view.py
+++ b/tests/scale/measure/view.py
@@ -40,12 +40,17 @@
 
 MEASURED_BY = "tests.scale.measure.view"
 REGION = "one"
-ROUTES, TENANTS, INSTANCES = "gateway: routes", "gateway: tenants", "gateway: instance view"
+ROUTES = "gateway: routes"
+TENANTS = "gateway: tenants"
+INSTANCES = "gateway: instance view"
 ROUTE_SIZES = (2_300, 23_000, 230_000)
 TENANT_SIZES = (3_500, 35_000, 350_000)
 INSTANCE_SIZES = (2_000, 20_000, 200_000)
 ALL_SIZES = (2_000, 20_000, 200_000)  # instances, with routes and tenants in proportion
-INSTANCES_A_SERVICE, ROUTES_AN_INSTANCE, TENANTS_AN_INSTANCE, ZONES = 22, 1.15, 1.75, 19
+INSTANCES_A_SERVICE = 22
+ROUTES_AN_INSTANCE = 1.15
+TENANTS_AN_INSTANCE = 1.75
+ZONES = 19
 BATCH = 256
 MADE_SHARE = 0.5
 SETS = 64  # different sets of routes
@@ -159,15 +164,19 @@
 
 def change_time(view: View, source: ChangeSource, kind: Kind, name: str, values: list[bytes]) -> float:
     """Microseconds for one change of a key, its check included; sealing it is not counted."""
-    calls, repeats = 20, 5
+    calls = 20
+    repeats = 5
     changes = iter([source.seal(kind, name, values[n % len(values)]) for n in range(calls * repeats)])
     return processor_time(lambda: apply(view, [next(changes)]), calls, repeats)
 
 
 def route_look_up(view: View, number: int) -> Callable[[], None]:
-    which, middle = number % SETS, RULES_A_SERVICE // 2
+    which = number % SETS
+    middle = RULES_A_SERVICE // 2
     verb = VERBS[drawn("rule", which * RULES_A_SERVICE + middle) % 2]
-    authority, sent_authority, path = service(number), service(which), f"/v1/{resource(which, middle)}/7"
+    authority = service(number)
+    sent_authority = service(which)
+    path = f"/v1/{resource(which, middle)}/7"
 
     def look_up() -> None:
         found = view.routes(authority)
@@ -228,7 +237,8 @@
 def restart_time(count: int) -> float:
     """Microseconds of processor time until a restarted gateway has its last good version of all tables."""
     with tempfile.TemporaryDirectory() as folder:
-        path, methods = str(Path(folder) / "view.db"), fingerprint(method.name for method in METHODS)
+        path = str(Path(folder) / "view.db")
+        methods = fingerprint(method.name for method in METHODS)
         store = ViewStore(path, methods, lambda *_, **__: None)
         store.open()
         if not store.write(filled(all_changes(ChangeSource(), count)).take_changed_pages()):
--- a/tests/scale/page/__main__.py
+++ b/tests/scale/page/__main__.py
@@ -31,7 +31,8 @@
 
 def parts() -> dict[str, str]:
     """The generated parts by name."""
-    size, slopes = load_size(), slopes_file.load()
+    size = load_size()
+    slopes = slopes_file.load()
     outcomes = load_outcomes(size)
     rows = render.all_rows(size, slopes, outcomes)
     return {
@@ -47,12 +48,13 @@
 def filled(page: str, generated: dict[str, str]) -> str:
     """The page with each part between its markers; MissingPartError where it has none."""
     for name, part in generated.items():
-        begin, end = f"<!-- {name}: begin -->", f"<!-- {name}: end -->"
+        begin = f"<!-- {name}: begin -->"
+        end = f"<!-- {name}: end -->"
         pattern = re.compile(f"{re.escape(begin)}\n.*?{re.escape(end)}", re.DOTALL)
         if pattern.search(page) is None:
             raise MissingPartError(name)
         marked = f"{begin}\n\n{part}\n{end}"
-        page = pattern.sub(lambda _, marked=marked: marked, page)
+        page = pattern.sub(marked.replace("\\", r"\\"), page)
     return page
 
 
--- a/tests/scale/page/render.py
+++ b/tests/scale/page/render.py
@@ -11,8 +11,10 @@
 from tests.scale.slopes import Slope
 
 THOUSANDS = ("", "k", "M", "G", "T")
-MINUTE, HOUR = 60.0, 3_600.0
-LARGE, MANY = 10.0, 1_000.0  # from these on a factor is written without a decimal, and with separators
+MINUTE = 60.0
+HOUR = 3_600.0
+LARGE = 10.0  # from here on a factor has no decimal
+MANY = 1_000.0  # from here on a number has separators
 
 
 def all_rows(size: Size, slopes: list[Slope], outcomes: Outcomes) -> list[Row]:
@@ -200,7 +202,8 @@
 
 def size_table(size: Size) -> str:
     """The size and what follows from it."""
-    fleet, budget = size.fleet, size.budget
+    fleet = size.fleet
+    budget = size.budget
     lines = [
         ["gateways", number(fleet.gateways)],
         ["instances, services", f"{number(fleet.instances)}, {number(fleet.services)}"],
--- a/tests/scale/records.py
+++ b/tests/scale/records.py
@@ -118,7 +118,8 @@
 
 Record = Sent | PublisherResponse | Seen | Answered | Started | Serving | Final | Fault | Usage
 
-_encode, _decode = msgspec.json.Encoder().encode, msgspec.json.Decoder(Record).decode
+_encode = msgspec.json.Encoder().encode
+_decode = msgspec.json.Decoder(Record).decode
 
 
 def now() -> int:
--- a/tests/scale/tables/content.py
+++ b/tests/scale/tables/content.py
@@ -24,7 +24,8 @@
     Method("pay", Idempotency.NON_IDEMPOTENT, "all", 0, SECOND, 4.0),
 )
 LONGEST = 5_000 * MILLISECOND
-EPOCH, SEED = 7, 1
+EPOCH = 7
+SEED = 1
 REGIONS = ("ap-south", "ap-east", "eu-central", "eu-west", "us-east", "us-west")
 ZONES = 19
 SKEW = 1.6  # of the Pareto law of the services' sizes
@@ -64,7 +65,8 @@
     """The installation's newest versions. Each key belongs to one region."""
 
     def __init__(self, size: Size, seed: int) -> None:
-        self.size, self.random = size, random.Random(seed)
+        self.size = size
+        self.random = random.Random(seed)
         self.sequences = dict.fromkeys(REGIONS, 0)
         self.digests = dict.fromkeys(REGIONS, 0)
         self.current: dict[Key, int] = {}  # digests, by key
@@ -98,7 +100,8 @@
     def _parts(self, total_count: int) -> list[int]:
         """The whole in a part for each service, one at least, most of them small."""
         weights = [min(self.random.paretovariate(SKEW), 400.0) for _ in self.services]
-        spare, total = total_count - len(weights), sum(weights)
+        spare = total_count - len(weights)
+        total = sum(weights)
         parts = [1 + int(spare * weight / total) for weight in weights]
         for number in range(total_count - sum(parts)):
             parts[number % len(parts)] += 1
--- a/tests/scale/tables/process.py
+++ b/tests/scale/tables/process.py
@@ -27,7 +27,8 @@
 from linenbridge.routes.table import Request
 from tests.scale.tables.content import LONGEST, METHODS, REGIONS, SEED, Content, Size
 
-LOOKUPS, FIRST_LOOKUPS = 20_000, 1_000
+LOOKUPS = 20_000
+FIRST_LOOKUPS = 1_000
 COMPILED_SERVICES = 50  # whose routes are asked for again and again, and whose instances are in use
 LENGTH_BYTES = 4
 FILL = "fill"
@@ -87,7 +88,8 @@
     """The figures of a process whose tables are filled from a stream."""
     base = resident()
     store, view = opened(path)
-    applying, storing = defaultdict[str, array](_times), defaultdict[str, array](_times)
+    applying = defaultdict[str, array](_times)
+    storing = defaultdict[str, array](_times)
     after_fill = 0
     for frame in read_frames(sys.stdin.buffer):
         if frame.what != FILL and not after_fill:
@@ -131,7 +133,8 @@
     give_back()
     figures["settled"] = resident()
     figures["lookup"] = looked_up(view, content)
-    figures["after_lookups"], figures["highest"] = resident(), highest()
+    figures["after_lookups"] = resident()
+    figures["highest"] = highest()
     figures["digests"] = {region: view.digest(region) for region in REGIONS}
     figures["pages"] = page_bytes(view)
     store.close()
@@ -150,14 +153,16 @@
 
 def looked_up(view: View, content: Content) -> dict[str, dict]:
     """Look-ups of each table, at random over all of it or over what is in use."""
-    chosen, tenants = random.Random(SEED), content.size.tenants
+    chosen = random.Random(SEED)
+    tenants = content.size.tenants
     names = (content.tenant(chosen.randrange(tenants)) for _ in range(LOOKUPS))
     figures = {"tenant": spread(processor_time(lambda name=name: view.tenant_quota(name)) for name in names)}
     unused = chosen.sample(content.services, min(FIRST_LOOKUPS, len(content.services)))
     requests = [(name, request_of(view, name, chosen)) for name in unused]
     view.route_table.clear()
     figures["routes cold"] = spread(look_up_time(view, *one) for one in requests)
-    requests, used = requests[:COMPILED_SERVICES], unused[:COMPILED_SERVICES]
+    requests = requests[:COMPILED_SERVICES]
+    used = unused[:COMPILED_SERVICES]
     for one in requests:
         look_up_time(view, *one)
     figures["routes compiled"] = spread(look_up_time(view, *chosen.choice(requests)) for _ in range(LOOKUPS))
--- a/tests/scale/test_full_tables.py
+++ b/tests/scale/test_full_tables.py
@@ -10,7 +10,8 @@
 
 def test_a_hundredth_of_the_size_is_filled_served_and_restarted():
     found = measured(SMALL)
-    fill, again = found["fill"], found["restart"]
+    fill = found["fill"]
+    again = found["restart"]
     assert fill["filled"] - fill["base"] < MAX_TABLES
     assert again["restored"] - again["base"] < MAX_TABLES
     assert set(again["lookup"]) == {
--- a/tests/scale/traffic.py
+++ b/tests/scale/traffic.py
@@ -17,7 +17,9 @@
 
 DAY = 86_400  # seconds
 SECOND = 1_000_000
-CHANGES_A_DAY, RESTARTS_A_DAY = 68_000, 72_000  # docs/capacity/size.toml
+# From docs/capacity/size.toml.
+CHANGES_A_DAY = 68_000
+RESTARTS_A_DAY = 72_000
 RESTART_STEPS = (
     InstanceState.DRAINING,
     InstanceState.REMOVED,
