--- a/linenbridge/net/decision_loop.py
+++ b/linenbridge/net/decision_loop.py
@@ -301,7 +301,7 @@
 def write_out(transport: Any, data: bytes) -> bool:
     """Hand it to the system at once where nothing is queued before it, the rest to the reactor: a wait for
     the next turn and two calls to the system saved for each message. True where its last byte has left."""
-    if transport.dataBuffer or transport._tempDataBuffer or not transport.connected:
+    if transport.dataBuffer or transport._tempDataBuffer or not transport.connected:  # noqa: SLF001  # Twisted has no public name for it
         transport.write(data)
         return False
     sent = transport.writeSomeData(data)
--- a/linenbridge/net/downstream.py
+++ b/linenbridge/net/downstream.py
@@ -15,7 +15,7 @@
 
 from linenbridge.interface import Idempotency, Method, Outcome
 from linenbridge.net import resp
-from linenbridge.net.upstream import Descriptors
+from linenbridge.net.descriptors import Descriptors
 from linenbridge.logging.event_log import Log
 from linenbridge.net.decision_loop import (
     REJECTED,
@@ -186,7 +186,7 @@
         self.stopped: Callable[[], None] | None = None
 
     def listen(self, reactor: Any, host: str, port: int) -> None:
-        self.port = reactor.listenTCP(port, self, backlog=self.descriptors.most, interface=host)
+        self.port = reactor.listenTCP(port, self, backlog=self.descriptors.limit, interface=host)
 
     def buildProtocol(self, addr: Any) -> Client | None:
         if not self.descriptors.take():
--- /dev/null
+++ b/linenbridge/net/load_reports.py
@@ -0,0 +1,22 @@
+"""Load reports of instances, which come last in their responses."""
+
+from __future__ import annotations
+
+import re
+
+from linenbridge.startup import LOADS
+
+# PROTOCOL, Gateways to instances.
+REPORT = re.compile(rb"[a-z_]+=\d{1,9}(\.\d{1,9})?(,[a-z_]+=\d{1,9}(\.\d{1,9})?)*")
+
+
+def load_report(text: bytes | memoryview | None) -> dict[str, float]:
+    """Return a report's figures by the decision module's names; empty where it can't be read as a whole."""
+    load: dict[str, float] = {}
+    if text is None or not REPORT.fullmatch(text):
+        return load
+    for part in bytes(text).split(b","):
+        name, _, figure = part.partition(b"=")
+        if (known := LOADS.get(name.decode())) is not None:
+            load[known] = float(figure)
+    return load
--- a/linenbridge/process/components.py
+++ b/linenbridge/process/components.py
@@ -19,7 +19,8 @@
 from linenbridge.net.discovery import Discovery, EndpointListener, host_port
 from linenbridge.net.downstream import Clients
 from linenbridge.net.platform import Platform
-from linenbridge.net.upstream import Descriptors, Instances
+from linenbridge.net.descriptors import Descriptors
+from linenbridge.net.upstream import Instances
 from linenbridge.net.watch_stream import WatchStream
 from linenbridge.policy import DecisionModule
 from linenbridge.process.configuration import ProcessConfiguration, load
--- a/linenbridge/processor/external_processor.py
+++ b/linenbridge/processor/external_processor.py
@@ -13,7 +13,7 @@
 
 from linenbridge.interface import NOT_EXECUTED, EndpointEntry, Id, Idempotency, Outcome
 from linenbridge.net.decision_loop import REJECTED, ActiveRequest, DecisionLoop
-from linenbridge.net.upstream import load_report
+from linenbridge.net.load_reports import load_report
 from linenbridge.processor import codec, http2
 from linenbridge.processor.dispatch_queue import DispatchQueue
 from linenbridge.processor.durable_ids import DurableIds
--- a/tests/net/bench.py
+++ b/tests/net/bench.py
@@ -18,7 +18,8 @@
 from linenbridge.net.downstream import Clients
 from linenbridge.net.discovery import Discovery
 from linenbridge.net.watch_stream import WatchStream
-from linenbridge.net.upstream import Descriptors, Instances
+from linenbridge.net.descriptors import Descriptors
+from linenbridge.net.upstream import Instances
 from linenbridge.logging.event_log import Log
 from linenbridge.net.decision_loop import DecisionLoop
 from linenbridge.net.platform import Platform
