--- a/linenbridge/policy/change_detection.py
+++ b/linenbridge/policy/change_detection.py
@@ -169,6 +169,10 @@
             alike = len(self.fleet.ready_by_build.get(self.fleet.build[instance_index], ()))
         max_contribution = INSTANCE_SHARE * threshold / max(1, ceil(sqrt(alike)))
         value = self.sums.add(key, increment, instance_index, max_contribution)
+        self._update_alarm(key, value, threshold, baseline)
+
+    def _update_alarm(self, key: tuple[int, str], value: float, threshold: float, baseline: float) -> None:
+        """Raise the alarm above the threshold, clear it well below; both are logged."""
         alarms = self.sums.alarms
         if key not in alarms:
             if value <= threshold:
@@ -179,4 +183,12 @@
         else:
             return
         method = self.methods[key[0]].name
-        self.log.alarm(key in alarms, method, key[1], self.rollout.latest_build, value, threshold, baseline)
+        self.log.alarm(
+            raised=key in alarms,
+            method=method,
+            statistic=key[1],
+            build=self.rollout.latest_build,
+            value=value,
+            threshold=threshold,
+            baseline=baseline,
+        )
--- a/linenbridge/policy/decision_module.py
+++ b/linenbridge/policy/decision_module.py
@@ -134,7 +134,11 @@
     ) -> None:
         """An endpoint list: a snapshot of all instances, or changes."""
         self.fleet.update(
-            entries, is_snapshot, self.outliers.initial_gap, INITIAL_LIMIT, self.requests.used_indices()
+            entries,
+            is_snapshot=is_snapshot,
+            response_gap=self.outliers.initial_gap,
+            concurrency_limit=INITIAL_LIMIT,
+            used=self.requests.used_indices(),
         )
         if is_poll_response:
             self.polling.on_response()
--- a/linenbridge/policy/load_shedding.py
+++ b/linenbridge/policy/load_shedding.py
@@ -84,12 +84,12 @@
             fraction = OBJECTIVE_FRACTION if self.level > FREE_LEVEL else 1.0
             late = now > request.arrived_at + self.objectives[request.method_index] * fraction
         if succeeded or overloaded or (late and not self._is_silent(attempt)):
-            self.add_response(late)
+            self.add_response(late=late)
 
     def _is_silent(self, attempt: Attempt) -> bool:
         return self.fleet.is_silent_since(attempt.instance_index, attempt.sent_at)
 
-    def add_response(self, late: bool) -> None:
+    def add_response(self, *, late: bool) -> None:
         """Adjust the level; timely responses in a row count ever more, so that it falls soon after
         the load.
         """
--- a/linenbridge/policy/log_messages.py
+++ b/linenbridge/policy/log_messages.py
@@ -38,6 +38,7 @@
 
     def alarm(
         self,
+        *,
         raised: bool,
         method: str,
         statistic: str,
--- a/linenbridge/state/fleet.py
+++ b/linenbridge/state/fleet.py
@@ -81,6 +81,7 @@
     def update(
         self,
         entries: Iterable[EndpointEntry],
+        *,
         is_snapshot: bool,
         response_gap: float,
         concurrency_limit: float,
--- a/tests/scale/measure/instances.py
+++ b/tests/scale/measure/instances.py
@@ -14,7 +14,8 @@
 SIZES = (20, 200, 2_000, 20_000, 200_000)
 ZONES = 19
 LONG_AGO = -1_000_000_000_000  # microseconds; none of them is cold
-GAP, LIMIT = 400_000.0, 3.0  # as the module passes them in
+GAP = 400_000.0  # microseconds, as the module passes it in
+LIMIT = 3.0  # attempts in flight, as the module passes it in
 
 
 def listed(count: int) -> list[EndpointEntry]:
@@ -36,7 +37,7 @@
 def view(entries: list[EndpointEntry]) -> Fleet:
     """The view of a gateway that has taken in a whole list."""
     fleet = Fleet(0, 0)
-    fleet.update(entries, True, GAP, LIMIT, set())
+    fleet.update(entries, is_snapshot=True, response_gap=GAP, concurrency_limit=LIMIT, used=set())
     return fleet
 
 
@@ -49,7 +50,7 @@
 
     def change_and_back() -> None:
         for entry in states:
-            fleet.update(entry, False, GAP, LIMIT, set())
+            fleet.update(entry, is_snapshot=False, response_gap=GAP, concurrency_limit=LIMIT, used=set())
 
     calls = max(1, 2_000 // count)
     return processor_time(change_and_back, calls, 3) / 2
@@ -64,7 +65,7 @@
 
     def remove_and_restore() -> None:
         for changes in states:
-            fleet.update(changes, False, GAP, LIMIT, set())
+            fleet.update(changes, is_snapshot=False, response_gap=GAP, concurrency_limit=LIMIT, used=set())
 
     return processor_time(remove_and_restore, max(1, 2_000 // count), 3) / 2
 
@@ -73,7 +74,13 @@
     """Microseconds to take in a whole list that says nothing new."""
     entries = listed(count)
     fleet = view(entries)
-    return processor_time(lambda: fleet.update(entries, True, GAP, LIMIT, set()), max(1, 2_000 // count), 3)
+    return processor_time(
+        lambda: fleet.update(
+            entries, is_snapshot=True, response_gap=GAP, concurrency_limit=LIMIT, used=set()
+        ),
+        max(1, 2_000 // count),
+        3,
+    )
 
 
 def view_bytes(count: int) -> int:
--- a/tests/state/test_fleet.py
+++ b/tests/state/test_fleet.py
@@ -131,7 +131,7 @@
         resets = plain.resets[:]
         for instance_index in range(len(fleet.ids)):
             fleet.consecutive_failures[instance_index] = 1  # a reset clears it
-        fleet.update(changes, is_snapshot, GAP, LIMIT, used)
+        fleet.update(changes, is_snapshot=is_snapshot, response_gap=GAP, concurrency_limit=LIMIT, used=used)
         plain.update(changes, is_snapshot, used)
         assert fleet.index == plain.index
         assert fleet.ids == [slot.instance for slot in plain.slots]
@@ -212,10 +212,24 @@
 
     fleet = Fleet(0, 0)
     fleet.order.ranks = fleet.rank = Ranks()
-    fleet.update([ready(n) for n in range(10_000)], True, GAP, LIMIT, set())
+    fleet.update(
+        [ready(n) for n in range(10_000)],
+        is_snapshot=True,
+        response_gap=GAP,
+        concurrency_limit=LIMIT,
+        used=set(),
+    )
     looks = 0
-    fleet.update([ready(5_000, state=InstanceState.DRAINING)], False, GAP, LIMIT, set())
-    fleet.update([ready(5_000, size=0.3)], False, GAP, LIMIT, set())
+    fleet.update(
+        [ready(5_000, state=InstanceState.DRAINING)],
+        is_snapshot=False,
+        response_gap=GAP,
+        concurrency_limit=LIMIT,
+        used=set(),
+    )
+    fleet.update(
+        [ready(5_000, size=0.3)], is_snapshot=False, response_gap=GAP, concurrency_limit=LIMIT, used=set()
+    )
     assert 0 < looks <= 2 * 16
 
 
@@ -225,10 +239,18 @@
 @settings(max_examples=20, deadline=None)
 def test_free_indices_are_stored_once_however_often_an_instance_is_removed_and_added(times):
     fleet = Fleet(0, 0)
-    fleet.update([ready(n) for n in range(4)], True, GAP, LIMIT, set())
+    fleet.update(
+        [ready(n) for n in range(4)], is_snapshot=True, response_gap=GAP, concurrency_limit=LIMIT, used=set()
+    )
     for _ in range(times):
-        fleet.update([ready(2, state=InstanceState.REMOVED)], False, GAP, LIMIT, set())
-        fleet.update([ready(2)], False, GAP, LIMIT, set())
+        fleet.update(
+            [ready(2, state=InstanceState.REMOVED)],
+            is_snapshot=False,
+            response_gap=GAP,
+            concurrency_limit=LIMIT,
+            used=set(),
+        )
+        fleet.update([ready(2)], is_snapshot=False, response_gap=GAP, concurrency_limit=LIMIT, used=set())
     assert len(fleet.free.heap) + len(fleet.free.deferred) <= 1
-    fleet.update([ready(9)], False, GAP, LIMIT, set())
+    fleet.update([ready(9)], is_snapshot=False, response_gap=GAP, concurrency_limit=LIMIT, used=set())
     assert fleet.index[9] == 4 and not fleet.free.heap
