--- a/tests/days.py
+++ b/tests/days.py
@@ -145,6 +145,12 @@
 
     def _update(self, turn: int) -> None:
         """Inputs from the list, the platform and peers; a new build appears, advances or rolls back."""
+        self._update_list(turn)
+        self._update_rollout(turn)
+        self._report_counts(turn)
+
+    def _update_list(self, turn: int) -> None:
+        """An endpoint list, and now and then a call for it that has failed."""
         random = self.random
         for number in random.sample(sorted(self.entries), 2):
             build = random.choice((1, 2)) if turn < 12 else random.choice((2, 3))
@@ -170,6 +176,10 @@
         )
         if random.random() < 0.1:
             self.gateway.on_endpoint_list_failed(self.now)
+
+    def _update_rollout(self, turn: int) -> None:
+        """Now and then the platform reports a build on trial or rolling back."""
+        random = self.random
         if random.random() < 0.4:
             build = 2 if turn < 12 else 3
             phase = random.choice((RolloutPhase.ON_TRIAL, RolloutPhase.ON_TRIAL, RolloutPhase.ROLLING_BACK))
@@ -184,6 +194,10 @@
                 is_valid=True,
                 is_stale=False,
             )
+
+    def _report_counts(self, turn: int) -> None:
+        """A tally, a peer's payload, sometimes truncated, and a flag."""
+        random = self.random
         build = random.choice((1, 2, 3))
         method = random.choice(self.start.methods).name
         attempts = random.randrange(60)
--- a/tests/state/test_fleet.py
+++ b/tests/state/test_fleet.py
@@ -46,7 +46,7 @@
                     instance_index = free[0]
                     del self.index[self.slots[instance_index].instance]
                     self.slots[instance_index] = entry
-                    self.resets[instance_index] = self.resets[instance_index] + 1
+                    self.resets[instance_index] += 1
                 else:
                     instance_index = len(self.slots)
                     self.slots.append(entry)
@@ -69,6 +69,10 @@
                     self.slots[instance_index] = self.slots[instance_index]._replace(
                         state=InstanceState.REMOVED
                     )
+        self._order()
+
+    def _order(self) -> None:
+        """The orders and sums, made from all slots."""
         self.ready = [
             instance_index
             for instance_index, slot in enumerate(self.slots)
