--- a/tests/scale/measure/instances.py
+++ b/tests/scale/measure/instances.py
@@ -14,8 +14,9 @@
 SIZES = (20, 200, 2_000, 20_000, 200_000)
 ZONES = 19
 LONG_AGO = -1_000_000_000_000  # microseconds; none of them is cold
-GAP = 400_000.0  # microseconds, as the module passes it in
-LIMIT = 3.0  # attempts in flight, as the module passes it in
+# As the decision module passes them in.
+GAP = 400_000.0  # microseconds
+LIMIT = 3.0  # attempts in flight
 
 
 def listed(count: int) -> list[EndpointEntry]:
