--- a/linenbridge/cli/commands.py
+++ b/linenbridge/cli/commands.py
@@ -168,13 +168,13 @@
 
 
 def _table(settings_file: Path, config: Path):  # noqa: ANN202
-    from linenbridge.startup import micros, startup
+    from linenbridge.startup import startup
 
     try:
         at, configuration = _loaded(config), read(str(settings_file))
         if (told := processor_settings(configuration)) is None:
             raise ConfigurationError(f"{settings_file}: it has no processor, and so no routes")
-        longest = micros(max(profile.give_up for profile in at.settings.profiles))
+        longest = at.settings.max_deadline()
         return routes(told, list(startup(at.settings).methods), longest)
     except (ConfigurationError, ValueError, OSError) as error:
         raise _refuse(error) from None
--- a/linenbridge/distribution/hosting/methods.py
+++ b/linenbridge/distribution/hosting/methods.py
@@ -9,7 +9,7 @@
 from linenbridge.distribution.configuration import DistributionSettings
 from linenbridge.interface import Method
 from linenbridge.process.configuration import ProcessConfiguration, load
-from linenbridge.startup import micros, startup
+from linenbridge.startup import startup
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,7 +22,7 @@
 
 def methods_in(platform: ProcessConfiguration) -> Methods:
     """The methods of a configuration that is read already."""
-    max_deadline = micros(max(profile.give_up for profile in platform.settings.profiles))
+    max_deadline = platform.settings.max_deadline()
     return Methods(tuple(startup(platform.settings).methods), max_deadline)
 
 
--- a/linenbridge/net/resp.py
+++ b/linenbridge/net/resp.py
@@ -138,7 +138,7 @@
 class ForwardedCommand:
     """A client's command as it passes on to instances: its arguments, and its fields but for the time."""
 
-    __slots__ = ("fields", "arguments")
+    __slots__ = ("arguments", "fields")
 
     def __init__(self, arguments: tuple[bytes, ...], fields: bytes) -> None:
         self.arguments, self.fields = arguments, fields
--- a/linenbridge/net/watch_stream.py
+++ b/linenbridge/net/watch_stream.py
@@ -64,7 +64,7 @@
             self.watch.log.rarely("malformed", self.watch.settings.name, error=str(error))
             self.transport.abortConnection()
 
-    def connectionLost(self, reason: Any = None) -> None:  # noqa: ARG002  # Twisted's signature
+    def connectionLost(self, reason: Any = None) -> None:  # Twisted's signature
         """Report the end to the watch."""
         self.watch.on_stream_ended(self)
 
--- a/linenbridge/process/components.py
+++ b/linenbridge/process/components.py
@@ -78,10 +78,10 @@
     methods = {method.name: method for method in start.methods}
     budgets = _budgets(configuration)
     seed = int(configuration.seed, 16)
-    connect_timeout = micros(settings.permissions.connect_timeout)
+    connect_timeout = micros(settings.allowances.connect_timeout)
 
     loop = DecisionLoop(DecisionModule(start, seed, now()), reactor, now, log)
-    idle_timeout = micros(settings.permissions.idle_close)
+    idle_timeout = micros(settings.allowances.idle_timeout)
     # A request in flight holds one descriptor on each side.
     instances = Instances(loop, reactor, budgets.descriptors // 2, connect_timeout, idle_timeout, log)
     listeners = (instances,) if add_front is None else (instances, add_front(loop))
@@ -103,7 +103,7 @@
         address,
         methods,
         connect_timeout,
-        micros(settings.family_info.answer_wait),
+        micros(settings.rollout.response_timeout),
         budgets.max_line,
         log,
         partial(open_watch, address=address),
@@ -117,7 +117,7 @@
         reactor,
         instances,
         methods,
-        micros(max(profile.give_up for profile in settings.profiles)),
+        settings.max_deadline(),
         budgets.max_line,
         Descriptors(budgets.descriptors - budgets.descriptors // 2),
         configuration.limits.sockets // CLIENT_POOL_SHARE,
--- a/linenbridge/process/configuration.py
+++ b/linenbridge/process/configuration.py
@@ -12,7 +12,7 @@
 
 from linenbridge.net.discovery import EndpointList, host_port
 from linenbridge.net.platform import RolloutStatus
-from linenbridge.startup import Info
+from linenbridge.startup import SettingsObject
 
 CONFIGURATION_PATH = "LB_CONFIG"
 # Fields that the environment gives where the configuration leaves them out.
@@ -42,7 +42,7 @@
     seed: str
     limits: Limits
     platform: PlatformConfiguration
-    settings: Info
+    settings: SettingsObject
     known: EndpointList | None = None
 
 
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -32,7 +32,7 @@
 from linenbridge.processor.store import ReservationStore
 from linenbridge.processor.stream_session import StreamSession
 from linenbridge.routes.table import Routing, Table
-from linenbridge.startup import micros, startup
+from linenbridge.startup import startup
 
 if TYPE_CHECKING:
     from linenbridge.distribution.view.view import View
@@ -63,7 +63,7 @@
     ) -> None:  # fmt: skip
         self.settings, self.log, self.reactor = settings, log, reactor
         start = startup(at.settings)
-        self.longest = micros(max(profile.give_up for profile in at.settings.profiles))
+        self.longest = at.settings.max_deadline()
         self.table = routes(settings, list(start.methods), self.longest)
         self.routing = _routing(self.table, view)
         self.directory = Directory(settings.peers)
--- a/linenbridge/startup.py
+++ b/linenbridge/startup.py
@@ -1,16 +1,17 @@
 """The settings object that both hosts are given, and the module's `Startup` made of it.
 
-Owns the settings' names and units, and what the names in load reports stand for. It only translates: it
-must never decide, nor hold a figure of its own beyond the settings' stated defaults.
+Owns the settings' fields and units, with `name=` where the users' pages name them otherwise, and what the
+names in load reports stand for. It only translates: it decides nothing, and holds no figure beyond the stated
+defaults. Times in the settings are seconds, in `Startup` microseconds.
 """
 
 from __future__ import annotations
 
-from typing import Literal
+from typing import Final, Literal
 
-from msgspec import Struct
+from msgspec import Struct, field
 
-from linenbridge.interface import Allowances, Idempotency, Method, RolloutPlan, Startup
+from linenbridge.interface import SECOND, Allowances, Idempotency, Method, RolloutPlan, Startup
 
 IDEMPOTENCY = {
     "repeatable": Idempotency.IDEMPOTENT,
@@ -18,124 +19,154 @@
     "once": Idempotency.NON_IDEMPOTENT,
 }
 LOADS = {
-    "rif": "in_flight", "q": "waiting", "busy": "busy", "lat_ms": "service_ms",
-    "inflight": "in_flight", "queue": "waiting", "util": "busy", "latency_ms": "service_ms",
-}  # fmt: skip
-LONG_AGO = -(10**12)
+    "rif": "in_flight",
+    "q": "waiting",
+    "busy": "busy",
+    "lat_ms": "service_ms",
+    "inflight": "in_flight",
+    "queue": "waiting",
+    "util": "busy",
+    "latency_ms": "service_ms",
+}  # fields of load reports, by the names that instances use
+LONG_AGO: Final = -(10**12)  # microseconds: the start of an instance that was there before
 
 
-class Info(Struct):
-    """The settings object; what is malformed fails with the name of the field."""
+class SettingsObject(Struct):
+    """The settings object; what is malformed fails with the page's name of the field."""
 
     discovery: Literal["push", "ask"]
-    profiles: list[Profile]
-    family_info: Family
-    permissions: Permissions
-    rules: Rules
-    tenants: list[Tenant] = []
-    value_by: str = "request"
-    over_share_worth: float = 1.0
-    slot_no: int = 0
-    balancers: int = 1
-
-
-class Profile(Struct):
+    methods: list[MethodSettings] = field(name="profiles")
+    rollout: RolloutSettings = field(name="family_info")
+    allowances: AllowanceSettings = field(name="permissions")
+    slow_start: SlowStartSettings = field(name="rules")
+    tenants: list[TenantSettings] = []
+    weighted_by: str = field(name="value_by", default="request")
+    over_quota_weight: float = field(name="over_share_worth", default=1.0)
+    gateway_number: int = field(name="slot_no", default=0)
+    gateway_count: int = field(name="balancers", default=1)
+
+    def max_deadline(self) -> int:
+        """The longest deadline of a method, in microseconds."""
+        return micros(max(method.max_deadline for method in self.methods))
+
+
+class MethodSettings(Struct):
+    """One method. Times are seconds."""
+
     name: str
-    aim: float
-    give_up: float
-    worth: float
+    latency_objective: float = field(name="aim")
+    max_deadline: float = field(name="give_up")
+    priority_weight: float = field(name="worth")
     idempotency: Literal["repeatable", "by_key", "once"]
     group: Literal["all", "zone", "cell"] = "all"
-    window: float = 0.0
+    idempotency_window: float = field(name="window", default=0.0)
+
 
+class TenantSettings(Struct):
+    """One tenant and its share of the gateway's requests, 0 to 1."""
 
-class Tenant(Struct):
     name: str
-    share: float
+    quota: float = field(name="share")
 
 
-class Family(Struct):
-    gate_mode: Literal["any", "share", "timer"]
+class RolloutSettings(Struct):
+    """How the platform stages a build and counts votes. Times are seconds, shares are 0 to 1."""
+
+    gate: Literal["any", "share", "timer"] = field(name="gate_mode")
     style: Literal["beside", "in_place"]
     shares: list[float]
     caps: list[float]
     closed_stages: int
-    per: Literal["all", "class"]
-    spare_tries: float
+    caps_per: Literal["all", "class"] = field(name="per")
+    burst_attempts: float = field(name="spare_tries")
     forward_only: bool
-    vote_stands: float
-    answer_wait: float
-    back_votes: int = 1
-    metrics_period: float = 0.0
-    api_rate: float = 0.0
+    vote_ttl: float = field(name="vote_stands")
+    response_timeout: float = field(name="answer_wait")
+    rollback_votes: int = field(name="back_votes", default=1)
+    tally_period: float = field(name="metrics_period", default=0.0)
+    calls_per_second: float = field(name="api_rate", default=0.0)
+
 
+class AllowanceSettings(Struct):
+    """What the gateway may do. Times are seconds."""
 
-class Permissions(Struct):
     max_attempts: int
-    second_copies: bool
-    may_cancel: bool
-    retry_after: bool
+    hedging_allowed: bool = field(name="second_copies")
+    cancel_allowed: bool = field(name="may_cancel")
+    retry_after_allowed: bool = field(name="retry_after")
     max_retry_after: float
-    idle_close: float
+    idle_timeout: float = field(name="idle_close")
     connect_timeout: float
-    may_tell: bool = False
+    gossip_allowed: bool = field(name="may_tell", default=False)
 
 
-class Rules(Struct):
-    cold_from: float
-    cold: float
-    fall_multiple: float
+class SlowStartSettings(Struct):
+    """How instances warm up: from a share of their capacity, over seconds, and the load that they bear."""
+
+    floor: float = field(name="cold_from")
+    duration: float = field(name="cold")
+    multiple: float = field(name="fall_multiple")
 
 
 def micros(seconds: float) -> int:
-    return round(seconds * 1e6)
+    """Seconds in whole microseconds."""
+    return round(seconds * SECOND)
 
 
-def startup(info: Info) -> Startup:
-    """The settings in the module's own words."""
-    plan, allow, rules = info.family_info, info.permissions, info.rules
+def startup(settings: SettingsObject) -> Startup:
+    """The settings as the decision module takes them."""
     return Startup(
-        methods=tuple(
-            Method(
-                name=row.name,
-                idempotency=IDEMPOTENCY[row.idempotency],
-                group=row.group,
-                idempotency_window=micros(row.window),
-                latency_objective=micros(row.aim),
-                priority_weight=row.worth,
-            )
-            for row in info.profiles
-        ),
-        tenant_quotas={tenant.name: tenant.share for tenant in info.tenants},
-        plan=RolloutPlan(
-            by_timer=plan.gate_mode == "timer",
-            in_place=plan.style == "in_place",
-            shares=tuple(plan.shares),
-            caps=tuple(plan.caps),
-            closed_stages=plan.closed_stages,
-            per_method=plan.per == "class",
-            burst_attempts=plan.spare_tries,
-            forward_only=plan.forward_only,
-            vote_ttl=micros(plan.vote_stands),
-            rollback_votes=plan.back_votes,
-            tally_period=micros(plan.metrics_period),
-            calls_per_second=plan.api_rate,
-        ),
-        allowances=Allowances(
-            max_attempts=allow.max_attempts,
-            hedging_allowed=allow.second_copies,
-            cancel_allowed=allow.may_cancel,
-            max_retry_after=micros(allow.max_retry_after) if allow.retry_after else 0,
-            polls_endpoints=info.discovery == "ask",
-            slow_start_floor=rules.cold_from,
-            slow_start_duration=micros(rules.cold),
-            slow_start_multiple=rules.fall_multiple,
-            weighted_by_work=info.value_by == "work",
-            over_quota_weight=info.over_share_worth,
-            gateway_number=info.slot_no,
-            gateway_count=info.balancers,
-            gossip_allowed=allow.may_tell,
-            idle_timeout=micros(allow.idle_close),
-            connect_timeout=micros(allow.connect_timeout),
-        ),
+        methods=tuple(_method(method) for method in settings.methods),
+        tenant_quotas={tenant.name: tenant.quota for tenant in settings.tenants},
+        plan=_plan(settings.rollout),
+        allowances=_allowances(settings),
+    )
+
+
+def _method(method: MethodSettings) -> Method:
+    return Method(
+        name=method.name,
+        idempotency=IDEMPOTENCY[method.idempotency],
+        group=method.group,
+        idempotency_window=micros(method.idempotency_window),
+        latency_objective=micros(method.latency_objective),
+        priority_weight=method.priority_weight,
+    )
+
+
+def _plan(rollout: RolloutSettings) -> RolloutPlan:
+    return RolloutPlan(
+        by_timer=rollout.gate == "timer",
+        in_place=rollout.style == "in_place",
+        shares=tuple(rollout.shares),
+        caps=tuple(rollout.caps),
+        closed_stages=rollout.closed_stages,
+        per_method=rollout.caps_per == "class",
+        burst_attempts=rollout.burst_attempts,
+        forward_only=rollout.forward_only,
+        vote_ttl=micros(rollout.vote_ttl),
+        rollback_votes=rollout.rollback_votes,
+        tally_period=micros(rollout.tally_period),
+        calls_per_second=rollout.calls_per_second,
+    )
+
+
+def _allowances(settings: SettingsObject) -> Allowances:
+    allowed = settings.allowances
+    return Allowances(
+        max_attempts=allowed.max_attempts,
+        hedging_allowed=allowed.hedging_allowed,
+        cancel_allowed=allowed.cancel_allowed,
+        max_retry_after=micros(allowed.max_retry_after) if allowed.retry_after_allowed else 0,
+        polls_endpoints=settings.discovery == "ask",
+        slow_start_floor=settings.slow_start.floor,
+        slow_start_duration=micros(settings.slow_start.duration),
+        slow_start_multiple=settings.slow_start.multiple,
+        weighted_by_work=settings.weighted_by == "work",
+        over_quota_weight=settings.over_quota_weight,
+        gateway_number=settings.gateway_number,
+        gateway_count=settings.gateway_count,
+        gossip_allowed=allowed.gossip_allowed,
+        idle_timeout=micros(allowed.idle_timeout),
+        connect_timeout=micros(allowed.connect_timeout),
     )
