--- a/linenbridge/cli/commands.py
+++ b/linenbridge/cli/commands.py
@@ -364,20 +364,24 @@
     as_json: AsJson = False,
 ) -> None:
     """Add up a whole fleet's logs: lines of each kind by stretch of time, and all counters."""
-    from linenbridge.cli.logs import add_up
+    from linenbridge.cli.logs import sum_folder
 
     try:
-        sums = add_up(folder, every)
+        sums = sum_folder(folder, every)
     except (OSError, ValueError) as error:
         raise _refuse(error) from None
     rows, counters = sums.rows()[:most], dict(sorted(sums.counters.items()))
     if as_json:
-        table = [{"kind": n, "lines": c, "gateways": g, "by": by} for n, c, g, by in rows]
+        table = [
+            {"kind": row.kind, "lines": row.lines, "gateways": row.gateways, "by": row.by_interval}
+            for row in rows
+        ]
         print(json.dumps({"every": every, "unread": sums.unread, "rows": table, "counters": counters}))
         return
     grid = Grid("kind", "lines", "gateways", f"lines by {every:g} s")
-    for name, count, gateways, by in rows:
-        grid.add_row(name, str(count), str(gateways), " ".join(f"{s}:{n}" for s, n in by.items()))
+    for row in rows:
+        by_interval = " ".join(f"{index}:{number}" for index, number in row.by_interval.items())
+        grid.add_row(row.kind, str(row.lines), str(row.gateways), by_interval)
     Console().print(grid)
     for name, count in counters.items():
         print(f"{name} {count}")
--- /dev/null
+++ b/linenbridge/cli/event_names.py
@@ -0,0 +1,112 @@
+"""Names of log events and decisions: those of earlier versions, and the present ones.
+
+A fleet that is upgraded one process at a time writes both. `linenbridge logs` counts a line of an earlier
+version under the present name, so that both add up in one row. Names that are not listed stay as they are.
+"""
+
+from __future__ import annotations
+
+import re
+from collections.abc import Mapping
+from dataclasses import dataclass
+from typing import Final
+
+EVENTS: Final[Mapping[str, str]] = {
+    "act.failed": "task_action.failed",
+    "act.refused": "task_action.rejected",
+    "council.lost": "quorum.lost",
+    "council.moves": "quorum.changing",
+    "council.newer": "quorum.newer_generation",
+    "distribution.misnamed": "distribution.name_mismatch",
+    "distribution.refused_change": "distribution.rejected_change",
+    "distribution.refused_follower": "distribution.follower_rejected",
+    "distribution.spoilt": "distribution.malformed",
+    "distribution.stranger": "distribution.unauthorized_peer",
+    "fleet.refused": "fleet.settings_rejected",
+    "fleet.reloaded": "fleet.settings_reloaded",
+    "hold.open": "rollout_freeze.opened",
+    "hold.over": "rollout_freeze.ended",
+    "keys.refused": "tls.reload.failed",
+    "link.lost": "peer.disconnected",
+    "link.malformed": "peer.malformed",
+    "link.stranger": "peer.unauthorized",
+    "link.too_long": "peer.message_too_long",
+    "link.too_many": "peer.too_many_connections",
+    "link.unread": "peer.send_buffer_full",
+    "link.up": "peer.connected",
+    "listen.refused": "listen.failed",
+    "reload.refused": "reload.rejected",
+    "seat.aside": "acceptor.recovering",
+    "seat.returned": "acceptor.recovered",
+    "store.recalled": "store.loaded",
+    "stranger": "unauthorized_peer",
+    "task.held": "task.acquired",
+}
+COUNTERS: Final[Mapping[str, str]] = {"act": "task_action"} | {
+    earlier: present for earlier, present in EVENTS.items() if earlier.startswith("link.")
+}  # by the start of a counter's name, up to a dot
+STATISTICS: Final[Mapping[str, str]] = {
+    "failed": "failures",
+    "failed much": "failure_burst",
+    "slow": "latency",
+}
+VOTES: Final = ("none", "promote", "hold", "roll_back")  # by the number that earlier versions wrote
+PHASES: Final = ("on_trial", "rolling_back", "released", "withdrawn")
+
+
+@dataclass(frozen=True, slots=True)
+class Sentence:
+    """One form of a decision's text in earlier versions, and the row that it is counted under."""
+
+    form: re.Pattern[str]
+    row: str
+
+
+SENTENCES: Final = (
+    Sentence(re.compile(r"shun .*"), "eject"),
+    Sentence(re.compile(r"alarm (?P<method>\S+) (?P<statistic>.+) build (?P<build>\S+) W .*"), "alarm"),
+    Sentence(
+        re.compile(r"clear (?P<method>\S+) (?P<statistic>.+) build (?P<build>\S+) W .*"), "alarm_cleared"
+    ),
+    Sentence(re.compile(r"vote (?P<vote>[0-3]) build (?P<build>\S+) stage (?P<stage>\S+) told .*"), "vote"),
+    Sentence(
+        re.compile(r"build (?P<build>\S+) stage (?P<stage>\S+) phase (?P<phase>[0-3]) cap .*"), "rollout"
+    ),
+    Sentence(re.compile(r"hold .* build (?P<build>\S+) stage (?P<stage>\S+) cap .*"), "rollout_freeze"),
+)
+
+
+def event_name(event: str) -> str:
+    """The present name of an event."""
+    return EVENTS.get(event, event)
+
+
+def counter_name(counter: str) -> str:
+    """The present name of a counter, whose later parts (a method, an outcome, a code) stay."""
+    for earlier, present in COUNTERS.items():
+        if counter == earlier or counter.startswith(f"{earlier}."):
+            return present + counter[len(earlier) :]
+    return counter
+
+
+def decision_row(fields: Mapping[str, object]) -> str:
+    """The row that a decision is counted under: its kind and what it is about, without its figures."""
+    values = [str(fields[name]) for name in ("method", "statistic", "vote", "phase") if name in fields]
+    named = [f"{name} {fields[name]}" for name in ("build", "stage") if name in fields]
+    return " ".join([str(fields.get("kind")), *values, *named])
+
+
+def sentence_row(text: str) -> str:
+    """The row of a decision that an earlier version wrote as a sentence, or the text of an unknown form."""
+    for sentence in SENTENCES:
+        if found := sentence.form.fullmatch(text):
+            fields: dict[str, object] = {"kind": sentence.row, **found.groupdict()}
+            if "vote" in fields:
+                fields["vote"] = VOTES[int(str(fields["vote"]))]
+            if "phase" in fields:
+                fields["phase"] = PHASES[int(str(fields["phase"]))]
+            if "statistic" in fields:
+                statistic = str(fields["statistic"])
+                fields["statistic"] = STATISTICS.get(statistic, statistic)
+            return decision_row(fields)
+    return text
--- a/linenbridge/cli/logs.py
+++ b/linenbridge/cli/logs.py
@@ -1,6 +1,6 @@
 """A folder of gateways' logs, read file by file.
 
-Owns the files while they are read. It must never say what a line means: `sums.py` does.
+Owns the files while they are read; `sums` says what their lines mean.
 """
 
 from __future__ import annotations
@@ -10,10 +10,12 @@
 from linenbridge.cli.sums import Sums
 
 
-def add_up(folder: Path, every: float) -> Sums:
-    """All files of the folder, a gateway each, in stretches of `every` seconds; OSError where one cannot be
-    read, ValueError for a stretch of nothing."""
-    sums = Sums(every)
+def sum_folder(folder: Path, interval: float) -> Sums:
+    """The sums of all files of the folder, one gateway a file, over intervals of `interval` seconds.
+
+    OSError where a file can't be read, ValueError where the interval is not positive.
+    """
+    sums = Sums(interval)
     for file in sorted(path for path in folder.iterdir() if path.is_file()):
         with file.open(encoding="utf-8", errors="replace") as lines:
             sums.read(file.stem, lines)
--- a/linenbridge/cli/sums.py
+++ b/linenbridge/cli/sums.py
@@ -1,95 +1,128 @@
-"""A fleet's logs added up: what all gateways did, by kind and by stretch of time.
+"""Sums of the logs of a fleet: lines by kind and interval of time, and counters of all gateways.
 
-Owns the meaning of the lines that gateways wrote and their sums. Keeps state without I/O: it is handed text
-and holds counts alone. It must never trust a line: one that is no gateway's is counted and passed over.
+Owns the meaning of log lines and their sums; it does no I/O. A line that is not a gateway's is counted as
+unread. Lines of earlier versions count under the present names (`event_names`).
 """
 
 from __future__ import annotations
 
-import re
 from collections import Counter
-from collections.abc import Iterable
-from typing import Any
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass
+from typing import Any, Final
 
 import orjson
 
-# What differs from one line of a kind to the next: the instance shunned, and figures. Build and stage stay.
-FIGURES = re.compile(r"(?<=^shun) .*| (outcomes|W|level|ground|told|cap) -?[\d.]+")
-KINDS_MOST = 10_000
+from linenbridge.cli.event_names import counter_name, decision_row, event_name, sentence_row
+
+MAX_KINDS: Final = 10_000  # further kinds share a row
+OTHER: Final = "other"
+
+
+@dataclass(frozen=True, slots=True)
+class LogLine:
+    """One line of a gateway's log; `at` is in seconds of Unix time."""
+
+    at: float
+    event: str
+    fields: Mapping[str, Any]
+
+
+@dataclass(frozen=True, slots=True)
+class KindRow:
+    """The lines of one kind: how many, of how many gateways, and by interval since the first line of all."""
+
+    kind: str
+    lines: int
+    gateways: int
+    by_interval: dict[int, int]
 
 
 class Sums:
-    """What the lines of all gateways come to. `every` is the length in seconds of a stretch of time."""
+    """The sums of all gateways' lines, over intervals of `interval` seconds."""
 
-    def __init__(self, every: float) -> None:
-        if every <= 0:
+    def __init__(self, interval: float) -> None:
+        """ValueError where the interval is not positive."""
+        if interval <= 0:
             raise ValueError("a stretch of time must be longer than nothing")
-        self.every = every
+        self.interval = interval
         self.kinds: Counter[tuple[str, int]] = Counter()
         self.gateways: dict[str, set[str]] = {}
         self.counters: Counter[str] = Counter()
         self.unread = 0
 
     def read(self, gateway: str, lines: Iterable[str]) -> None:
-        """One gateway's lines in their order. A process writes its counters as it ends and when asked: what
-        it says last counts, and what the one before it under this name had counted stays."""
-        last: dict[str, int] = {}
-        for line in lines:
-            if (said := _fields(line)) is None:
-                self.unread += bool(line.strip())
+        """Adds the lines of one gateway, in their order.
+
+        A process writes its counters on request and at its end: its last ones count, and those of earlier
+        processes of the same gateway are added.
+        """
+        counters: dict[str, int] = {}
+        for text in lines:
+            line = _parse(text)
+            if line is None:
+                self.unread += bool(text.strip())
                 continue
-            at, event, fields = said
-            if event == "started":
-                self.counters.update(last)
-                last = {}
-            if event == "counters":
-                counts = fields.get("counts")
-                counts = counts if isinstance(counts, dict) else {}
-                last = {name: count for name, count in counts.items() if isinstance(count, int)}
+            if line.event == "started":
+                self._add_counters(counters)
+                counters = {}
+            if line.event == "counters":
+                counters = _counters(line)
                 continue
-            self._add(gateway, kind(event, fields), int(at / self.every))
-        self.counters.update(last)
-
-    def _add(self, gateway: str, name: str, stretch: int) -> None:
-        """Kinds come from what was read: past a bound, further ones share a row."""
-        if name not in self.gateways and len(self.gateways) >= KINDS_MOST:
-            name = "other"
-        self.kinds[name, stretch] += 1
+            self._add(gateway, kind(line.event, line.fields), int(line.at / self.interval))
+        self._add_counters(counters)
+
+    def _add_counters(self, counters: Mapping[str, int]) -> None:
+        for name, count in counters.items():
+            self.counters[counter_name(name)] += count
+
+    def _add(self, gateway: str, name: str, interval_index: int) -> None:
+        if name not in self.gateways and len(self.gateways) >= MAX_KINDS:
+            name = OTHER
+        self.kinds[name, interval_index] += 1
         self.gateways.setdefault(name, set()).add(gateway)
 
-    def rows(self) -> list[tuple[str, int, int, dict[int, int]]]:
-        """Kind, lines in all, gateways that wrote it, and lines by stretch counted from the first line of any
-        gateway; the most frequent first."""
+    def rows(self) -> list[KindRow]:
+        """A row for each kind, the most frequent first."""
         by_kind: dict[str, dict[int, int]] = {}
-        first = min((stretch for _, stretch in self.kinds), default=0)
-        for (name, stretch), number in self.kinds.items():
-            by_kind.setdefault(name, {})[stretch - first] = number
+        first = min((interval_index for _, interval_index in self.kinds), default=0)
+        for (name, interval_index), number in self.kinds.items():
+            by_kind.setdefault(name, {})[interval_index - first] = number
         rows = [
-            (name, sum(by.values()), len(self.gateways[name]), dict(sorted(by.items())))
-            for name, by in by_kind.items()
+            KindRow(name, sum(counts.values()), len(self.gateways[name]), dict(sorted(counts.items())))
+            for name, counts in by_kind.items()
         ]
-        return sorted(rows, key=lambda row: (-row[1], row[0]))
+        return sorted(rows, key=lambda row: (-row.lines, row.kind))
 
 
-def kind(event: str, fields: dict[str, Any]) -> str:
-    """The name under which a line is counted: changes of mode by what changed, the rest by event."""
+def kind(event: str, fields: Mapping[str, Any]) -> str:
+    """The name that a line is counted under: a decision's kind and subject, or the event and its source."""
     if event == "decision":
-        values = (str(fields[key]) for key in ("method", "statistic", "vote", "phase") if key in fields)
-        named = (f"{key} {fields[key]}" for key in ("build", "stage") if key in fields)
-        return " ".join([str(fields.get("kind")), *values, *named])
-    if event != "mode":
-        return f"{event} {fields['of']}" if isinstance(fields.get("of"), str) else event
-    return FIGURES.sub("", str(fields.get("text", "")))
+        return decision_row(fields)
+    if event == "mode":
+        return sentence_row(str(fields.get("text", "")))
+    source = fields.get("source", fields.get("of"))
+    name = event_name(event)
+    return f"{name} {source}" if isinstance(source, str) else name
 
 
-def _fields(line: str) -> tuple[float, str, dict[str, Any]] | None:
-    """Time in seconds, event and fields; a supervisor may have put its own stamp before the object."""
-    begin = line.find("{")
+def _counters(line: LogLine) -> dict[str, int]:
+    counts = line.fields.get("counts")
+    if not isinstance(counts, dict):
+        return {}
+    return {name: count for name, count in counts.items() if isinstance(count, int)}
+
+
+def _parse(text: str) -> LogLine | None:
+    """The line; None where it is not a gateway's. A supervisor may have put a stamp before the object."""
+    begin = text.find("{")
+    if begin < 0:
+        return None
     try:
-        fields = orjson.loads(line[begin:]) if begin >= 0 else None
+        fields = orjson.loads(text[begin:])
     except orjson.JSONDecodeError:
         return None
     if not isinstance(fields, dict) or not isinstance(fields.get("event"), str):
         return None
     at = fields.get("at")
-    return (float(at), fields["event"], fields) if isinstance(at, int | float) else None
+    return LogLine(float(at), fields["event"], fields) if isinstance(at, int | float) else None
