--- a/tests/scale/measure/relay.py
+++ b/tests/scale/measure/relay.py
@@ -147,8 +147,8 @@
     )
 
     def change() -> None:
-        taken = next(changes)
-        table.apply(taken.version, [taken])
+        applied = next(changes)
+        table.apply(applied.version, [applied])
 
     return processor_time(change, calls, repeats)
 
@@ -160,9 +160,10 @@
         self.now = 0
         self.core = Publisher("one", "publisher", RELAYS, PublisherPace(), Random(1), lambda *_: "")
         self.core.on_term(self.now, 1)
-        self.settle()
+        self.deliver_all()
 
-    def settle(self) -> None:
+    def deliver_all(self) -> None:
+        """Carry out decisions until there are none."""
         while True:
             self.core.on_term(self.now, 1)
             decision = self.core.next_decision(self.now)
@@ -180,10 +181,11 @@
             self.core.on_appended(self.now, Appended("one", 1, send.to, upto.sequence, "", 1))
 
     def publish(self, number: int) -> None:
+        """Have one change accepted."""
         self.now += 1
         message = Publish(number, "one", Kind.TENANT, f"tenant-{number:07d}", VALUE)
-        self.core.on_publish(self.now, "author", message)
-        self.settle()
+        self.core.on_publish(self.now, "client", message)
+        self.deliver_all()
 
 
 def publish_time(count: int) -> float:
