--- a/tests/scale/change_client.py
+++ b/tests/scale/change_client.py
@@ -152,6 +152,7 @@
         self.look()
 
     def record_sent(self, first: int, request: int, change: Scheduled) -> None:
+        """Record a request."""
         self.recorder.write(
             Sent(first, request, change.region, change.kind, change.name, shown(change.value))
         )
@@ -173,11 +174,13 @@
             self.reactor.callLater(LOOK_EVERY, self.look)
 
     def is_done(self) -> bool:
+        """Whether every change has its final response."""
         if self.schedule or any(region.due or region.open for region in self.regions.values()):
             return False
         return not self.spec.in_force or self.in_force >= self.accepted
 
     def on_published(self, far: str, published: Published) -> None:
+        """Take in a publisher's response."""
         region = next((one for one in self.regions.values() if published.request in one.open), None)
         name = region.region if region is not None else self.region_of(far)
         version = published.version
@@ -193,9 +196,11 @@
             self.answered(region, published)
 
     def region_of(self, far: str) -> str:
+        """The region of a publisher."""
         return next(region for region, names in self.spec.publishers.items() if far in names)
 
     def answered(self, region: RegionChanges, published: Published) -> None:
+        """Take in the response to an open request."""
         if published.state == "accepted":
             del region.open[published.request]
             self.accepted += 1
@@ -207,10 +212,12 @@
             self.rejected[published.code] = self.rejected.get(published.code, 0) + 1
 
     def summary(self) -> Summary:
+        """What became of the schedule."""
         return Summary(self.accepted, self.in_force, self.rejected, self.retried, self.last)
 
 
 def main() -> int:
+    """Run the process; its exit code."""
     spec = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=ChangeClientSpec)
     log = structured(sys.stderr.buffer, "warning", process=spec.name)
     reactor = lifecycle.begin(log)
--- a/tests/scale/families.py
+++ b/tests/scale/families.py
@@ -57,6 +57,7 @@
     notes: dict[str, float] = field(default_factory=dict)
 
     def line(self) -> str:
+        """The outcome as one line for a terminal."""
         scale = self.scale
         took = self.lag
         notes = "".join(f", {name} {value:.2f} s" for name, value in self.notes.items())
@@ -105,11 +106,13 @@
     ended: int = 0
 
     def random(self, what: str) -> Random:
+        """A generator that depends on the seed and on `what`."""
         return Random(f"{what} {self.seed}")
 
     def start_client(
         self, seconds: float, factor: float = 1.0, more: list[Request] | None = None
     ) -> subprocess.Popen:
+        """Start a change client with the steady changes and `more`."""
         regions = self.installation.scale.region_names()
         requests = steady(self.seed, self.shape, regions, seconds, factor) + (more or [])
         return self.installation.start_change_client(requests, seconds + EQUALITY_WAIT)
--- a/tests/scale/hollow.py
+++ b/tests/scale/hollow.py
@@ -52,6 +52,8 @@
 
 
 class Address(Struct, frozen=True):
+    """A host and a port."""
+
     host: str
     port: int
 
@@ -163,6 +165,7 @@
         self.reactor.callLater(FLUSH_EVERY, self._flush)
 
     def settings(self, gateway: str) -> DistributionSettings:
+        """The settings of one gateway."""
         spec = self.spec
         regions = {
             region: Region({name: (at.host, at.port) for name, at in relays.items()}, {})
@@ -311,6 +314,7 @@
         connections.SendBuffer.write = counted_write
 
     def read(self) -> None:
+        """Record what the process used since the last reading."""
         at = now()
         used = _processor_seconds()
         self.recorder.write(
@@ -331,6 +335,7 @@
 
 
 def resident_bytes(process: int) -> int:
+    """Bytes of a process in memory."""
     pages = int(Path(f"/proc/{process}/statm").read_text().split()[1])
     return pages * resource.getpagesize()
 
@@ -364,6 +369,7 @@
                 self.hollow.reactor.callLater(0.05, self.hollow.reactor.stop)
 
     def send(self, answer: Answer) -> None:
+        """Write one answer."""
         self.sendLine(msgspec.json.encode(answer))
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802
@@ -373,6 +379,7 @@
 
 
 def main() -> int:
+    """Run the process; its exit code."""
     spec = msgspec.json.decode(Path(sys.argv[1]).read_bytes(), type=HollowSpec)
     log = structured(sys.stderr.buffer, "warning", process=spec.process)
     reactor = lifecycle.begin(log)
--- a/tests/scale/installation.py
+++ b/tests/scale/installation.py
@@ -49,6 +49,7 @@
     look: float = 0.1  # seconds between two looks at how far everybody is
 
     def region_names(self) -> list[str]:
+        """The names of the regions."""
         return [f"r{number}" for number in range(1, self.regions + 1)]
 
 
@@ -60,14 +61,17 @@
     gateways: list[str]
 
     def request(self, command: Command) -> Answer:
+        """Send a command and wait for its answer."""
         self.send(command)
         return self.answer()
 
     def send(self, command: Command) -> None:
+        """Send a command."""
         self.process.stdin.write(msgspec.json.encode(command) + b"\n")
         self.process.stdin.flush()
 
     def answer(self) -> Answer:
+        """Wait for the answer to a command."""
         return msgspec.json.decode(self.process.stdout.readline(), type=Answer)
 
 
@@ -205,6 +209,7 @@
         return process
 
     def kill(self, name: str) -> None:
+        """Kill a process; its log is kept under another name."""
         self.records.write(Fault(now(), "killed", name))
         process = self.running.pop(name)
         process.kill()
@@ -212,16 +217,19 @@
         (self.folder / f"{name}.log").rename(self.folder / f"{name}.{process.pid}.log")
 
     def pause(self, name: str) -> None:
+        """Stop a process by SIGSTOP."""
         self.records.write(Fault(now(), "stopped", name))
         self.running[name].send_signal(signal.SIGSTOP)
         self.stopped.add(name)
 
     def wake(self, name: str) -> None:
+        """Continue a stopped process."""
         self.records.write(Fault(now(), "woken", name))
         self.stopped.discard(name)
         self.running[name].send_signal(signal.SIGCONT)
 
     def close(self) -> None:
+        """End all processes."""
         for name in list(self.stopped):
             self.wake(name)
         self.records.close()
@@ -237,6 +245,7 @@
     # ---- what they say -------------------------------------------------------------------------------------
 
     def wait_for(self, name: str, event: str) -> None:
+        """Wait until the log of a process has an event."""
         log = self.folder / f"{name}.log"
         self.until(lambda: f'"{event}"'.encode() in log.read_bytes(), f"{event} of {name}")
 
@@ -258,6 +267,7 @@
         return [hollow.answer() for hollow in self.hollow.values()]
 
     def following(self) -> int:
+        """How many gateways follow a relay."""
         return sum(answer.following for answer in self.request_all(Command("where")))
 
     def until(self, true, what: str, wait: float = START_WAIT) -> float:  # noqa: ANN001
@@ -295,6 +305,7 @@
         return process
 
     def finish_change_client(self, process: subprocess.Popen) -> Summary:
+        """Wait for the end of a change client; its summary."""
         output, _ = process.communicate()
         self.running = {name: one for name, one in self.running.items() if one is not process}
         return msgspec.json.decode(output, type=Summary)
--- a/tests/scale/measure/view.py
+++ b/tests/scale/measure/view.py
@@ -64,6 +64,7 @@
         self.sequence = 0
 
     def seal(self, kind: Kind, name: str, value: bytes) -> Change:
+        """Return the next change."""
         self.sequence += 1
         return sealed(REGION, Version(1, self.sequence), kind, name, value)
 
@@ -94,10 +95,12 @@
 
 
 def service(number: int) -> str:
+    """The authority of a service."""
     return f"service-{number:04d}.internal"
 
 
 def instance_value(number: int, state: int = InstanceState.READY) -> bytes:
+    """An encoded InstanceValue."""
     chance = drawn("instance", number)
     value = InstanceValue(
         363, f"zone-{chance % ZONES}", str(chance % 400), state, 1.0, 1_700_000_000_000 + chance % MONTH,
@@ -107,36 +110,43 @@
 
 
 def instance_key(number: int) -> str:
+    """The name of an instance."""
     return f"{service(number // INSTANCES_A_SERVICE)}/i-{drawn('name', number) & 0xFFFFFFFF:08x}"
 
 
 def route_changes(source: ChangeSource, count: int) -> Iterator[Change]:
+    """Rule sets with that many rules."""
     for number in range(max(1, round(count / RULES_A_SERVICE))):
         yield source.seal(Kind.ROUTES, service(number), rules(number % SETS))
 
 
 def tenant_changes(source: ChangeSource, count: int) -> Iterator[Change]:
+    """That many tenants."""
     value = msgspec.msgpack.encode(TenantValue(MADE_SHARE))
     for number in range(count):
         yield source.seal(Kind.TENANT, f"tenant-{number:07d}", value)
 
 
 def instance_changes(source: ChangeSource, count: int) -> Iterator[Change]:
+    """That many instances."""
     for number in range(count):
         yield source.seal(Kind.INSTANCE, instance_key(number), instance_value(number))
 
 
 def all_changes(source: ChangeSource, count: int) -> Iterator[Change]:
+    """That many instances, with routes and tenants in proportion."""
     yield from route_changes(source, round(count * ROUTES_AN_INSTANCE))
     yield from tenant_changes(source, round(count * TENANTS_AN_INSTANCE))
     yield from instance_changes(source, count)
 
 
 def new_view() -> View:
+    """An empty view."""
     return View(METHODS, LONGEST)
 
 
 def apply(view: View, changes: list[Change]) -> None:
+    """Apply changes as one batch."""
     view.apply(Apply(REGION, changes[-1].version, changes))
 
 
@@ -171,6 +181,7 @@
 
 
 def route_look_up(view: View, number: int) -> Callable[[], None]:
+    """A look-up in the set of a service."""
     which = number % SETS
     middle = RULES_A_SERVICE // 2
     verb = VERBS[drawn("rule", which * RULES_A_SERVICE + middle) % 2]
@@ -188,6 +199,7 @@
 
 
 def route_costs(count: int) -> dict[str, float]:
+    """Costs by the number of routes."""
     source = ChangeSource()
     for which in range(SETS):
         packed(rules(which))  # checked once, and not counted with what the view holds
@@ -208,6 +220,7 @@
 
 
 def tenant_costs(count: int) -> dict[str, float]:
+    """Costs by the number of tenants."""
     source = ChangeSource()
     view, memory = made_and_size(lambda: filled(tenant_changes(source, count)))
     name = f"tenant-{count // 2:07d}"
@@ -220,6 +233,7 @@
 
 
 def instance_costs(count: int) -> dict[str, float]:
+    """Costs by the number of instances."""
     source = ChangeSource()
     view, memory = made_and_size(lambda: filled(instance_changes(source, count)))
     number = count // 2
@@ -278,6 +292,7 @@
 
 
 def rows() -> list[Slope]:
+    """The rows of the file of slopes."""
     return [
         *_slopes(ROUTES, "routes", ROUTE_SIZES, route_costs),
         *_slopes(TENANTS, "tenants", TENANT_SIZES, tenant_costs),
--- a/tests/scale/records.py
+++ b/tests/scale/records.py
@@ -135,16 +135,19 @@
         self.buffered = bytearray()
 
     def write(self, record: Record) -> None:
+        """Append a record."""
         self.buffered += _encode(record)
         self.buffered += b"\n"
         if len(self.buffered) >= FLUSH_AT:
             self.flush()
 
     def flush(self) -> None:
+        """Write the buffered lines."""
         self.file.write(self.buffered)
         self.buffered.clear()
 
     def close(self) -> None:
+        """Flush and close the file."""
         self.flush()
         self.file.close()
 
--- a/tests/scale/tables/content.py
+++ b/tests/scale/tables/content.py
@@ -58,6 +58,7 @@
     instances: int = 200_000
 
     def scaled(self, share: float) -> Size:
+        """A share of everything, one at least."""
         return Size(*(max(1, round(getattr(self, name) * share)) for name in self.__struct_fields__))
 
 
@@ -77,6 +78,7 @@
         return f"{STEMS[number % len(STEMS)]}-{number // len(STEMS):03d}.internal"
 
     def tenant(self, number: int) -> str:
+        """The name of a tenant."""
         return f"tenant-{number:07x}"
 
     # ---- everything, once ------------------------------------------------------------------------
@@ -87,10 +89,12 @@
             yield self.change(Kind.ROUTES, service, self._rules(service, count).encode())
 
     def tenants(self) -> Iterator[Change]:
+        """One change a tenant."""
         for number in range(self.size.tenants):
             yield self.change(Kind.TENANT, self.tenant(number), self._share())
 
     def all_instances(self) -> Iterator[Change]:
+        """One change an instance."""
         for service, count in zip(self.services, self._parts(self.size.instances), strict=True):
             for _ in range(count):
                 name = f"{service}/{service[:-9]}-{self.random.getrandbits(40):010x}"
@@ -110,12 +114,15 @@
     # ---- single changes --------------------------------------------------------------------------
 
     def another_tenant(self) -> Change:
+        """A change of a random tenant."""
         return self.change(Kind.TENANT, self.tenant(self.random.randrange(self.size.tenants)), self._share())
 
     def another_instance(self) -> Change:
+        """A change of a random instance."""
         return self.change(Kind.INSTANCE, self.random.choice(self.instances), self._instance())
 
     def another_route_set(self, rules: int) -> Change:
+        """A change of the rule set of a random service."""
         service = self.random.choice(self.services)
         return self.change(Kind.ROUTES, service, self._rules(service, rules).encode())
 
--- a/tests/scale/tables/process.py
+++ b/tests/scale/tables/process.py
@@ -45,11 +45,13 @@
 
 
 def write_frame(stream: BinaryIO, frame: Frame) -> None:
+    """Write one frame with its length."""
     encoded = msgspec.msgpack.encode(frame)
     stream.write(len(encoded).to_bytes(LENGTH_BYTES, "big") + encoded)
 
 
 def read_frames(stream: BinaryIO) -> Iterator[Frame]:
+    """Read frames to the end of the stream."""
     while head := stream.read(LENGTH_BYTES):
         yield msgspec.msgpack.decode(stream.read(int.from_bytes(head, "big")), type=Frame)
 
@@ -73,6 +75,7 @@
 
 
 def opened(path: str) -> tuple[ViewStore, View]:
+    """The store and the view from it."""
     store = ViewStore(path, fingerprint(method.name for method in METHODS), _print_event)
     return store, restored(store, lambda: View(METHODS, LONGEST))
 
@@ -111,6 +114,7 @@
 
 
 def take(view: View, frame: Frame) -> None:
+    """Apply one frame; the process ends if a change is rejected."""
     found = view.replace(frame.content) if frame.batch is None else view.apply(frame.batch)
     if found.rejected:
         raise SystemExit(f"refused: {found.rejected[0]}")
@@ -188,6 +192,7 @@
 
 
 def look_up_time(view: View, service: str, request: Request) -> float:
+    """Microseconds of one look-up of a route that exists."""
     fresh = Request(request.authority, request.path, request.verb, "http", request.headers)
     found: list[object] = []
 
