--- a/linenbridge/net/decision_loop.py
+++ b/linenbridge/net/decision_loop.py
@@ -182,7 +182,7 @@
         """Accept a request that has been read whole: from here on exactly one response is due."""
         self.open[request.id] = request
         self.unanswered += 1
-        self.log.count("taken", request.method)
+        self.log.count("accepted", request.method)
         self.enqueue(
             lambda now: self.decision_module.on_request(
                 now, request.id, request.method, ttl, work, tenant, key
@@ -193,7 +193,7 @@
         """End a request whose client has disconnected. An attempt in flight reports its outcome at its own
         end, at the client's deadline at the latest."""
         if not request.ended:
-            self.log.count("gone", request.method)
+            self.log.count("client_disconnected", request.method)
             self._end(request)
             self.enqueue(lambda now: self.decision_module.on_client_disconnected(now, request.id))
 
@@ -229,7 +229,7 @@
         attempt = request.attempts
         request.attempts += 1
         request.in_flight += 1
-        self.log.count("picked", request.method)
+        self.log.count("attempted", request.method)
         request.transport.send(now, request, attempt, instance, timeout)
 
     def attempt_finished(
--- a/tests/net/test_clients.py
+++ b/tests/net/test_clients.py
@@ -101,7 +101,7 @@
     for wire in [large, bench.client()]:
         wire.protocol.dataReceived(b"*5\r\n" + 3 * (b"$30000\r\n%b\r\n" % bytes(30_000)))
     assert large.taken().startswith(b"-ERR ") and not large.connected and small.connected
-    assert bench.clients.held == sum(client.reader.size for client in bench.clients.open) <= 100_000
+    assert bench.clients.buffered == sum(client.reader.size for client in bench.clients.open) <= 100_000
 
 
 def test_clients_that_ask_once_and_stay_leave_room_in_the_pool_for_those_that_come():
@@ -144,7 +144,7 @@
     newest = bench.client()
     assert asked.taken() == b"+PONG\r\n" and not asked.connected  # Just answered, before half a command.
     assert late.connected and asks.connected and newest.connected and bench.clients.paused is False
-    assert ("client.turned_away",) not in bench.log.counts
+    assert ("client.rejected",) not in bench.log.counts
 
 
 @pytest.mark.parametrize("seed", range(10))
--- a/tests/net/test_crossings.py
+++ b/tests/net/test_crossings.py
@@ -138,11 +138,11 @@
     client.send(ask("id100"))
     time.sleep(0.2)
     before = gateway.counters()
-    assert before["counts"]["taken.look"] == 100 and before["counts"]["answered.look.ok"] > 20
+    assert before["counts"]["accepted.look"] == 100 and before["counts"]["answered.look.ok"] > 20
     client.close()
     time.sleep(0.2)
     after = gateway.counters()
-    assert after["clients"] == after["open"] == 0 and after["counts"]["taken.look"] == 100
+    assert after["clients"] == after["open"] == 0 and after["counts"]["accepted.look"] == 100
 
 
 def test_a_client_that_ends_its_sending_has_gone(gateway):
@@ -153,4 +153,4 @@
     client.sock.shutdown(socket.SHUT_WR)
     assert client.rest() == b""
     line.send(answer(b"late"))
-    assert gateway.counters()["counts"]["gone.look"] == 1
+    assert gateway.counters()["counts"]["client_disconnected.look"] == 1
--- a/tests/net/test_ends.py
+++ b/tests/net/test_ends.py
@@ -35,7 +35,7 @@
     time.sleep(0.2)  # All has been written by now, as far as it goes.
     assert client.rest() == b"$%d\r\n%b\r\n" % (len(LARGE), LARGE)
     client.close()
-    assert gateway.ended() == 0 and gateway.until("counters")["counts"]["taken.look"] == 1
+    assert gateway.ended() == 0 and gateway.until("counters")["counts"]["accepted.look"] == 1
 
 
 def test_the_error_line_survives_what_its_client_goes_on_sending(gateway):
--- a/tests/net/test_runs.py
+++ b/tests/net/test_runs.py
@@ -11,7 +11,7 @@
 from linenbridge.decisions import CancelAttempt, Fail, Reject, SendAttempt
 from linenbridge.policy import DecisionModule
 from linenbridge.net import resp
-from linenbridge.net.downstream import Client
+from linenbridge.net.client_connection import Client
 from tests.helpers import startup
 
 from tests.net.bench import SPOILT, Bench, Wire
@@ -122,11 +122,13 @@
     counts = bench.log.counts
     total = {
         kind: sum(c for names, c in counts.items() if names[0] == kind)
-        for kind in ("taken", "answered", "gone")
+        for kind in ("accepted", "answered", "client_disconnected")
     }
     ends = sum(told[0] == "on_attempt_finished" for told in bench.module.told)
-    assert total["taken"] == total["answered"] + total["gone"] and bench.loop.unanswered == 0
-    assert ends == sum(c for names, c in counts.items() if names[0] == "picked")
+    assert (
+        total["accepted"] == total["answered"] + total["client_disconnected"] and bench.loop.unanswered == 0
+    )
+    assert ends == sum(c for names, c in counts.items() if names[0] == "attempted")
     assert not bench.loop.open and not bench.instances.attempts
     assert bench.instances.descriptors.open == bench.clients.descriptors.open == 0
 
--- a/tests/processor/test_attempts.py
+++ b/tests/processor/test_attempts.py
@@ -30,7 +30,7 @@
     second = peer.ask(attempt=2)
     assert second.endpoint in READY - {first.endpoint}
     peer.report(second, 200)
-    assert bench.empty() and bench.counts("taken", "look") == 1
+    assert bench.empty() and bench.counts("accepted", "look") == 1
 
 
 def test_a_failed_request_with_an_effect_fails_and_is_not_dispatched_again():
--- a/tests/processor/test_messages.py
+++ b/tests/processor/test_messages.py
@@ -50,7 +50,7 @@
     stream = peer.open()
     peer.h2.send_data(stream.number, b"\0" + len(message).to_bytes(4, "big") + message[:9_000])
     peer.deliver()
-    assert stream.status == str(status) and not bench.counts("picked", "look")
+    assert stream.status == str(status) and not bench.counts("attempted", "look")
 
 
 def test_unknown_fields_are_passed_over():
@@ -67,7 +67,7 @@
     message = asking("/look/1", "r1")
     message.observability_mode = True
     peer.say(stream, message)
-    assert not stream.answers and stream.status is None and not bench.counts("taken", "look")
+    assert not stream.answers and stream.status is None and not bench.counts("accepted", "look")
 
 
 def test_a_body_that_comes_before_the_decision_is_answered_after_it():
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -99,7 +99,11 @@
     )
     for _ in range(2):
         web[dice.randrange(len(web))] = dice.randrange(256)
-    for reader, data in ((resp.Reader(True), stream), (resp.Reader(False), stream), (http.Answers(), web)):
+    for reader, data in (
+        (resp.Reader(True), stream),
+        (resp.Reader(False), stream),
+        (http.ResponseParser(), web),
+    ):
         try:
             for piece in cuts(dice, bytes(data)):
                 assert all(value is not None or not reader.commands for value in reader.feed(piece))
@@ -119,7 +123,7 @@
         + b'{"error":"moot"}'
     )
     empty = b"HTTP/1.1 204 No Content\r\n\r\n"
-    answers, cutter, got, statuses, rest = http.Answers(), http.Lines(4000), [], [], b""
+    answers, cutter, got, statuses, rest = http.ResponseParser(), http.LineSplitter(4000), [], [], b""
     for piece in cuts(dice, chunked + plain_one + empty + chunked):
         for part in answers.feed(piece):
             if part.status == 200:
@@ -132,6 +136,6 @@
 
 def test_a_line_without_end_is_refused_and_so_is_an_answer_without_length():
     with pytest.raises(resp.MalformedError):
-        list(http.Lines(10).feed(memoryview(b"x" * 11)))
+        list(http.LineSplitter(10).feed(memoryview(b"x" * 11)))
     with pytest.raises(resp.MalformedError):
-        list(http.Answers().feed(b"HTTP/1.1 200 OK\r\n\r\n"))
+        list(http.ResponseParser().feed(b"HTTP/1.1 200 OK\r\n\r\n"))
