--- a/linenbridge/net/downstream.py
+++ b/linenbridge/net/downstream.py
@@ -77,7 +77,7 @@
         """Listen; CannotListenError where the address can't be used."""
         self.port = reactor.listenTCP(port, self, backlog=self.descriptors.limit, interface=host)
 
-    def buildProtocol(self, addr: Any) -> Client | None:  # Twisted's signature
+    def buildProtocol(self, addr: Any) -> Client | None:  # Twisted's signature  # noqa: ARG002  # Twisted's signature
         """Accept a connection, and make room for the next ones."""
         if not self.descriptors.take():
             self.log.count("client.rejected")
