--- a/tests/compatibility/test_command_line.py
+++ b/tests/compatibility/test_command_line.py
@@ -3,8 +3,10 @@
 from __future__ import annotations
 
 import json
+import os
 from pathlib import Path
 from typing import Any
+from unittest.mock import patch
 
 import pytest
 from typer.main import get_command
@@ -20,12 +22,13 @@
 
 @pytest.fixture
 def files(tmp_path, monkeypatch):
-    """A working folder with the files that the calls name."""
-    for name in ("LB_SETTINGS", "LB_CONFIG"):
-        monkeypatch.delenv(name, raising=False)
-    lay_out(tmp_path, ROOT / "examples" / "config.json")
-    monkeypatch.chdir(tmp_path)
-    return tmp_path
+    """A working folder with the files that the calls name. A call may set LB_CONFIG: that ends with the test."""
+    with patch.dict(os.environ):
+        for name in ("LB_SETTINGS", "LB_CONFIG"):
+            os.environ.pop(name, None)
+        lay_out(tmp_path, ROOT / "examples" / "config.json")
+        monkeypatch.chdir(tmp_path)
+        yield tmp_path
 
 
 @pytest.mark.parametrize("path", sorted(RECORD["commands"]), ids=lambda path: path or "linenbridge")
