--- a/tests/scale/measure/instances.py
+++ b/tests/scale/measure/instances.py
@@ -15,8 +15,8 @@
 ZONES = 19
 LONG_AGO = -1_000_000_000_000  # microseconds; none of them is cold
 # As the decision module passes them in.
-GAP = 400_000.0
-LIMIT = 3.0
+GAP = 400_000.0  # microseconds
+LIMIT = 3.0  # attempts in flight
 
 
 def listed(count: int) -> list[EndpointEntry]:
@@ -38,7 +38,7 @@
 def view(entries: list[EndpointEntry]) -> Fleet:
     """The view of a gateway that has taken in a whole list."""
     fleet = Fleet(0, 0)
-    fleet.update(entries, True, GAP, LIMIT, set())
+    fleet.update(entries, is_snapshot=True, response_gap=GAP, concurrency_limit=LIMIT, used=set())
     return fleet
 
 
@@ -51,7 +51,7 @@
 
     def change_and_back() -> None:
         for entry in states:
-            fleet.update(entry, False, GAP, LIMIT, set())
+            fleet.update(entry, is_snapshot=False, response_gap=GAP, concurrency_limit=LIMIT, used=set())
 
     calls = max(1, 2_000 // count)
     return processor_time(change_and_back, calls, 3) / 2
@@ -66,7 +66,7 @@
 
     def remove_and_restore() -> None:
         for changes in states:
-            fleet.update(changes, False, GAP, LIMIT, set())
+            fleet.update(changes, is_snapshot=False, response_gap=GAP, concurrency_limit=LIMIT, used=set())
 
     return processor_time(remove_and_restore, max(1, 2_000 // count), 3) / 2
 
@@ -75,7 +75,13 @@
     """Microseconds to take in a whole list that says nothing new."""
     entries = listed(count)
     fleet = view(entries)
-    return processor_time(lambda: fleet.update(entries, True, GAP, LIMIT, set()), max(1, 2_000 // count), 3)
+    return processor_time(
+        lambda: fleet.update(
+            entries, is_snapshot=True, response_gap=GAP, concurrency_limit=LIMIT, used=set()
+        ),
+        max(1, 2_000 // count),
+        3,
+    )
 
 
 def view_bytes(count: int) -> int:
