--- a/linenbridge/cli/publish.py
+++ b/linenbridge/cli/publish.py
@@ -20,7 +20,7 @@
 from linenbridge.distribution.changes import InstanceValue, Kind, TenantValue, ZoneValue
 from linenbridge.distribution.configuration import DistributionSettings, Region, distribution
 from linenbridge.distribution.errors import (
-    ChangeRefused, ForeignKey, NotPublisher, OlderEpoch, PublisherBusy, QuorumUnreached,
+    ChangeRejected, ForeignKey, NotPublisher, OlderEpoch, PublisherBusy, QuorumUnreached,
 )  # fmt: skip
 from linenbridge.distribution.hosting.change_client import Author, Outcome
 from linenbridge.distribution.hosting.methods import methods_of
@@ -35,7 +35,7 @@
 FORMS = {Kind.TENANT: TenantValue, Kind.INSTANCE: InstanceValue, Kind.ZONE: ZoneValue}
 REFUSALS: dict[str, type[Refusal]] = {
     kind.code: kind
-    for kind in (ChangeRefused, ForeignKey, NotPublisher, OlderEpoch, PublisherBusy, QuorumUnreached)
+    for kind in (ChangeRejected, ForeignKey, NotPublisher, OlderEpoch, PublisherBusy, QuorumUnreached)
 }
 REQUEST_MOST = 1 << 53
 
@@ -107,7 +107,7 @@
         return
     methods = methods_of(settings)
     if fault := ValueChecks(methods.methods, methods.longest)(change.kind, change.name, change.value):
-        raise ValueError(f"{change.name}: {fault}; {ChangeRefused.advice}")
+        raise ValueError(f"{change.name}: {fault}; {ChangeRejected.advice}")
 
 
 def _ask(region: Region, change: Publish, wanted: Wanted, teller: Teller) -> Outcome:
--- a/linenbridge/distribution/changes.py
+++ b/linenbridge/distribution/changes.py
@@ -16,8 +16,8 @@
 from msgspec import Struct
 
 RANGES = 1024  # parts that a region's keys are divided into, for digests and for whole transfers
-VALUE_MOST = 48_000  # bytes of one value: a change has to fit into one message of a link
-NAME_MOST = 256  # characters of one key's name
+MAX_VALUE_BYTES = 48_000  # bytes of one value: a change has to fit into one message of a link
+MAX_NAME_CHARACTERS = 256  # characters of one key's name
 _MASK = (1 << 64) - 1
 
 
--- a/linenbridge/distribution/decisions.py
+++ b/linenbridge/distribution/decisions.py
@@ -9,21 +9,21 @@
 from msgspec import Struct, field
 
 from linenbridge.distribution.changes import Change, Version
-from linenbridge.distribution.messages import EncodedBatch, EncodedWhole, Message, Summary
+from linenbridge.distribution.messages import EncodedBatch, EncodedRangeSnapshot, Message, SubtreeSummary
 
 
 class Send(Struct, frozen=True):
     """A message to a name; one that cannot be reached loses it, as on any network."""
 
     to: str
-    message: Message | EncodedBatch | EncodedWhole
+    message: Message | EncodedBatch | EncodedRangeSnapshot
 
 
-class Keep(Struct, frozen=True):
+class Persist(Struct, frozen=True):
     """A replica's log on disk: entries behind `truncate_after` are dropped first (None: none are), then
     `changes` are appended and the sequences `superseded` dropped; `epoch` with the `publisher` that it was
-    promised to, `committed`, `life` and `settled` are kept with them. Once all is on disk, `then` is sent and
-    `Replica.on_kept(now, number)` is called; where it fails, `Replica.on_store_failed(now, error)`."""
+    promised to, `committed`, `incarnation` and `purged_up_to` are kept with them. Once all is on disk, `then` is
+    sent and `Replica.on_persisted(now, number)` is called; where it fails, `Replica.on_store_failed(now, error)`."""
 
     number: int
     truncate_after: int | None
@@ -31,9 +31,9 @@
     epoch: int
     committed: int
     publisher: str = ""
-    life: int = 0
+    incarnation: int = 0
     superseded: list[int] = field(default_factory=list)
-    settled: int = 0
+    purged_up_to: int = 0
     then: list[Send] = field(default_factory=list)
 
 
@@ -63,17 +63,17 @@
 
     region: str
     upto: Version
-    range: int
+    range_index: int
     changes: list[Change]
     final: bool
     horizon: int = 0
 
 
-class SumsBelow(Struct, frozen=True):
+class SubtreeProgress(Struct, frozen=True):
     """How far all below a relay are in the other regions: for `on_progress_below` of each follower that the
     relay hosts."""
 
-    summaries: list[Summary]
+    summaries: list[SubtreeSummary]
 
 
 class Dial(Struct, frozen=True):
@@ -82,7 +82,7 @@
     relay: str
 
 
-class HangUp(Struct, frozen=True):
+class Disconnect(Struct, frozen=True):
     """Let the link to this relay go."""
 
     relay: str
@@ -95,4 +95,4 @@
     fields: dict[str, object]
 
 
-Decision = Send | Keep | Committed | Apply | ReplaceRange | SumsBelow | Dial | HangUp | Event
+Decision = Send | Persist | Committed | Apply | ReplaceRange | SubtreeProgress | Dial | Disconnect | Event
--- a/linenbridge/distribution/dissemination/acceptance.py
+++ b/linenbridge/distribution/dissemination/acceptance.py
@@ -12,7 +12,7 @@
 
 from linenbridge.distribution.changes import RANGES, START, Change, Version, intact, range_of
 from linenbridge.distribution.decisions import Apply, ReplaceRange
-from linenbridge.distribution.messages import Batch, Whole, batch_checksum, whole_checksum
+from linenbridge.distribution.messages import Batch, RangeSnapshot, batch_checksum, range_checksum
 
 RANGE_BYTES_MOST = 16_000_000  # values of one range whose parts are being put together
 PENDING_MOST = 256  # applied changes whose digest is yet to be heard from the host
@@ -48,15 +48,15 @@
     return ""
 
 
-def whole_spoilt(whole: Whole) -> str:
+def whole_spoilt(whole: RangeSnapshot) -> str:
     """What is wrong with the bytes of a part of a range; empty: nothing."""
     encoded = _encode(whole.changes)
-    expected = whole_checksum(whole.region, whole.upto, whole.range, whole.part, whole.last, encoded)
+    expected = range_checksum(whole.region, whole.upto, whole.range_index, whole.part, whole.last, encoded)
     if whole.checksum != expected:
         return "the list's checksum"
-    if not 0 <= whole.range < RANGES:
+    if not 0 <= whole.range_index < RANGES:
         return "the range's number"
-    if any(range_of(change.kind, change.name) != whole.range for change in whole.changes):
+    if any(range_of(change.kind, change.name) != whole.range_index for change in whole.changes):
         return "a change of another range"
     return _changes_spoilt(whole.region, whole.changes)
 
@@ -137,19 +137,19 @@
 
     # ---- ranges ----------------------------------------------------------------------------------------
 
-    def judge_whole(self, whole: Whole) -> Verdict:
+    def judge_whole(self, whole: RangeSnapshot) -> Verdict:
         if whole_spoilt(whole):
             return Verdict.SPOILT
         if whole.upto < self.taken or self.transferring_at is None:
             return Verdict.PASSED_OVER
         if whole.part == 0:
             self._drop_parts()
-            self._range = whole.range
-        if whole.range != self._range or whole.part != self._next_part:
+            self._range = whole.range_index
+        if whole.range_index != self._range or whole.part != self._next_part:
             return Verdict.GAP
         return Verdict.TAKEN
 
-    def take_whole(self, now: int, whole: Whole) -> ReplaceRange | None:
+    def take_whole(self, now: int, whole: RangeSnapshot) -> ReplaceRange | None:
         """The complete range, once its last part is here."""
         self.transferring_at = now
         self._next_part += 1
@@ -158,7 +158,7 @@
         if not whole.last:
             return None
         replace = ReplaceRange(
-            self.region, whole.upto, whole.range, self._parts, whole.final, whole.horizon
+            self.region, whole.upto, whole.range_index, self._parts, whole.final, whole.horizon
         )  # fmt: skip
         self._drop_parts()
         if whole.final:
--- a/linenbridge/distribution/dissemination/feed.py
+++ b/linenbridge/distribution/dissemination/feed.py
@@ -16,11 +16,19 @@
 from msgspec import Raw
 
 from linenbridge.distribution.changes import RANGES, Change, Position, Version
-from linenbridge.distribution.decisions import Apply, Decision, Event, ReplaceRange, Send, SumsBelow
+from linenbridge.distribution.decisions import Apply, Decision, Event, ReplaceRange, Send, SubtreeProgress
 from linenbridge.distribution.errors import RelayBehind, RelayFull, SilentFollower
 from linenbridge.distribution.messages import (
-    Digests, EncodedBatch, EncodedWhole, Follow, Progress, Refused, Summary, batch_checksum, whole_checksum,
-)  # fmt: skip
+    Digests,
+    EncodedBatch,
+    EncodedRangeSnapshot,
+    Follow,
+    FollowRejected,
+    Progress,
+    SubtreeSummary,
+    batch_checksum,
+    range_checksum,
+)
 from linenbridge.distribution.dissemination.progress import Departed, Heads, add_up
 from linenbridge.distribution.dissemination.sessions import Cursor, Session, Transfer
 from linenbridge.distribution.dissemination.compacted_log import TOMBSTONES_MOST, Table
@@ -115,12 +123,12 @@
         """Of all ranges of a region's table, 8 bytes each."""
         return self.tables[region].range_digests()
 
-    def summaries(self, now: int) -> list[Summary]:
-        """The sums of all regions, for a look from outside; `SumsBelow` and the report tell them by
+    def summaries(self, now: int) -> list[SubtreeSummary]:
+        """The sums of all regions, for a look from outside; `SubtreeProgress` and the report tell them by
         themselves."""
         return [self._summary(region, now) for region in self._regions]
 
-    def _summary(self, region: str, now: int) -> Summary:
+    def _summary(self, region: str, now: int) -> SubtreeSummary:
         head, heads = self.tables[region].head.sequence, self._heads[region]
         followers = [session.progress for session in self.sessions.values() if region in session.cursors]
         return add_up(region, head, heads, followers, self.departed, now)
@@ -147,7 +155,7 @@
     def on_range(self, now: int, replace: ReplaceRange) -> int:
         """A whole range of another region. Its followers wait until the last one is here."""
         table = self.tables[replace.region]
-        table.replace(replace.range, replace.upto, replace.changes, replace.final, replace.horizon)
+        table.replace(replace.range_index, replace.upto, replace.changes, replace.final, replace.horizon)
         table.settled = False
         if replace.final:
             self._moved(now, replace.region)
@@ -197,7 +205,7 @@
         after = self.settings.refuse_for
         after += self._random.randrange(after // 2 + 1)
         self.counters.refused += 1
-        self._out.append(Send(follower, Refused(session, code, after)))
+        self._out.append(Send(follower, FollowRejected(session, code, after)))
         fields: dict[str, object] = {"follower": follower, "code": code}
         self._out.append(Event("distribution.refused_follower", fields))
 
@@ -218,7 +226,9 @@
             self.on_lost(now, progress.follower)  # the end of its older link may be yet to be noticed
             self.departed.elsewhere(progress.follower, now)
         elif progress.follower not in self.sessions:
-            self._out.append(Send(progress.follower, Refused(progress.session, SilentFollower.code, 0)))
+            self._out.append(
+                Send(progress.follower, FollowRejected(progress.session, SilentFollower.code, 0))
+            )
 
     def on_digests(self, now: int, follower: str, digests: Digests) -> None:
         """A follower asks for the ranges that differ from its own, or for all of them."""
@@ -302,7 +312,7 @@
                 waiting.append(cursor)
         return False
 
-    def _send(self, session: Session, message: EncodedBatch | EncodedWhole, now: int) -> None:
+    def _send(self, session: Session, message: EncodedBatch | EncodedRangeSnapshot, now: int) -> None:
         session.on_sent(message, now)
         self._out.append(Send(session.follower, message))
 
@@ -316,7 +326,7 @@
             return table.settled and cursor.told != table.head
         return cursor.version < table.head
 
-    def _message(self, session: Session, cursor: Cursor) -> EncodedBatch | EncodedWhole:
+    def _message(self, session: Session, cursor: Cursor) -> EncodedBatch | EncodedRangeSnapshot:
         """The next of those that `_has_more` has found to be waiting."""
         if cursor.transfer is not None:
             return self._whole(session, cursor, cursor.transfer)
@@ -382,7 +392,7 @@
             session.messages + 1,
         )  # fmt: skip
 
-    def _whole(self, session: Session, cursor: Cursor, transfer: Transfer) -> EncodedWhole:
+    def _whole(self, session: Session, cursor: Cursor, transfer: Transfer) -> EncodedRangeSnapshot:
         """The next part of a range. What a range holds is read when its first part is sent: it may be newer
         than the state that the transfer leads to."""
         if not transfer.parts:
@@ -395,8 +405,8 @@
             cursor.version, cursor.transfer = transfer.upto, None
         self.counters.ranges += last
         index, horizon = transfer.index, self.tables[cursor.region].horizon
-        checksum = whole_checksum(cursor.region, transfer.upto, index, part, last, changes)
-        return EncodedWhole(
+        checksum = range_checksum(cursor.region, transfer.upto, index, part, last, changes)
+        return EncodedRangeSnapshot(
             session.number, cursor.region, transfer.upto, index, part, last, final, Raw(changes), horizon,
             checksum, session.messages + 1,
         )  # fmt: skip
@@ -414,7 +424,7 @@
         self._reported_at, self._report_due = now, False
         others = [self._summary(region, now) for region in self._regions if region != self.region]
         if others:
-            self._out.append(SumsBelow(others))
+            self._out.append(SubtreeProgress(others))
         if self._publisher:
             own = [self._summary(self.region, now)]
             report = Progress(self.name, REPORT_SESSION, self.positions(), own)
--- a/linenbridge/distribution/dissemination/follower.py
+++ b/linenbridge/distribution/dissemination/follower.py
@@ -14,8 +14,16 @@
 
 from linenbridge.distribution.dissemination.acceptance import Acceptance, Verdict, batch_spoilt, whole_spoilt
 from linenbridge.distribution.changes import Position, Version
-from linenbridge.distribution.decisions import Decision, Dial, Event, HangUp, Send
-from linenbridge.distribution.messages import Batch, Digests, Follow, Progress, Refused, Summary, Whole
+from linenbridge.distribution.decisions import Decision, Dial, Event, Disconnect, Send
+from linenbridge.distribution.messages import (
+    Batch,
+    Digests,
+    Follow,
+    Progress,
+    FollowRejected,
+    SubtreeSummary,
+    RangeSnapshot,
+)
 from linenbridge.distribution.dissemination.relay_selection import RelayOrder, RelayPlace
 
 MILLISECOND, SECOND = 1_000, 1_000_000
@@ -95,7 +103,7 @@
         self._progress_at = now
         self._progress_due = False
         self._told_at = now
-        self._below: dict[str, Summary] = {}
+        self._below: dict[str, SubtreeSummary] = {}
         self._out: deque[Decision] = deque()
 
     # ---- what is known ---------------------------------------------------------------------------------
@@ -161,7 +169,7 @@
         self._links.pop(relay, None)
         if relay in self._dialled:
             self._dialled.discard(relay)
-            self._out.append(HangUp(relay))
+            self._out.append(Disconnect(relay))
 
     # ---- one relay after another -----------------------------------------------------------------------
 
@@ -313,7 +321,7 @@
             self.counters.passed_over += 1
         self._check(now, acceptance, compared)
 
-    def on_whole(self, now: int, relay: str, whole: Whole) -> None:
+    def on_whole(self, now: int, relay: str, whole: RangeSnapshot) -> None:
         """A part of a range that was asked for."""
         if not self._is_current(relay, whole.session, whole.number):
             return
@@ -332,7 +340,9 @@
             self._on_served(now)
             self._on_part(now, relay, acceptance, whole, verdict)
 
-    def _on_part(self, now: int, relay: str, acceptance: Acceptance, whole: Whole, verdict: Verdict) -> None:
+    def _on_part(
+        self, now: int, relay: str, acceptance: Acceptance, whole: RangeSnapshot, verdict: Verdict
+    ) -> None:
         self._progress_due = True
         if verdict is not Verdict.TAKEN:
             self.counters.passed_over += 1
@@ -347,7 +357,7 @@
                 self._repaired.add(whole.region)
             self._out.append(replace)
 
-    def on_refused(self, now: int, relay: str, refused: Refused) -> None:
+    def on_refused(self, now: int, relay: str, refused: FollowRejected) -> None:
         """The relay does not serve this follower, or no longer."""
         if relay == self.relay and refused.session == self._session:
             self.counters.refused += 1
@@ -382,7 +392,7 @@
         compared = acceptance.on_applied(upto, digest)
         self._check(now, acceptance, compared)
 
-    def on_progress_below(self, now: int, summaries: list[Summary]) -> None:
+    def on_progress_below(self, now: int, summaries: list[SubtreeSummary]) -> None:
         """A relay's sums over its own followers, for those regions that it follows here."""
         for summary in summaries:
             if summary.region in self._acceptance and self._below.get(summary.region) != summary:
--- a/linenbridge/distribution/dissemination/progress.py
+++ b/linenbridge/distribution/dissemination/progress.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from linenbridge.distribution.messages import Progress, Summary
+from linenbridge.distribution.messages import Progress, SubtreeSummary
 
 MILLISECOND, SECOND = 1_000, 1_000_000
 LAG_BUCKETS = 24  # bucket n: less than 2**n ms; the last one: that and all above
@@ -52,7 +52,7 @@
 
     name: str
     positions: dict[str, int] = field(default_factory=dict)
-    below: dict[str, Summary] = field(default_factory=dict)
+    below: dict[str, SubtreeSummary] = field(default_factory=dict)
 
     def take(self, progress: Progress, regions: frozenset[str]) -> None:
         for position in progress.positions[: len(regions)]:
@@ -133,7 +133,7 @@
 
 def add_up(
     region: str, head: int, heads: Heads, followers: Iterable[FollowerProgress], departed: Departed, now: int
-) -> Summary:
+) -> SubtreeSummary:
     """The sums of one region at a relay whose head is `head`. Names are a bounded choice, numbers exact."""
     counted = [*followers, *departed.counted(region, now)]
     lost = departed.unreached(region, now)
@@ -152,13 +152,17 @@
         if position < head:
             slowest.append((position, progress.name))
         if below is not None:
-            least = min(least, below.least)
-            _add_histogram(lag, below.lag, bucket)
-            slowest += [(below.least, name) for name in below.slowest[:SLOWEST_MOST] if below.least < head]
+            least = min(least, below.min_sequence)
+            _add_histogram(lag, below.lag_histogram, bucket)
+            slowest += [
+                (below.min_sequence, name)
+                for name in below.slowest[:SLOWEST_MOST]
+                if below.min_sequence < head
+            ]
             unreached += below.unreached[:UNREACHED_MOST]
             unreached_count += below.unreached_count
     names = [name for _, name in sorted(slowest)[:SLOWEST_MOST]]
-    return Summary(region, count, least, names, unreached[:UNREACHED_MOST], unreached_count, lag)
+    return SubtreeSummary(region, count, least, names, unreached[:UNREACHED_MOST], unreached_count, lag)
 
 
 def _add_histogram(lag: list[int], below: list[int], own: int) -> None:
--- a/linenbridge/distribution/dissemination/sessions.py
+++ b/linenbridge/distribution/dissemination/sessions.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 
 from linenbridge.distribution.changes import START, Version
-from linenbridge.distribution.messages import EncodedBatch, EncodedWhole, Follow
+from linenbridge.distribution.messages import EncodedBatch, EncodedRangeSnapshot, Follow
 from linenbridge.distribution.dissemination.flow_control import MESSAGE_OVERHEAD, TokenBucket, Window
 from linenbridge.distribution.dissemination.progress import FollowerProgress
 
@@ -58,7 +58,7 @@
     def may_send(self, now: int) -> bool:
         return self.window.open and self.bucket.ready(now)
 
-    def on_sent(self, message: EncodedBatch | EncodedWhole, now: int) -> None:
+    def on_sent(self, message: EncodedBatch | EncodedRangeSnapshot, now: int) -> None:
         size = len(bytes(message.changes)) + MESSAGE_OVERHEAD
         self.messages += 1
         self.window.sent(size)
--- a/linenbridge/distribution/errors.py
+++ b/linenbridge/distribution/errors.py
@@ -64,9 +64,10 @@
     advice = "publish it again a little later; where it lasts, bring back relays of this region"
 
 
-class ChangeRefused(Refusal):
+class ChangeRejected(Refusal):
     """The change cannot be read or fails its checks; the last good version stays in force."""
 
+    formerly = "ChangeRefused"
     code = "invalid"
     advice = "mend the value and publish it again; the error names the place"
 
--- a/linenbridge/distribution/hosting/follower_settings.py
+++ b/linenbridge/distribution/hosting/follower_settings.py
@@ -7,7 +7,7 @@
 
 from linenbridge.distribution.configuration import DistributionSettings
 from linenbridge.distribution.dissemination.follower import Follower, FollowerSettings
-from linenbridge.distribution.messages import Batch, Refused, Whole
+from linenbridge.distribution.messages import Batch, FollowRejected, RangeSnapshot
 from linenbridge.distribution.dissemination.relay_selection import RelayPlace
 
 
@@ -26,12 +26,12 @@
     return frozenset(relay for region in settings.regions.values() for relay in region.relays)
 
 
-def hear(follower: Follower, now: int, relay: str, message: Batch | Whole | Refused) -> None:
+def hear(follower: Follower, now: int, relay: str, message: Batch | RangeSnapshot | FollowRejected) -> None:
     """A relay's message to the core's input of its kind."""
     match message:
         case Batch():
             follower.on_batch(now, relay, message)
-        case Whole():
+        case RangeSnapshot():
             follower.on_whole(now, relay, message)
-        case Refused():
+        case FollowRejected():
             follower.on_refused(now, relay, message)
--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -14,7 +14,7 @@
 
 from linenbridge.distribution.changes import Change, Kind, Position
 from linenbridge.distribution.configuration import DistributionSettings
-from linenbridge.distribution.decisions import Apply, Decision, Dial, Event, HangUp, ReplaceRange, Send
+from linenbridge.distribution.decisions import Apply, Decision, Dial, Event, Disconnect, ReplaceRange, Send
 from linenbridge.distribution.errors import ViewStoreError
 from linenbridge.distribution.dissemination.follower import Follower
 from linenbridge.distribution.hosting.core_driver import Carrier, Core
@@ -87,7 +87,7 @@
                 address = self.settings.relay_address(decision.relay)
                 if address is not None:
                     self.links.dial(decision.relay, address)
-            case HangUp():
+            case Disconnect():
                 self.links.drop(decision.relay)
             case Event():
                 self.log.event(decision.name, **decision.fields)
--- a/linenbridge/distribution/hosting/link_messages.py
+++ b/linenbridge/distribution/hosting/link_messages.py
@@ -9,11 +9,11 @@
 
 from linenbridge.distribution.messages import (
     Append, Appended, Batch, Digests, Fetch, Fetched, Follow, Prepare, Prepared, Progress, Publish, Published,
-    Refused, Whole,
+    FollowRejected, RangeSnapshot,
 )  # fmt: skip
 
 RELAY_TAKES = Decoder(Prepare | Fetch | Append | Follow | Progress | Digests)
-FOLLOWER_TAKES = Decoder(Batch | Whole | Refused)
+FOLLOWER_TAKES = Decoder(Batch | RangeSnapshot | FollowRejected)
 PUBLISHER_TAKES = Decoder(Prepared | Fetched | Appended | Progress)
 PUBLISHER_TAKES_OF_AUTHORS = Decoder(Publish)
 AUTHOR_TAKES = Decoder(Published)
--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -15,7 +15,7 @@
 from linenbridge.distribution.hosting.core_driver import Carrier, Core
 from linenbridge.distribution.hosting.link_messages import PUBLISHER_TAKES, PUBLISHER_TAKES_OF_AUTHORS
 from linenbridge.distribution.messages import Appended, Fetched, Prepared, Progress, Publish, Published
-from linenbridge.distribution.log.replication import PublisherPace
+from linenbridge.distribution.log.replication import PublisherTiming
 from linenbridge.distribution.log.publisher import Check, Publisher
 from linenbridge.fleet.configuration import FleetTold
 from linenbridge.peering import clock
@@ -36,7 +36,7 @@
         self.task = publishers_task(settings.region)
         relays = settings.home.relays
         self.publisher = Publisher(
-            settings.region, settings.name, tuple(relays), PublisherPace(), random, check
+            settings.region, settings.name, tuple(relays), PublisherTiming(), random, check
         )
         self.authors = Links(
             settings.name, WellFormedNames(), reactor, log, self._heard_author,
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -13,7 +13,7 @@
 
 from linenbridge.distribution.configuration import DistributionSettings
 from linenbridge.distribution.decisions import (
-    Apply, Committed, Decision, Dial, Event, HangUp, Keep, ReplaceRange, Send, SumsBelow,
+    Apply, Committed, Decision, Dial, Event, Disconnect, Persist, ReplaceRange, Send, SubtreeProgress,
 )  # fmt: skip
 from linenbridge.distribution.errors import RelayStoreError
 from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
@@ -63,7 +63,7 @@
         self.region_of = {
             relay: region for region, found in settings.regions.items() for relay in found.relays
         }
-        self.writer = GroupWriter[Keep](reactor, self.disk.keep, self._kept, self._not_kept)
+        self.writer = GroupWriter[Persist](reactor, self.disk.persist, self._kept, self._not_kept)
         self.downstream = Links(
             settings.name, WellFormedNames(), reactor, log, self._heard_downstream, decoder=RELAY_TAKES,
             connections=2 * settings.followers + SPARE_CONNECTIONS, changed=self._downstream_changed,
@@ -142,10 +142,10 @@
             case Send():
                 links = self.upstream if isinstance(core, Follower) else self.downstream
                 links.say(decision.to, decision.message)
-            case Keep():
+            case Persist():
                 self.writer.put(decision)
             case Committed():
-                settled = self.replica.log.settled
+                settled = self.replica.log.purged_up_to
                 self.feed.on_committed(now, decision.region, decision.changes, settled)
             case Apply():
                 digest = self.feed.on_apply(now, decision)
@@ -153,33 +153,33 @@
             case ReplaceRange():
                 digest = self.feed.on_range(now, decision)
                 self.followers[decision.region].on_applied(now, decision.region, decision.upto, digest)
-            case SumsBelow():
+            case SubtreeProgress():
                 for follower in self.followers.values():
                     follower.on_progress_below(now, decision.summaries)
             case Dial():
                 self.upstream.dial(decision.relay, self._address(decision.relay))
-            case HangUp():
+            case Disconnect():
                 self.upstream.drop(decision.relay)
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
     def _look_at_replica(self) -> None:
-        if self.replica.broken and self._broken is not None:
+        if self.replica.failed and self._broken is not None:
             broken, self._broken = self._broken, None
             later(self.reactor, broken)
 
     def _address(self, relay: str) -> tuple[str, int]:
         return self.settings.regions[self.region_of[relay]].relays[relay]
 
-    def _kept(self, keeps: list[Keep]) -> None:
+    def _kept(self, keeps: list[Persist]) -> None:
         now = clock.now()
         for keep in keeps:
-            self.replica.on_kept(now, keep.number)
+            self.replica.on_persisted(now, keep.number)
             for send in keep.then:
                 self.downstream.say(send.to, send.message)
         self.carrier.turn()
 
-    def _not_kept(self, keeps: list[Keep], error: BaseException) -> None:
+    def _not_kept(self, keeps: list[Persist], error: BaseException) -> None:
         if not isinstance(error, RelayStoreError):
             error = RelayStoreError(f"{type(error).__name__}: {error}", self.settings.store)
         self.replica.on_store_failed(clock.now(), error)
--- a/linenbridge/distribution/log/propagation.py
+++ b/linenbridge/distribution/log/propagation.py
@@ -8,14 +8,14 @@
 
 from dataclasses import dataclass, field
 
-from linenbridge.distribution.messages import Progress, Summary
+from linenbridge.distribution.messages import Progress, SubtreeSummary
 
-NAMES_MOST = 64  # unreached names that are remembered
+MAX_UNREACHED_NAMES = 64  # unreached names that are remembered
 NO_BOUND = 1 << 62  # the least sequence in force where there is nobody to have it
 
 
 @dataclass
-class Everywhere:
+class Propagation:
     """All that are reached have everything up to `sequence`; the rest is named and numbered."""
 
     sequence: int
@@ -23,24 +23,24 @@
     unreached_count: int = 0
 
 
-class Reach:
+class PropagationProgress:
     """The newest word of each relay of the region."""
 
     def __init__(self, region: str, relays: tuple[str, ...], silence: int) -> None:
         self.region, self.silence = region, silence
-        self._heard: dict[str, int] = dict.fromkeys(relays, 0)
+        self._last_progress_at: dict[str, int] = dict.fromkeys(relays, 0)
         self._positions: dict[str, int] = {}
-        self._below: dict[str, Summary] = {}
+        self._below: dict[str, SubtreeSummary] = {}
         self._wake_at: int | None = None
 
     def begin(self, now: int) -> None:
         """Each relay has the time of one silence to be heard."""
-        self._heard = dict.fromkeys(self._heard, now)
+        self._last_progress_at = dict.fromkeys(self._last_progress_at, now)
         self._positions.clear()
         self._below.clear()
 
     def on_progress(self, now: int, relay: str, message: Progress) -> None:
-        self._heard[relay] = now
+        self._last_progress_at[relay] = now
         for position in message.positions:
             if position.region == self.region:
                 self._positions[relay] = position.sequence
@@ -48,18 +48,18 @@
             if summary.region == self.region:
                 self._below[relay] = summary
 
-    def everywhere(self, now: int) -> Everywhere | None:
+    def everywhere(self, now: int) -> Propagation | None:
         """None while nothing can be said: a relay has its time to be heard, or none was heard."""
-        silent = [relay for relay, at in self._heard.items() if now - at >= self.silence]
-        reached = [relay for relay in self._heard if relay not in silent]
-        self._wake_at = min((self._heard[relay] + self.silence for relay in reached), default=None)
+        silent = [relay for relay, at in self._last_progress_at.items() if now - at >= self.silence]
+        reached = [relay for relay in self._last_progress_at if relay not in silent]
+        self._wake_at = min((self._last_progress_at[relay] + self.silence for relay in reached), default=None)
         if not reached or not all(relay in self._below or relay in self._positions for relay in reached):
             return None
         least = [sequence for relay in reached for sequence in self._in_force(relay)]
-        found = Everywhere(min(least, default=NO_BOUND), silent, len(silent))
+        found = Propagation(min(least, default=NO_BOUND), silent, len(silent))
         for relay in reached:
             if (summary := self._below.get(relay)) is not None:
-                found.unreached += summary.unreached[: NAMES_MOST - len(found.unreached)]
+                found.unreached += summary.unreached[: MAX_UNREACHED_NAMES - len(found.unreached)]
                 found.unreached_count += summary.unreached_count
         return found
 
@@ -71,4 +71,4 @@
         """Of the relay itself, where it says so, and the least of its followers, where it has any."""
         summary = self._below.get(relay)
         own = [self._positions[relay]] if relay in self._positions else []
-        return own + ([summary.least] if summary is not None and summary.followers else [])
+        return own + ([summary.min_sequence] if summary is not None and summary.followers else [])
--- a/linenbridge/distribution/log/recovery.py
+++ b/linenbridge/distribution/log/recovery.py
@@ -12,9 +12,9 @@
 from linenbridge.distribution.decisions import Send
 from linenbridge.distribution.log.region_log import Log
 from linenbridge.distribution.messages import Fetch, Fetched, Prepare, Prepared
-from linenbridge.distribution.log.replication import JITTER, Peer, PublisherPace
+from linenbridge.distribution.log.replication import JITTER, Peer, PublisherTiming
 
-FETCHES_MOST = 5  # unanswered ones to one relay, then another is read
+MAX_UNANSWERED_FETCHES = 5  # unanswered ones to one relay, then another is read
 
 
 def majority(relays: int) -> int:
@@ -22,16 +22,22 @@
     return relays // 2 + 1
 
 
-class Reading:
+class LogRecovery:
     """One epoch's reading into `log`, which holds what this publisher knew as committed before; `done` once
     it holds all that may have been committed."""
 
     def __init__(
-        self, region: str, epoch: int, peers: dict[str, Peer], log: Log, pace: PublisherPace, random: Random,
+        self,
+        region: str,
+        epoch: int,
+        peers: dict[str, Peer],
+        log: Log,
+        timing: PublisherTiming,
+        random: Random,
         now: int,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.region, self.epoch, self.peers, self.log = region, epoch, peers, log
-        self.pace, self.random = pace, random
+        self.timing, self.random = timing, random
         self.done = False
         self._quorum: list[Peer] = []
         self._source: Peer | None = None
@@ -43,14 +49,14 @@
     def on_prepared(self, now: int, message: Prepared) -> None:
         """A relay's promise."""
         peer = self.peers[message.relay]
-        before = peer.life
-        if not peer.meets(message.life):
+        before = peer.incarnation
+        if not peer.accepts_incarnation(message.incarnation):
             return
-        if before not in (0, message.life):
-            self._start_anew()
+        if before not in (0, message.incarnation):
+            self._restart_recovery()
         peer.prepared = message
         if self._source is None:
-            self._choose(now)
+            self._choose_source(now)
 
     def on_fetched(self, now: int, message: Fetched) -> None:
         """A page of the log that is read."""
@@ -58,7 +64,7 @@
         if not awaited or message.after != self.log.last.sequence:
             return
         if not all(intact(change) for change in message.changes):
-            self._leave_source()
+            self._abandon_source()
             return
         for change in message.changes:
             self.log.append(change)
@@ -81,9 +87,9 @@
         return min(self._prepare_at, self._fetch_at) if self._source is not None else self._prepare_at
 
     def _wait(self) -> int:
-        return round(self.pace.retry * (1 + JITTER * self.random.random()))
+        return round(self.timing.retry * (1 + JITTER * self.random.random()))
 
-    def _choose(self, now: int) -> None:
+    def _choose_source(self, now: int) -> None:
         """Read the newest log, once enough relays have promised."""
         promised = [peer for peer in self.peers.values() if peer.prepared is not None]
         members = [peer for peer in promised if peer.prepared.member]
@@ -94,7 +100,7 @@
         else:
             return
         newest = max(self._quorum, key=lambda peer: peer.prepared.last)
-        if self.log.committed < self._settled():
+        if self.log.committed < self._purged_up_to():
             self.log.forget()  # what was known here may have been deleted since
         if newest.prepared.last.sequence <= self.log.committed:
             self._finish(now)
@@ -102,37 +108,37 @@
         self._source, self._fetches, self._fetch_at = newest, 0, now
 
     def _fetch(self, now: int) -> list[Send]:
-        if self._fetches >= FETCHES_MOST:
-            self._leave_source()
+        if self._fetches >= MAX_UNANSWERED_FETCHES:
+            self._abandon_source()
             return []
         self._fetches += 1
         self._fetch_at = now + self._wait()
         return [Send(self._source.name, Fetch(self.region, self.epoch, self.log.last.sequence))]
 
-    def _leave_source(self) -> None:
+    def _abandon_source(self) -> None:
         """The relay that was read does not answer: its promise has to be given anew."""
         self._source.prepared = None
-        self._start_anew()
+        self._restart_recovery()
 
-    def _start_anew(self) -> None:
+    def _restart_recovery(self) -> None:
         self._source, self._quorum = None, []
         self.log.truncate(self.log.committed)
 
     def _finish(self, now: int) -> None:
         """The log is read; promises of lives that it shows to be over do not count."""
-        over = [peer for peer in self._quorum if self._is_over(peer)]
+        over = [peer for peer in self._quorum if self._is_retired(peer)]
         for peer in over:
-            peer.distrust()
+            peer.retire_incarnation()
         if over:
-            self._start_anew()
+            self._restart_recovery()
             return
         self.log.commit(max(peer.prepared.committed for peer in self._quorum))
-        self.log.settle(self._settled())
+        self.log.purge_tombstones(self._purged_up_to())
         self._source, self.done = None, True
 
-    def _settled(self) -> int:
-        return max(peer.prepared.settled for peer in self._quorum)
+    def _purged_up_to(self) -> int:
+        return max(peer.prepared.purged_up_to for peer in self._quorum)
 
-    def _is_over(self, peer: Peer) -> bool:
-        found = self.log.lives.get(peer.name)
-        return peer.prepared.member and (found is None or found.number != peer.life)
+    def _is_retired(self, peer: Peer) -> bool:
+        found = self.log.incarnations.get(peer.name)
+        return peer.prepared.member and (found is None or found.number != peer.incarnation)
--- a/linenbridge/distribution/log/region_log.py
+++ b/linenbridge/distribution/log/region_log.py
@@ -17,13 +17,13 @@
 
 from linenbridge.distribution.changes import START, Change, Kind, Version
 
-PAGE_BYTES = 48_000  # of entries in one message; a single larger entry goes alone
-ENTRY_BYTES = 64  # what an entry takes in a message beside its name and value, at the most
-HOLES_LEAST = 64  # sequences that were let go before the order is made anew
-DELETIONS_MOST = 50_000  # held; then the older half of them is let go
+MAX_PAGE_BYTES = 48_000  # of entries in one message; a single larger entry goes alone
+MAX_ENTRY_OVERHEAD_BYTES = 64  # what an entry takes in a message beside its name and value, at the most
+MIN_HOLES = 64  # sequences that were let go before the order is made anew
+MAX_TOMBSTONES = 50_000  # held; then the older half of them is let go
 
 
-class Life(NamedTuple):
+class IncarnationRecord(NamedTuple):
     """Which life of a relay counts, and the sequence of the entry that says so."""
 
     number: int
@@ -32,12 +32,12 @@
 
 def bytes_of(change: Change) -> int:
     """What an entry takes in a message, at the most."""
-    return len(change.name.encode()) + len(change.value) + ENTRY_BYTES
+    return len(change.name.encode()) + len(change.value) + MAX_ENTRY_OVERHEAD_BYTES
 
 
-def life_name(relay: str, life: int) -> str:
+def incarnation_entry_name(relay: str, incarnation: int) -> str:
     """The name of the entry that makes a relay's life count."""
-    return f"{relay}/{life:x}"
+    return f"{relay}/{incarnation:x}"
 
 
 def _key(change: Change) -> tuple[int, str]:
@@ -49,17 +49,17 @@
 
 class Log:
     """Entries by sequence. `committed` is the newest sequence that a majority is known to have; deletions up
-    to `settled` were let go."""
+    to `purged_up_to` were let go."""
 
-    deletions_most = DELETIONS_MOST
+    max_tombstones = MAX_TOMBSTONES
 
     def __init__(self) -> None:
-        self.committed = self.settled = 0
-        self.lives: dict[str, Life] = {}  # by relay, committed or not
+        self.committed = self.purged_up_to = 0
+        self.incarnations: dict[str, IncarnationRecord] = {}  # by relay, committed or not
         self._entries: dict[int, Change] = {}
         self._order: list[int] = []  # sequences, with those that were let go until it is made anew
         self._newest: dict[tuple[int, str], int] = {}  # the committed entry of each key
-        self._deletions: deque[int] = deque()  # committed ones, with some that were superseded
+        self._tombstones: deque[int] = deque()  # committed ones, with some that were superseded
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -83,7 +83,7 @@
         """An entry behind all others."""
         self._entries[change.sequence] = change
         self._order.append(change.sequence)
-        self._note_life(change)
+        self._note_incarnation(change)
 
     def truncate(self, after: int) -> None:
         """Drop all entries behind a sequence; never committed ones."""
@@ -93,9 +93,9 @@
             )
         while self._order and self._order[-1] > after:
             del self._entries[self._order.pop()]
-        self.lives = {}
+        self.incarnations = {}
         for entry in self._entries.values():
-            self._note_life(entry)
+            self._note_incarnation(entry)
 
     def commit(self, upto: int) -> tuple[list[Change], list[int]]:
         """Entries up to a sequence are committed from now on: those that are, in order, and the sequences
@@ -112,39 +112,39 @@
                 superseded.append(older)
             self._newest[_key(entry)] = sequence
             if not entry.value and entry.kind != Kind.LOG:
-                self._deletions.append(sequence)
+                self._tombstones.append(sequence)
         for sequence in superseded:
             del self._entries[sequence]
         self.committed = max(self.committed, upto)
-        self._make_order_anew()
-        gone = set(superseded)
-        return [entry for entry in committed if entry.sequence not in gone], superseded
+        self._rebuild_order()
+        removed = set(superseded)
+        return [entry for entry in committed if entry.sequence not in removed], superseded
 
     def forget(self) -> None:
         """Begin with nothing."""
         self.__init__()
 
-    def settle(self, upto: int) -> list[int]:
+    def purge_tombstones(self, upto: int) -> list[int]:
         """Let deletions up to a sequence go that is behind the newest committed one; their sequences."""
-        gone = list[int]()
-        while self._deletions and self._deletions[0] <= upto < self.committed:
-            entry = self._entries.pop(self._deletions.popleft(), None)
+        removed = list[int]()
+        while self._tombstones and self._tombstones[0] <= upto < self.committed:
+            entry = self._entries.pop(self._tombstones.popleft(), None)
             if entry is not None:
                 del self._newest[_key(entry)]
-                gone.append(entry.sequence)
-        self.settled = max(self.settled, upto)
-        self._make_order_anew()
-        return gone
+                removed.append(entry.sequence)
+        self.purged_up_to = max(self.purged_up_to, upto)
+        self._rebuild_order()
+        return removed
 
-    def settles_at(self) -> int:
+    def purge_target(self) -> int:
         """Up to where deletions should be let go: nowhere new while there are few."""
-        if len(self._deletions) > self.deletions_most:
-            self._deletions = deque(sequence for sequence in self._deletions if sequence in self._entries)
-        if len(self._deletions) <= self.deletions_most:
-            return self.settled
-        return self._deletions[len(self._deletions) - self.deletions_most // 2 - 1]
+        if len(self._tombstones) > self.max_tombstones:
+            self._tombstones = deque(sequence for sequence in self._tombstones if sequence in self._entries)
+        if len(self._tombstones) <= self.max_tombstones:
+            return self.purged_up_to
+        return self._tombstones[len(self._tombstones) - self.max_tombstones // 2 - 1]
 
-    def after(self, sequence: int, most_bytes: int = PAGE_BYTES) -> tuple[list[Change], bool]:
+    def after(self, sequence: int, max_bytes: int = MAX_PAGE_BYTES) -> tuple[list[Change], bool]:
         """A page of the entries behind a sequence, in order, and whether there are more."""
         page, size = list[Change](), 0
         for place in range(bisect_right(self._order, sequence), len(self._order)):
@@ -152,7 +152,7 @@
             if entry is None:
                 continue
             size += bytes_of(entry)
-            if page and size > most_bytes:
+            if page and size > max_bytes:
                 return page, True
             page.append(entry)
         return page, False
@@ -161,18 +161,18 @@
         """All that is committed, in order."""
         return [entry for entry in self._entries.values() if entry.sequence <= self.committed]
 
-    def life_counts(self, relay: str, life: int) -> bool:
+    def incarnation_counts(self, relay: str, incarnation: int) -> bool:
         """Whether the committed log says that this life of a relay counts."""
-        found = self.lives.get(relay)
-        return found is not None and found.number == life and found.sequence <= self.committed
+        found = self.incarnations.get(relay)
+        return found is not None and found.number == incarnation and found.sequence <= self.committed
 
-    def _note_life(self, change: Change) -> None:
+    def _note_incarnation(self, change: Change) -> None:
         if change.kind != Kind.LOG or not change.name:
             return
         relay, _, number = change.name.rpartition("/")
         with suppress(ValueError):
-            self.lives[relay] = Life(int(number, 16), change.sequence)
+            self.incarnations[relay] = IncarnationRecord(int(number, 16), change.sequence)
 
-    def _make_order_anew(self) -> None:
-        if len(self._order) > 2 * len(self._entries) + HOLES_LEAST:
+    def _rebuild_order(self) -> None:
+        if len(self._order) > 2 * len(self._entries) + MIN_HOLES:
             self._order = list(self._entries)
--- a/linenbridge/distribution/log/replication.py
+++ b/linenbridge/distribution/log/replication.py
@@ -18,108 +18,112 @@
 from linenbridge.distribution.log.region_log import Log, bytes_of
 from linenbridge.distribution.messages import Append, Prepared
 
-MESSAGES_MOST = 8  # under way to one relay
-WINDOW_BYTES = 256_000  # of entries under way to one relay, one message more at the most
-FORMER_MOST = 64  # lives of one relay that are remembered as over
+MAX_MESSAGES_IN_FLIGHT = 8  # under way to one relay
+MAX_WINDOW_BYTES = 256_000  # of entries under way to one relay, one message more at the most
+MAX_FORMER_INCARNATIONS = 64  # lives of one relay that are remembered as over
 JITTER = 0.5  # part by which waits are longer by chance
 
 
-class PublisherPace(Struct, frozen=True):
+class PublisherTiming(Struct, frozen=True):
     """Times of a publisher, in microseconds."""
 
     heartbeat: int = 500_000  # between two messages to a relay
-    retry: int = 300_000  # without an answer; doubles up to `retry_most`
-    retry_most: int = 2_000_000
+    retry: int = 300_000  # without an answer; doubles up to `max_retry`
+    max_retry: int = 2_000_000
     answer_within: int = 10_000_000  # then an author hears `unconfirmed`
     silence: int = 5_000_000  # without progress from a relay; then it is unreached
 
 
-class UnderWay(NamedTuple):
+class InFlightMessage(NamedTuple):
     """A message that is not answered: the version of its last entry, the bytes of its entries, and the
     committed sequence that it tells."""
 
     last: Version
     size: int
-    told: int
+    announced_committed: int
 
 
 class Peer:
-    """One relay. `acked` is the newest sequence that its disk holds as the publisher's log does, in its
-    present `life`."""
+    """One relay. `acknowledged` is the newest sequence that its disk holds as the publisher's log does, in
+    its present `incarnation`."""
 
-    def __init__(self, name: str, pace: PublisherPace, random: Random) -> None:
-        self.name, self.pace, self.random = name, pace, random
-        self.former: deque[int] = deque(maxlen=FORMER_MOST)  # lives that are over
-        self.life = 0
+    def __init__(self, name: str, timing: PublisherTiming, random: Random) -> None:
+        self.name, self.timing, self.random = name, timing, random
+        self.former_incarnations: deque[int] = deque(maxlen=MAX_FORMER_INCARNATIONS)  # lives that are over
+        self.incarnation = 0
         self.begin(0)
 
     def begin(self, now: int) -> None:
         """A new epoch: nothing is known but which lives are over."""
         self.prepared: Prepared | None = None
-        self.acked = 0
-        self.match = START  # where sending goes on after silence: the newest version it acknowledged
+        self.acknowledged = 0
+        self.matched = START  # where sending goes on after silence: the newest version it acknowledged
         self.sent = START  # the last entry sent, or where it goes on
-        self.told = 0  # the committed sequence that the newest message tells
-        self.complete = 0  # up to here the relay surely has committed all that the log holds, on its disk
-        self.under_way: deque[UnderWay] = deque()
-        self.careful, self.gap_at = True, -1
-        self.wait = self.pace.retry
+        self.announced_committed = 0  # the committed sequence that the newest message tells
+        self.confirmed_committed = (
+            0  # up to here the relay surely has committed all that the log holds, on its disk
+        )
+        self.in_flight: deque[InFlightMessage] = deque()
+        self.probing, self.last_gap = True, -1
+        self.wait = self.timing.retry
         self.timer_at = now
 
-    def meets(self, life: int) -> bool:
+    def accepts_incarnation(self, incarnation: int) -> bool:
         """Whether a message of this life is to be taken; a new one means that the relay may have forgotten
         what it acknowledged."""
-        if life in self.former:
+        if incarnation in self.former_incarnations:
             return False
-        if self.life not in (0, life):
-            self.former.append(self.life)
+        if self.incarnation not in (0, incarnation):
+            self.former_incarnations.append(self.incarnation)
             self.begin(0)
-        self.life = life
+        self.incarnation = incarnation
         return True
 
-    def distrust(self) -> None:
+    def retire_incarnation(self) -> None:
         """This life of the relay turned out to be over."""
-        self.former.append(self.life)
-        self.life = 0
+        self.former_incarnations.append(self.incarnation)
+        self.incarnation = 0
         self.begin(0)
 
     # ---- answers -----------------------------------------------------------------------------------------
 
     def on_agreed(self, now: int, upto: int, log: Log) -> None:
         """The relay's disk agrees with the log up to a sequence."""
-        while self.under_way and self.under_way[0].last.sequence <= upto:
-            done = self.under_way.popleft()
-            self.complete = max(self.complete, min(done.told, done.last.sequence))
-            if done.last.sequence > self.match.sequence:
-                self.match = done.last
-        if upto > self.match.sequence:
-            self.match = log.version_at(upto) or Version(0, upto)
-        if self.sent.sequence < self.match.sequence:
-            self.sent = self.match
-        self.acked = max(self.acked, min(upto, log.last.sequence))
-        self.careful, self.gap_at, self.wait = False, -1, self.pace.retry
-        self._rest(now)
+        while self.in_flight and self.in_flight[0].last.sequence <= upto:
+            done = self.in_flight.popleft()
+            self.confirmed_committed = max(
+                self.confirmed_committed, min(done.announced_committed, done.last.sequence)
+            )
+            if done.last.sequence > self.matched.sequence:
+                self.matched = done.last
+        if upto > self.matched.sequence:
+            self.matched = log.version_at(upto) or Version(0, upto)
+        if self.sent.sequence < self.matched.sequence:
+            self.sent = self.matched
+        self.acknowledged = max(self.acknowledged, min(upto, log.last.sequence))
+        self.probing, self.last_gap, self.wait = False, -1, self.timing.retry
+        self._schedule(now)
 
     def on_gap(self, now: int, upto: int) -> None:
         """The relay's log surely agrees up to `upto` alone; one answer for each message of a window."""
-        if self.careful and self.under_way and self.gap_at == upto:
+        if self.probing and self.in_flight and self.last_gap == upto:
             return
-        self.careful, self.gap_at = True, upto
-        self.complete = upto
-        self.match = Version(0, upto)
-        self._go_back(self.match)
-        self._rest(now)
+        self.probing, self.last_gap = True, upto
+        self.confirmed_committed = upto
+        self.matched = Version(0, upto)
+        self._rewind(self.matched)
+        self._schedule(now)
 
     def start(self, now: int, end: Version) -> None:
         """Sending begins: behind what the relay has committed; where it is not known, the log's `end` is
         offered, and the relay answers."""
         if self.prepared is not None:
-            self.complete = self.prepared.committed
-            self.match = Version(0, self.complete)
-            self._go_back(self.match)
-            self._rest(now)
+            self.confirmed_committed = self.prepared.committed
+            self.matched = Version(0, self.confirmed_committed)
+            self._rewind(self.matched)
+            self._schedule(now)
         else:
-            self.match = self.sent = end
+            self.matched = self.sent = end
             self.timer_at = now
 
     # ---- messages ----------------------------------------------------------------------------------------
@@ -127,60 +131,62 @@
     def messages(self, now: int, region: str, epoch: int, log: Log) -> list[Append]:
         """What is to be sent now."""
         found = list[Append]()
-        if now >= self.timer_at and self.under_way:
-            self._give_up_waiting()
+        if now >= self.timer_at and self.in_flight:
+            self._on_timeout()
             found.append(self._probe(now, region, epoch, log))
-        while self._has_room():
+        while self._window_is_open():
             changes, _ = log.after(self.sent.sequence)
             if not changes:
                 break
             previous, self.sent = self.sent, changes[-1].version
-            told, size = self._tell(log), sum(map(bytes_of, changes))
-            self.under_way.append(UnderWay(self.sent, size, told))
-            found.append(Append(region, epoch, previous, told, changes, log.settled))
-            if len(self.under_way) == 1:
-                self._rest(now)
+            announced_committed, size = self._announce_committed(log), sum(map(bytes_of, changes))
+            self.in_flight.append(InFlightMessage(self.sent, size, announced_committed))
+            found.append(Append(region, epoch, previous, announced_committed, changes, log.purged_up_to))
+            if len(self.in_flight) == 1:
+                self._schedule(now)
         if not found and now >= self.timer_at:
             found.append(self._probe(now, region, epoch, log))
-        elif not found and self.told < log.committed <= self.sent.sequence and not self.careful:
+        elif (
+            not found and self.announced_committed < log.committed <= self.sent.sequence and not self.probing
+        ):
             found.append(self._empty(region, epoch, log))
         return found
 
-    def _has_room(self) -> bool:
-        if self.careful:
-            return not self.under_way
-        size = sum(message.size for message in self.under_way)
-        return len(self.under_way) < MESSAGES_MOST and size < WINDOW_BYTES
+    def _window_is_open(self) -> bool:
+        if self.probing:
+            return not self.in_flight
+        size = sum(message.size for message in self.in_flight)
+        return len(self.in_flight) < MAX_MESSAGES_IN_FLIGHT and size < MAX_WINDOW_BYTES
 
-    def _give_up_waiting(self) -> None:
+    def _on_timeout(self) -> None:
         """No answer for a while: go on from where both surely agree, with one message at a time."""
-        self.careful, self.gap_at = True, -1
-        self._go_back(self.match)
-        self.wait = min(2 * self.wait, self.pace.retry_most)
+        self.probing, self.last_gap = True, -1
+        self._rewind(self.matched)
+        self.wait = min(2 * self.wait, self.timing.max_retry)
 
     def _probe(self, now: int, region: str, epoch: int, log: Log) -> Append:
         """An empty message: a heartbeat, or a question that is waited for."""
         message = self._empty(region, epoch, log)
-        if self.careful:
-            self.under_way.append(UnderWay(self.sent, 0, message.committed))
-        self._rest(now)
+        if self.probing:
+            self.in_flight.append(InFlightMessage(self.sent, 0, message.committed))
+        self._schedule(now)
         return message
 
     def _empty(self, region: str, epoch: int, log: Log) -> Append:
-        return Append(region, epoch, self.sent, self._tell(log), [], log.settled)
+        return Append(region, epoch, self.sent, self._announce_committed(log), [], log.purged_up_to)
 
-    def _tell(self, log: Log) -> int:
+    def _announce_committed(self, log: Log) -> int:
         """Behind the log's committed part, entries may be left out: it is told once it has all of them."""
         if self.sent.sequence >= log.committed:
-            self.told = log.committed
-        return self.told
+            self.announced_committed = log.committed
+        return self.announced_committed
 
-    def _go_back(self, to: Version) -> None:
-        self.under_way.clear()
+    def _rewind(self, to: Version) -> None:
+        self.in_flight.clear()
         self.sent = to
-        self.told = self.complete
+        self.announced_committed = self.confirmed_committed
 
-    def _rest(self, now: int) -> None:
+    def _schedule(self, now: int) -> None:
         """Until when nothing happens by itself: an answer is waited for, or a heartbeat is due."""
-        wait = self.wait if self.under_way else self.pace.heartbeat
+        wait = self.wait if self.in_flight else self.timing.heartbeat
         self.timer_at = now + round(wait * (1 + JITTER * self.random.random()))
--- a/linenbridge/distribution/messages.py
+++ b/linenbridge/distribution/messages.py
@@ -25,8 +25,8 @@
 class Prepared(Struct, array_like=True, frozen=True, tag="prepared"):
     """The relay's promise, on its disk before this leaves. `last` is its newest entry, `committed` the
     newest that it knows a majority to have. `code` is not empty where the promise is refused; `epoch` is
-    then the one that it holds to. `life` is another number since the relay may last have forgotten
-    something; it is a `member` where its committed log names this life. `settled`: deletions up to there
+    then the one that it holds to. `incarnation` is another number since the relay may last have forgotten
+    something; it is a `member` where its committed log names this life. `purged_up_to`: deletions up to there
     were let go."""
 
     region: str
@@ -35,9 +35,9 @@
     last: Version
     committed: int
     code: str = ""
-    life: int = 0
+    incarnation: int = 0
     member: bool = False
-    settled: int = 0
+    purged_up_to: int = 0
 
 
 class Fetch(Struct, array_like=True, frozen=True, tag="fetch"):
@@ -63,19 +63,19 @@
     """Entries that follow on `previous`; none of them: a heartbeat. `committed` is the newest sequence that
     a majority has on disk. Committed entries that newer ones of their key have replaced may be left out;
     `committed` then stays behind them until the relay has all the rest. Every relay of the region has
-    committed everything up to `settled`, so that deletions up to there may be let go."""
+    committed everything up to `purged_up_to`, so that deletions up to there may be let go."""
 
     region: str
     epoch: int
     previous: Version
     committed: int
     changes: list[Change]
-    settled: int = 0
+    purged_up_to: int = 0
 
 
 class Appended(Struct, array_like=True, frozen=True, tag="appended"):
     """The relay's log agrees with the publisher's up to `upto`, on disk. With a code it does not: `upto` is
-    then the newest sequence that surely agrees, `epoch` the one that the relay holds to. `life` as in
+    then the newest sequence that surely agrees, `epoch` the one that the relay holds to. `incarnation` as in
     Prepared."""
 
     region: str
@@ -83,7 +83,7 @@
     relay: str
     upto: int
     code: str = ""
-    life: int = 0
+    incarnation: int = 0
 
 
 # ---- relays and their followers (gateways, and relays of other regions) ------------------------------------
@@ -100,7 +100,7 @@
     regions: list[str]
 
 
-class Refused(Struct, array_like=True, frozen=True, tag="refused"):
+class FollowRejected(Struct, array_like=True, frozen=True, tag="refused"):
     """The relay serves this follower no more, or not at all. `after` is how long to leave it alone, in
     microseconds."""
 
@@ -113,8 +113,8 @@
     """All keys whose newest version lies behind `after`, up to `upto`, each at that version. `digest` is
     that of the relay's whole table of the region, given where `upto` is its head. No changes: a heartbeat.
     `horizon`: a follower behind it asks for ranges, by `Digests`. `checksum` is `batch_checksum`'s.
-    `number` counts the session's `Batch` and `Whole` messages from 1, so that a lost, repeated or reordered
-    one is noticed."""
+    `number` counts the session's `Batch` and `RangeSnapshot` messages from 1, so that a lost, repeated or
+    reordered one is noticed."""
 
     session: int
     region: str
@@ -142,16 +142,16 @@
     number: int = 0
 
 
-class Whole(Struct, array_like=True, frozen=True, tag="whole"):
+class RangeSnapshot(Struct, array_like=True, frozen=True, tag="whole"):
     """A part of one range of a region's keys, complete at `upto` with its `last` part: what the range does
     not name is gone. It may name newer versions than `upto`, which is the same in all ranges of a transfer.
     `final` stands in the last part of the last range that the relay sends: then the follower is at `upto`.
-    `horizon` is the relay's, `checksum` is `whole_checksum`'s, `number` counts as in `Batch`."""
+    `horizon` is the relay's, `checksum` is `range_checksum`'s, `number` counts as in `Batch`."""
 
     session: int
     region: str
     upto: Version
-    range: int
+    range_index: int
     part: int
     last: bool
     final: bool
@@ -161,13 +161,13 @@
     number: int = 0
 
 
-class EncodedWhole(Struct, array_like=True, frozen=True, tag="whole"):
-    """A `Whole` whose changes are encoded already: the same bytes on the link."""
+class EncodedRangeSnapshot(Struct, array_like=True, frozen=True, tag="whole"):
+    """A `RangeSnapshot` whose changes are encoded already: the same bytes on the link."""
 
     session: int
     region: str
     upto: Version
-    range: int
+    range_index: int
     part: int
     last: bool
     final: bool
@@ -191,28 +191,28 @@
 
 class Progress(Struct, array_like=True, frozen=True, tag="progress"):
     """How far a follower is: on change, and as its heartbeat. `below` sums up its own followers. `received`
-    counts the session's `Batch` and `Whole` messages that it is done with. Session 0: the follower lives and
-    follows another relay."""
+    counts the session's `Batch` and `RangeSnapshot` messages that it is done with. Session 0: the follower
+    lives and follows another relay."""
 
     follower: str
     session: int
     positions: list[Position]
-    below: list[Summary]
+    below: list[SubtreeSummary]
     received: int = 0
 
 
-class Summary(Struct, array_like=True, frozen=True):
+class SubtreeSummary(Struct, array_like=True, frozen=True):
     """How far all below a relay are in one region: how many, the least sequence in force, names of the
     slowest (bounded), those known and not reached (bounded, and their number), and a histogram of the lag
     in powers of two milliseconds. Room for more sums (outcomes, votes) is by further fields."""
 
     region: str
     followers: int
-    least: int
+    min_sequence: int
     slowest: list[str]
     unreached: list[str]
     unreached_count: int
-    lag: list[int]
+    lag_histogram: list[int]
 
 
 # ---- authors of changes ------------------------------------------------------------------------------------
@@ -247,7 +247,7 @@
     return crc32(encoded, crc32(f"{region} {after} {upto.epoch} {upto.sequence}".encode()))
 
 
-def whole_checksum(region: str, upto: Version, index: int, part: int, last: bool, encoded: bytes) -> int:
+def range_checksum(region: str, upto: Version, index: int, part: int, last: bool, encoded: bytes) -> int:
     """The same for a part of a range."""
     place = f"{region} {upto.epoch} {upto.sequence} {index} {part} {last:d}"
     return crc32(encoded, crc32(place.encode()))
@@ -255,5 +255,5 @@
 
 Message = (
     Prepare | Prepared | Fetch | Fetched | Append | Appended
-    | Follow | Refused | Batch | Whole | Digests | Progress | Publish | Published
+    | Follow | FollowRejected | Batch | RangeSnapshot | Digests | Progress | Publish | Published
 )  # fmt: skip
--- a/linenbridge/distribution/storage/log_store.py
+++ b/linenbridge/distribution/storage/log_store.py
@@ -17,9 +17,9 @@
 from msgspec import Struct
 
 from linenbridge.distribution.changes import Change, intact
-from linenbridge.distribution.decisions import Keep
+from linenbridge.distribution.decisions import Persist
 from linenbridge.distribution.errors import RelayStoreError
-from linenbridge.distribution.log.replica import Kept
+from linenbridge.distribution.log.replica import StoredLog
 
 FORM = 1
 FILE_NAME = "log.db"
@@ -35,13 +35,13 @@
     """What is kept beside the entries: `entries` is their number, `checksums` the sum of theirs."""
 
     region: str = ""
-    life: int = 0
+    incarnation: int = 0
     epoch: int = 0
     publisher: str = ""
     committed: int = 0
     entries: int = 0
     checksums: int = 0
-    settled: int = 0
+    purged_up_to: int = 0
 
 
 class RelayLog:
@@ -61,7 +61,7 @@
         except (apsw.Error, OSError) as error:
             raise self._failed(error) from None
 
-    def read(self) -> Kept:
+    def read(self) -> StoredLog:
         """What the file holds. A new one holds nothing; it is written to once, so that a disk that takes
         nothing is seen before anything is promised."""
         try:
@@ -75,15 +75,17 @@
         except (apsw.Error, OSError) as error:
             raise self._failed(error) from None
         state = self._state
-        return Kept(state.life, state.epoch, state.publisher, state.committed, changes, state.settled)
+        return StoredLog(
+            state.incarnation, state.epoch, state.publisher, state.committed, changes, state.purged_up_to
+        )
 
-    def keep(self, keeps: Sequence[Keep]) -> None:
+    def persist(self, writes: Sequence[Persist]) -> None:
         """All of them on disk in one transaction, in order, or nothing of them."""
         before = self._state
         try:
             with self._transaction():
-                for keep in keeps:
-                    self._keep(keep)
+                for write in writes:
+                    self._write(write)
                 self._write_state()
         except (apsw.Error, OSError) as error:
             self._state = before
@@ -145,22 +147,22 @@
 
     # ---- writing -----------------------------------------------------------------------------------------
 
-    def _keep(self, keep: Keep) -> None:
+    def _write(self, write: Persist) -> None:
         count, checksums = 0, 0
-        if keep.truncate_after is not None:
-            gone = self._do("delete from entry where sequence > ? returning checksum", [keep.truncate_after])
+        if write.truncate_after is not None:
+            gone = self._do("delete from entry where sequence > ? returning checksum", [write.truncate_after])
             count, checksums = count - len(gone), checksums - sum(row[0] for row in gone)
-        for change in keep.changes:
+        for change in write.changes:
             row = (change.sequence, change.epoch, change.kind, change.name, change.value, change.checksum)
             self._do(_INSERT, row)
             count, checksums = count + 1, checksums + change.checksum
-        for sequence in keep.superseded:
+        for sequence in write.superseded:
             gone = self._do("delete from entry where sequence = ? returning checksum", [sequence])
             count, checksums = count - len(gone), checksums - sum(row[0] for row in gone)
         state = self._state
         self._state = State(
-            self.region, keep.life, keep.epoch, keep.publisher, keep.committed,
-            state.entries + count, state.checksums + checksums, keep.settled,
+            self.region, write.incarnation, write.epoch, write.publisher, write.committed,
+            state.entries + count, state.checksums + checksums, write.purged_up_to,
         )  # fmt: skip
 
     def _write_state(self) -> None:
--- a/linenbridge/distribution/storage/view_store.py
+++ b/linenbridge/distribution/storage/view_store.py
@@ -19,7 +19,7 @@
 from msgspec import Struct
 
 from linenbridge.distribution.changes import range_of
-from linenbridge.distribution.errors import ChangeRefused, ViewStoreError
+from linenbridge.distribution.errors import ChangeRejected, ViewStoreError
 from linenbridge.distribution.view.results import PageKind, StoredPage
 from linenbridge.distribution.view.view import View
 
@@ -46,7 +46,7 @@
     apsw.BusyError, apsw.LockedError, apsw.FullError, apsw.IOError, apsw.CantOpenError, apsw.ReadOnlyError,
     apsw.PermissionsError, apsw.NoMemError, OSError,
 )  # fmt: skip
-UNFIT = (apsw.Error, msgspec.MsgspecError, ValueError, TypeError, LookupError, ChangeRefused)
+UNFIT = (apsw.Error, msgspec.MsgspecError, ValueError, TypeError, LookupError, ChangeRejected)
 
 Say = Callable[..., None]
 Load = Callable[[Iterator[StoredPage]], None]
--- a/linenbridge/distribution/view/regions.py
+++ b/linenbridge/distribution/view/regions.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from linenbridge.distribution.changes import RANGES, START, Position, Version
-from linenbridge.distribution.errors import ChangeRefused
+from linenbridge.distribution.errors import ChangeRejected
 from linenbridge.distribution.view.results import PageKind, StoredPage
 
 CHUNK = 64  # ranges whose digests share a stored page
@@ -97,7 +97,7 @@
 
     def _add(self, name: str, index: int) -> Region:
         if index >= REGIONS_MOST:
-            raise ChangeRefused(f"more than {REGIONS_MOST} regions", name)
+            raise ChangeRejected(f"more than {REGIONS_MOST} regions", name)
         region = self.by_name[name] = Region(name, index)
         self.by_index.append(region)
         return region
--- a/linenbridge/distribution/view/results.py
+++ b/linenbridge/distribution/view/results.py
@@ -11,7 +11,7 @@
 from msgspec import Struct, field
 
 from linenbridge.distribution.changes import Version
-from linenbridge.distribution.errors import ChangeRefused
+from linenbridge.distribution.errors import ChangeRejected
 from linenbridge.interface import ListEntry
 
 KIND_NAMES = {1: "routes", 2: "tenant", 3: "instance", 4: "zone"}
@@ -34,11 +34,11 @@
     name: str
     reason: str
 
-    def error(self) -> ChangeRefused:
+    def error(self) -> ChangeRejected:
         """As the typed error, whose text names all of it."""
         kind = KIND_NAMES.get(self.kind, str(self.kind))
         place = f"{kind} {self.name} at {self.region}/{self.version.epoch}/{self.version.sequence}"
-        return ChangeRefused(self.reason, place)
+        return ChangeRejected(self.reason, place)
 
 
 class Listed(NamedTuple):
--- a/linenbridge/distribution/view/values.py
+++ b/linenbridge/distribution/view/values.py
@@ -12,14 +12,14 @@
 import msgspec
 
 from linenbridge.distribution.changes import (
-    NAME_MOST,
-    VALUE_MOST,
+    MAX_NAME_CHARACTERS,
+    MAX_VALUE_BYTES,
     InstanceValue,
     Kind,
     TenantValue,
     ZoneValue,
 )
-from linenbridge.distribution.errors import ChangeRefused
+from linenbridge.distribution.errors import ChangeRejected
 from linenbridge.distribution.view.rules import pack_rules
 from linenbridge.interface import DRAINING, GONE, READY, Method
 from linenbridge.routes.language import RouteError, parse_by_rule
@@ -43,7 +43,7 @@
         """Why a value would be refused; "" where it would not."""
         try:
             self.read(kind, name, value)
-        except ChangeRefused as error:
+        except ChangeRejected as error:
             return error.what
         return ""
 
@@ -59,10 +59,10 @@
     def reading(self, kind: int, name: str, value: bytes) -> Generator[None, None, Value]:
         """The same in steps: a set of routes takes some milliseconds, a step one rule, or the checks of all
         against each other."""
-        if not 0 < len(name) <= NAME_MOST:
-            raise ChangeRefused(f"a name has 1 to {NAME_MOST} characters", name[:WORD_MOST])
-        if len(value) > VALUE_MOST:
-            raise ChangeRefused(f"{len(value)} bytes, {VALUE_MOST} at most", name)
+        if not 0 < len(name) <= MAX_NAME_CHARACTERS:
+            raise ChangeRejected(f"a name has 1 to {MAX_NAME_CHARACTERS} characters", name[:WORD_MOST])
+        if len(value) > MAX_VALUE_BYTES:
+            raise ChangeRejected(f"{len(value)} bytes, {MAX_VALUE_BYTES} at most", name)
         try:
             match kind:
                 case Kind.ROUTES:
@@ -74,8 +74,8 @@
                 case Kind.ZONE:
                     return msgspec.msgpack.decode(value, type=ZoneValue)
         except (msgspec.MsgspecError, ValueError) as error:
-            raise ChangeRefused(str(error), name) from None
-        raise ChangeRefused(f"no kind of key is numbered {kind}", name)
+            raise ChangeRejected(str(error), name) from None
+        raise ChangeRejected(f"no kind of key is numbered {kind}", name)
 
     def _routes(self, value: bytes) -> Generator[None, None, bytes]:
         rules = []
--- a/linenbridge/distribution/view/view.py
+++ b/linenbridge/distribution/view/view.py
@@ -16,7 +16,7 @@
     RANGES, Change, InstanceValue, Kind, Position, digest_of, range_of,
 )  # fmt: skip
 from linenbridge.distribution.decisions import Apply, ReplaceRange
-from linenbridge.distribution.errors import ChangeRefused
+from linenbridge.distribution.errors import ChangeRejected
 from linenbridge.distribution.view.instances import InstanceTable
 from linenbridge.distribution.view.rejections import Refusals
 from linenbridge.distribution.view.regions import Region, Regions
@@ -37,7 +37,7 @@
 from linenbridge.interface import GONE, ListEntry, Method
 from linenbridge.startup import LONG_AGO
 
-Examined = Value | ChangeRefused | None  # read, refused, or a deletion
+Examined = Value | ChangeRejected | None  # read, refused, or a deletion
 
 
 class _Tally:
@@ -168,10 +168,10 @@
         if not change.value:
             return None
         if not (0 <= change.epoch < EPOCH_MOST and 0 <= change.sequence < SEQUENCE_MOST):
-            return ChangeRefused(f"epoch below {EPOCH_MOST}, sequence below {SEQUENCE_MOST}", change.name)
+            return ChangeRejected(f"epoch below {EPOCH_MOST}, sequence below {SEQUENCE_MOST}", change.name)
         try:
             return (yield from self.checks.reading(change.kind, change.name, change.value))
-        except ChangeRefused as error:
+        except ChangeRejected as error:
             return error
 
     def _examined(self, change: Change) -> Examined:
@@ -220,7 +220,7 @@
         return 0 if table is None else table.digest(region, name)
 
     def _put(self, region: Region, change: Change, examined: Examined, tally: _Tally) -> None:
-        if isinstance(examined, ChangeRefused):
+        if isinstance(examined, ChangeRejected):
             refused = RefusedChange(region.name, change.version, change.kind, change.name, examined.what)
             tally.refused.append(refused)
             self.refusals.put(region, change, examined.what)
@@ -240,8 +240,8 @@
         than at `upto` and then names newer versions: it holds all up to the newest that it names. Passed over
         where it is older than what the range holds."""
         region, tally = self.regions.get(content.region), _Tally()
-        older = content.upto < max(region.position, region.floors.get(content.range, region.position))
-        if older or not 0 <= content.range < RANGES:
+        older = content.upto < max(region.position, region.floors.get(content.range_index, region.position))
+        if older or not 0 <= content.range_index < RANGES:
             tally.passed = len(content.changes)
         else:
             self._replace(region, content, tally)
@@ -255,8 +255,8 @@
         tally.passed += len(content.changes) - len(changes)
         keys = {change.key for change in changes}
         for kind, table in self.tables.items():
-            table.retain(region, content.range, {name for own, name in keys if own == kind})
-        self.refusals.retain(region, content.range, keys)
+            table.retain(region, content.range_index, {name for own, name in keys if own == kind})
+        self.refusals.retain(region, content.range_index, keys)
         total = 0
         for change in changes:
             wanted = digest_of(change)
@@ -265,15 +265,15 @@
                 tally.passed += 1
             else:
                 self._put(region, change, self._examined(change), tally)
-        region.add(content.range, total - region.digests[content.range])
-        region.raise_floor(content.range, max([content.upto, *(change.version for change in changes)]))
+        region.add(content.range_index, total - region.digests[content.range_index])
+        region.raise_floor(content.range_index, max([content.upto, *(change.version for change in changes)]))
 
     @staticmethod
     def _belongs(region: Region, content: ReplaceRange, change: Change) -> bool:
         return (
             change.region == region.name
             and bool(change.value)
-            and range_of(change.kind, change.name) == content.range
+            and range_of(change.kind, change.name) == content.range_index
         )
 
     def _end(self) -> None:
--- a/tests/compatibility/distribution/test_messages.py
+++ b/tests/compatibility/distribution/test_messages.py
@@ -36,7 +36,7 @@
     "InstanceValue": changes.InstanceValue,
     "ZoneValue": changes.ZoneValue,
 }
-ENCODED_TWINS = {"batch": messages.EncodedBatch, "whole": messages.EncodedWhole}
+ENCODED_TWINS = {"batch": messages.EncodedBatch, "whole": messages.EncodedRangeSnapshot}
 
 
 def as_array(value: object) -> list:
@@ -127,7 +127,7 @@
     upto = changes.Version(4, 10)
     found = {
         "batch": messages.batch_checksum("eu", 6, upto, encoded),
-        "whole": messages.whole_checksum("eu", upto, 1023, 2, True, encoded),
-        "whole, not last": messages.whole_checksum("eu", upto, 1023, 2, False, encoded),
+        "whole": messages.range_checksum("eu", upto, 1023, 2, True, encoded),
+        "whole, not last": messages.range_checksum("eu", upto, 1023, 2, False, encoded),
     }
     assert found == RECORD["checksums"]
--- a/tests/compatibility/distribution/test_stores.py
+++ b/tests/compatibility/distribution/test_stores.py
@@ -14,8 +14,8 @@
 import msgspec
 import pytest
 
-from linenbridge.distribution.decisions import Apply, Keep, ReplaceRange
-from linenbridge.distribution.log.replica import Kept, Replica
+from linenbridge.distribution.decisions import Apply, Persist, ReplaceRange
+from linenbridge.distribution.log.replica import StoredLog, Replica
 from linenbridge.distribution.storage.log_store import RelayLog
 from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
 from linenbridge.distribution.view.view import View
@@ -86,7 +86,7 @@
     store = RelayLog(str(region_log_folder), region_log_record["region"])
     replica = Replica(region_log_record["region"], "eu-1", store.read(), True, Random(1))
     store.close()
-    assert (replica.life, replica.member) == (region_log_record["life"], region_log_record["member"])
+    assert (replica.incarnation, replica.member) == (region_log_record["life"], region_log_record["member"])
     assert as_array(replica.next_decision(0).changes) == region_log_record["handed_on"]
     assert replica.next_decision(0) is None
 
@@ -94,7 +94,7 @@
 def test_a_region_log_of_the_base_is_written_on_as_the_base_did(region_log_folder, region_log_record):
     store = RelayLog(str(region_log_folder), region_log_record["region"])
     store.read()
-    store.keep([typed(Keep, row) for row in region_log_record["goes_on"]])
+    store.persist([typed(Persist, row) for row in region_log_record["goes_on"]])
     store.close()
     assert tables_of(region_log_folder / "log.db") == region_log_record["content_after"]
     again = RelayLog(str(region_log_folder), region_log_record["region"])
@@ -105,8 +105,8 @@
 
 def test_a_new_region_log_has_the_tables_and_rows_of_the_base(tmp_path, region_log_record):
     store = RelayLog(str(tmp_path), region_log_record["region"])
-    assert store.read() == Kept()
-    store.keep([typed(Keep, row) for row in region_log_record["keeps"]])
+    assert store.read() == StoredLog()
+    store.persist([typed(Persist, row) for row in region_log_record["keeps"]])
     store.close()
     assert tables_of(tmp_path / "log.db") == region_log_record["content"]
 
--- a/tests/distribution/dissemination/test_feed.py
+++ b/tests/distribution/dissemination/test_feed.py
@@ -9,9 +9,17 @@
 import pytest
 
 from linenbridge.distribution.changes import RANGES, Kind, Position, Version, sealed
-from linenbridge.distribution.decisions import Apply, Event, ReplaceRange, Send, SumsBelow
+from linenbridge.distribution.decisions import Apply, Event, ReplaceRange, Send, SubtreeProgress
 from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
-from linenbridge.distribution.messages import Batch, Digests, Follow, Message, Progress, Refused, Whole
+from linenbridge.distribution.messages import (
+    Batch,
+    Digests,
+    Follow,
+    Message,
+    Progress,
+    FollowRejected,
+    RangeSnapshot,
+)
 from linenbridge.distribution.dissemination.flow_control import PAGE_MOST, TokenBucket, Window
 
 SECOND = 1_000_000
@@ -28,7 +36,7 @@
         self.feed, self.now, self.sequence = Feed("relay", "r1", REGIONS, settings, Random(1), 0), 0, 0
         self.sent: dict[str, list] = {}
         self.events: list[Event] = []
-        self.sums: list[SumsBelow] = []
+        self.sums: list[SubtreeProgress] = []
 
     def run(self, seconds: float) -> None:
         end = self.now + int(seconds * SECOND)
@@ -59,7 +67,7 @@
         self.pull()
 
     def acknowledge(self, name: str, session: int = 1) -> None:
-        messages = [each for each in self.sent.get(name, []) if isinstance(each, Batch | Whole)]
+        messages = [each for each in self.sent.get(name, []) if isinstance(each, Batch | RangeSnapshot)]
         batches = [each.upto.sequence for each in messages if isinstance(each, Batch)]
         position = Position("r1", 1, max(batches, default=0))
         self.feed.on_progress(self.now, Progress(name, session, [position], [], len(messages)))
@@ -109,7 +117,7 @@
     assert relay.batches("awake")[-1].upto.sequence == relay.sequence
     relay.run(2)
     assert "silent" not in relay.feed.sessions
-    assert isinstance(relay.sent["silent"][-1], Refused)
+    assert isinstance(relay.sent["silent"][-1], FollowRejected)
     assert relay.sent["silent"][-1].code == "silent"
     assert relay.feed.counters.silent == 1
     relay.run(10)
@@ -153,7 +161,7 @@
     relay = Relay()
     relay.feed.on_progress(0, Progress("g1", 5, [], [], 0))
     relay.pull()
-    assert relay.sent["g1"] == [Refused(5, "silent", 0)]
+    assert relay.sent["g1"] == [FollowRejected(5, "silent", 0)]
 
 
 def test_a_single_large_change_goes_alone_and_a_page_fits_into_a_message():
@@ -178,8 +186,8 @@
     assert relay.sent["g1"][0].horizon == 33
     relay.feed.on_digests(relay.now, "g1", Digests(1, "r1", Version(1, 10), 0, b"", True))
     relay.run(1)
-    wholes = [each for each in relay.sent["g1"] if isinstance(each, Whole)]
-    assert [whole.range for whole in wholes] == list(range(RANGES))
+    wholes = [each for each in relay.sent["g1"] if isinstance(each, RangeSnapshot)]
+    assert [whole.range_index for whole in wholes] == list(range(RANGES))
     assert [whole.final for whole in wholes] == [False] * (RANGES - 1) + [True]
     assert sum(len(whole.changes) for whole in wholes) == 27
     relay.acknowledge("g1")
@@ -207,12 +215,12 @@
     own = bytearray(relay.feed.range_digests("r1"))
     relay.feed.on_digests(0, "g1", Digests(1, "r1", Version(1, 50), 0, bytes(own), True))
     relay.run(1)
-    assert [each.range for each in relay.sent["g1"] if isinstance(each, Whole)] == [0]
+    assert [each.range_index for each in relay.sent["g1"] if isinstance(each, RangeSnapshot)] == [0]
     own[8 * 77] ^= 1
     own[8 * 300] ^= 1
     relay.feed.on_digests(relay.now, "g1", Digests(1, "r1", Version(1, 50), 0, bytes(own), True))
     relay.run(1)
-    assert [each.range for each in relay.sent["g1"] if isinstance(each, Whole)][1:] == [77, 300]
+    assert [each.range_index for each in relay.sent["g1"] if isinstance(each, RangeSnapshot)][1:] == [77, 300]
 
 
 @pytest.mark.parametrize(
@@ -225,7 +233,7 @@
     relay.feed.on_digests(0, "g1", Digests(1, "r1", Version(1, 5), first, digests, last))
     relay.run(1)
     assert relay.feed.counters.malformed == 1
-    assert not any(isinstance(each, Whole) for each in relay.sent["g1"])
+    assert not any(isinstance(each, RangeSnapshot) for each in relay.sent["g1"])
 
 
 def test_heartbeats_tell_the_digest_at_the_head():
@@ -253,7 +261,7 @@
     relay.feed.on_range(relay.now, ReplaceRange("r2", Version(1, 4), 0, [], True))
     relay.feed.on_digests(relay.now, "g1", Digests(1, "r2", Version(1, 3), 0, b"", True))
     relay.run(2)
-    assert not any(isinstance(each, Whole) for each in relay.sent["g1"])
+    assert not any(isinstance(each, RangeSnapshot) for each in relay.sent["g1"])
 
 
 def test_a_region_that_began_anew_asks_for_ranges():
@@ -266,7 +274,7 @@
     assert relay.sent["g1"][0].horizon > 100
     relay.feed.on_digests(relay.now, "g1", Digests(1, "r1", Version(1, 100), 0, b"", True))
     relay.run(1)
-    final = [each for each in relay.sent["g1"] if isinstance(each, Whole)][-1]
+    final = [each for each in relay.sent["g1"] if isinstance(each, RangeSnapshot)][-1]
     assert final.final
     assert final.upto == change.version > Version(1, 100)
 
@@ -281,7 +289,7 @@
     relay.run(3)
     report = relay.sent["publisher"][-1]
     assert (report.follower, report.positions[0]) == ("relay", Position("r1", 1, 3))
-    assert [(each.region, each.followers, each.least) for each in report.below] == [("r1", 1, 3)]
+    assert [(each.region, each.followers, each.min_sequence) for each in report.below] == [("r1", 1, 3)]
     assert 4 <= len(relay.sent["publisher"]) <= 8
     assert [summary.region for summary in relay.sums[-1].summaries] == ["r2"]
     relay.feed.on_publisher(relay.now, "")
--- a/tests/distribution/dissemination/test_follower.py
+++ b/tests/distribution/dissemination/test_follower.py
@@ -10,10 +10,10 @@
 import pytest
 
 from linenbridge.distribution.changes import Kind, Position, Version, range_of, sealed
-from linenbridge.distribution.decisions import Apply, Dial, Event, HangUp, ReplaceRange, Send
+from linenbridge.distribution.decisions import Apply, Dial, Event, Disconnect, ReplaceRange, Send
 from linenbridge.distribution.dissemination.follower import Follower, FollowerSettings
 from linenbridge.distribution.messages import (
-    Batch, Digests, Follow, Progress, Refused, Whole, batch_checksum, whole_checksum,
+    Batch, Digests, Follow, Progress, FollowRejected, RangeSnapshot, batch_checksum, range_checksum,
 )  # fmt: skip
 from linenbridge.distribution.dissemination.relay_selection import RelayOrder, RelayPlace, ranked
 
@@ -56,7 +56,7 @@
                 self.dialled.append(decision.relay)
                 if decision.relay not in self.dead:
                     self.core.on_link(self.now, decision.relay, True)
-            elif isinstance(decision, HangUp):
+            elif isinstance(decision, Disconnect):
                 self.hung_up.append(decision.relay)
             elif isinstance(decision, Send):
                 self.sent.append(decision)
@@ -85,18 +85,20 @@
         batch = Batch(self.session, "r1", after, end, changes, None, 0, checksum, self.number)
         return msgspec.structs.replace(batch, **fields)
 
-    def whole(self, upto: int, index: int, names: str, **fields) -> Whole:
+    def whole(self, upto: int, index: int, names: str, **fields) -> RangeSnapshot:
         self.number += 1
         changes = [sealed("r1", Version(1, 1), Kind.TENANT, name, b"w") for name in names.split()]
-        whole = Whole(self.session, "r1", Version(1, upto), index, 0, True, True, changes, 0, 0, self.number)
+        whole = RangeSnapshot(
+            self.session, "r1", Version(1, upto), index, 0, True, True, changes, 0, 0, self.number
+        )
         return self.summed(msgspec.structs.replace(whole, **fields))
 
-    def summed(self, whole: Whole) -> Whole:
+    def summed(self, whole: RangeSnapshot) -> RangeSnapshot:
         encoded = _encode(whole.changes)
-        checksum = whole_checksum("r1", whole.upto, whole.range, whole.part, whole.last, encoded)
+        checksum = range_checksum("r1", whole.upto, whole.range_index, whole.part, whole.last, encoded)
         return msgspec.structs.replace(whole, checksum=checksum)
 
-    def take(self, message: Batch | Whole, relay: str = "") -> None:
+    def take(self, message: Batch | RangeSnapshot, relay: str = "") -> None:
         handle = self.core.on_batch if isinstance(message, Batch) else self.core.on_whole
         handle(self.now, relay or self.core.relay, message)
         self.pull()
@@ -191,7 +193,7 @@
     gateway = Gateway()
     gateway.run(1)
     full = gateway.core.relay
-    gateway.core.on_refused(gateway.now, full, Refused(gateway.session, "full", 50 * SECOND))
+    gateway.core.on_refused(gateway.now, full, FollowRejected(gateway.session, "full", 50 * SECOND))
     gateway.run(1)
     assert gateway.core.relay == gateway.order[1]
     gateway.take(gateway.batch(0, 0))
@@ -304,7 +306,7 @@
     index = range_of(Kind.TENANT, "a")
     gateway.take(gateway.whole(9, index, "a"))
     replaced = gateway.applied[-1]
-    assert (replaced.range, replaced.final, replaced.upto) == (index, True, Version(1, 9))
+    assert (replaced.range_index, replaced.final, replaced.upto) == (index, True, Version(1, 9))
     gateway.answer()
     assert gateway.core.positions() == [Position("r1", 1, 9)]
     gateway.take(gateway.batch(9, 10, "b"))
--- a/tests/distribution/dissemination/test_progress.py
+++ b/tests/distribution/dissemination/test_progress.py
@@ -5,7 +5,7 @@
 import pytest
 
 from linenbridge.distribution.changes import Position
-from linenbridge.distribution.messages import Progress, Summary
+from linenbridge.distribution.messages import Progress, SubtreeSummary
 from linenbridge.distribution.dissemination.progress import (
     DEPARTED_MOST, GONE_AFTER, GRACE, GRACE_ELSEWHERE, HEADS_MOST, LAG_BUCKETS, SLOWEST_MOST, UNREACHED_MOST,
     Departed, FollowerProgress, Heads, add_up, bucket_of,
@@ -15,7 +15,7 @@
 REGIONS = frozenset({"r1"})
 
 
-def follower(name: str, sequence: int, below: Summary | None = None) -> FollowerProgress:
+def follower(name: str, sequence: int, below: SubtreeSummary | None = None) -> FollowerProgress:
     progress = FollowerProgress(name)
     position = Position("r1", 1, sequence)
     progress.take(Progress(name, 1, [position], [below] if below else []), REGIONS)
@@ -50,38 +50,40 @@
 
 
 def test_gateways_and_relays_below_are_added_up():
-    below = Summary("r1", 3, 4, ["c", "d"], ["lost"], 2, histogram(b0=1, b5=2))
+    below = SubtreeSummary("r1", 3, 4, ["c", "d"], ["lost"], 2, histogram(b0=1, b5=2))
     followers = [follower("a", 9), follower("b", 6), follower("relay", 8, below)]
     marks = heads((8, 0), (9, 6 * SECOND))
     found = add_up("r1", 9, marks, followers, Departed(), 6 * SECOND + 3_000)
-    assert (found.followers, found.least) == (6, 4)
+    assert (found.followers, found.min_sequence) == (6, 4)
     assert found.slowest == ["c", "d", "b", "relay"]
     assert (found.unreached, found.unreached_count) == (["lost"], 2)
-    assert sum(found.lag) == 6
-    assert found.lag[0] == 1, "a"
-    assert found.lag[2] == 1 + 1, "the relay, 3 ms behind, and its follower that has all that the relay has"
-    assert found.lag[5] == 2, "what lags more than the relay stays where it is"
-    assert found.lag[13] == 1, "b lacks what came 6 s ago"
+    assert sum(found.lag_histogram) == 6
+    assert found.lag_histogram[0] == 1, "a"
+    assert found.lag_histogram[2] == 1 + 1, (
+        "the relay, 3 ms behind, and its follower that has all that the relay has"
+    )
+    assert found.lag_histogram[5] == 2, "what lags more than the relay stays where it is"
+    assert found.lag_histogram[13] == 1, "b lacks what came 6 s ago"
 
 
 def test_names_are_bounded_and_numbers_are_not():
-    below = Summary(
+    below = SubtreeSummary(
         "r1", 500, 1, [f"s{n}" for n in range(500)], [f"u{n}" for n in range(500)], 500, [500] * 99
     )
     found = add_up("r1", 9, heads((9, 0)), [follower("relay", 9, below)], Departed(), 0)
     assert len(found.slowest) == SLOWEST_MOST
     assert len(found.unreached) == UNREACHED_MOST
-    assert (found.followers, found.unreached_count, len(found.lag)) == (501, 500, LAG_BUCKETS)
+    assert (found.followers, found.unreached_count, len(found.lag_histogram)) == (501, 500, LAG_BUCKETS)
 
 
 def test_a_lost_follower_counts_then_is_named_then_taken_as_gone():
     departed = Departed()
-    below = Summary("r1", 4, 3, [], [], 0, histogram(b0=4))
+    below = SubtreeSummary("r1", 4, 3, [], [], 0, histogram(b0=4))
     departed.add(follower("relay", 5, below), 0)
     soon = add_up("r1", 9, heads((9, 0)), [follower("a", 9)], departed, GRACE)
-    assert (soon.followers, soon.least, soon.unreached) == (6, 3, [])
+    assert (soon.followers, soon.min_sequence, soon.unreached) == (6, 3, [])
     later = add_up("r1", 9, heads((9, 0)), [follower("a", 9)], departed, GRACE + 1)
-    assert (later.followers, later.least) == (1, 9)
+    assert (later.followers, later.min_sequence) == (1, 9)
     assert (later.unreached, later.unreached_count) == (["relay"], 5)
     departed.forget(GONE_AFTER)
     assert len(departed) == 1
--- a/tests/distribution/dissemination/test_simulation.py
+++ b/tests/distribution/dissemination/test_simulation.py
@@ -14,7 +14,7 @@
 from linenbridge.distribution.dissemination import acceptance, flow_control
 from linenbridge.distribution.changes import Kind, range_of
 from linenbridge.distribution.dissemination.feed import FeedSettings
-from linenbridge.distribution.messages import Batch, Whole
+from linenbridge.distribution.messages import Batch, RangeSnapshot
 from tests.distribution.dissemination import checker
 from tests.distribution.dissemination.world import SECOND, InForce, Shape, World
 
@@ -124,7 +124,7 @@
 
 def reports(world: World) -> list[checker.Report]:
     return [
-        checker.Report(at, relay, summary.region, summary.least, summary.unreached)
+        checker.Report(at, relay, summary.region, summary.min_sequence, summary.unreached)
         for at, relay, progress in world.reports
         for summary in progress.below
     ]
@@ -154,9 +154,9 @@
         }
         relays = world.shape.relays * (len(world.regions) - 1)
         assert sum(each.followers for each in newest.values()) == len(world.tables) + relays
-        assert {each.least for each in newest.values()} == {len(world.logs[region])}
+        assert {each.min_sequence for each in newest.values()} == {len(world.logs[region])}
         assert sum(each.unreached_count for each in newest.values()) == 0
-        assert sum(each.lag[0] for each in newest.values()) == len(world.tables) + relays
+        assert sum(each.lag_histogram[0] for each in newest.values()) == len(world.tables) + relays
 
 
 def test_a_gateway_that_is_lost_is_named_until_it_is_back_at_any_relay():
@@ -217,12 +217,12 @@
 
     def __init__(self, relay: str, kind: str, dice: Random) -> None:
         self.relay, self.kind, self.dice = relay, kind, dice
-        self.earlier: list[Batch | Whole] = []
-        self.held: list[Batch | Whole] = []
+        self.earlier: list[Batch | RangeSnapshot] = []
+        self.held: list[Batch | RangeSnapshot] = []
         self.done = 0
 
     def __call__(self, sender: str, to: str, message):
-        if sender != self.relay or not isinstance(message, Batch | Whole):
+        if sender != self.relay or not isinstance(message, Batch | RangeSnapshot):
             return [message]
         self.earlier.append(message)
         if self.dice.random() > 0.3:
@@ -262,7 +262,7 @@
         return [msgspec.structs.replace(older, session=message.session, number=message.number), message]
 
     def digest(self, message):
-        if isinstance(message, Whole) or message.digest is None:
+        if isinstance(message, RangeSnapshot) or message.digest is None:
             return [message]
         return [msgspec.structs.replace(message, digest=message.digest ^ 1)]
 
@@ -413,7 +413,7 @@
     world = calm_world()
     assert breaches_of_sums(world) == []
     at, relay, progress = world.reports[-1]
-    too_much = msgspec.structs.replace(progress.below[0], least=progress.below[0].least + 1)
+    too_much = msgspec.structs.replace(progress.below[0], min_sequence=progress.below[0].min_sequence + 1)
     for other in {name for _, name, each in world.reports if each.below[0].region == too_much.region}:
         world.reports.append((at, other, msgspec.structs.replace(progress, below=[too_much])))
     assert rules(breaches_of_sums(world)) == {"said to be in force and is not"}
--- a/tests/distribution/dissemination/world.py
+++ b/tests/distribution/dissemination/world.py
@@ -20,10 +20,26 @@
 from linenbridge.distribution.changes import (
     START, Change, Kind, Position, Version, added, digest_of, range_of, removed, sealed,
 )  # fmt: skip
-from linenbridge.distribution.decisions import Apply, Dial, Event, HangUp, ReplaceRange, Send, SumsBelow
+from linenbridge.distribution.decisions import (
+    Apply,
+    Dial,
+    Event,
+    Disconnect,
+    ReplaceRange,
+    Send,
+    SubtreeProgress,
+)
 from linenbridge.distribution.dissemination.feed import Feed, FeedSettings
 from linenbridge.distribution.dissemination.follower import Follower, FollowerSettings
-from linenbridge.distribution.messages import Batch, Digests, Follow, Message, Progress, Refused, Whole
+from linenbridge.distribution.messages import (
+    Batch,
+    Digests,
+    Follow,
+    Message,
+    Progress,
+    FollowRejected,
+    RangeSnapshot,
+)
 from linenbridge.distribution.dissemination.relay_selection import RelayPlace
 
 MS, SECOND = 1_000, 1_000_000
@@ -335,9 +351,9 @@
         follower = self.followers[core]
         if isinstance(message, Batch):
             follower.on_batch(self.now, relay, message)
-        elif isinstance(message, Whole):
+        elif isinstance(message, RangeSnapshot):
             follower.on_whole(self.now, relay, message)
-        elif isinstance(message, Refused):
+        elif isinstance(message, FollowRejected):
             follower.on_refused(self.now, relay, message)
         self.pump(core)
 
@@ -375,13 +391,13 @@
             self._send(core_name, decision.to, decision.message)
         elif isinstance(decision, Dial):
             self._dial(core_name, decision.relay)
-        elif isinstance(decision, HangUp):
+        elif isinstance(decision, Disconnect):
             self.wanted.discard((core_name, decision.relay))
             if (core_name, decision.relay) in self.links:
                 self._cut((core_name, decision.relay))
         elif isinstance(decision, Event):
             self.events.append((self.now, core_name, decision))
-        elif isinstance(decision, SumsBelow):
+        elif isinstance(decision, SubtreeProgress):
             for other in self.regions:
                 if other != self.home[core_name]:
                     self.followers[f"{core_name}:{other}"].on_progress_below(self.now, decision.summaries)
@@ -415,7 +431,7 @@
     def _drop_unnamed(self, gateway: str, tables: Tables, whole: ReplaceRange) -> None:
         named = {change.key for change in whole.changes}
         for key, change in list(tables.rows[whole.region].items()):
-            unnamed = key not in named and _range_of(*key) == whole.range
+            unnamed = key not in named and _range_of(*key) == whole.range_index
             if unnamed and change.version <= whole.upto:
                 tables.drop(whole.region, key)
                 self.record.append(InForce(self.now, gateway, whole.region, *key, None, b""))
--- a/tests/distribution/hosting/installation.py
+++ b/tests/distribution/hosting/installation.py
@@ -24,7 +24,7 @@
 
 
 SAYS_WHETHER_IT_PUBLISHES = frozenset(
-    ("distribution.publishing", "distribution.stopped", "distribution.replaced", "distribution.reading")
+    ("distribution.publishing", "distribution.stopped", "distribution.replaced", "distribution.log_recovery")
 )
 
 
@@ -203,9 +203,9 @@
 
     def has_joined(self, relay: str) -> bool:
         """Whether the publisher has taken up the relay's present life."""
-        (began,) = self.events(relay, "distribution.life_began")
+        (began,) = self.events(relay, "distribution.incarnation_began")
         joined = [row for name in self.publishers for row in self.events(name, "distribution.relay_joins")]
-        return any((row["relay"], row["life"]) == (relay, began["life"]) for row in joined)
+        return any((row["relay"], row["incarnation"]) == (relay, began["incarnation"]) for row in joined)
 
     def in_force(self, gateway: str) -> int:
         """The newest sequence that a gateway has said to be in force in this life."""
--- a/tests/distribution/hosting/test_hosts.py
+++ b/tests/distribution/hosting/test_hosts.py
@@ -105,7 +105,7 @@
     publisher.say(Prepare("eu", 4))
     relay.reactor.threads.run_all()
     relay.reactor.advance(0)
-    assert publisher.heard() == [] and relay.replica.broken
+    assert publisher.heard() == [] and relay.replica.failed
     broken.assert_called_once_with()
     assert b"distribution.store_failed" in relay.log.stream.getvalue()
 
@@ -173,7 +173,7 @@
     assert prepare == Prepare("eu", 5)
     for name in ("eu-1", "eu-2"):
         end = relay if name == "eu-1" else FarEnd(publisher.relays, name)
-        end.say(Prepared("eu", 5, name, START, 0, life=1))
+        end.say(Prepared("eu", 5, name, START, 0, incarnation=1))
     assert publisher.publisher.leading and any(isinstance(one, Append) for one in relay.heard())
     author.say(Publish(2, "eu", Kind.ZONE, "a", b"x"))
     assert author.heard() == [], "no majority has it yet"
@@ -189,10 +189,10 @@
 def test_a_relay_speaks_for_itself_only(publisher):
     publisher.member.term = 5
     relay = FarEnd(publisher.relays, "eu-1")
-    relay.say(Prepared("eu", 5, "eu-2", START, 0, life=1))
+    relay.say(Prepared("eu", 5, "eu-2", START, 0, incarnation=1))
     relay.say(Progress("eu-2", 1, [], []))
     assert publisher.log.counts["distribution.misnamed", "relay"] == 2
-    assert publisher.publisher.reading is None or not publisher.publisher.reading.done
+    assert publisher.publisher.recovery is None or not publisher.publisher.recovery.done
 
 
 # ---- a gateway ---------------------------------------------------------------------------------------------
--- a/tests/distribution/log/checker.py
+++ b/tests/distribution/log/checker.py
@@ -7,9 +7,9 @@
 from __future__ import annotations
 
 from linenbridge.distribution.changes import Change
-from linenbridge.distribution.decisions import Keep
+from linenbridge.distribution.decisions import Persist
 from linenbridge.distribution.messages import Append, Publish, Published
-from linenbridge.distribution.log.replica import Kept
+from linenbridge.distribution.log.replica import StoredLog
 
 
 class Disk:
@@ -31,7 +31,7 @@
     def __init__(self, relays: tuple[str, ...]) -> None:
         self.disks = {name: Disk() for name in relays}
         self.agreed: dict[int, tuple[int, bytes, int, str]] = {}
-        self.asked: dict[int, Publish] = {}
+        self.requests_by_number: dict[int, Publish] = {}
         self.accepted: dict[int, tuple[str, int]] = {}
         self.refused: set[bytes] = set()
         self.handed_on = dict.fromkeys(relays, 0)
@@ -43,16 +43,16 @@
     # ---- authors -----------------------------------------------------------------------------------------
 
     def on_publish(self, message: Publish) -> None:
-        self.asked[message.request] = message
+        self.requests_by_number[message.request] = message
 
-    def on_told(self, told: Published) -> None:
-        asked = self.asked[told.request]
-        if told.state == "accepted":
-            self.accepted[told.request] = (asked.name, told.version.sequence)
-            row = (told.version.epoch, asked.value, asked.kind, asked.name)
-            self._agree(told.version.sequence, row, "the publisher")
-        elif told.state == "refused" and asked.value:
-            self.refused.add(asked.value)
+    def on_response(self, response: Published) -> None:
+        request = self.requests_by_number[response.request]
+        if response.state == "accepted":
+            self.accepted[response.request] = (request.name, response.version.sequence)
+            row = (response.version.epoch, request.value, request.kind, request.name)
+            self._agree(response.version.sequence, row, "the publisher")
+        elif response.state == "refused" and request.value:
+            self.refused.add(request.value)
 
     # ---- relays ------------------------------------------------------------------------------------------
 
@@ -60,39 +60,39 @@
         """A relay is handed an Append; None: it is done with it."""
         self.delivering = None if message is None else (relay, message.epoch)
 
-    def on_disk(self, relay: str, kept: Kept) -> None:
+    def on_disk(self, relay: str, stored: StoredLog) -> None:
         """A disk that was emptied or put back."""
         disk = self.disks[relay]
-        disk.epoch, disk.committed = kept.epoch, kept.committed
-        disk.rows = {change.sequence: _row(change) for change in kept.changes}
+        disk.epoch, disk.committed = stored.epoch, stored.committed
+        disk.rows = {change.sequence: _row(change) for change in stored.changes}
 
     def on_start(self, relay: str) -> None:
         self.handed_on[relay] = 0
         self.promised[relay] = self.disks[relay].epoch
 
-    def on_decided(self, relay: str, keep: Keep) -> None:
+    def on_decided(self, relay: str, write: Persist) -> None:
         """What a running relay is about to write."""
         promised = self.promised[relay]
-        if keep.epoch < promised:
-            self._break(f"{relay} went back from epoch {promised} to {keep.epoch}")
-        if self.delivering is not None and keep.changes and self.delivering[1] < promised:
+        if write.epoch < promised:
+            self._break(f"{relay} went back from epoch {promised} to {write.epoch}")
+        if self.delivering is not None and write.changes and self.delivering[1] < promised:
             self._break(f"{relay} took epoch {self.delivering[1]} after it had promised {promised}")
-        self.promised[relay] = keep.epoch
+        self.promised[relay] = write.epoch
 
-    def on_keep(self, relay: str, keep: Keep) -> None:
+    def on_keep(self, relay: str, write: Persist) -> None:
         """It is on disk."""
         disk = self.disks[relay]
-        if keep.epoch < disk.epoch:
-            self._break(f"{relay}'s disk went back from epoch {disk.epoch} to {keep.epoch}")
-        if keep.truncate_after is not None:
-            self._truncate(relay, disk, keep.truncate_after)
-        for change in keep.changes:
+        if write.epoch < disk.epoch:
+            self._break(f"{relay}'s disk went back from epoch {disk.epoch} to {write.epoch}")
+        if write.truncate_after is not None:
+            self._truncate(relay, disk, write.truncate_after)
+        for change in write.changes:
             disk.rows[change.sequence] = _row(change)
             if change.value in self.refused and change.kind:
                 self._break(f"{relay} kept {change.value!r}, whose author was told that it is refused")
-        disk.epoch = keep.epoch
-        self._commit(relay, disk, keep.committed)
-        for sequence in keep.superseded:
+        disk.epoch = write.epoch
+        self._commit(relay, disk, write.committed)
+        for sequence in write.superseded:
             disk.rows.pop(sequence, None)
         self._look_for_replaced(relay, disk)
 
--- a/tests/distribution/log/explored.py
+++ b/tests/distribution/log/explored.py
@@ -13,17 +13,17 @@
 from dataclasses import dataclass
 
 from linenbridge.distribution.changes import Kind
-from linenbridge.distribution.decisions import Committed, Event, Keep, Send
-from linenbridge.distribution.log.region_log import DELETIONS_MOST
+from linenbridge.distribution.decisions import Committed, Event, Persist, Send
+from linenbridge.distribution.log.region_log import MAX_TOMBSTONES
 from linenbridge.distribution.messages import Append, Message, Publish, Published
-from linenbridge.distribution.log.replication import PublisherPace
+from linenbridge.distribution.log.replication import PublisherTiming
 from linenbridge.distribution.log.publisher import Publisher
-from linenbridge.distribution.log.replica import Kept, Replica
+from linenbridge.distribution.log.replica import StoredLog, Replica
 from tests.distribution.log.checker import LogChecker
 from tests.distribution.log.world import REGION, deliver, disk_after, no_faults
 
 RELAYS, PUBLISHERS = ("a", "b", "c"), ("p", "q")
-PACE = PublisherPace(heartbeat=4, retry=3, retry_most=6, answer_within=20, silence=50)
+TIMING = PublisherTiming(heartbeat=4, retry=3, max_retry=6, answer_within=20, silence=50)
 LATE, STOPPED, TWICE_AFTER, PARTED = (1, 4, 9), (3, 10), 5, 8
 SETTLED_AT = 4  # ticks after which a world begins: a publisher leads and all relays count
 HISTORY = 4  # a disk's newest states that an older one is taken from
@@ -44,32 +44,32 @@
     value_bytes: int = 0  # of each change, at the least
     keys: tuple[str, ...] = ("k", "l")  # in turn
     deletes: bool = False  # every other time
-    deletions_most: int = DELETIONS_MOST
+    max_tombstones: int = MAX_TOMBSTONES
 
 
 class Even:
-    """Chance that is none; `life` is a relay's next one."""
+    """Chance that is none; `incarnation` is a relay's next one."""
 
-    def __init__(self, life: int = 0) -> None:
-        self.life = life
+    def __init__(self, incarnation: int = 0) -> None:
+        self.incarnation = incarnation
 
     def random(self) -> float:
         return 0.5
 
     def getrandbits(self, bits: int) -> int:
-        return self.life
+        return self.incarnation
 
 
 class LogWorld:
     def __init__(self, scenario: LogScenario) -> None:
         self.scenario, self.left = scenario, 0
-        self.now = self.start = self.lives = 0
+        self.now = self.start = self.incarnations = 0
         self.checker = LogChecker(RELAYS)
-        self.disks: dict[str, list[Kept]] = {name: [Kept()] for name in RELAYS}
+        self.disks: dict[str, list[StoredLog]] = {name: [StoredLog()] for name in RELAYS}
         self.forgot: set[str] = set()  # relays that lost something and do not count again yet
         self.replicas = {name: self._replica(name) for name in RELAYS}
         self.publishers = {
-            name: Publisher(REGION, name, RELAYS, PACE, Even(), no_faults) for name in PUBLISHERS
+            name: Publisher(REGION, name, RELAYS, TIMING, Even(), no_faults) for name in PUBLISHERS
         }
         self.terms: dict[str, int] = {"p": 1}
         self.newest = "p"
@@ -77,10 +77,10 @@
         self.posted: list[tuple[str, str, Message]] = []
         self.stopped: dict[str, int] = {}
         self.parted: dict[tuple[str, str], int] = {}  # a publisher and a relay that do not hear each other
-        self.unwritten: list[tuple[str, Replica, Keep]] = []
+        self.unwritten: list[tuple[str, Replica, Persist]] = []
         self.count = self.requests = 0
         for publisher in self.publishers.values():
-            publisher.log.deletions_most = scenario.deletions_most
+            publisher.log.max_tombstones = scenario.max_tombstones
         for name in (*RELAYS, *PUBLISHERS):
             self._pump(name)
         while self.now < SETTLED_AT:
@@ -94,8 +94,8 @@
         return self.now - self.start
 
     def _replica(self, name: str) -> Replica:
-        self.lives += 2
-        return Replica(REGION, name, self.disks[name][-1], self.scenario.trusted, Even(self.lives))
+        self.incarnations += 2
+        return Replica(REGION, name, self.disks[name][-1], self.scenario.trusted, Even(self.incarnations))
 
     # ---- what the search asks ----------------------------------------------------------------------------
 
@@ -175,7 +175,7 @@
         states = self.disks[name]
         if kind != "kept":
             self.forgot.add(name)
-            states[:] = [{"blank": Kept(), "older": states[-2:][0], "oldest": states[0]}[kind]]
+            states[:] = [{"blank": StoredLog(), "older": states[-2:][0], "oldest": states[0]}[kind]]
             self.checker.on_disk(name, states[0])
         self.checker.on_start(name)
         self.unwritten = [row for row in self.unwritten if row[0] != name]
@@ -191,8 +191,8 @@
     def _tick(self) -> None:
         self.now += 1
         unwritten, self.unwritten = self.unwritten, []
-        for name, core, keep in unwritten:
-            self._write(name, core, keep)
+        for name, core, write in unwritten:
+            self._write(name, core, write)
         for name in [name for name, until in self.stopped.items() if until <= self.now]:
             del self.stopped[name]
             self._pump(name)
@@ -218,7 +218,7 @@
                 value = b""
             message = Publish(self.requests, REGION, Kind.TENANT, key, value)
             self.checker.on_publish(message)
-            self.publishers[name].on_publish(self.now, "author", message)
+            self.publishers[name].on_publish(self.now, "client", message)
             self._pump(name)
 
     def _run(self) -> None:
@@ -258,24 +258,24 @@
             self.checker.on_handed_on(name, decision.changes)
         elif isinstance(decision, Event) and decision.name == "distribution.store_failed":
             self.checker.on_taken_out(name, put_back=name in self.forgot)
-        elif isinstance(decision, Keep):
+        elif isinstance(decision, Persist):
             self.checker.on_decided(name, decision)
             if self.scenario.slow_disks:
                 self.unwritten.append((name, core, decision))
             else:
                 self._write(name, core, decision)
 
-    def _write(self, name: str, core: Replica, keep: Keep) -> None:
+    def _write(self, name: str, core: Replica, write: Persist) -> None:
         states = self.disks[name]
-        states.append(disk_after(states[-1], keep))
+        states.append(disk_after(states[-1], write))
         del states[1:-HISTORY]
-        self.checker.on_keep(name, keep)
-        core.on_kept(self.now, keep.number)
-        for send in keep.then:
+        self.checker.on_keep(name, write)
+        core.on_persisted(self.now, write.number)
+        for send in write.then:
             self._send(name, send)
 
     def _send(self, name: str, send: Send) -> None:
         if isinstance(send.message, Published):
-            self.checker.on_told(send.message)
+            self.checker.on_response(send.message)
         else:
             self.posted.append((name, send.to, send.message))
--- a/tests/distribution/log/measure.py
+++ b/tests/distribution/log/measure.py
@@ -13,13 +13,13 @@
 from msgspec import msgpack
 
 from linenbridge.distribution.changes import Change, Kind, Version, sealed
-from linenbridge.distribution.decisions import Keep
+from linenbridge.distribution.decisions import Persist
 from linenbridge.distribution.messages import Message, Publish
-from linenbridge.distribution.log.replica import Kept
+from linenbridge.distribution.log.replica import StoredLog
 from tests.distribution.log.world import REGION, Region
 
 CHANGES = 500
-LIFE = 5
+INCARNATION = 5
 
 
 class CountedRegion(Region):
@@ -32,17 +32,17 @@
         self.bytes += len(msgpack.encode(message))
         super()._deliver(sender, to, message)
 
-    def _write(self, name: str, keep: Keep) -> None:
+    def _write(self, name: str, keep: Persist) -> None:
         """Nothing is kept."""
 
 
-def filled(keys: int) -> Kept:
+def filled(keys: int) -> StoredLog:
     """A relay's disk with so many keys, all committed."""
     changes = list[Change]()
     for number in range(keys):
         name, value = f"service-{number % 1500}/instance-{number}", b"%0100d" % number
         changes.append(sealed(REGION, Version(1, number + 1), Kind.INSTANCE, name, value))
-    return Kept(LIFE, 1, "p", keys, changes)
+    return StoredLog(INCARNATION, 1, "p", keys, changes)
 
 
 def memory_of_an_entry(keys: int) -> float:
@@ -50,7 +50,7 @@
     tracemalloc.start()
     region = Region(relays=("a",))
     region.restart("a", filled(keys))
-    region.disks["a"] = Kept()
+    region.disks["a"] = StoredLog()
     region.committed["a"] = []
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
@@ -60,19 +60,19 @@
 def measured(keys: int) -> str:
     memory = memory_of_an_entry(keys)
     region = CountedRegion()
-    kept = filled(keys)
+    stored = filled(keys)
     for name in region.names:
-        region.restart(name, kept)
+        region.restart(name, stored)
     began = time.process_time()
     publisher = region.publisher("p", 2)
     takeover, takeover_bytes = time.process_time() - began, region.bytes
     began, region.bytes = time.process_time(), 0
     for number in range(CHANGES):
         name = f"service-{number % 1500}/instance-{number}"
-        publisher.on_publish(region.now, "author", Publish(number, REGION, Kind.INSTANCE, name, b"y" * 100))
+        publisher.on_publish(region.now, "client", Publish(number, REGION, Kind.INSTANCE, name, b"y" * 100))
         region.settle()
     change, change_bytes = (time.process_time() - began) / CHANGES, region.bytes / CHANGES
-    region.restart("c", Kept())
+    region.restart("c", StoredLog())
     began, region.bytes = time.process_time(), 0
     region.run(2_000)
     fill, fill_bytes = time.process_time() - began, region.bytes
--- a/tests/distribution/log/mutants.py
+++ b/tests/distribution/log/mutants.py
@@ -27,14 +27,14 @@
 @contextmanager
 def takes_any_epoch() -> Iterator[None]:
     """A relay takes what comes from a publisher that was replaced."""
-    with patch.object(replica.Replica, "_follows", lambda self, publisher, epoch: True):
+    with patch.object(replica.Replica, "_accepts_epoch", lambda self, publisher, epoch: True):
         yield
 
 
 @contextmanager
 def two_of_one_epoch() -> Iterator[None]:
     """A relay takes an epoch from whoever names it."""
-    with patch.object(replica.Replica, "_follows", lambda self, publisher, epoch: epoch >= self.epoch):
+    with patch.object(replica.Replica, "_accepts_epoch", lambda self, publisher, epoch: epoch >= self.epoch):
         yield
 
 
@@ -43,8 +43,8 @@
     """A relay that starts anew does not know which epoch it has promised."""
     plain = replica.Replica.__init__
 
-    def forgetful(self, region, name, kept, trusted, random):
-        plain(self, region, name, msgspec.structs.replace(kept, epoch=0, publisher=""), trusted, random)
+    def forgetful(self, region, name, stored, trusted, random):
+        plain(self, region, name, msgspec.structs.replace(stored, epoch=0, publisher=""), trusted, random)
 
     with patch.object(replica.Replica, "__init__", forgetful):
         yield
@@ -53,13 +53,13 @@
 @contextmanager
 def answers_before_the_disk() -> Iterator[None]:
     """A relay's answer leaves while what it says is not on disk yet."""
-    plain = replica.Replica._keep
+    plain = replica.Replica._persist
 
     def early(self, truncate_after=None, changes=None, superseded=None, then=None):
         self._out.extend(then or [])
         plain(self, truncate_after, changes, superseded)
 
-    with patch.object(replica.Replica, "_keep", early):
+    with patch.object(replica.Replica, "_persist", early):
         yield
 
 
@@ -79,7 +79,7 @@
         changes = [change for change in message.changes if change.sequence > self.log.committed]
         return (agreed if changes and self.log.last.sequence > agreed else None), changes
 
-    with patch.object(replica.Replica, "_news", news):
+    with patch.object(replica.Replica, "_entries_to_append", news):
         yield
 
 
@@ -91,8 +91,8 @@
         self._quorum = [peer for peer in self.peers.values() if peer.prepared is not None]
         self._finish(now)
 
-    with patch.object(recovery.Reading, "_choose", choose), patch.object(
-        recovery.Reading, "_is_over", lambda self, peer: False
+    with patch.object(recovery.LogRecovery, "_choose_source", choose), patch.object(
+        recovery.LogRecovery, "_is_retired", lambda self, peer: False
     ):  # fmt: skip
         yield
 
@@ -115,8 +115,8 @@
 def counts_without_memory() -> Iterator[None]:
     """A relay that lost its disk counts as one that never did."""
     with (
-        patch.object(region_log.Log, "life_counts", lambda self, relay, life: True),
-        patch.object(recovery.Reading, "_is_over", lambda self, peer: False),
+        patch.object(region_log.Log, "incarnation_counts", lambda self, relay, incarnation: True),
+        patch.object(recovery.LogRecovery, "_is_retired", lambda self, peer: False),
     ):
         yield
 
@@ -126,8 +126,8 @@
     """A disk that was put back older counts as one that never was."""
     plain = replica.Replica.__init__
 
-    def trusting(self, region, name, kept, trusted, random):
-        plain(self, region, name, kept, True, random)
+    def trusting(self, region, name, stored, trusted, random):
+        plain(self, region, name, stored, True, random)
 
     with patch.object(replica.Replica, "__init__", trusting):
         yield
@@ -137,18 +137,18 @@
 def counts_lives_too_early() -> Iterator[None]:
     """A relay's new life counts before the entry that names it is committed without it."""
 
-    def counts(self, relay, life):
-        found = self.lives.get(relay)
-        return found is not None and found.number == life
+    def counts(self, relay, incarnation):
+        found = self.incarnations.get(relay)
+        return found is not None and found.number == incarnation
 
-    with patch.object(region_log.Log, "life_counts", counts):
+    with patch.object(region_log.Log, "incarnation_counts", counts):
         yield
 
 
 @contextmanager
 def believes_lives_that_are_over() -> Iterator[None]:
     """A publisher counts the promise of a relay that has forgotten it since."""
-    with patch.object(recovery.Reading, "_is_over", lambda self, peer: False):
+    with patch.object(recovery.LogRecovery, "_is_retired", lambda self, peer: False):
         yield
 
 
@@ -157,10 +157,10 @@
     """A relay far behind is told what is committed before it has all the pages up to there."""
 
     def tell(self, log):
-        self.told = log.committed
-        return self.told
+        self.announced_committed = log.committed
+        return self.announced_committed
 
-    with patch.object(replication.Peer, "_tell", tell):
+    with patch.object(replication.Peer, "_announce_committed", tell):
         yield
 
 
@@ -174,21 +174,21 @@
 @contextmanager
 def takes_a_disk_put_back() -> Iterator[None]:
     """A relay whose disk is from before deletions that were let go goes on from there."""
-    with patch.object(replica.Replica, "_is_from_before", lambda self, message: False):
+    with patch.object(replica.Replica, "_predates_purge", lambda self, message: False):
         yield
 
 
 @contextmanager
 def keeps_what_it_knew() -> Iterator[None]:
     """A publisher goes on with keys whose deletions were made, and let go, since it knew them."""
-    with patch.object(recovery.Reading, "_settled", lambda self: 0):
+    with patch.object(recovery.LogRecovery, "_purged_up_to", lambda self: 0):
         yield
 
 
 @contextmanager
 def fills_up_what_is_there() -> Iterator[None]:
     """A relay keeps a part of its log while it is sent the region from the beginning."""
-    with patch.object(replica.Replica, "_fills_anew", lambda self, message: False):
+    with patch.object(replica.Replica, "_refills_from_start", lambda self, message: False):
         yield
 
 
--- a/tests/distribution/log/schedules.py
+++ b/tests/distribution/log/schedules.py
@@ -15,7 +15,7 @@
 ]  # fmt: skip
 # l of 5 is deleted at 9; that is let go once two more are deleted.
 DELETES = LogScenario(
-    ticks=26, publish_at=(1, 3, 5, 7, 9, 11, 13), keys=tuple("klmn"), deletes=True, deletions_most=2,
+    ticks=26, publish_at=(1, 3, 5, 7, 9, 11, 13), keys=tuple("klmn"), deletes=True, max_tombstones=2,
     faults=(*LogScenario.faults, "oldest", "copy"),
 )  # fmt: skip
 DEEP = {
--- a/tests/distribution/log/test_explored.py
+++ b/tests/distribution/log/test_explored.py
@@ -8,7 +8,7 @@
 import pytest
 
 from linenbridge.distribution.changes import Kind
-from linenbridge.distribution.decisions import Keep
+from linenbridge.distribution.decisions import Persist
 from tests.distribution.log.checker import LogChecker
 from tests.distribution.log.explored import LogScenario, LogWorld
 from tests.distribution.log.mutants import MUTANTS
@@ -56,7 +56,7 @@
 
 DELETES = LogScenario(
     16, ticks=60, publish_at=tuple(range(1, 60, 2)), faults=(*ALL_FAULTS, "copy"), keys=tuple("klmn"),
-    deletes=True, deletions_most=2,
+    deletes=True, max_tombstones=2,
 )  # fmt: skip
 
 
@@ -98,9 +98,9 @@
 
 def written_again(world: LogWorld, **fields: object) -> str | None:
     """What the checker says where relay a's disk is written as given, behind all that it has."""
-    kept = world.disks["a"][-1]
-    keep = Keep(99, None, [], kept.epoch, kept.committed, kept.publisher, kept.life)
-    world.checker.on_keep("a", msgspec.structs.replace(keep, **fields))
+    stored = world.disks["a"][-1]
+    write = Persist(99, None, [], stored.epoch, stored.committed, stored.publisher, stored.incarnation)
+    world.checker.on_keep("a", msgspec.structs.replace(write, **fields))
     return world.checker.breach
 
 
@@ -124,7 +124,7 @@
     assert "handed on" in (world.checker.breach or "")
     checker = LogChecker(("a",))
     checker.accepted[1] = ("k", 3)
-    checker.on_keep("a", Keep(1, None, [change], 1, change.sequence, "p", 1))
+    checker.on_keep("a", Persist(1, None, [change], 1, change.sequence, "p", 1))
     assert "without k of 3" in (checker.breach or "")
     checker = LogChecker(("a", "b"))
     checker.on_handed_on("a", [change])
--- a/tests/distribution/log/test_region.py
+++ b/tests/distribution/log/test_region.py
@@ -6,22 +6,22 @@
 
 import pytest
 
-from linenbridge.distribution.log.change_requests import QUEUED_MOST
-from linenbridge.distribution.changes import VALUE_MOST, Kind, Position, Version
-from linenbridge.distribution.log.region_log import PAGE_BYTES, Log
-from linenbridge.distribution.messages import Appended, Progress, Publish, Summary
-from linenbridge.distribution.log.replication import MESSAGES_MOST, WINDOW_BYTES
-from linenbridge.distribution.log.publisher import UNCOMMITTED_MOST
-from linenbridge.distribution.log.replica import Kept
-from tests.distribution.log.world import PACE, REGION, Region
+from linenbridge.distribution.log.change_requests import MAX_QUEUED_CHANGES
+from linenbridge.distribution.changes import MAX_VALUE_BYTES, Kind, Position, Version
+from linenbridge.distribution.log.region_log import MAX_PAGE_BYTES, Log
+from linenbridge.distribution.messages import Appended, Progress, Publish, SubtreeSummary
+from linenbridge.distribution.log.replication import MAX_MESSAGES_IN_FLIGHT, MAX_WINDOW_BYTES
+from linenbridge.distribution.log.publisher import MAX_UNCOMMITTED_ENTRIES
+from linenbridge.distribution.log.replica import StoredLog
+from tests.distribution.log.world import TIMING, REGION, Region
 
 
 def states(region: Region) -> list[tuple[int, str]]:
-    return [(told.request, told.state) for _, told in region.told]
+    return [(response.request, response.state) for _, response in region.responses]
 
 
 def codes(region: Region) -> list[tuple[str, str]]:
-    return [(told.state, told.code) for _, told in region.told]
+    return [(response.state, response.code) for _, response in region.responses]
 
 
 def equal_logs(region: Region) -> bool:
@@ -44,9 +44,9 @@
     region.publisher("p", 1)
     for number in range(50):
         region.publish("p", "one", b"%d" % number, number)
-    kept = region.disks["a"].changes
-    assert [row.value for row in kept if row.kind == Kind.TENANT] == [b"49"]
-    assert len(kept) == 1 + 1 + 3  # the key, the epoch's first entry, the relays' lives
+    stored = region.disks["a"].changes
+    assert [row.value for row in stored if row.kind == Kind.TENANT] == [b"49"]
+    assert len(stored) == 1 + 1 + 3  # the key, the epoch's first entry, the relays' lives
     assert all(row.kind != Kind.LOG for row in region.committed["a"])
 
 
@@ -67,13 +67,13 @@
         Publish(3, REGION, Kind.LOG, "a/1", b""),
         Publish(4, REGION, 77, "one", b"1"),
         Publish(5, REGION, Kind.TENANT, "", b"1"),
-        Publish(6, REGION, Kind.TENANT, "one", b"x" * (VALUE_MOST + 1)),
+        Publish(6, REGION, Kind.TENANT, "one", b"x" * (MAX_VALUE_BYTES + 1)),
     ]
     for message in wrong:
-        publisher.on_publish(region.now, "author", message)
+        publisher.on_publish(region.now, "client", message)
     region.settle()
     assert codes(region) == [("refused", "foreign_key")] + [("refused", "invalid")] * 5
-    refused = [event for _, event in region.events if event.name == "distribution.change_refused"]
+    refused = [event for _, event in region.events if event.name == "distribution.change_rejected"]
     assert refused[0].fields["what"] == "not taken" and "publish it again" in refused[0].fields["do"]
 
 
@@ -105,10 +105,10 @@
     region.publisher("p", 1)
     region.down = {"b", "c"}
     region.publish("p", "one", b"1")
-    region.run(PACE.answer_within + PACE.retry_most)
+    region.run(TIMING.answer_within + TIMING.max_retry)
     assert codes(region) == [("unconfirmed", "unconfirmed")]
     region.down = set()
-    region.run(2 * PACE.retry_most)
+    region.run(2 * TIMING.max_retry)
     assert states(region) == [(1, "unconfirmed"), (1, "accepted")]
 
 
@@ -117,7 +117,7 @@
     region.down = {"b", "c"}
     region.publisher("p", 1)
     region.publish("p", "one", b"1")
-    region.run(2 * PACE.answer_within)
+    region.run(2 * TIMING.answer_within)
     assert codes(region) == [("refused", "busy")]
 
 
@@ -141,8 +141,8 @@
     region.publisher("p", 1)
     region.publisher("q", 1)
     region.publish("q", "one", b"1")
-    region.run(PACE.answer_within)
-    assert region.publishers["q"].replaced and region.values("a") == {}
+    region.run(TIMING.answer_within)
+    assert region.publishers["q"].deposed and region.values("a") == {}
 
 
 def test_a_new_publisher_takes_over_what_only_a_majority_has():
@@ -155,7 +155,7 @@
     region.publish("q", "two", b"2", 2)
     assert region.values("c") == {"one": b"1", "two": b"2"}
     region.down = {"p"}
-    region.run(4 * PACE.retry_most)
+    region.run(4 * TIMING.max_retry)
     assert equal_logs(region)
 
 
@@ -166,14 +166,14 @@
     region.publisher("p", None)
     region.publisher("p", 1)
     region.publish("p", "two", b"2", 2)
-    region.run(PACE.retry_most)
+    region.run(TIMING.max_retry)
     assert states(region) == [(1, "accepted"), (2, "accepted")] and equal_logs(region)
 
 
 def fill(region: Region, keys: int, size: int = 2_000) -> None:
     for number in range(keys):
         message = Publish(number, REGION, Kind.ROUTES, f"service-{number}", b"%05d" % number + b"x" * size)
-        region.publishers["p"].on_publish(region.now, "author", message)
+        region.publishers["p"].on_publish(region.now, "client", message)
     region.settle()
 
 
@@ -185,7 +185,7 @@
     fill(region, 150)
     region.down = set()
     handed = len(region.committed["c"])
-    region.run(4 * PACE.retry_most)
+    region.run(4 * TIMING.max_retry)
     assert equal_logs(region) and region.values("c") == region.values("a")
     assert handed == 0 and len(region.committed["c"]) == 300
 
@@ -195,11 +195,11 @@
     region = Region(trusted=trusted)
     region.publisher("p", 1)
     fill(region, 100)
-    member, sent = region.replicas["a"].life, region.sent
+    member, sent = region.replicas["a"].incarnation, region.sent
     region.restart("a")
     assert region.values("a") == region.values("b")
-    region.run(4 * PACE.retry_most)
-    assert (region.replicas["a"].life == member) == trusted
+    region.run(4 * TIMING.max_retry)
+    assert (region.replicas["a"].incarnation == member) == trusted
     assert region.replicas["a"].member and region.sent - sent < 120
 
 
@@ -207,9 +207,9 @@
     region = Region()
     region.publisher("p", 1)
     fill(region, 100)
-    region.restart("a", Kept())
+    region.restart("a", StoredLog())
     assert not region.replicas["a"].member
-    region.run(4 * PACE.retry_most)
+    region.run(4 * TIMING.max_retry)
     assert region.replicas["a"].member and region.values("a") == region.values("b")
     region.down = {"b"}
     region.publish("p", "after", b"1", 1_000)
@@ -221,12 +221,12 @@
     region.publisher("p", 1)
     region.publish("p", "one", b"1", 1)
     region.down = {"b", "p"}
-    region.restart("a", Kept())
+    region.restart("a", StoredLog())
     region.publisher("q", 2)
-    region.run(10 * PACE.retry_most)
+    region.run(10 * TIMING.max_retry)
     assert not region.publishers["q"].leading
     region.down = {"p"}
-    region.run(4 * PACE.retry_most)
+    region.run(4 * TIMING.max_retry)
     assert region.publishers["q"].leading and region.values("a") == {"one": b"1"}
 
 
@@ -236,17 +236,17 @@
     region.publish("p", "one", b"1", 1)
     for name in region.names:
         region.restart(name)
-    region.run(4 * PACE.retry_most)
+    region.run(4 * TIMING.max_retry)
     region.publish("p", "two", b"2", 2)
     assert states(region) == [(1, "accepted"), (2, "accepted")]
     assert all(replica.member for replica in region.replicas.values())
 
 
-def summary(followers: int, least: int, unreached: list[str]) -> Summary:
-    return Summary(REGION, followers, least, [], unreached, len(unreached), [])
+def summary(followers: int, least: int, unreached: list[str]) -> SubtreeSummary:
+    return SubtreeSummary(REGION, followers, least, [], unreached, len(unreached), [])
 
 
-def progress(region: Region, relay: str, sequence: int, below: Summary) -> None:
+def progress(region: Region, relay: str, sequence: int, below: SubtreeSummary) -> None:
     message = Progress(relay, 1, [Position(REGION, 1, sequence)], [below])
     region.publishers["p"].on_progress(region.now, relay, message)
     region.settle()
@@ -255,7 +255,7 @@
 def test_in_force_is_told_when_all_that_are_reached_have_it_and_names_who_is_not():
     region = Region()
     region.publisher("p", 1)
-    region.run(PACE.silence // 2)
+    region.run(TIMING.silence // 2)
     region.publish("p", "one", b"1")
     end = region.replicas["a"].log.last.sequence
     progress(region, "a", end, summary(5, end, []))
@@ -263,16 +263,18 @@
     assert states(region) == [(1, "accepted")]
     progress(region, "b", end, summary(4, end, ["g7"]))
     assert states(region) == [(1, "accepted")], "c has its time to be heard"
-    region.run(PACE.silence * 9 // 10)
+    region.run(TIMING.silence * 9 // 10)
     progress(region, "a", end, summary(5, end, []))
-    told = region.told[-1][1]
-    assert told.state == "in_force" and told.unreached == ["c", "g7"] and told.unreached_count == 2
-    assert told.version == Version(1, end)
+    response = region.responses[-1][1]
+    assert (
+        response.state == "in_force" and response.unreached == ["c", "g7"] and response.unreached_count == 2
+    )
+    assert response.version == Version(1, end)
 
 
 @pytest.fixture
 def few_deletions():
-    with patch.object(Log, "deletions_most", 4):
+    with patch.object(Log, "max_tombstones", 4):
         yield
 
 
@@ -280,7 +282,7 @@
     for number in range(first, first + keys):
         region.publish(name, f"key-{number}", b"1", 2 * number)
         region.publish(name, f"key-{number}", b"", 2 * number + 1)
-    region.run(PACE.retry_most)
+    region.run(TIMING.max_retry)
 
 
 def kept_keys(region: Region, relay: str) -> set[str]:
@@ -294,7 +296,7 @@
     come_and_go(region, 40)
     assert all("stays" in kept_keys(region, name) for name in region.names)
     assert all(len(kept_keys(region, name)) <= 7 for name in region.names)
-    assert region.disks["a"].settled > 0
+    assert region.disks["a"].purged_up_to > 0
 
 
 def test_deletions_are_kept_while_a_relay_is_away_that_lacks_them(few_deletions):
@@ -305,7 +307,7 @@
     come_and_go(region, 20)
     assert len(kept_keys(region, "a")) == 20
     region.down = set()
-    region.run(10 * PACE.retry_most)
+    region.run(10 * TIMING.max_retry)
     assert region.values("c").get("key-0") == b"" and equal_logs(region)
     come_and_go(region, 4, first=30)
     assert all(len(kept_keys(region, name)) <= 7 for name in region.names)
@@ -316,8 +318,8 @@
     region.publisher("p", 1)
     region.publish("p", "stays", b"1")
     come_and_go(region, 20)
-    region.restart("c", Kept())
-    region.run(4 * PACE.retry_most)
+    region.restart("c", StoredLog())
+    region.run(4 * TIMING.max_retry)
     assert kept_keys(region, "c") == kept_keys(region, "a") and region.replicas["c"].member
 
 
@@ -328,12 +330,12 @@
     older = region.disks["c"]
     come_and_go(region, 20)
     region.restart("c", older)
-    region.run(4 * PACE.retry_most)
+    region.run(4 * TIMING.max_retry)
     said = [event.fields for name, event in region.events if event.name == "distribution.store_failed"]
     assert len(said) == 1 and "was put back" in said[0]["what"] and "empty the store" in said[0]["do"]
     assert region.disks["c"].committed == older.committed
-    region.restart("c", Kept())
-    region.run(4 * PACE.retry_most)
+    region.restart("c", StoredLog())
+    region.run(4 * TIMING.max_retry)
     assert kept_keys(region, "c") == kept_keys(region, "a")
 
 
@@ -347,8 +349,8 @@
     region.publisher("q", None)
     region.publisher("p", 3)
     assert region.publishers["p"].leading
-    region.restart("c", Kept())
-    region.run(4 * PACE.retry_most)
+    region.restart("c", StoredLog())
+    region.run(4 * TIMING.max_retry)
     assert kept_keys(region, "c") == kept_keys(region, "a") and "key-0" not in kept_keys(region, "c")
 
 
@@ -358,11 +360,11 @@
     publisher = region.publisher("p", 1)
     for number in range(3):
         name = f"{number}" + "é" * 200
-        message = Publish(number, REGION, Kind.ROUTES, name, bytes([255]) * VALUE_MOST)
-        publisher.on_publish(region.now, "author", message)
+        message = Publish(number, REGION, Kind.ROUTES, name, bytes([255]) * MAX_VALUE_BYTES)
+        publisher.on_publish(region.now, "client", message)
     fill(region, 100, size=400)
-    region.restart("a", Kept())
-    region.run(4 * PACE.retry_most)
+    region.restart("a", StoredLog())
+    region.run(4 * TIMING.max_retry)
     assert states(region)[:3] == [(0, "accepted"), (1, "accepted"), (2, "accepted")]
     assert equal_logs(region) and region.replicas["a"].member
 
@@ -371,17 +373,17 @@
     region = Region()
     publisher = region.publisher("p", 1)
     region.down = {"b", "c"}
-    for number in range(UNCOMMITTED_MOST + QUEUED_MOST + 10):
-        publisher.on_publish(region.now, "author", Publish(number, REGION, Kind.TENANT, "k", b"1"))
-        if number < 2 * UNCOMMITTED_MOST:
+    for number in range(MAX_UNCOMMITTED_ENTRIES + MAX_QUEUED_CHANGES + 10):
+        publisher.on_publish(region.now, "client", Publish(number, REGION, Kind.TENANT, "k", b"1"))
+        if number < 2 * MAX_UNCOMMITTED_ENTRIES:
             region.settle()
     region.settle()
     assert {code for _, code in codes(region)} == {"busy"}
-    assert publisher.log.last.sequence - publisher.log.committed <= UNCOMMITTED_MOST
+    assert publisher.log.last.sequence - publisher.log.committed <= MAX_UNCOMMITTED_ENTRIES
     busy = len(codes(region))
-    large = Publish(1, REGION, Kind.ROUTES, "k", b"x" * VALUE_MOST)
+    large = Publish(1, REGION, Kind.ROUTES, "k", b"x" * MAX_VALUE_BYTES)
     for _ in range(10):
-        publisher.on_publish(region.now, "author", large)
+        publisher.on_publish(region.now, "client", large)
     region.settle()
     assert len(codes(region)) == busy + 10
 
@@ -392,25 +394,27 @@
     region.down = {"c"}
     fill(region, 500)
     peer = publisher.peers["c"]
-    assert sum(message.size for message in peer.under_way) <= WINDOW_BYTES + PAGE_BYTES
-    assert len(peer.under_way) <= MESSAGES_MOST
-    region.run(PACE.retry_most)
-    assert peer.careful and len(peer.under_way) == 1 and peer.under_way[0].size == 0
+    assert sum(message.size for message in peer.in_flight) <= MAX_WINDOW_BYTES + MAX_PAGE_BYTES
+    assert len(peer.in_flight) <= MAX_MESSAGES_IN_FLIGHT
+    region.run(TIMING.max_retry)
+    assert peer.probing and len(peer.in_flight) == 1 and peer.in_flight[0].size == 0
 
 
 def test_a_life_that_is_over_is_never_heard_again():
     """A late answer of a relay's earlier life says nothing of what it has now."""
     region = Region()
     publisher = region.publisher("p", 1)
-    life = region.replicas["a"].life
-    region.restart("a", Kept())
+    incarnation = region.replicas["a"].incarnation
+    region.restart("a", StoredLog())
     region.down = {"a"}
-    region.run(PACE.heartbeat)
+    region.run(TIMING.heartbeat)
     region.down = set()
-    region.run(4 * PACE.retry_most)
-    acked = publisher.peers["a"].acked
-    publisher.on_appended(region.now, Appended(REGION, 1, "a", acked + 100, "", life))
-    assert publisher.peers["a"].acked == acked and publisher.peers["a"].life != life
+    region.run(4 * TIMING.max_retry)
+    acknowledged = publisher.peers["a"].acknowledged
+    publisher.on_appended(region.now, Appended(REGION, 1, "a", acknowledged + 100, "", incarnation))
+    assert (
+        publisher.peers["a"].acknowledged == acknowledged and publisher.peers["a"].incarnation != incarnation
+    )
 
 
 @pytest.mark.parametrize("trusted", [True, False])
@@ -423,10 +427,10 @@
     region.down = {"a"}
     region.restart("b")
     region.publish("p", "two", b"2", 2)
-    region.run(4 * PACE.retry_most)
+    region.run(4 * TIMING.max_retry)
     assert ((2, "accepted") in states(region)) == trusted
     region.down = set()
-    region.restart("a", Kept())
-    region.run(4 * PACE.retry_most)
+    region.restart("a", StoredLog())
+    region.run(4 * TIMING.max_retry)
     assert (2, "accepted") in states(region)
     assert all(replica.member for replica in region.replicas.values()) and equal_logs(region)
--- a/tests/distribution/log/test_store.py
+++ b/tests/distribution/log/test_store.py
@@ -14,10 +14,10 @@
 import pytest
 
 from linenbridge.distribution.changes import Kind, Version, sealed
-from linenbridge.distribution.decisions import Keep, Send
+from linenbridge.distribution.decisions import Persist, Send
 from linenbridge.distribution.errors import RelayStoreError
 from linenbridge.distribution.messages import Append, Prepare
-from linenbridge.distribution.log.replica import Kept, Replica
+from linenbridge.distribution.log.replica import StoredLog, Replica
 from linenbridge.distribution.storage.log_store import FILE_NAME, RelayLog
 from tests.distribution.log.explored import LogScenario, LogWorld
 from tests.distribution.log.schedules import DELETES
@@ -26,9 +26,16 @@
 ENTRIES = [sealed("north", Version(1, n), Kind.TENANT, f"t{n}", b"%d" % n) for n in range(1, 6)]
 
 
-def keep(number: int, **fields: object) -> Keep:
-    words = {"truncate_after": None, "changes": [], "epoch": 1, "committed": 0, "publisher": "p", "life": 7}
-    return Keep(number, **{**words, **fields})
+def persist(number: int, **fields: object) -> Persist:
+    words = {
+        "truncate_after": None,
+        "changes": [],
+        "epoch": 1,
+        "committed": 0,
+        "publisher": "p",
+        "incarnation": 7,
+    }
+    return Persist(number, **{**words, **fields})
 
 
 def opened(folder: Path) -> RelayLog:
@@ -39,19 +46,21 @@
 
 def test_what_is_kept_comes_back_and_a_new_file_holds_nothing(tmp_path):
     store = RelayLog(str(tmp_path), "north")
-    assert store.read() == Kept()
-    store.keep([keep(1, changes=ENTRIES[:3]), keep(2, truncate_after=2, changes=ENTRIES[3:], epoch=2)])
-    store.keep([keep(3, committed=4, superseded=[1], epoch=2)])
+    assert store.read() == StoredLog()
+    store.persist(
+        [persist(1, changes=ENTRIES[:3]), persist(2, truncate_after=2, changes=ENTRIES[3:], epoch=2)]
+    )
+    store.persist([persist(3, committed=4, superseded=[1], epoch=2)])
     store.close()
-    kept = RelayLog(str(tmp_path), "north").read()
-    assert kept == Kept(7, 2, "p", 4, [ENTRIES[1], *ENTRIES[3:]])
+    stored = RelayLog(str(tmp_path), "north").read()
+    assert stored == StoredLog(7, 2, "p", 4, [ENTRIES[1], *ENTRIES[3:]])
 
 
 def test_what_was_kept_survives_a_kill_right_after_it(tmp_path):
     text = (
         "import os, sys; from tests.distribution.log.test_store import *\n"
         "store = opened(sys.argv[1])\n"
-        "store.keep([keep(1, changes=ENTRIES)]); os.kill(os.getpid(), 9)"
+        "store.persist([persist(1, changes=ENTRIES)]); os.kill(os.getpid(), 9)"
     )
     root = Path(__file__).parents[3]
     assert subprocess.run([sys.executable, "-c", text, str(tmp_path)], cwd=root).returncode == -9
@@ -69,7 +78,7 @@
 @pytest.mark.parametrize("damage", DAMAGES)
 def test_damage_is_said(tmp_path, damage):
     store = opened(tmp_path)
-    store.keep([keep(1, changes=ENTRIES)])
+    store.persist([persist(1, changes=ENTRIES)])
     store.close()
     words, said = DAMAGES[damage]
     changed = apsw.Connection(str(tmp_path / FILE_NAME))
@@ -102,23 +111,23 @@
 
 def test_a_full_disk_keeps_nothing_of_what_it_refused_and_silences_the_relay(tmp_path):
     store = opened(tmp_path)
-    store.keep([keep(1, changes=ENTRIES[:2])])
+    store.persist([persist(1, changes=ENTRIES[:2])])
     (pages,) = store._connection.execute("pragma page_count").fetchone()
     store._connection.execute(f"pragma max_page_count={pages}")
     large = [sealed("north", Version(1, n), Kind.TENANT, f"t{n}", b"x" * 4_000) for n in range(3, 60)]
     with pytest.raises(RelayStoreError, match="FullError") as full:
-        store.keep([keep(2, changes=large)])
+        store.persist([persist(2, changes=large)])
     store._connection.execute("pragma max_page_count=1000000")
-    store.keep([keep(2, changes=ENTRIES[2:3])])
+    store.persist([persist(2, changes=ENTRIES[2:3])])
     store.close()
     assert RelayLog(str(tmp_path), "north").read().changes == ENTRIES[:3]
-    replica = Replica("north", "a", Kept(7, 1, "p", 0, ENTRIES), True, Random(1))
+    replica = Replica("north", "a", StoredLog(7, 1, "p", 0, ENTRIES), True, Random(1))
     replica.on_prepare(1, "q", Prepare("north", 2))
     replica.on_store_failed(1, full.value)
     replica.on_prepare(1, "q", Prepare("north", 3))
     replica.on_append(1, "q", Append("north", 3, ENTRIES[-1].version, 5, []))
     left = list(iter(lambda: replica.next_decision(1), None))
-    assert not any(isinstance(decision, Send | Keep) for decision in left)
+    assert not any(isinstance(decision, Send | Persist) for decision in left)
     assert left[-1].name == "distribution.store_failed" and "empty the store" in left[-1].fields["do"]
 
 
@@ -127,51 +136,51 @@
     folder, copy = tmp_path / "now", tmp_path / "copy"
     folder.mkdir()
     store = opened(folder)
-    store.keep([keep(1, changes=ENTRIES[:2], committed=2)])
+    store.persist([persist(1, changes=ENTRIES[:2], committed=2)])
     store.close()
     shutil.copytree(folder, copy)
     store = opened(folder)
-    store.keep([keep(2, changes=ENTRIES[2:], committed=5, epoch=3)])
+    store.persist([persist(2, changes=ENTRIES[2:], committed=5, epoch=3)])
     store.close()
-    kept = opened(copy).read()
-    assert kept.epoch == 1 and len(kept.changes) == 2
-    replica = Replica("north", "a", kept, trusted=False, random=Random(2))
-    assert replica.life != kept.life and not replica.member
-    assert Replica("north", "a", kept, trusted=True, random=Random(2)).life == kept.life
+    stored = opened(copy).read()
+    assert stored.epoch == 1 and len(stored.changes) == 2
+    replica = Replica("north", "a", stored, trusted=False, random=Random(2))
+    assert replica.incarnation != stored.incarnation and not replica.member
+    assert Replica("north", "a", stored, trusted=True, random=Random(2)).incarnation == stored.incarnation
 
 
 def test_a_disk_that_became_read_only_is_said(tmp_path):
     store = opened(tmp_path)
     store._connection.execute("pragma query_only=1")
     with pytest.raises(RelayStoreError, match="ReadOnlyError"):
-        store.keep([keep(1, changes=ENTRIES)])
+        store.persist([persist(1, changes=ENTRIES)])
 
 
 class RecordedWorld(LogWorld):
     """Remembers what relay b writes."""
 
     def __init__(self, scenario: LogScenario) -> None:
-        self.written: list[Keep] = []
+        self.written: list[Persist] = []
         super().__init__(scenario)
 
-    def _write(self, name: str, core: Replica, keep: Keep) -> None:
+    def _write(self, name: str, core: Replica, persist: Persist) -> None:
         if name == "b":
-            self.written.append(keep)
-        super()._write(name, core, keep)
+            self.written.append(persist)
+        super()._write(name, core, persist)
 
 
 def test_the_file_holds_what_the_explored_worlds_take_a_disk_to_hold(tmp_path):
     """Every Keep of a walk with faults, truncations and deletions that are let go among them."""
     faults = ("part", "part", "part", "replace", "kept")
     scenario = replace(DELETES, ticks=120, publish_at=tuple(range(1, 120)), faults=faults, slow_disks=True)
-    world, dice = RecordedWorld(scenario), Random(SEED)
+    world, random = RecordedWorld(scenario), Random(SEED)
     while not world.over():
         options = world.choices()
-        world.take(dice.choice(options) if dice.random() < 0.3 else options[0])
+        world.take(random.choice(options) if random.random() < 0.3 else options[0])
     store = opened(tmp_path)
     for first in range(0, len(world.written), 3):
-        store.keep(world.written[first : first + 3])
+        store.persist(world.written[first : first + 3])
     store.close()
-    kept = RelayLog(str(tmp_path), "north").read()
-    assert kept == world.disks["b"][-1]
-    assert kept.settled > 0 and any(keep.truncate_after is not None for keep in world.written)
+    stored = RelayLog(str(tmp_path), "north").read()
+    assert stored == world.disks["b"][-1]
+    assert stored.purged_up_to > 0 and any(persist.truncate_after is not None for persist in world.written)
--- a/tests/distribution/log/world.py
+++ b/tests/distribution/log/world.py
@@ -11,7 +11,7 @@
 from msgspec import msgpack
 
 from linenbridge.distribution.changes import Change
-from linenbridge.distribution.decisions import Committed, Event, Keep, Send
+from linenbridge.distribution.decisions import Committed, Event, Persist, Send
 from linenbridge.distribution.messages import (
     Append,
     Appended,
@@ -23,66 +23,68 @@
     Publish,
     Published,
 )
-from linenbridge.distribution.log.replication import PublisherPace
+from linenbridge.distribution.log.replication import PublisherTiming
 from linenbridge.distribution.log.publisher import Publisher
-from linenbridge.distribution.log.replica import Kept, Replica
+from linenbridge.distribution.log.replica import StoredLog, Replica
 from linenbridge.peering.connections import WORD_MOST
 
 REGION = "north"
-PACE = PublisherPace(heartbeat=100, retry=50, retry_most=200, answer_within=2_000, silence=1_000)
+TIMING = PublisherTiming(heartbeat=100, retry=50, max_retry=200, answer_within=2_000, silence=1_000)
 START_AT = 1_000
 
 
-def disk_after(kept: Kept, keep: Keep) -> Kept:
+def disk_after(stored: StoredLog, write: Persist) -> StoredLog:
     """What a disk holds once a Keep is on it."""
-    rows = kept.changes
-    if keep.truncate_after is not None:
-        rows = [row for row in rows if row.sequence <= keep.truncate_after]
-    gone = set(keep.superseded)
-    rows = [row for row in (*rows, *keep.changes) if row.sequence not in gone]
-    return Kept(keep.life, keep.epoch, keep.publisher, keep.committed, rows, keep.settled)
+    rows = stored.changes
+    if write.truncate_after is not None:
+        rows = [row for row in rows if row.sequence <= write.truncate_after]
+    gone = set(write.superseded)
+    rows = [row for row in (*rows, *write.changes) if row.sequence not in gone]
+    return StoredLog(
+        write.incarnation, write.epoch, write.publisher, write.committed, rows, write.purged_up_to
+    )
 
 
 class Region:
     """Relays by name and publishers by name, with the term that each believes to hold."""
 
     def __init__(self, relays: tuple[str, ...] = ("a", "b", "c"), trusted: bool = False) -> None:
-        self.now, self.trusted, self.lives = START_AT, trusted, 0
+        self.now, self.trusted, self.incarnations = START_AT, trusted, 0
         self.names = relays
-        self.disks = dict.fromkeys(relays, Kept())
+        self.disks = dict.fromkeys(relays, StoredLog())
         self.replicas = {name: self._replica(name) for name in relays}
         self.publishers: dict[str, Publisher] = {}
         self.terms: dict[str, int | None] = {}
         self.down: set[str] = set()
         self.flying: deque[tuple[str, str, Message]] = deque()
-        self.told: list[tuple[str, Published]] = []
+        self.responses: list[tuple[str, Published]] = []
         self.events: list[tuple[str, Event]] = []
         self.committed: dict[str, list[Change]] = {name: [] for name in relays}
         self.sent = 0
 
     def _replica(self, name: str) -> Replica:
-        self.lives += 1
-        return Replica(REGION, name, self.disks[name], self.trusted, Random(f"{name}/{self.lives}"))
+        self.incarnations += 1
+        return Replica(REGION, name, self.disks[name], self.trusted, Random(f"{name}/{self.incarnations}"))
 
     # ---- what tests do -----------------------------------------------------------------------------------
 
     def publisher(self, name: str, term: int | None) -> Publisher:
         """A publisher, new or known, with this term from now on."""
         if name not in self.publishers:
-            self.publishers[name] = Publisher(REGION, name, self.names, PACE, Random(name), no_faults)
+            self.publishers[name] = Publisher(REGION, name, self.names, TIMING, Random(name), no_faults)
         self.terms[name] = term
         self.settle()
         return self.publishers[name]
 
-    def publish(self, name: str, key: str, value: bytes, request: int = 1, author: str = "author") -> None:
+    def publish(self, name: str, key: str, value: bytes, request: int = 1, client: str = "client") -> None:
         message = Publish(request, REGION, 2, key, value)
-        self.publishers[name].on_publish(self.now, author, message)
+        self.publishers[name].on_publish(self.now, client, message)
         self.settle()
 
-    def restart(self, name: str, kept: Kept | None = None) -> None:
+    def restart(self, name: str, stored: StoredLog | None = None) -> None:
         """A relay starts anew, with its disk or with another one."""
         self.flying = deque(row for row in self.flying if name not in row[:2])
-        self.disks[name] = self.disks[name] if kept is None else kept
+        self.disks[name] = self.disks[name] if stored is None else stored
         self.replicas[name] = self._replica(name)
         self.committed[name] = []
         self.settle()
@@ -131,9 +133,9 @@
     def _carry_out(self, name: str, core: Replica | Publisher, decision: object) -> None:
         if isinstance(decision, Send):
             self._fly(name, decision)
-        elif isinstance(decision, Keep):
+        elif isinstance(decision, Persist):
             self._write(name, decision)
-            core.on_kept(self.now, decision.number)
+            core.on_persisted(self.now, decision.number)
             for send in decision.then:
                 self._fly(name, send)
         elif isinstance(decision, Committed):
@@ -141,12 +143,12 @@
         elif isinstance(decision, Event):
             self.events.append((name, decision))
 
-    def _write(self, name: str, keep: Keep) -> None:
-        self.disks[name] = disk_after(self.disks[name], keep)
+    def _write(self, name: str, write: Persist) -> None:
+        self.disks[name] = disk_after(self.disks[name], write)
 
     def _fly(self, name: str, send: Send) -> None:
         if isinstance(send.message, Published):
-            self.told.append((send.to, send.message))
+            self.responses.append((send.to, send.message))
         elif not {name, send.to} & self.down:
             self.sent += 1
             assert len(msgpack.encode(send.message)) <= WORD_MOST
--- a/tests/distribution/view/test_view.py
+++ b/tests/distribution/view/test_view.py
@@ -6,9 +6,9 @@
 import pytest
 
 from linenbridge import interface as face
-from linenbridge.distribution.changes import VALUE_MOST, InstanceValue, Kind, TenantValue, Version
+from linenbridge.distribution.changes import MAX_VALUE_BYTES, InstanceValue, Kind, TenantValue, Version
 from linenbridge.distribution.decisions import Apply
-from linenbridge.distribution.errors import ChangeRefused
+from linenbridge.distribution.errors import ChangeRejected
 from linenbridge.distribution.view.regions import REGIONS_MOST
 from linenbridge.distribution.view.tenants import EPOCH_MOST, SEQUENCE_MOST
 from linenbridge.distribution.view.values import ValueChecks
@@ -49,7 +49,7 @@
         "routes shop at eu/1/2: 1:42: no method is named 'pay'; "
         "mend the value and publish it again; the error names the place"
     ]
-    assert isinstance(applied.refused[0].error(), ChangeRefused)
+    assert isinstance(applied.refused[0].error(), ChangeRejected)
     assert method_of(view) == "look" and view.tenant("t1") == 0.5
     assert (applied.taken, view.counts["refused"], applied.upto) == (1, 1, Version(1, 3))
     assert [(one.kind, one.name, one.version) for one in view.refused()] == [
@@ -70,7 +70,7 @@
     [
         (Kind.ROUTES, "shop", b"\xff", "utf-8"),
         (Kind.ROUTES, "shop", b"route a {", "ends in the middle"),
-        (Kind.ROUTES, "shop", b"#" * (VALUE_MOST + 1), f"{VALUE_MOST} at most"),
+        (Kind.ROUTES, "shop", b"#" * (MAX_VALUE_BYTES + 1), f"{MAX_VALUE_BYTES} at most"),
         (Kind.ROUTES, "", route_text("look"), "1 to 256 characters"),
         (Kind.ROUTES, "s" * 257, route_text("look"), "1 to 256 characters"),
         (Kind.TENANT, "t1", b"\xc1", "MessagePack"),
@@ -109,7 +109,7 @@
     view = new_view()
     for number in range(REGIONS_MOST):
         view.apply(Apply(f"r{number}", Version(1, 1), []))
-    with pytest.raises(ChangeRefused, match="255 regions"):
+    with pytest.raises(ChangeRejected, match="255 regions"):
         view.apply(Apply("one-more", Version(1, 1), []))
 
 
--- a/tests/scale/measure/relay.py
+++ b/tests/scale/measure/relay.py
@@ -25,7 +25,7 @@
     Progress,
     Publish,
 )
-from linenbridge.distribution.log.replication import PublisherPace
+from linenbridge.distribution.log.replication import PublisherTiming
 from linenbridge.distribution.log.publisher import Publisher
 from linenbridge.distribution.dissemination.compacted_log import Table
 
@@ -153,7 +153,7 @@
 
     def __init__(self) -> None:
         self.now = 0
-        self.core = Publisher("one", "publisher", RELAYS, PublisherPace(), Random(1), lambda *_: "")
+        self.core = Publisher("one", "publisher", RELAYS, PublisherTiming(), Random(1), lambda *_: "")
         self.core.on_term(self.now, 1)
         self.settle()
 
