--- a/linenbridge/distribution/changes.py
+++ b/linenbridge/distribution/changes.py
@@ -1,8 +1,8 @@
-"""Versioned changes: what is published, who owns it, and how its bytes are checked.
+"""Versioned changes: what is published, which region owns it, and how its bytes are checked.
 
-Decides without I/O. A change names one key, owned by one region, and its new value. Versions of one region
-are ordered by (epoch, sequence): the epoch is the term of the publisher's lease, the sequence the place in
-the region's log, dense from 1. Only what a majority of the region's relays has on disk is ever handed to a
+Pure functions and values. A change names one key, owned by one region, and its new value. Versions of one
+region are ordered by (epoch, sequence): the epoch is the term of the publisher's lease, the sequence the
+place in the region's log, dense from 1. Only what a majority of the region's relays has on disk reaches a
 follower, so two changes of a region never share a sequence outside its relays.
 """
 
@@ -15,16 +15,17 @@
 import msgspec
 from msgspec import Struct
 
-RANGES = 1024  # parts that a region's keys are divided into, for digests and for whole transfers
-MAX_VALUE_BYTES = 48_000  # bytes of one value: a change has to fit into one message of a link
-MAX_NAME_CHARACTERS = 256  # characters of one key's name
-_MASK = (1 << 64) - 1
+RANGES = 1024  # number of parts of a region's keys, for digests and for complete transfers
+MAX_VALUE_BYTES = 48_000  # of one value: a change has to fit into one message of a link
+MAX_NAME_CHARACTERS = 256  # of one key's name
+DIGEST_BYTES = 8  # of a key, a range or a table
+DIGEST_MASK = (1 << 64) - 1  # digests and checksums are added modulo 2**64
 
 
 class Kind(IntEnum):
     """What a key is about, and with it the form of its value."""
 
-    LOG = 0  # an entry of the log about itself, always empty; relays keep it, no feed ever sees it (log.py)
+    LOG = 0  # an entry of the log about itself, always empty, for relays alone (log/region_log.py)
     ROUTES = 1  # name: a service (authority); value: its rules in the routes' language, UTF-8
     TENANT = 2  # name: a tenant; value: TenantValue
     INSTANCE = 3  # name: service/instance; value: InstanceValue
@@ -32,14 +33,14 @@
 
 
 class TenantValue(Struct, array_like=True, frozen=True):
-    """The share of the load that a tenant may take, 0 to 1."""
+    """A tenant's quota: the share of the load that it may use, 0 to 1."""
 
     share: float
 
 
 class InstanceValue(Struct, array_like=True, frozen=True):
-    """What the instance list says of one instance, with its address. `state` as in interface.py; `started`
-    is Unix time in milliseconds."""
+    """An endpoint of a service, with its address. `state` as in interface.py; `started` is Unix time in
+    milliseconds. The names of the fields are those of the JSON object that `publish` reads."""
 
     build: int
     zone: str
@@ -52,7 +53,7 @@
 
 
 class ZoneValue(Struct, array_like=True, frozen=True):
-    """A zone that is lost has no instance that is ready, whatever its instances' own entries say: one
+    """Whether a zone is lost. No instance of a lost zone is ready, whatever its own entry says: one
     change."""
 
     lost: bool
@@ -69,7 +70,7 @@
 
 
 class Position(Struct, array_like=True, frozen=True):
-    """How far somebody is in one region's log. All positions of a follower are its version vector."""
+    """How far a follower is in one region's log. All positions of a follower are its version vector."""
 
     region: str
     epoch: int
@@ -77,11 +78,12 @@
 
     @property
     def version(self) -> Version:
+        """The place in the region's log."""
         return Version(self.epoch, self.sequence)
 
 
 class Change(Struct, array_like=True, frozen=True):
-    """One key's new value; an empty one deletes it. `checksum` is over all the rest, by the publisher."""
+    """One key's new value; an empty one deletes it. `checksum` is the publisher's, over all other fields."""
 
     region: str
     epoch: int
@@ -93,10 +95,12 @@
 
     @property
     def version(self) -> Version:
+        """The place in the region's log."""
         return Version(self.epoch, self.sequence)
 
     @property
     def key(self) -> tuple[int, str]:
+        """What the change is about: kind and name."""
         return self.kind, self.name
 
 
@@ -116,7 +120,7 @@
 
 
 def group_of(kind: int, name: str) -> str:
-    """What is kept and transferred together: the instances of one service, else each key by itself."""
+    """What is stored and transferred together: the instances of one service, else each key by itself."""
     return name.partition("/")[0] if kind == Kind.INSTANCE else name
 
 
@@ -126,17 +130,20 @@
 
 
 def digest_of(change: Change) -> int:
-    """64 bits that stand for one key at one version and value. A table's digest is their sum modulo 2**64,
-    in any order; a deletion adds nothing."""
+    """64 bits that stand for one key at one version and value. A table's digest is their sum modulo 2**64, in
+    any order; a deletion adds nothing."""
     if not change.value:
         return 0
-    words = msgspec.msgpack.encode((change.region, change.epoch, change.sequence, change.kind, change.name))
-    return int.from_bytes(blake2b(words + change.value, digest_size=8).digest(), "big")
+    key = (change.region, change.epoch, change.sequence, change.kind, change.name)
+    encoded = msgspec.msgpack.encode(key) + change.value
+    return int.from_bytes(blake2b(encoded, digest_size=DIGEST_BYTES).digest(), "big")
 
 
 def added(digest: int, change: Change) -> int:
-    return (digest + digest_of(change)) & _MASK
+    """A table's digest once it holds this change."""
+    return (digest + digest_of(change)) & DIGEST_MASK
 
 
 def removed(digest: int, change: Change) -> int:
-    return (digest - digest_of(change)) & _MASK
+    """A table's digest once it no longer holds this change."""
+    return (digest - digest_of(change)) & DIGEST_MASK
--- a/linenbridge/distribution/decisions.py
+++ b/linenbridge/distribution/decisions.py
@@ -1,7 +1,7 @@
-"""What a core of the distribution asks of its host, as typed values.
+"""What a state machine of the distribution decides, as typed values.
 
-Owns their form. A host calls a core's `on_...` inputs, then pulls `next_decision(now)` until it is None,
-carries each out in order, and wakes the core at `wake_at()`.
+A host calls a state machine's `on_...` inputs, then pulls `next_decision(now)` until it is None, executes
+each decision in order, and calls again at `wake_at()`. Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -13,17 +13,20 @@
 
 
 class Send(Struct, frozen=True):
-    """A message to a name; one that cannot be reached loses it, as on any network."""
+    """Send a message to the process of a name; it is lost where that process cannot be reached."""
 
     to: str
     message: Message | EncodedBatch | EncodedRangeSnapshot
 
 
 class Persist(Struct, frozen=True):
-    """A replica's log on disk: entries behind `truncate_after` are dropped first (None: none are), then
-    `changes` are appended and the sequences `superseded` dropped; `epoch` with the `publisher` that it was
-    promised to, `committed`, `incarnation` and `purged_up_to` are kept with them. Once all is on disk, `then` is
-    sent and `Replica.on_persisted(now, number)` is called; where it fails, `Replica.on_store_failed(now, error)`."""
+    """Write a replica's log to disk.
+
+    Entries behind `truncate_after` are removed first (None: none are), then `changes` are appended and the
+    sequences `superseded` removed; `epoch` with the `publisher` that it was promised to, `committed`,
+    `incarnation` and `purged_up_to` are stored with them. Once all is on disk, `then` is sent and
+    `Replica.on_persisted(now, number)` called; on an error, `Replica.on_store_failed(now, error)`.
+    """
 
     number: int
     truncate_after: int | None
@@ -38,16 +41,18 @@
 
 
 class Committed(Struct, frozen=True):
-    """Entries that a majority has, in order: for the relay's feed."""
+    """Pass entries that a majority has, in order, to the relay's feed."""
 
     region: str
     changes: list[Change]
 
 
 class Apply(Struct, frozen=True):
-    """Changes for the view, in force together between two requests; then the follower is at `upto`. The host
-    answers with `Follower.on_applied`. `digest` is the relay's at `upto`, where it said so; `horizon` is for
-    a table that hands the changes on."""
+    """Apply changes to the view, together between two requests; then the follower is at `upto`.
+
+    The host responds with `Follower.on_applied`. `digest` is the relay's at `upto`, where it gave one;
+    `horizon` is for a table that passes the changes on.
+    """
 
     region: str
     upto: Version
@@ -57,9 +62,11 @@
 
 
 class ReplaceRange(Struct, frozen=True):
-    """The complete content of one range of a region's keys at `upto`: keys at versions up to it that are not
-    named are gone; newer versions than `upto` may be named. With `final` the follower is at `upto`. The host
-    answers each with `Follower.on_applied`."""
+    """Replace one range of a region's keys by its complete content at `upto`.
+
+    Keys at versions up to it that are not named are deleted; newer versions than `upto` may be named. With
+    `final` the follower is at `upto`. The host responds to each with `Follower.on_applied`.
+    """
 
     region: str
     upto: Version
@@ -70,26 +77,26 @@
 
 
 class SubtreeProgress(Struct, frozen=True):
-    """How far all below a relay are in the other regions: for `on_progress_below` of each follower that the
-    relay hosts."""
+    """Pass how far all below a relay are in the other regions to `on_progress_below` of each follower that
+    the relay hosts."""
 
     summaries: list[SubtreeSummary]
 
 
 class Dial(Struct, frozen=True):
-    """Keep a link to this relay."""
+    """Connect to this relay, and again whenever the connection is lost."""
 
     relay: str
 
 
 class Disconnect(Struct, frozen=True):
-    """Let the link to this relay go."""
+    """End the connection to this relay."""
 
     relay: str
 
 
 class Event(Struct, frozen=True):
-    """One structured line of the log."""
+    """Write one structured line of the log."""
 
     name: str
     fields: dict[str, object]
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -50,7 +50,9 @@
         self._broken: Callable[[], None] | None = broken
         now = clock.now()
         self.disk = RelayLog(settings.store, settings.region)
-        self.replica = Replica(settings.region, settings.name, self.disk.read(), settings.trusted, random)
+        self.replica = Replica(
+            settings.region, settings.name, self.disk.read(), random, trusted=settings.trusted
+        )
         self.feed = Feed(
             settings.name, settings.region, list(settings.regions), _feed_settings(settings), random, now,
             relay_names(settings),
--- a/linenbridge/distribution/log/change_requests.py
+++ b/linenbridge/distribution/log/change_requests.py
@@ -1,124 +1,145 @@
-"""What authors of changes are told, and when: accepted, unconfirmed, in force.
+"""Requests of change clients at a publisher, from their arrival to their last response.
 
-Keeps state without I/O. Every request taken is answered; those that wait are bounded in number and bytes. It
-must never say `refused` of a change that a relay may have kept.
+Keeps state without I/O. Every accepted request gets a response; requests that wait are bounded in number and
+bytes. A change that a relay may have stored is reported as `unconfirmed`, never as `refused`.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from dataclasses import dataclass
+from itertools import islice
 
 from linenbridge.distribution.changes import START, Version
 from linenbridge.distribution.decisions import Send
 from linenbridge.distribution.errors import NotPublisher, PublisherBusy, QuorumUnreached
-from linenbridge.distribution.messages import Publish, Published
+from linenbridge.distribution.messages import ChangeState, Publish, Published
 from linenbridge.errors import Refusal
 
 MAX_QUEUED_CHANGES = 4_000  # changes that wait to be appended
-MAX_QUEUED_BYTES = 16_000_000
-MAX_AWAITING_IN_FORCE = 20_000  # authors that wait to hear of `in_force`; the oldest is let go
-MAX_UNREACHED_NAMES = 32  # names in one answer
+MAX_QUEUED_BYTES = 16_000_000  # of their values
+MAX_AWAITING_IN_FORCE = 20_000  # accepted changes whose client waits for `in_force`; the oldest is dropped
+MAX_UNREACHED_NAMES = 32  # names in one response
 
 
-@dataclass
+@dataclass(slots=True)
 class PendingChange:
-    """One change client's change. `version` is START until it is appended, `publish` None from then on;
-    `reported_unconfirmed` once `unconfirmed` was said."""
+    """One change of a change client that awaits a response.
+
+    `deadline` is in microseconds. `version` is START until the
+    change is appended. `reported_unconfirmed` is set once the client has the response `unconfirmed`.
+    """
 
     client: str
     request: int
     deadline: int
-    publish: Publish | None
     version: Version = START
     reported_unconfirmed: bool = False
 
-    def answer(self, state: str, code: str = "", unreached: list[str] | None = None, count: int = 0) -> Send:
+    def response(
+        self, state: ChangeState, code: str = "", unreached: list[str] | None = None, unreached_count: int = 0
+    ) -> Send:
+        """The message that reports a state to the change's client."""
         names = (unreached or [])[:MAX_UNREACHED_NAMES]
-        return Send(self.client, Published(self.request, state, self.version, code, names, count))
+        published = Published(self.request, state, self.version, code, names, unreached_count)
+        return Send(self.client, published)
+
+
+@dataclass(slots=True)
+class QueuedChange:
+    """A change that is not appended yet."""
+
+    pending: PendingChange
+    publish: Publish
 
 
 class ChangeRequests:
-    """`out` holds the answers, in order."""
+    """The requests of one publisher. `responses` holds what is to be sent, in order."""
 
     def __init__(self) -> None:
-        self.out: deque[Send] = deque()
-        self.dropped_in_force = 0  # authors let go without `in_force`
-        self._queue: deque[PendingChange] = deque()
+        self.responses: deque[Send] = deque()
+        self.dropped_in_force = 0  # changes whose client gets no `in_force`, for want of space
+        self._queue: deque[QueuedChange] = deque()
         self._queued_bytes = 0
         self._appended: deque[PendingChange] = deque()
         self._accepted: deque[PendingChange] = deque()
 
-    def take(self, client: str, publish: Publish, deadline: int) -> None:
-        """A change that may be appended waits for its turn."""
+    def enqueue(self, client: str, publish: Publish, deadline: int) -> None:
+        """Add a valid change to the queue, or reject it where the queue is full."""
         size = len(publish.value)
         if len(self._queue) >= MAX_QUEUED_CHANGES or self._queued_bytes + size > MAX_QUEUED_BYTES:
-            self.refuse(client, publish, PublisherBusy)
+            self.reject(client, publish, PublisherBusy)
             return
-        self._queue.append(PendingChange(client, publish.request, deadline, publish))
+        self._queue.append(QueuedChange(PendingChange(client, publish.request, deadline), publish))
         self._queued_bytes += size
 
-    def refuse(self, client: str, publish: Publish, error: type[Refusal]) -> None:
-        """A change that is not appended and will not be."""
-        self.out.append(PendingChange(client, publish.request, 0, None).answer("refused", error.code))
+    def reject(self, client: str, publish: Publish, error: type[Refusal]) -> None:
+        """Report a change that is not appended and will not be."""
+        change = PendingChange(client, publish.request, deadline=0)
+        self.responses.append(change.response(ChangeState.REFUSED, error.code))
 
     def next_to_append(self) -> Publish | None:
+        """The oldest queued change; None where there is none."""
         return self._queue[0].publish if self._queue else None
 
     def on_append(self, version: Version) -> None:
-        """The next one is in the publisher's log at this version."""
-        pending = self._take_from_queue()
-        pending.version, pending.publish = version, None
-        self._appended.append(pending)
+        """The oldest queued change is in the publisher's log at this version."""
+        change = self._pop_queue()
+        change.version = version
+        self._appended.append(change)
 
     def on_committed(self, sequence: int) -> None:
         """A majority has everything up to this sequence on disk."""
         while self._appended and self._appended[0].version.sequence <= sequence:
-            pending = self._appended.popleft()
-            self.out.append(pending.answer("accepted"))
-            self._accepted.append(pending)
+            change = self._appended.popleft()
+            self.responses.append(change.response(ChangeState.ACCEPTED))
+            self._accepted.append(change)
         while len(self._accepted) > MAX_AWAITING_IN_FORCE:
             self._accepted.popleft()
             self.dropped_in_force += 1
 
-    def on_in_force(self, sequence: int, unreached: list[str], count: int) -> None:
+    def on_in_force(self, sequence: int, unreached: list[str], unreached_count: int) -> None:
         """Everything up to this sequence is in force wherever anybody is reached."""
         while self._accepted and self._accepted[0].version.sequence <= sequence:
-            self.out.append(self._accepted.popleft().answer("in_force", "", unreached, count))
+            change = self._accepted.popleft()
+            self.responses.append(change.response(ChangeState.IN_FORCE, "", unreached, unreached_count))
 
     def on_time(self, now: int) -> None:
-        """Answers that are due whatever happens."""
-        while self._queue and self._queue[0].deadline <= now:
-            self.out.append(self._take_from_queue().answer("refused", PublisherBusy.code))
-        for pending in self._appended:
-            if pending.deadline > now:
+        """Respond to the requests whose deadline has passed."""
+        while self._queue and self._queue[0].pending.deadline <= now:
+            self.responses.append(self._pop_queue().response(ChangeState.REFUSED, PublisherBusy.code))
+        for change in self._appended:
+            if change.deadline > now:
                 break
-            if not pending.reported_unconfirmed:
-                pending.reported_unconfirmed = True
-                self.out.append(pending.answer("unconfirmed", QuorumUnreached.code))
+            self._report_unconfirmed(change)
 
     def on_lease_lost(self) -> None:
-        """Nothing more can be brought about for those that wait."""
-        for pending in self._queue:
-            self.out.append(pending.answer("refused", NotPublisher.code))
-        for pending in self._appended:
-            if not pending.reported_unconfirmed:
-                self.out.append(pending.answer("unconfirmed", QuorumUnreached.code))
+        """Respond to all requests: this publisher can do no more for them."""
+        for queued in self._queue:
+            self.responses.append(queued.pending.response(ChangeState.REFUSED, NotPublisher.code))
+        for change in self._appended:
+            self._report_unconfirmed(change)
         self._queue.clear()
         self._appended.clear()
         self._accepted.clear()
         self._queued_bytes = 0
 
     def awaits_in_force(self) -> bool:
+        """Whether the client of an accepted change waits for `in_force`."""
         return bool(self._accepted)
 
     def wake_at(self) -> int | None:
-        """The next deadline."""
-        queued = [self._queue[0].deadline] if self._queue else []
-        unsure = [pending.deadline for pending in self._appended if not pending.reported_unconfirmed][:1]
-        return min(queued + unsure, default=None)
-
-    def _take_from_queue(self) -> PendingChange:
-        pending = self._queue.popleft()
-        self._queued_bytes -= len(pending.publish.value)
-        return pending
+        """The next deadline in microseconds; None where there is none."""
+        deadlines = [self._queue[0].pending.deadline] if self._queue else []
+        unreported = (change.deadline for change in self._appended if not change.reported_unconfirmed)
+        return min([*deadlines, *islice(unreported, 1)], default=None)
+
+    def _report_unconfirmed(self, change: PendingChange) -> None:
+        if not change.reported_unconfirmed:
+            change.reported_unconfirmed = True
+            self.responses.append(change.response(ChangeState.UNCONFIRMED, QuorumUnreached.code))
+
+    def _pop_queue(self) -> PendingChange:
+        queued = self._queue.popleft()
+        self._queued_bytes -= len(queued.publish.value)
+        return queued.pending
--- a/linenbridge/distribution/log/recovery.py
+++ b/linenbridge/distribution/log/recovery.py
@@ -1,7 +1,7 @@
-"""How a new publisher reads its region's log before it writes: promises first, then the newest log.
+"""How a new publisher recovers its region's log before it appends: promises first, then the newest log.
 
-Decides without I/O. It must never begin with less than a majority of members' promises, or the promises of
-all relays of the region, and never with the promise of a relay's life that the log shows to be over.
+Decides without I/O. A recovery needs the promises of a majority of members, or of all relays of the region.
+The promise of an incarnation that the recovered log shows to be retired does not count.
 """
 
 from __future__ import annotations
@@ -11,20 +11,22 @@
 from linenbridge.distribution.changes import intact
 from linenbridge.distribution.decisions import Send
 from linenbridge.distribution.log.region_log import Log
-from linenbridge.distribution.messages import Fetch, Fetched, Prepare, Prepared
 from linenbridge.distribution.log.replication import JITTER, Peer, PublisherTiming
+from linenbridge.distribution.messages import Fetch, Fetched, Prepare, Prepared
 
-MAX_UNANSWERED_FETCHES = 5  # unanswered ones to one relay, then another is read
+MAX_UNANSWERED_FETCHES = 5  # sent to one relay; then the log of another is read
 
 
-def majority(relays: int) -> int:
+def majority(relay_count: int) -> int:
     """How many of a region's relays are a majority."""
-    return relays // 2 + 1
+    return relay_count // 2 + 1
 
 
 class LogRecovery:
-    """One epoch's reading into `log`, which holds what this publisher knew as committed before; `done` once
-    it holds all that may have been committed."""
+    """The recovery of one epoch into `log`, which holds what this publisher had as committed before.
+
+    `done` is set once the log holds all that may have been committed.
+    """
 
     def __init__(
         self,
@@ -36,12 +38,16 @@
         random: Random,
         now: int,
     ) -> None:
-        self.region, self.epoch, self.peers, self.log = region, epoch, peers, log
-        self.timing, self.random = timing, random
+        self.region = region
+        self.epoch = epoch
+        self.peers = peers
+        self.log = log
+        self.timing = timing
+        self.random = random
         self.done = False
         self._quorum: list[Peer] = []
         self._source: Peer | None = None
-        self._fetches = 0
+        self._unanswered_fetches = 0
         self._fetch_at = now
         self._prepare_at = now
         log.truncate(log.committed)
@@ -49,17 +55,17 @@
     def on_prepared(self, now: int, message: Prepared) -> None:
         """A relay's promise."""
         peer = self.peers[message.relay]
-        before = peer.incarnation
+        incarnation_before = peer.incarnation
         if not peer.accepts_incarnation(message.incarnation):
             return
-        if before not in (0, message.incarnation):
+        if incarnation_before not in (0, message.incarnation):
             self._restart_recovery()
         peer.prepared = message
         if self._source is None:
             self._choose_source(now)
 
     def on_fetched(self, now: int, message: Fetched) -> None:
-        """A page of the log that is read."""
+        """A page of the log that is read; one that is not awaited is ignored."""
         awaited = self._source is not None and message.relay == self._source.name
         if not awaited or message.after != self.log.last.sequence:
             return
@@ -68,77 +74,85 @@
             return
         for change in message.changes:
             self.log.append(change)
-        self._fetches, self._fetch_at = 0, now
+        self._unanswered_fetches = 0
+        self._fetch_at = now
         if not message.more:
-            self._finish(now)
+            self._finish()
 
-    def sends(self, now: int) -> list[Send]:
-        """What is due: promises that are missing are asked for again and again."""
-        found = list[Send]()
+    def messages(self, now: int) -> list[Send]:
+        """The messages that are due. Missing promises are requested again and again."""
+        due = list[Send]()
         if now >= self._prepare_at:
-            self._prepare_at = now + self._wait()
+            self._prepare_at = now + self._retry_delay()
             missing = [peer.name for peer in self.peers.values() if peer.prepared is None]
-            found += [Send(name, Prepare(self.region, self.epoch)) for name in missing]
+            due += [Send(name, Prepare(self.region, self.epoch)) for name in missing]
         if self._source is not None and now >= self._fetch_at:
-            found += self._fetch(now)
-        return found
+            due += self._fetch(now, self._source)
+        return due
 
     def wake_at(self) -> int:
+        """When the next message is due, in microseconds."""
         return min(self._prepare_at, self._fetch_at) if self._source is not None else self._prepare_at
 
-    def _wait(self) -> int:
+    def _retry_delay(self) -> int:
         return round(self.timing.retry * (1 + JITTER * self.random.random()))
 
     def _choose_source(self, now: int) -> None:
         """Read the newest log, once enough relays have promised."""
         promised = [peer for peer in self.peers.values() if peer.prepared is not None]
-        members = [peer for peer in promised if peer.prepared.member]
+        members = [peer for peer in promised if peer.promise.member]
         if len(members) >= majority(len(self.peers)):
             self._quorum = members
         elif len(promised) == len(self.peers):
             self._quorum = promised
         else:
             return
-        newest = max(self._quorum, key=lambda peer: peer.prepared.last)
+        newest = max(self._quorum, key=lambda peer: peer.promise.last)
         if self.log.committed < self._purged_up_to():
-            self.log.forget()  # what was known here may have been deleted since
-        if newest.prepared.last.sequence <= self.log.committed:
-            self._finish(now)
+            self.log.clear()  # what is in it may have been deleted since
+        if newest.promise.last.sequence <= self.log.committed:
+            self._finish()
             return
-        self._source, self._fetches, self._fetch_at = newest, 0, now
+        self._source = newest
+        self._unanswered_fetches = 0
+        self._fetch_at = now
 
-    def _fetch(self, now: int) -> list[Send]:
-        if self._fetches >= MAX_UNANSWERED_FETCHES:
+    def _fetch(self, now: int, source: Peer) -> list[Send]:
+        if self._unanswered_fetches >= MAX_UNANSWERED_FETCHES:
             self._abandon_source()
             return []
-        self._fetches += 1
-        self._fetch_at = now + self._wait()
-        return [Send(self._source.name, Fetch(self.region, self.epoch, self.log.last.sequence))]
+        self._unanswered_fetches += 1
+        self._fetch_at = now + self._retry_delay()
+        return [Send(source.name, Fetch(self.region, self.epoch, self.log.last.sequence))]
 
     def _abandon_source(self) -> None:
-        """The relay that was read does not answer: its promise has to be given anew."""
-        self._source.prepared = None
+        """The relay that is read does not respond, or sent other entries than were published: it has to
+        promise again."""
+        if self._source is not None:
+            self._source.prepared = None
         self._restart_recovery()
 
     def _restart_recovery(self) -> None:
-        self._source, self._quorum = None, []
+        self._source = None
+        self._quorum = []
         self.log.truncate(self.log.committed)
 
-    def _finish(self, now: int) -> None:
-        """The log is read; promises of lives that it shows to be over do not count."""
-        over = [peer for peer in self._quorum if self._is_retired(peer)]
-        for peer in over:
+    def _finish(self) -> None:
+        """The log is read. Promises of incarnations that it shows to be retired do not count."""
+        retired = [peer for peer in self._quorum if self._is_retired(peer)]
+        for peer in retired:
             peer.retire_incarnation()
-        if over:
+        if retired:
             self._restart_recovery()
             return
-        self.log.commit(max(peer.prepared.committed for peer in self._quorum))
+        self.log.commit(max(peer.promise.committed for peer in self._quorum))
         self.log.purge_tombstones(self._purged_up_to())
-        self._source, self.done = None, True
+        self._source = None
+        self.done = True
 
     def _purged_up_to(self) -> int:
-        return max(peer.prepared.purged_up_to for peer in self._quorum)
+        return max(peer.promise.purged_up_to for peer in self._quorum)
 
     def _is_retired(self, peer: Peer) -> bool:
-        found = self.log.incarnations.get(peer.name)
-        return peer.prepared.member and (found is None or found.number != peer.incarnation)
+        record = self.log.incarnations.get(peer.name)
+        return peer.promise.member and (record is None or record.number != peer.incarnation)
--- a/linenbridge/distribution/log/region_log.py
+++ b/linenbridge/distribution/log/region_log.py
@@ -1,11 +1,11 @@
 """A region's log in memory, as its relays and its publisher hold it: a compacted part, then a dense one.
 
 Keeps state without I/O. Up to `committed` only the newest entry of each key is held, in order of sequence;
-behind it every entry. So the log grows with the number of keys, not with time. A deletion is an entry as any
-other; it is let go, oldest first and far behind, once every relay of the region has committed it.
+behind it every entry. So the log grows with the number of keys, not with time. A deletion is an entry without
+a value (a tombstone); once every relay of the region has committed it, it is purged, the oldest first.
 
-Entries of kind LOG are about the log itself. One with an empty name begins a publisher's epoch. One named
-RELAY/LIFE (LIFE in hexadecimal) says which life of a relay counts from there on.
+Entries of kind LOG are about the log itself. One with an empty name starts a publisher's epoch. One named
+RELAY/NUMBER (hexadecimal) says which incarnation of a relay counts from there on.
 """
 
 from __future__ import annotations
@@ -18,46 +18,70 @@
 from linenbridge.distribution.changes import START, Change, Kind, Version
 
 MAX_PAGE_BYTES = 48_000  # of entries in one message; a single larger entry goes alone
-MAX_ENTRY_OVERHEAD_BYTES = 64  # what an entry takes in a message beside its name and value, at the most
-MIN_HOLES = 64  # sequences that were let go before the order is made anew
-MAX_TOMBSTONES = 50_000  # held; then the older half of them is let go
+MAX_ENTRY_OVERHEAD_BYTES = 64  # of an entry in a message beside its name and value
+MIN_HOLES = 64  # sequences of removed entries before the order is rebuilt
+MAX_TOMBSTONES = 50_000  # held; then the older half of them is purged
 
 
 class IncarnationRecord(NamedTuple):
-    """Which life of a relay counts, and the sequence of the entry that says so."""
+    """Which incarnation of a relay counts, and the sequence of the entry that says so."""
 
     number: int
     sequence: int
 
 
-def bytes_of(change: Change) -> int:
-    """What an entry takes in a message, at the most."""
+class CommitResult(NamedTuple):
+    """`committed` are the entries that a commit added and that are still the newest of their keys, in order;
+    `superseded` the sequences of entries that were removed for newer ones."""
+
+    committed: list[Change]
+    superseded: list[int]
+
+
+class LogPage(NamedTuple):
+    """Consecutive entries of a log, and whether it goes on behind them."""
+
+    changes: list[Change]
+    more: bool
+
+
+def max_bytes_of(change: Change) -> int:
+    """What an entry takes in a message, at most."""
     return len(change.name.encode()) + len(change.value) + MAX_ENTRY_OVERHEAD_BYTES
 
 
 def incarnation_entry_name(relay: str, incarnation: int) -> str:
-    """The name of the entry that makes a relay's life count."""
+    """The name of the entry that makes a relay's incarnation count."""
     return f"{relay}/{incarnation:x}"
 
 
-def _key(change: Change) -> tuple[int, str]:
-    """Which entry replaces which: the newest one about a relay's lives replaces those before."""
+def _compaction_key(change: Change) -> tuple[int, str]:
+    """Which entries replace each other: for entries about the log, the newest one about a relay replaces
+    those before."""
     if change.kind == Kind.LOG:
         return change.kind, change.name.rpartition("/")[0]
     return change.key
 
 
 class Log:
-    """Entries by sequence. `committed` is the newest sequence that a majority is known to have; deletions up
-    to `purged_up_to` were let go."""
+    """Entries by sequence.
+
+    `committed` is the newest sequence that a majority is known to have. Tombstones up to `purged_up_to` were
+    purged. `incarnations` is by relay and includes entries that are not committed.
+    """
 
     max_tombstones = MAX_TOMBSTONES
 
     def __init__(self) -> None:
-        self.committed = self.purged_up_to = 0
-        self.incarnations: dict[str, IncarnationRecord] = {}  # by relay, committed or not
+        self.clear()
+
+    def clear(self) -> None:
+        """Remove all entries and start from nothing."""
+        self.committed = 0
+        self.purged_up_to = 0
+        self.incarnations: dict[str, IncarnationRecord] = {}
         self._entries: dict[int, Change] = {}
-        self._order: list[int] = []  # sequences, with those that were let go until it is made anew
+        self._order: list[int] = []  # sequences, with those of removed entries until it is rebuilt
         self._newest: dict[tuple[int, str], int] = {}  # the committed entry of each key
         self._tombstones: deque[int] = deque()  # committed ones, with some that were superseded
 
@@ -75,18 +99,17 @@
         return entry.version if entry is not None else None
 
     def agrees_at(self, version: Version) -> bool:
-        """Whether this log and one that holds `version`, or has committed up to its sequence, are the same
-        up to there."""
+        """Whether this log equals, up to `version`, one that holds it or has committed up to its sequence."""
         return version.sequence <= self.committed or self.version_at(version.sequence) == version
 
     def append(self, change: Change) -> None:
-        """An entry behind all others."""
+        """Add an entry behind all others."""
         self._entries[change.sequence] = change
         self._order.append(change.sequence)
         self._note_incarnation(change)
 
     def truncate(self, after: int) -> None:
-        """Drop all entries behind a sequence; never committed ones."""
+        """Remove all entries behind a sequence. ValueError where that would remove committed ones."""
         if after < self.committed:
             raise ValueError(
                 f"entries up to {self.committed} are committed; cannot drop those behind {after}"
@@ -97,20 +120,20 @@
         for entry in self._entries.values():
             self._note_incarnation(entry)
 
-    def commit(self, upto: int) -> tuple[list[Change], list[int]]:
-        """Entries up to a sequence are committed from now on: those that are, in order, and the sequences
-        that they supersede, which are let go."""
-        committed, superseded = list[Change](), list[int]()
+    def commit(self, upto: int) -> CommitResult:
+        """Mark the entries up to a sequence as committed, and remove those that they supersede."""
+        committed = list[Change]()
+        superseded = list[int]()
         upto = min(upto, self.last.sequence)
         for sequence in self._order[bisect_right(self._order, self.committed) :]:
             if sequence > upto:
                 break
             entry = self._entries[sequence]
             committed.append(entry)
-            older = self._newest.get(_key(entry))
+            older = self._newest.get(_compaction_key(entry))
             if older is not None:
                 superseded.append(older)
-            self._newest[_key(entry)] = sequence
+            self._newest[_compaction_key(entry)] = sequence
             if not entry.value and entry.kind != Kind.LOG:
                 self._tombstones.append(sequence)
         for sequence in superseded:
@@ -118,53 +141,50 @@
         self.committed = max(self.committed, upto)
         self._rebuild_order()
         removed = set(superseded)
-        return [entry for entry in committed if entry.sequence not in removed], superseded
-
-    def forget(self) -> None:
-        """Begin with nothing."""
-        self.__init__()
+        return CommitResult([entry for entry in committed if entry.sequence not in removed], superseded)
 
     def purge_tombstones(self, upto: int) -> list[int]:
-        """Let deletions up to a sequence go that is behind the newest committed one; their sequences."""
+        """Remove the tombstones up to a sequence that is behind the newest committed one; their sequences."""
         removed = list[int]()
         while self._tombstones and self._tombstones[0] <= upto < self.committed:
             entry = self._entries.pop(self._tombstones.popleft(), None)
             if entry is not None:
-                del self._newest[_key(entry)]
+                del self._newest[_compaction_key(entry)]
                 removed.append(entry.sequence)
         self.purged_up_to = max(self.purged_up_to, upto)
         self._rebuild_order()
         return removed
 
     def purge_target(self) -> int:
-        """Up to where deletions should be let go: nowhere new while there are few."""
+        """Up to where tombstones should be purged: no further than they were while there are few."""
         if len(self._tombstones) > self.max_tombstones:
             self._tombstones = deque(sequence for sequence in self._tombstones if sequence in self._entries)
         if len(self._tombstones) <= self.max_tombstones:
             return self.purged_up_to
         return self._tombstones[len(self._tombstones) - self.max_tombstones // 2 - 1]
 
-    def after(self, sequence: int, max_bytes: int = MAX_PAGE_BYTES) -> tuple[list[Change], bool]:
-        """A page of the entries behind a sequence, in order, and whether there are more."""
-        page, size = list[Change](), 0
+    def page_after(self, sequence: int, max_bytes: int = MAX_PAGE_BYTES) -> LogPage:
+        """The entries behind a sequence, in order, as many as one message takes."""
+        page = list[Change]()
+        size = 0
         for place in range(bisect_right(self._order, sequence), len(self._order)):
             entry = self._entries.get(self._order[place])
             if entry is None:
                 continue
-            size += bytes_of(entry)
+            size += max_bytes_of(entry)
             if page and size > max_bytes:
-                return page, True
+                return LogPage(page, more=True)
             page.append(entry)
-        return page, False
+        return LogPage(page, more=False)
 
     def newest_of_each_key(self) -> list[Change]:
         """All that is committed, in order."""
         return [entry for entry in self._entries.values() if entry.sequence <= self.committed]
 
     def incarnation_counts(self, relay: str, incarnation: int) -> bool:
-        """Whether the committed log says that this life of a relay counts."""
-        found = self.incarnations.get(relay)
-        return found is not None and found.number == incarnation and found.sequence <= self.committed
+        """Whether the committed log says that this incarnation of a relay counts."""
+        record = self.incarnations.get(relay)
+        return record is not None and record.number == incarnation and record.sequence <= self.committed
 
     def _note_incarnation(self, change: Change) -> None:
         if change.kind != Kind.LOG or not change.name:
--- a/linenbridge/distribution/log/replica.py
+++ b/linenbridge/distribution/log/replica.py
@@ -1,15 +1,17 @@
-"""A relay's copy of its region's log: it promises epochs, takes entries, and hands on what is committed.
+"""A relay's copy of its region's log: it promises epochs, stores entries, and delivers what is committed.
 
-Decides without I/O. Majority replication as in Raft, with the term of a lease (`epoch`) in place of
-elections. What a relay promises or takes is on its disk before the answer leaves. A relay that may have
-forgotten something begins a new life; it counts towards majorities again once its committed log names that
-life, which a publisher brings about without it (docs/distribution.md, "The log").
+Decides without I/O. Majority replication as in Raft (Ongaro and Ousterhout, 2014), with the term of a lease
+(`epoch`) in place of elections. What a relay promises or accepts is on its disk before the response leaves. A
+relay that may have lost entries starts a new incarnation; it counts towards majorities again once its
+committed log names that incarnation, which a publisher brings about without it (docs/distribution.md, "The
+log").
 """
 
 from __future__ import annotations
 
 from collections import deque
 from random import Random
+from typing import NamedTuple
 
 from msgspec import Struct
 
@@ -19,11 +21,11 @@
 from linenbridge.distribution.log.region_log import Log
 from linenbridge.distribution.messages import Append, Appended, Fetch, Fetched, Message, Prepare, Prepared
 
-INCARNATION_BITS = 62  # of the random number that stands for one life of a relay
+INCARNATION_BITS = 62  # of the random number that stands for one incarnation of a relay
 
 
 class StoredLog(Struct, frozen=True):
-    """What a relay's disk held when it started. `incarnation` 0: nothing was ever kept there."""
+    """What a relay's disk held when it started. `incarnation` 0: nothing was ever stored there."""
 
     incarnation: int = 0
     epoch: int = 0
@@ -33,49 +35,60 @@
     purged_up_to: int = 0
 
 
-class Replica:
-    """`stored` is what the disk held. `trusted`: the operator's word that the disk never goes back to an
-    earlier state; without it, each start begins a new life."""
+class LogUpdate(NamedTuple):
+    """What a message changes in a log: entries behind `truncate_after` are removed first (None: none are),
+    then `changes` are appended."""
+
+    truncate_after: int | None
+    changes: list[Change]
+
+
+NO_UPDATE = LogUpdate(truncate_after=None, changes=[])
 
-    def __init__(self, region: str, name: str, stored: StoredLog, trusted: bool, random: Random) -> None:
-        self.region, self.name = region, name
-        self.epoch, self.publisher = stored.epoch, stored.publisher
+
+class Replica:
+    """One relay's replica. `stored` is what the disk held.
+
+    `trusted` is the operator's assurance that the disk never goes back to an earlier state; without it, each
+    start begins a new incarnation. `failed` is set once the disk cannot be used: then the replica answers
+    nobody.
+    """
+
+    def __init__(self, region: str, name: str, stored: StoredLog, random: Random, *, trusted: bool) -> None:
+        self.region = region
+        self.name = name
+        self.epoch = stored.epoch
+        self.publisher = stored.publisher
         self.failed = False
         self.log = Log()
-        self._out: deque[Decision] = deque()
-        self._issued = self._persisted = 0  # numbers of the newest Keep given out, and of the newest done
+        self._decisions: deque[Decision] = deque()
+        self._issued = 0  # number of the newest Persist that was issued
+        self._persisted = 0  # number of the newest Persist that is on disk
         for change in stored.changes:
             self.log.append(change)
         self.log.commit(stored.committed)
         self.log.purged_up_to = stored.purged_up_to
         self.incarnation = stored.incarnation
         if not (stored.incarnation and trusted):
-            self.incarnation = random.getrandbits(INCARNATION_BITS) | 1
-            self._event(
-                "incarnation_began",
-                incarnation=self.incarnation,
-                entries=len(self.log),
-                committed=self.log.committed,
-            )
-            self._persist()
+            self._begin_incarnation(random)
         self._deliver_committed(self.log.newest_of_each_key())
 
     @property
     def member(self) -> bool:
-        """Whether this relay counts towards majorities, as far as it knows itself."""
+        """Whether this relay counts towards majorities, by its own log."""
         return self.log.incarnation_counts(self.name, self.incarnation)
 
     # ---- inputs ------------------------------------------------------------------------------------------
 
     def on_prepare(self, now: int, publisher: str, message: Prepare) -> None:
-        """A new publisher asks for the promise to take nothing of earlier epochs."""
+        """A new publisher requests the promise to accept nothing of earlier epochs."""
         if self.failed or message.region != self.region:
             return
         if not self._accepts_epoch(publisher, message.epoch):
             self._reject_promise(publisher)
             return
         promised = self._promise(publisher, message.epoch)
-        self._answer(publisher, self._prepared(), promised)
+        self._respond(publisher, self._prepared(), promised=promised)
 
     def on_fetch(self, now: int, publisher: str, message: Fetch) -> None:
         """The publisher that holds the promise reads the log."""
@@ -84,48 +97,51 @@
         if (message.epoch, publisher) != (self.epoch, self.publisher):
             self._reject_promise(publisher)
             return
-        changes, more = self.log.after(message.after)
-        page = Fetched(self.region, self.epoch, self.name, changes, more, message.after)
-        self._answer(publisher, page, promised=False)
+        page = self.log.page_after(message.after)
+        fetched = Fetched(self.region, self.epoch, self.name, page.changes, page.more, message.after)
+        self._respond(publisher, fetched)
 
     def on_append(self, now: int, publisher: str, message: Append) -> None:
         """Entries or a heartbeat of a publisher."""
         if self.failed or message.region != self.region:
             return
         if not self._accepts_epoch(publisher, message.epoch):
-            self._answer(publisher, self._appended(self.log.committed, OlderEpoch.code), promised=False)
+            self._respond(publisher, self._appended(self.log.committed, OlderEpoch.code))
             return
-        if (fault := self._rejection_reason(message)) is not None:
-            self._event("replica_malformed", publisher=publisher, what=fault)
+        reason = self._malformed_reason(message)
+        if reason is not None:
+            self._event("replica_malformed", publisher=publisher, what=reason)
             return
         if self._predates_purge(message):
             self._fail_restored_disk(now, message.purged_up_to)
             return
         promised = self._promise(publisher, message.epoch)
         if self.log.agrees_at(message.previous):
-            self._accept_entries(publisher, message, promised)
+            self._accept_entries(publisher, message, promised=promised)
         else:
-            self._answer(publisher, self._appended(self.log.committed, LogGap.code), promised)
+            gap = self._appended(self.log.committed, LogGap.code)
+            self._respond(publisher, gap, promised=promised)
 
     def on_persisted(self, now: int, number: int) -> None:
-        """The host has everything up to this Keep on disk."""
+        """The host has everything up to this Persist on disk."""
         self._persisted = max(self._persisted, number)
 
     def on_store_failed(self, now: int, error: RelayStoreError) -> None:
-        """The disk takes nothing: this replica answers nobody until it starts anew."""
+        """The disk cannot be used: this replica answers nobody until it is started again."""
         if self.failed:
             return
         self.failed = True
-        self._out = deque(decision for decision in self._out if isinstance(decision, Committed | Event))
-        self._out.append(Event("distribution.store_failed", dict(error.fields())))
+        self._decisions = deque(one for one in self._decisions if isinstance(one, Committed | Event))
+        self._decisions.append(Event("distribution.store_failed", dict(error.fields())))
 
     # ---- decisions ---------------------------------------------------------------------------------------
 
     def next_decision(self, now: int) -> Decision | None:
-        return self._out.popleft() if self._out else None
+        """The next decision, in order; None where there is none."""
+        return self._decisions.popleft() if self._decisions else None
 
     def wake_at(self) -> int | None:
-        """A replica does nothing by itself."""
+        """None: a replica has no timer."""
         return None
 
     # ---- promises ----------------------------------------------------------------------------------------
@@ -135,15 +151,17 @@
         return epoch > self.epoch or (epoch, publisher) == (self.epoch, self.publisher)
 
     def _promise(self, publisher: str, epoch: int) -> bool:
-        """Take nothing below this epoch, nor of another publisher in it. Whether that has to be kept."""
+        """Accept nothing below this epoch, nor of another publisher in it. Whether that is new, and has to be
+        stored."""
         if (epoch, publisher) == (self.epoch, self.publisher):
             return False
-        self.epoch, self.publisher = epoch, publisher
+        self.epoch = epoch
+        self.publisher = publisher
         self._event("promised", epoch=epoch, publisher=publisher)
         return True
 
     def _reject_promise(self, publisher: str) -> None:
-        self._answer(publisher, self._prepared(OlderEpoch.code), promised=False)
+        self._respond(publisher, self._prepared(OlderEpoch.code))
 
     def _prepared(self, code: str = "") -> Prepared:
         return Prepared(
@@ -163,7 +181,7 @@
 
     # ---- entries -----------------------------------------------------------------------------------------
 
-    def _rejection_reason(self, message: Append) -> str | None:
+    def _malformed_reason(self, message: Append) -> str | None:
         """What is wrong with the form of a message; None where nothing is."""
         before = Version(0, message.previous.sequence)
         for change in message.changes:
@@ -176,50 +194,51 @@
             before = change.version
         return None
 
-    def _accept_entries(self, publisher: str, message: Append, promised: bool) -> None:
-        """Entries that are new here replace what differs from them; what is committed is handed on."""
+    def _accept_entries(self, publisher: str, message: Append, *, promised: bool) -> None:
+        """Entries that are new here replace what differs from them; what is committed is delivered."""
         upto = message.changes[-1].sequence if message.changes else message.previous.sequence
-        truncate_after, new = self._entries_to_append(message)
-        if truncate_after is not None:
-            self.log.truncate(truncate_after)
-        for change in new:
+        update = self._entries_to_append(message)
+        if update.truncate_after is not None:
+            self.log.truncate(update.truncate_after)
+        for change in update.changes:
             self.log.append(change)
-        committed, superseded = list[Change](), list[int]()
-        advances = min(upto, message.committed) > self.log.committed
-        if advances:
+        committed = list[Change]()
+        superseded = list[int]()
+        commits = min(upto, message.committed) > self.log.committed
+        if commits:
             committed, superseded = self.log.commit(min(upto, message.committed))
-        settles = self.log.purged_up_to < message.purged_up_to < self.log.committed
-        if settles:
+        purges = self.log.purged_up_to < message.purged_up_to < self.log.committed
+        if purges:
             superseded += self.log.purge_tombstones(message.purged_up_to)
-        answer = self._appended(upto)
-        if advances or new or settles:
-            self._persist(truncate_after, new, superseded, [Send(publisher, answer)])
+        response = self._appended(upto)
+        if commits or update.changes or purges:
+            self._persist(update.truncate_after, update.changes, superseded, [Send(publisher, response)])
         else:
-            self._answer(publisher, answer, promised)
+            self._respond(publisher, response, promised=promised)
         self._deliver_committed(committed)
 
-    def _entries_to_append(self, message: Append) -> tuple[int | None, list[Change]]:
-        """Behind which sequence this log has to be cut (None: nowhere), and what is appended then. Entries
-        that agree are never cut off: an earlier answer may have counted towards a majority."""
+    def _entries_to_append(self, message: Append) -> LogUpdate:
+        """Which entries of a message are new, and behind which sequence this log differs from them. Entries
+        that agree are never removed: an earlier response may have counted towards a majority."""
         if self._refills_from_start(message):
-            return 0, message.changes
+            return LogUpdate(0, message.changes)
         agreed = max(message.previous.sequence, self.log.committed)
         changes = [change for change in message.changes if change.sequence > self.log.committed]
         for place, change in enumerate(changes):
             if self.log.version_at(change.sequence) != change.version:
-                cut = agreed if self.log.last.sequence > agreed else None
-                return cut, changes[place:]
+                truncate_after = agreed if self.log.last.sequence > agreed else None
+                return LogUpdate(truncate_after, changes[place:])
             agreed = change.sequence
-        return None, []
+        return NO_UPDATE
 
     def _refills_from_start(self, message: Append) -> bool:
-        """Whether the region is sent from its beginning to a relay that has a part of it alone: keys of that
-        part may have been deleted since."""
-        begins = message.previous.sequence == 0 and message.purged_up_to > 0
-        return begins and bool(message.changes) and self.log.committed == 0 and len(self.log) > 0
+        """Whether the region is sent from its start to a relay that has a part of it alone: keys of that part
+        may have been deleted since."""
+        from_start = message.previous.sequence == 0 and message.purged_up_to > 0
+        return from_start and bool(message.changes) and self.log.committed == 0 and len(self.log) > 0
 
     def _predates_purge(self, message: Append) -> bool:
-        """Whether this log ends before deletions that were let go once every relay had them."""
+        """Whether this log ends before tombstones that were purged once every relay had them."""
         return 0 < self.log.committed < message.purged_up_to
 
     def _fail_restored_disk(self, now: int, purged_up_to: int) -> None:
@@ -228,19 +247,28 @@
         self.on_store_failed(now, RelayStoreError(what, self.name))
 
     def _deliver_committed(self, changes: list[Change]) -> None:
+        """Hand committed changes, without entries about the log itself, to the relay's feed."""
         changes = [change for change in changes if change.kind != Kind.LOG]
         if changes:
-            self._out.append(Committed(self.region, changes))
+            self._decisions.append(Committed(self.region, changes))
 
-    # ---- answers behind the disk -------------------------------------------------------------------------
+    # ---- the disk ----------------------------------------------------------------------------------------
 
-    def _answer(self, to: str, message: Message, promised: bool) -> None:
-        """An answer leaves once everything before it is on disk."""
+    def _begin_incarnation(self, random: Random) -> None:
+        """The disk may have lost something: this relay is another one for its publisher."""
+        self.incarnation = random.getrandbits(INCARNATION_BITS) | 1
+        entries = len(self.log)
+        committed = self.log.committed
+        self._event("incarnation_began", incarnation=self.incarnation, entries=entries, committed=committed)
+        self._persist()
+
+    def _respond(self, to: str, message: Message, *, promised: bool = False) -> None:
+        """Send a response once everything before it, and a new promise, is on disk."""
         send = Send(to, message)
         if promised or self._issued > self._persisted:
             self._persist(then=[send])
         else:
-            self._out.append(send)
+            self._decisions.append(send)
 
     def _persist(
         self,
@@ -251,10 +279,18 @@
     ) -> None:
         self._issued += 1
         write = Persist(
-            self._issued, truncate_after, changes or [], self.epoch, self.log.committed,
-            self.publisher, self.incarnation, superseded or [], self.log.purged_up_to, then or [],
-        )  # fmt: skip
-        self._out.append(write)
+            number=self._issued,
+            truncate_after=truncate_after,
+            changes=changes or [],
+            epoch=self.epoch,
+            committed=self.log.committed,
+            publisher=self.publisher,
+            incarnation=self.incarnation,
+            superseded=superseded or [],
+            purged_up_to=self.log.purged_up_to,
+            then=then or [],
+        )
+        self._decisions.append(write)
 
     def _event(self, name: str, **fields: object) -> None:
-        self._out.append(Event(f"distribution.{name}", {"region": self.region, **fields}))
+        self._decisions.append(Event(f"distribution.{name}", {"region": self.region, **fields}))
--- a/linenbridge/distribution/messages.py
+++ b/linenbridge/distribution/messages.py
@@ -1,11 +1,15 @@
-"""Messages of the distribution, as typed arrays: publisher and relays, relays and their followers, authors.
+"""Messages of the distribution: publisher and relays, relays and their followers, change clients and
+publisher.
 
-Owns their form. It must never check more than the form: bounds are the cores'. Every list is bounded by
-what fits into one message of a link (`fleet/hosting/links.py`).
+Each is an array whose first element is its tag (MessagePack, by msgspec). Names of classes and fields are not
+on the wire; tags, the order of fields and their types are. Unknown fields at the end are ignored, and those
+with a default may be absent. Decoding checks the form alone: bounds are checked by the state machines. Every
+list is bounded by what fits into one message of a link (`linenbridge/peering`).
 """
 
 from __future__ import annotations
 
+from enum import StrEnum
 from zlib import crc32
 
 from msgspec import Raw, Struct
@@ -16,18 +20,20 @@
 
 
 class Prepare(Struct, array_like=True, frozen=True, tag="prepare"):
-    """A new publisher asks a relay to refuse every earlier epoch from now on, and to tell its log's end."""
+    """A new publisher requests a relay's promise to reject every earlier epoch, and the end of its log."""
 
     region: str
     epoch: int
 
 
 class Prepared(Struct, array_like=True, frozen=True, tag="prepared"):
-    """The relay's promise, on its disk before this leaves. `last` is its newest entry, `committed` the
-    newest that it knows a majority to have. `code` is not empty where the promise is refused; `epoch` is
-    then the one that it holds to. `incarnation` is another number since the relay may last have forgotten
-    something; it is a `member` where its committed log names this life. `purged_up_to`: deletions up to there
-    were let go."""
+    """The relay's promise, on its disk before this leaves, or its rejection.
+
+    `last` is its newest entry, `committed` the newest that it knows a majority to have. `code` is not empty
+    where the promise is rejected; `epoch` is then the one that it has promised. `incarnation` is another
+    number once the relay may have lost entries; it is a `member` where its committed log names this
+    incarnation. `purged_up_to`: tombstones up to there were purged.
+    """
 
     region: str
     epoch: int
@@ -49,7 +55,7 @@
 
 
 class Fetched(Struct, array_like=True, frozen=True, tag="fetched"):
-    """A part of a relay's log behind `after`, in order; `more` where it goes on."""
+    """A part of a relay's log behind `after`, in order; `more` where the log goes on."""
 
     region: str
     epoch: int
@@ -60,10 +66,13 @@
 
 
 class Append(Struct, array_like=True, frozen=True, tag="append"):
-    """Entries that follow on `previous`; none of them: a heartbeat. `committed` is the newest sequence that
-    a majority has on disk. Committed entries that newer ones of their key have replaced may be left out;
-    `committed` then stays behind them until the relay has all the rest. Every relay of the region has
-    committed everything up to `purged_up_to`, so that deletions up to there may be let go."""
+    """Entries that follow on `previous`; a heartbeat where there are none.
+
+    `committed` is the newest sequence that a majority has on disk. Committed entries that newer ones of their
+    key have superseded may be left out; `committed` then stays behind them until the relay has all the
+    others. Every relay of the region has committed everything up to `purged_up_to`, so that tombstones up to
+    there are purged.
+    """
 
     region: str
     epoch: int
@@ -74,9 +83,11 @@
 
 
 class Appended(Struct, array_like=True, frozen=True, tag="appended"):
-    """The relay's log agrees with the publisher's up to `upto`, on disk. With a code it does not: `upto` is
-    then the newest sequence that surely agrees, `epoch` the one that the relay holds to. `incarnation` as in
-    Prepared."""
+    """The relay's log agrees with the publisher's up to `upto`, on disk.
+
+    With a code it does not: `upto` is then the newest sequence that surely agrees, `epoch` the one that the
+    relay has promised. `incarnation` as in Prepared.
+    """
 
     region: str
     epoch: int
@@ -90,8 +101,11 @@
 
 
 class Follow(Struct, array_like=True, frozen=True, tag="follow"):
-    """A follower takes up a relay: its version vector, the bytes a second it takes (0: no bound), and which
-    regions it wants (none named: all). `session` is another number each time."""
+    """A follower starts a session with a relay.
+
+    It gives its version vector, the `rate` that it accepts (bytes a second, 0: unbounded), and the regions
+    that it wants (none named: all). `session` is another number each time.
+    """
 
     follower: str
     session: int
@@ -101,7 +115,7 @@
 
 
 class FollowRejected(Struct, array_like=True, frozen=True, tag="refused"):
-    """The relay serves this follower no more, or not at all. `after` is how long to leave it alone, in
+    """The relay ends or rejects a follower's session. `after` is how long the follower avoids the relay, in
     microseconds."""
 
     session: int
@@ -110,11 +124,14 @@
 
 
 class Batch(Struct, array_like=True, frozen=True, tag="batch"):
-    """All keys whose newest version lies behind `after`, up to `upto`, each at that version. `digest` is
-    that of the relay's whole table of the region, given where `upto` is its head. No changes: a heartbeat.
-    `horizon`: a follower behind it asks for ranges, by `Digests`. `checksum` is `batch_checksum`'s.
-    `number` counts the session's `Batch` and `RangeSnapshot` messages from 1, so that a lost, repeated or
-    reordered one is noticed."""
+    """All keys whose newest version lies behind `after`, up to `upto`, each at that version; a heartbeat
+    where there are none.
+
+    `digest` is that of the relay's complete table of the region, present where `upto` is its head. A follower
+    behind `horizon` requests ranges, by `Digests`. `checksum` is `batch_checksum`'s. `number` counts the
+    session's `Batch` and `RangeSnapshot` messages from 1, so that a lost, repeated or reordered one is
+    noticed.
+    """
 
     session: int
     region: str
@@ -128,8 +145,8 @@
 
 
 class EncodedBatch(Struct, array_like=True, frozen=True, tag="batch"):
-    """A `Batch` whose changes are encoded already, once for all followers at a position: the same bytes on
-    the link, where it is decoded as a `Batch`."""
+    """A `Batch` whose changes are encoded once for all followers at a position: the same bytes on the link,
+    where it is decoded as a `Batch`."""
 
     session: int
     region: str
@@ -143,10 +160,13 @@
 
 
 class RangeSnapshot(Struct, array_like=True, frozen=True, tag="whole"):
-    """A part of one range of a region's keys, complete at `upto` with its `last` part: what the range does
-    not name is gone. It may name newer versions than `upto`, which is the same in all ranges of a transfer.
-    `final` stands in the last part of the last range that the relay sends: then the follower is at `upto`.
-    `horizon` is the relay's, `checksum` is `range_checksum`'s, `number` counts as in `Batch`."""
+    """A part of one range of a region's keys, complete at `upto` with its `last` part: keys that the range
+    does not name are deleted.
+
+    It may name newer versions than `upto`, which is the same in all ranges of a transfer. `final` is set in
+    the last part of the last range that the relay sends: then the follower is at `upto`. `horizon` is the
+    relay's, `checksum` is `range_checksum`'s, `number` counts as in `Batch`.
+    """
 
     session: int
     region: str
@@ -162,7 +182,7 @@
 
 
 class EncodedRangeSnapshot(Struct, array_like=True, frozen=True, tag="whole"):
-    """A `RangeSnapshot` whose changes are encoded already: the same bytes on the link."""
+    """A `RangeSnapshot` whose changes are already encoded: the same bytes on the link."""
 
     session: int
     region: str
@@ -178,8 +198,11 @@
 
 
 class Digests(Struct, array_like=True, frozen=True, tag="digests"):
-    """A follower asks for ranges: those whose digests differ from its own, which it sends from `first` on, 8
-    bytes each, the highest byte first; all of them where it sends none. `at` is its position."""
+    """A follower requests the ranges whose digests differ from its own.
+
+    It sends its digests from the range `first` on, 8 bytes each, the highest byte first; without any it
+    requests all ranges. `at` is its position.
+    """
 
     session: int
     region: str
@@ -190,9 +213,11 @@
 
 
 class Progress(Struct, array_like=True, frozen=True, tag="progress"):
-    """How far a follower is: on change, and as its heartbeat. `below` sums up its own followers. `received`
-    counts the session's `Batch` and `RangeSnapshot` messages that it is done with. Session 0: the follower
-    lives and follows another relay."""
+    """How far a follower is, on change and as its heartbeat.
+
+    `below` summarizes its own followers. `received` counts the session's `Batch` and `RangeSnapshot` messages
+    that it has processed. Session 0: the follower is alive and follows another relay.
+    """
 
     follower: str
     session: int
@@ -202,9 +227,11 @@
 
 
 class SubtreeSummary(Struct, array_like=True, frozen=True):
-    """How far all below a relay are in one region: how many, the least sequence in force, names of the
-    slowest (bounded), those known and not reached (bounded, and their number), and a histogram of the lag
-    in powers of two milliseconds. Room for more sums (outcomes, votes) is by further fields."""
+    """How far all followers below a relay are in one region.
+
+    Their number, the lowest sequence in force, names of the slowest (bounded), names of those that are
+    unreached (bounded) and their number, and a histogram of the lag in powers of two milliseconds.
+    """
 
     region: str
     followers: int
@@ -215,11 +242,11 @@
     lag_histogram: list[int]
 
 
-# ---- authors of changes ------------------------------------------------------------------------------------
+# ---- change clients ----------------------------------------------------------------------------------------
 
 
 class Publish(Struct, array_like=True, frozen=True, tag="publish"):
-    """An author asks a publisher for one change; `request` is the author's own number for it."""
+    """A change client requests one change; `request` is the client's own number for it."""
 
     request: int
     region: str
@@ -228,10 +255,17 @@
     value: bytes
 
 
+class ChangeState(StrEnum):
+    """What became of a change, as `Published.state` has it on the wire."""
+
+    ACCEPTED = "accepted"  # a majority has it on disk
+    IN_FORCE = "in_force"  # everywhere that is reached; the others are named
+    REFUSED = "refused"  # with a code: it is stored nowhere and will not be
+    UNCONFIRMED = "unconfirmed"  # it may be stored; `accepted` may still follow
+
+
 class Published(Struct, array_like=True, frozen=True, tag="published"):
-    """What became of it: `accepted` (a majority has it on disk), `in_force` (everywhere that is reached;
-    those that are not are named), `refused` with a code (it is kept nowhere and never will be), or
-    `unconfirmed` (it may be kept; `accepted` may still follow)."""
+    """The response to a change client. `state` is one of ChangeState's values, or one of a later version."""
 
     request: int
     state: str
@@ -242,18 +276,32 @@
 
 
 def batch_checksum(region: str, after: int, upto: Version, encoded: bytes) -> int:
-    """Over a batch's place in the log and its encoded list of changes, so that a cut or exchanged list is
-    noticed; each change has a checksum of its own besides."""
+    """Over a batch's place in the log and its encoded list of changes, so that a truncated or exchanged list
+    is noticed; each change has a checksum of its own besides."""
     return crc32(encoded, crc32(f"{region} {after} {upto.epoch} {upto.sequence}".encode()))
 
 
-def range_checksum(region: str, upto: Version, index: int, part: int, last: bool, encoded: bytes) -> int:
+def range_checksum(
+    region: str, upto: Version, range_index: int, part: int, last: bool, encoded: bytes
+) -> int:
     """The same for a part of a range."""
-    place = f"{region} {upto.epoch} {upto.sequence} {index} {part} {last:d}"
+    place = f"{region} {upto.epoch} {upto.sequence} {range_index} {part} {last:d}"
     return crc32(encoded, crc32(place.encode()))
 
 
 Message = (
-    Prepare | Prepared | Fetch | Fetched | Append | Appended
-    | Follow | FollowRejected | Batch | RangeSnapshot | Digests | Progress | Publish | Published
-)  # fmt: skip
+    Prepare
+    | Prepared
+    | Fetch
+    | Fetched
+    | Append
+    | Appended
+    | Follow
+    | FollowRejected
+    | Batch
+    | RangeSnapshot
+    | Digests
+    | Progress
+    | Publish
+    | Published
+)
--- a/linenbridge/distribution/storage/__init__.py
+++ b/linenbridge/distribution/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What processes of the distribution keep on disk, in embedded stores (SQLite by `apsw`)."""
+"""What the distribution stores on disk, each in one SQLite file: a relay's log, and a gateway's view."""
--- a/linenbridge/distribution/storage/log_store.py
+++ b/linenbridge/distribution/storage/log_store.py
@@ -1,8 +1,9 @@
-"""A relay's log on disk: one file of an embedded store, written before the relay answers.
+"""A relay's log on disk: one SQLite file, written before the relay responds.
 
-Owns the file and every transaction on it. Each entry carries its publisher's checksum, the state one over
-itself, and the state says how many entries there are and what their checksums add up to. It must never repair
-or guess: what cannot be read whole is said, and the relay starts with an emptied folder or not at all.
+Owns the file and every transaction on it. Each entry carries its publisher's checksum; the state has one over
+itself, and says how many entries there are and what their checksums add up to. Nothing is repaired or
+guessed: a file that cannot be read as a whole is an error, and the relay starts with an emptied folder or not
+at all.
 """
 
 from __future__ import annotations
@@ -10,6 +11,7 @@
 import os
 from collections.abc import Iterable, Iterator, Sequence
 from contextlib import contextmanager
+from typing import Any
 from zlib import crc32
 
 import apsw
@@ -21,18 +23,22 @@
 from linenbridge.distribution.errors import RelayStoreError
 from linenbridge.distribution.log.replica import StoredLog
 
-FORM = 1
+FORMAT_VERSION = 1  # of the tables and of the state
 FILE_NAME = "log.db"
 TABLES = """
 create table if not exists entry (
   sequence integer primary key, epoch integer, kind integer, name text, value blob, checksum integer);
 create table if not exists state (one integer primary key, words blob, sum integer);
 """
-_INSERT = "insert into entry values (?, ?, ?, ?, ?, ?)"
+INSERT_ENTRY = "insert into entry values (?, ?, ?, ?, ?, ?)"
+DELETE_BEHIND = "delete from entry where sequence > ? returning checksum"
+DELETE_ENTRY = "delete from entry where sequence = ? returning checksum"
+
+Row = tuple[Any, ...]  # of a table: SQLite's types vary by column
 
 
 class State(Struct, array_like=True, frozen=True):
-    """What is kept beside the entries: `entries` is their number, `checksums` the sum of theirs."""
+    """The row beside the entries: `entries` is their number, `checksums` the sum of theirs."""
 
     region: str = ""
     incarnation: int = 0
@@ -45,42 +51,44 @@
 
 
 class RelayLog:
-    """The file of one relay of a region, in a folder that is there. Every call may raise RelayStoreError."""
+    """The file of one relay of a region, in a folder that exists. Every method raises RelayStoreError where
+    the file cannot be read or written."""
 
     def __init__(self, folder: str, region: str) -> None:
-        self.region, self.path = region, os.path.join(folder, FILE_NAME)
+        self.region = region
+        self.path = os.path.join(folder, FILE_NAME)
         if not os.path.isdir(folder):
             raise RelayStoreError(f"no folder {folder}", self.path)
         self._state = State(region)
         try:
             self._connection = apsw.Connection(self.path)
             self._connection.set_busy_timeout(0)
-            self._do("pragma locking_mode=exclusive")
-            self._do("pragma journal_mode=wal")
-            self._do("pragma synchronous=full")
+            self._execute("pragma locking_mode=exclusive")
+            self._execute("pragma journal_mode=wal")
+            self._execute("pragma synchronous=full")
         except (apsw.Error, OSError) as error:
-            raise self._failed(error) from None
+            raise self._failed(error) from error
 
     def read(self) -> StoredLog:
-        """What the file holds. A new one holds nothing; it is written to once, so that a disk that takes
-        nothing is seen before anything is promised."""
+        """What the file holds; a new one holds nothing. The file is written to once, so that a disk that
+        cannot be written is noticed before anything is promised."""
         try:
-            self._check_form()
+            self._check_format()
             with self._transaction():
-                self._do(f"pragma user_version={FORM}")
+                self._execute(f"pragma user_version={FORMAT_VERSION}")
                 self._connection.execute(TABLES)
                 self._read_state()
                 self._write_state()
             changes = self._read_entries()
         except (apsw.Error, OSError) as error:
-            raise self._failed(error) from None
+            raise self._failed(error) from error
         state = self._state
         return StoredLog(
             state.incarnation, state.epoch, state.publisher, state.committed, changes, state.purged_up_to
         )
 
     def persist(self, writes: Sequence[Persist]) -> None:
-        """All of them on disk in one transaction, in order, or nothing of them."""
+        """Write all of them in one transaction, in order, or nothing of them."""
         before = self._state
         try:
             with self._transaction():
@@ -89,51 +97,53 @@
                 self._write_state()
         except (apsw.Error, OSError) as error:
             self._state = before
-            raise self._failed(error) from None
+            raise self._failed(error) from error
 
     def close(self) -> None:
+        """Close the file."""
         self._connection.close()
 
     @contextmanager
     def _transaction(self) -> Iterator[None]:
-        """All of it or nothing. A full disk has rolled back by itself."""
-        self._do("begin immediate")
+        """All of it or nothing. SQLite itself has rolled back where the disk is full."""
+        self._execute("begin immediate")
         try:
             yield
-            self._do("commit")
+            self._execute("commit")
         except BaseException:
             if self._connection.in_transaction:
-                self._do("rollback")
+                self._execute("rollback")
             raise
 
-    def _do(self, words: str, values: Iterable = ()) -> list[tuple]:
-        return list(self._connection.execute(words, tuple(values)))
+    def _execute(self, statement: str, values: Iterable[object] = ()) -> list[Row]:
+        return list(self._connection.execute(statement, tuple(values)))
 
     def _failed(self, error: BaseException) -> RelayStoreError:
         return RelayStoreError(f"{type(error).__name__}: {error}", self.path)
 
-    def _check_form(self) -> None:
-        (form,), *_ = self._do("pragma user_version")
-        if form not in (0, FORM):
-            raise RelayStoreError(f"form {form} instead of {FORM}", self.path)
-        if self._do("pragma integrity_check") != [("ok",)]:
+    def _check_format(self) -> None:
+        (version,), *_ = self._execute("pragma user_version")
+        if version not in (0, FORMAT_VERSION):
+            raise RelayStoreError(f"form {version} instead of {FORMAT_VERSION}", self.path)
+        if self._execute("pragma integrity_check") != [("ok",)]:
             raise RelayStoreError("its pages do not fit together", self.path)
 
     # ---- reading -----------------------------------------------------------------------------------------
 
     def _read_state(self) -> None:
-        rows = self._do("select words, sum from state where one = 1")
+        rows = self._execute("select words, sum from state where one = 1")
         if not rows:
             return
-        words, found = rows[0]
-        if crc32(words) != found:
+        encoded, checksum = rows[0]
+        if crc32(encoded) != checksum:
             raise RelayStoreError("the state is not as it was written", self.path)
-        self._state = msgspec.msgpack.decode(words, type=State)
+        self._state = msgspec.msgpack.decode(encoded, type=State)
         if self._state.region != self.region:
             raise RelayStoreError(f"it is the log of {self._state.region}, not of {self.region}", self.path)
 
     def _read_entries(self) -> list[Change]:
-        changes, checksums = list[Change](), 0
+        changes = list[Change]()
+        checksums = 0
         rows = self._connection.execute("select * from entry order by sequence")
         for sequence, epoch, kind, name, value, checksum in rows:
             change = Change(self.region, epoch, sequence, kind, name, value, checksum)
@@ -148,23 +158,27 @@
     # ---- writing -----------------------------------------------------------------------------------------
 
     def _write(self, write: Persist) -> None:
-        count, checksums = 0, 0
+        removed = list[Row]()
         if write.truncate_after is not None:
-            gone = self._do("delete from entry where sequence > ? returning checksum", [write.truncate_after])
-            count, checksums = count - len(gone), checksums - sum(row[0] for row in gone)
+            removed += self._execute(DELETE_BEHIND, [write.truncate_after])
         for change in write.changes:
             row = (change.sequence, change.epoch, change.kind, change.name, change.value, change.checksum)
-            self._do(_INSERT, row)
-            count, checksums = count + 1, checksums + change.checksum
+            self._execute(INSERT_ENTRY, row)
         for sequence in write.superseded:
-            gone = self._do("delete from entry where sequence = ? returning checksum", [sequence])
-            count, checksums = count - len(gone), checksums - sum(row[0] for row in gone)
-        state = self._state
+            removed += self._execute(DELETE_ENTRY, [sequence])
+        checksums_added = sum(change.checksum for change in write.changes)
+        checksums_removed = sum(row[0] for row in removed)
         self._state = State(
-            self.region, write.incarnation, write.epoch, write.publisher, write.committed,
-            state.entries + count, state.checksums + checksums, write.purged_up_to,
-        )  # fmt: skip
+            region=self.region,
+            incarnation=write.incarnation,
+            epoch=write.epoch,
+            publisher=write.publisher,
+            committed=write.committed,
+            entries=self._state.entries + len(write.changes) - len(removed),
+            checksums=self._state.checksums + checksums_added - checksums_removed,
+            purged_up_to=write.purged_up_to,
+        )
 
     def _write_state(self) -> None:
-        words = msgspec.msgpack.encode(self._state)
-        self._do("insert or replace into state values (1, ?, ?)", [words, crc32(words)])
+        encoded = msgspec.msgpack.encode(self._state)
+        self._execute("insert or replace into state values (1, ?, ?)", [encoded, crc32(encoded)])
