--- a/linenbridge/distribution/errors.py
+++ b/linenbridge/distribution/errors.py
@@ -1,6 +1,7 @@
-"""Errors and refusals of the distribution: what happened, where, and what an operator can do.
+"""Errors of the distribution: what happened, where, and what an operator can do.
 
-Owns the kinds and their codes. It must never know a core.
+A subclass of `Refusal` has a code, which stands in log lines and in responses on the wire; the others are
+local.
 """
 
 from __future__ import annotations
@@ -9,21 +10,21 @@
 
 
 class OlderEpoch(Refusal):
-    """A publisher that has been replaced; nothing of it is taken any more."""
+    """The message is of a publisher that has been replaced; relays accept nothing of it any more."""
 
     code = "older_epoch"
-    advice = "none: its successor goes on; an author asks again and reaches the successor"
+    advice = "none: its successor goes on; a change client asks again and reaches the successor"
 
 
 class LogGap(Refusal):
-    """Entries that do not follow on what the relay has."""
+    """The entries do not follow on what the relay has."""
 
     code = "gap"
     advice = "none: the publisher sends from where both agree"
 
 
 class RelayFull(Refusal):
-    """The relay serves as many followers as it may."""
+    """The relay serves as many followers as its settings allow."""
 
     code = "full"
     advice = "start more relays in this region, or raise `followers` where the machine has room"
@@ -37,7 +38,7 @@
 
 
 class SilentFollower(Refusal):
-    """Nothing was heard of the follower for long, or it is not known here any more."""
+    """The follower has sent nothing for long, or the relay has no session with it."""
 
     code = "silent"
     advice = "none if it is rare: the follower begins anew; else look at its machine's load and its links"
@@ -51,7 +52,7 @@
 
 
 class NotPublisher(Refusal):
-    """The process asked does not hold the region's lease."""
+    """The process does not hold the region's lease."""
 
     code = "not_publisher"
     advice = "ask another candidate; if none holds the lease for long, look at the quorum (`council.lost`)"
@@ -86,7 +87,7 @@
 
 
 class ViewStoreError(FleetError):
-    """A gateway's store cannot be used; it goes on without one and asks its relay for everything at a
-    start."""
+    """A gateway's store cannot be used; the gateway goes on without one and requests everything from its
+    relay at a start."""
 
     advice = "mend the disk or delete the file; nothing is lost but bytes at the next start"
--- a/tests/distribution/log/checker.py
+++ b/tests/distribution/log/checker.py
@@ -33,8 +33,8 @@
         self.agreed: dict[int, tuple[int, bytes, int, str]] = {}
         self.requests_by_number: dict[int, Publish] = {}
         self.accepted: dict[int, tuple[str, int]] = {}
-        self.refused: set[bytes] = set()
-        self.handed_on = dict.fromkeys(relays, 0)
+        self.rejected: set[bytes] = set()
+        self.delivered = dict.fromkeys(relays, 0)
         self.promised = dict.fromkeys(relays, 0)
         self.delivering: tuple[str, int] | None = None  # a relay, and the epoch of an Append
         self.truncated = 0  # entries that relays replaced
@@ -52,7 +52,7 @@
             row = (response.version.epoch, request.value, request.kind, request.name)
             self._agree(response.version.sequence, row, "the publisher")
         elif response.state == "refused" and request.value:
-            self.refused.add(request.value)
+            self.rejected.add(request.value)
 
     # ---- relays ------------------------------------------------------------------------------------------
 
@@ -67,7 +67,7 @@
         disk.rows = {change.sequence: _row(change) for change in stored.changes}
 
     def on_start(self, relay: str) -> None:
-        self.handed_on[relay] = 0
+        self.delivered[relay] = 0
         self.promised[relay] = self.disks[relay].epoch
 
     def on_decided(self, relay: str, write: Persist) -> None:
@@ -79,7 +79,7 @@
             self._break(f"{relay} took epoch {self.delivering[1]} after it had promised {promised}")
         self.promised[relay] = write.epoch
 
-    def on_keep(self, relay: str, write: Persist) -> None:
+    def on_persisted(self, relay: str, write: Persist) -> None:
         """It is on disk."""
         disk = self.disks[relay]
         if write.epoch < disk.epoch:
@@ -88,7 +88,7 @@
             self._truncate(relay, disk, write.truncate_after)
         for change in write.changes:
             disk.rows[change.sequence] = _row(change)
-            if change.value in self.refused and change.kind:
+            if change.value in self.rejected and change.kind:
                 self._break(f"{relay} kept {change.value!r}, whose author was told that it is refused")
         disk.epoch = write.epoch
         self._commit(relay, disk, write.committed)
@@ -96,16 +96,16 @@
             disk.rows.pop(sequence, None)
         self._look_for_replaced(relay, disk)
 
-    def on_taken_out(self, relay: str, put_back: bool) -> None:
+    def on_failed(self, relay: str, put_back: bool) -> None:
         """A relay says that its disk is not to be used."""
         if not put_back:
             self._break(f"{relay} is taken out though its disk never went back")
 
-    def on_handed_on(self, relay: str, changes: list[Change]) -> None:
+    def on_delivered(self, relay: str, changes: list[Change]) -> None:
         for change in changes:
-            if change.sequence <= self.handed_on[relay]:
-                self._break(f"{relay} handed on {change.sequence} after {self.handed_on[relay]}")
-            self.handed_on[relay] = change.sequence
+            if change.sequence <= self.delivered[relay]:
+                self._break(f"{relay} handed on {change.sequence} after {self.delivered[relay]}")
+            self.delivered[relay] = change.sequence
             self._agree(change.sequence, _row(change), relay)
 
     # ---- judging -----------------------------------------------------------------------------------------
--- a/tests/distribution/log/explored.py
+++ b/tests/distribution/log/explored.py
@@ -25,7 +25,7 @@
 RELAYS, PUBLISHERS = ("a", "b", "c"), ("p", "q")
 TIMING = PublisherTiming(heartbeat=4, retry=3, max_retry=6, answer_within=20, silence=50)
 LATE, STOPPED, TWICE_AFTER, PARTED = (1, 4, 9), (3, 10), 5, 8
-SETTLED_AT = 4  # ticks after which a world begins: a publisher leads and all relays count
+START_TICK = 4  # ticks after which a world begins: a publisher leads and all relays count
 HISTORY = 4  # a disk's newest states that an older one is taken from
 
 
@@ -73,8 +73,8 @@
         }
         self.terms: dict[str, int] = {"p": 1}
         self.newest = "p"
-        self.flying: list[tuple[int, int, str, str, Message]] = []
-        self.posted: list[tuple[str, str, Message]] = []
+        self.in_transit: list[tuple[int, int, str, str, Message]] = []
+        self.outbox: list[tuple[str, str, Message]] = []
         self.stopped: dict[str, int] = {}
         self.parted: dict[tuple[str, str], int] = {}  # a publisher and a relay that do not hear each other
         self.unwritten: list[tuple[str, Replica, Persist]] = []
@@ -82,8 +82,8 @@
         for publisher in self.publishers.values():
             publisher.log.max_tombstones = scenario.max_tombstones
         for name in (*RELAYS, *PUBLISHERS):
-            self._pump(name)
-        while self.now < SETTLED_AT:
+            self._run_decisions(name)
+        while self.now < START_TICK:
             self.take(self.choices()[0])
         self.left, self.start = scenario.deviations, self.now
         for name, states in self.disks.items():
@@ -109,8 +109,8 @@
 
     def choices(self) -> list[str]:
         faults = self.scenario.faults if self.tick >= self.scenario.from_tick else ()
-        if self.posted:
-            sender, to, message = self.posted[0]
+        if self.outbox:
+            sender, to, message = self.outbox[0]
             kind = f"{type(message).__name__} {sender}>{to} at {self.tick}"
             late = [f"late {ticks} {kind}" for ticks in LATE] if "late" in faults else []
             lost = [f"lost {kind}"] if "lost" in faults else []
@@ -136,14 +136,14 @@
 
     def take(self, choice: str) -> None:
         kind, *words = choice.split()
-        if self.posted:
-            sender, to, message = self.posted.pop(0)
+        if self.outbox:
+            sender, to, message = self.outbox.pop(0)
             if kind in ("prompt", "twice"):
-                self._fly(self.now, sender, to, message)
+                self._transmit(self.now, sender, to, message)
             if kind == "twice":
-                self._fly(self.now + TWICE_AFTER, sender, to, message)
+                self._transmit(self.now + TWICE_AFTER, sender, to, message)
             if kind == "late":
-                self._fly(self.now + int(words[0]), sender, to, message)
+                self._transmit(self.now + int(words[0]), sender, to, message)
         elif kind == "stopped":
             self.stopped[words[1]] = self.now + int(words[0])
         elif kind == "part":
@@ -154,7 +154,7 @@
             self._replace(words[0])
         elif kind == "again":
             self.terms[words[0]] = self.terms[self.newest]
-            self._pump(words[0])
+            self._run_decisions(words[0])
         elif kind in ("kept", "blank", "older", "oldest"):
             self._restart(words[0], kind)
         else:
@@ -163,11 +163,11 @@
 
     # ---- the world ---------------------------------------------------------------------------------------
 
-    def _fly(self, tick: int, sender: str, to: str, message: Message) -> None:
+    def _transmit(self, tick: int, sender: str, to: str, message: Message) -> None:
         if max(self.parted.get((sender, to), 0), self.parted.get((to, sender), 0)) > self.now:
             return
         self.count += 1
-        self.flying.append((tick, self.count, sender, to, message))
+        self.in_transit.append((tick, self.count, sender, to, message))
 
     def _forgotten(self) -> set[str]:
         self.forgot = {name for name in self.forgot if not self.replicas[name].member}
@@ -182,30 +182,30 @@
         self.checker.on_start(name)
         self.unwritten = [row for row in self.unwritten if row[0] != name]
         self.replicas[name] = self._replica(name)
-        self._pump(name)
+        self._run_decisions(name)
 
     def _replace(self, name: str) -> None:
         """The next term is this publisher's; the one before goes on with its own."""
         self.terms[name] = max(self.terms.values()) + 1
         self.newest = name
-        self._pump(name)
+        self._run_decisions(name)
 
     def _tick(self) -> None:
         self.now += 1
         unwritten, self.unwritten = self.unwritten, []
-        for name, core, write in unwritten:
-            self._write(name, core, write)
+        for name, machine, write in unwritten:
+            self._write(name, machine, write)
         for name in [name for name, until in self.stopped.items() if until <= self.now]:
             del self.stopped[name]
-            self._pump(name)
+            self._run_decisions(name)
         if self.start and self.tick in self.scenario.replace_at:
             self._replace("q" if self.newest == "p" else "p")
         if self.start and self.tick in self.scenario.publish_at:
             self._publish()
-        for name, core in self.publishers.items():
-            wake = core.wake_at()
+        for name, machine in self.publishers.items():
+            wake = machine.wake_at()
             if wake is not None and wake <= self.now:
-                self._pump(name)
+                self._run_decisions(name)
 
     def _publish(self) -> None:
         """A change to each publisher that believes in its term."""
@@ -221,58 +221,58 @@
             message = Publish(self.requests, REGION, Kind.TENANT, key, value)
             self.checker.on_publish(message)
             self.publishers[name].on_publish(self.now, "client", message)
-            self._pump(name)
+            self._run_decisions(name)
 
     def _run(self) -> None:
         """Prompt deliveries, until something is posted or all that was due is done."""
-        while not self.posted:
-            due = [row for row in self.flying if row[0] <= self.now and row[3] not in self.stopped]
+        while not self.outbox:
+            due = [row for row in self.in_transit if row[0] <= self.now and row[3] not in self.stopped]
             if not due:
                 return
             row = min(due, key=lambda row: row[:2])
-            self.flying.remove(row)
+            self.in_transit.remove(row)
             self._deliver(row[2], row[3], row[4])
 
     def _deliver(self, sender: str, to: str, message: Message) -> None:
-        core = self.replicas.get(to) or self.publishers[to]
+        machine = self.replicas.get(to) or self.publishers[to]
         if isinstance(message, Append):
             self.checker.on_append(to, message)
-        deliver(core, self.now, sender, message)
-        self._pump(to)
+        deliver(machine, self.now, sender, message)
+        self._run_decisions(to)
         self.checker.on_append(to, None)
 
-    def _pump(self, name: str) -> None:
+    def _run_decisions(self, name: str) -> None:
         if name in self.stopped:
             return
-        core = self.replicas.get(name) or self.publishers[name]
+        machine = self.replicas.get(name) or self.publishers[name]
         while True:
             if name in self.publishers:
-                core.on_term(self.now, self.terms.get(name))
-            decision = core.next_decision(self.now)
+                machine.on_term(self.now, self.terms.get(name))
+            decision = machine.next_decision(self.now)
             if decision is None:
                 return
-            self._carry_out(name, core, decision)
+            self._execute(name, machine, decision)
 
-    def _carry_out(self, name: str, core: Replica | Publisher, decision: object) -> None:
+    def _execute(self, name: str, machine: Replica | Publisher, decision: object) -> None:
         if isinstance(decision, Send):
             self._send(name, decision)
         elif isinstance(decision, Committed):
-            self.checker.on_handed_on(name, decision.changes)
+            self.checker.on_delivered(name, decision.changes)
         elif isinstance(decision, Event) and decision.name == "distribution.store_failed":
-            self.checker.on_taken_out(name, put_back=name in self.forgot)
+            self.checker.on_failed(name, put_back=name in self.forgot)
         elif isinstance(decision, Persist):
             self.checker.on_decided(name, decision)
             if self.scenario.slow_disks:
-                self.unwritten.append((name, core, decision))
+                self.unwritten.append((name, machine, decision))
             else:
-                self._write(name, core, decision)
+                self._write(name, machine, decision)
 
-    def _write(self, name: str, core: Replica, write: Persist) -> None:
+    def _write(self, name: str, machine: Replica, write: Persist) -> None:
         states = self.disks[name]
         states.append(disk_after(states[-1], write))
         del states[1:-HISTORY]
-        self.checker.on_keep(name, write)
-        core.on_persisted(self.now, write.number)
+        self.checker.on_persisted(name, write)
+        machine.on_persisted(self.now, write.number)
         for send in write.then:
             self._send(name, send)
 
@@ -280,4 +280,4 @@
         if isinstance(send.message, Published):
             self.checker.on_response(send.message)
         else:
-            self.posted.append((name, send.to, send.message))
+            self.outbox.append((name, send.to, send.message))
--- a/tests/distribution/log/measure.py
+++ b/tests/distribution/log/measure.py
@@ -23,8 +23,10 @@
 
 
 class CountedRegion(Region):
-    """Also counts the bytes of messages, as a link would carry them. Its disks keep nothing: the real ones'
-    cost is the store's."""
+    """Also counts the bytes of messages, as a link would transfer them.
+
+    Its disks store nothing: what they cost is measured with the store.
+    """
 
     bytes = 0
 
@@ -33,7 +35,7 @@
         super()._deliver(sender, to, message)
 
     def _write(self, name: str, keep: Persist) -> None:
-        """Nothing is kept."""
+        """Nothing is stored."""
 
 
 def filled(keys: int) -> StoredLog:
@@ -70,7 +72,7 @@
     for number in range(CHANGES):
         name = f"service-{number % 1500}/instance-{number}"
         publisher.on_publish(region.now, "client", Publish(number, REGION, Kind.INSTANCE, name, b"y" * 100))
-        region.settle()
+        region.deliver_all()
     change, change_bytes = (time.process_time() - began) / CHANGES, region.bytes / CHANGES
     region.restart("c", StoredLog())
     began, region.bytes = time.process_time(), 0
@@ -85,5 +87,5 @@
 
 
 if __name__ == "__main__":
-    for size in [int(word) for word in sys.argv[1:]] or [1_000, 10_000, 93_000]:
+    for size in [int(argument) for argument in sys.argv[1:]] or [1_000, 10_000, 93_000]:
         print(measured(size), flush=True)
--- a/tests/distribution/log/mutants.py
+++ b/tests/distribution/log/mutants.py
@@ -75,13 +75,13 @@
 def cuts_off_what_agrees() -> Iterator[None]:
     """A relay replaces everything behind `previous`, also by an old message of the same epoch."""
 
-    def news(self, message):
+    def everything_behind(self, message):
         agreed = max(message.previous.sequence, self.log.committed)
         changes = [change for change in message.changes if change.sequence > self.log.committed]
         truncate_after = agreed if changes and self.log.last.sequence > agreed else None
         return replica.LogUpdate(truncate_after, changes)
 
-    with patch.object(replica.Replica, "_entries_to_append", news):
+    with patch.object(replica.Replica, "_entries_to_append", everything_behind):
         yield
 
 
@@ -136,7 +136,7 @@
 
 
 @contextmanager
-def counts_lives_too_early() -> Iterator[None]:
+def counts_incarnations_too_early() -> Iterator[None]:
     """A relay's new life counts before the entry that names it is committed without it."""
 
     def counts(self, relay, incarnation):
@@ -148,21 +148,21 @@
 
 
 @contextmanager
-def believes_lives_that_are_over() -> Iterator[None]:
+def trusts_retired_incarnations() -> Iterator[None]:
     """A publisher counts the promise of a relay that has forgotten it since."""
     with patch.object(recovery.LogRecovery, "_is_retired", lambda self, peer: False):
         yield
 
 
 @contextmanager
-def tells_too_early() -> Iterator[None]:
+def announces_too_early() -> Iterator[None]:
     """A relay far behind is told what is committed before it has all the pages up to there."""
 
-    def tell(self, log):
+    def announce(self, log):
         self.announced_committed = log.committed
         return self.announced_committed
 
-    with patch.object(replication.Peer, "_announce_committed", tell):
+    with patch.object(replication.Peer, "_announce_committed", announce):
         yield
 
 
@@ -181,7 +181,7 @@
 
 
 @contextmanager
-def keeps_what_it_knew() -> Iterator[None]:
+def retains_purged_keys() -> Iterator[None]:
     """A publisher goes on with keys whose deletions were made, and let go, since it knew them."""
     with patch.object(recovery.LogRecovery, "_purged_up_to", lambda self: 0):
         yield
@@ -199,8 +199,8 @@
     for mutant in (
         half_is_enough, takes_any_epoch, two_of_one_epoch, forgets_its_promise, answers_before_the_disk,
         does_not_look_back, cuts_off_what_agrees, reads_nothing, reads_any_log, counts_older_epochs,
-        counts_without_memory, believes_every_disk, counts_lives_too_early, believes_lives_that_are_over,
-        tells_too_early, lets_deletions_go_alone, takes_a_disk_put_back, keeps_what_it_knew,
-        fills_up_what_is_there,
+        counts_without_memory, believes_every_disk, counts_incarnations_too_early,
+        trusts_retired_incarnations, announces_too_early, lets_deletions_go_alone, takes_a_disk_put_back,
+        retains_purged_keys, fills_up_what_is_there,
     )
 }  # fmt: skip
--- a/tests/distribution/log/schedules.py
+++ b/tests/distribution/log/schedules.py
@@ -69,14 +69,14 @@
         LogScenario(ticks=20, publish_at=(1,), faults=(*LogScenario.faults, "oldest")),
         [*FORGETS_WHAT_COUNTED, "oldest a at 1", "replace q at 1"],
     ),
-    "counts_lives_too_early": (
+    "counts_incarnations_too_early": (
         LogScenario(ticks=20, publish_at=(1, 4, 6)),
         [
             "stopped 3 p at 0", "replace q at 0", "lost Prepare q>c at 0", "lost Append q>c at 0",
             "stopped 10 q at 1", "blank a at 1", "stopped 10 b at 1",
         ],
     ),
-    "believes_lives_that_are_over": (
+    "trusts_retired_incarnations": (
         LogScenario(ticks=20, publish_at=(7,)),
         [
             "replace q at 0", "lost Prepare q>b at 0", "lost Prepare q>c at 0", "stopped 10 q at 0",
@@ -84,7 +84,7 @@
             "stopped 10 b at 7",
         ],
     ),
-    "tells_too_early": (
+    "announces_too_early": (
         LogScenario(ticks=20, publish_at=(1, 2, 3, 4), value_bytes=30_000),
         ["blank c at 5"],
     ),
@@ -92,7 +92,7 @@
         DELETES, [*["lost Append p>c at 9"] * 2, *["lost Append p>c at 11"] * 2],
     ),
     "takes_a_disk_put_back": (DELETES, ["copy c at 6", "oldest c at 15"]),
-    "keeps_what_it_knew": (
+    "retains_purged_keys": (
         DELETES, ["stopped 10 p at 6", "replace q at 6", "replace p at 15", "blank c at 18"],
     ),
     "fills_up_what_is_there": (
--- a/tests/distribution/log/test_explored.py
+++ b/tests/distribution/log/test_explored.py
@@ -18,7 +18,7 @@
 
 ALL_FAULTS = (*LogScenario.faults, "oldest", "again", "part")
 PARTS = ("part", "part", "part", "replace", "kept", "blank", "older")
-WHOLE = {
+SEARCHES = {
     "any one fault": LogScenario(ticks=8),
     "any one fault around a new publisher": LogScenario(ticks=9, replace_at=(3,)),
     "any one fault, slow disks": LogScenario(ticks=8, slow_disks=True, replace_at=(3,)),
@@ -39,9 +39,9 @@
 }
 
 
-@pytest.mark.parametrize("name", WHOLE)
+@pytest.mark.parametrize("name", SEARCHES)
 def test_no_schedule_breaks_the_log(name):
-    found = search(lambda: LogWorld(WHOLE[name]))
+    found = search(lambda: LogWorld(SEARCHES[name]))
     print(found.line(name))
     assert found.breach is None and not found.cut and found.schedules > 200
 
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("name", MUTANTS)
-def test_each_guard_taken_away_is_seen(name):
+def test_a_written_schedule_breaks_the_log_without_each_guard(name):
     scenario, script = DEEP[name]
     assert follow(lambda: LogWorld(scenario), script).breach is None
     with MUTANTS[name]():
@@ -88,7 +88,7 @@
     assert found.breach is not None, "a guard that nothing needs"
 
 
-def settled_world() -> LogWorld:
+def finished_world() -> LogWorld:
     world = LogWorld(LogScenario(ticks=6, publish_at=(1, 2)))
     while not world.over():
         world.take(world.choices()[0])
@@ -100,7 +100,7 @@
     """What the checker says where relay a's disk is written as given, behind all that it has."""
     stored = world.disks["a"][-1]
     write = Persist(99, None, [], stored.epoch, stored.committed, stored.publisher, stored.incarnation)
-    world.checker.on_keep("a", msgspec.structs.replace(write, **fields))
+    world.checker.on_persisted("a", msgspec.structs.replace(write, **fields))
     return world.checker.breach
 
 
@@ -113,27 +113,27 @@
 
 @pytest.mark.parametrize("name", PLANTED)
 def test_the_checker_sees_a_planted_breach(name):
-    fields, said = PLANTED[name]
-    assert said in (written_again(settled_world(), **fields) or "")
+    fields, message = PLANTED[name]
+    assert message in (written_again(finished_world(), **fields) or "")
 
 
-def test_the_checker_sees_two_entries_at_one_sequence_and_an_accepted_change_that_is_gone():
-    world = settled_world()
+def test_the_checker_sees_two_entries_at_one_sequence_and_a_lost_accepted_change():
+    world = finished_world()
     change = next(row for row in world.disks["a"][-1].changes if row.kind == Kind.TENANT)
-    world.checker.on_handed_on("b", [change])
+    world.checker.on_delivered("b", [change])
     assert "handed on" in (world.checker.breach or "")
     checker = LogChecker(("a",))
     checker.accepted[1] = ("k", 3)
-    checker.on_keep("a", Persist(1, None, [change], 1, change.sequence, "p", 1))
+    checker.on_persisted("a", Persist(1, None, [change], 1, change.sequence, "p", 1))
     assert "without k of 3" in (checker.breach or "")
     checker = LogChecker(("a", "b"))
-    checker.on_handed_on("a", [change])
+    checker.on_delivered("a", [change])
     other = type(change)(REGION, 2, change.sequence, change.kind, change.name, b"other")
-    checker.on_handed_on("b", [other])
+    checker.on_delivered("b", [other])
     assert f"at {change.sequence}, where" in (checker.breach or "")
 
 
-def test_a_world_is_played_the_same_way_each_time():
+def test_a_world_runs_the_same_way_each_time():
     scenario, odds = WALKS["many faults"]
     short = replace(scenario, ticks=20)
     lines = {wander(lambda: LogWorld(short), 5, seed=7, odds=odds).states for _ in range(2)}
--- a/tests/distribution/log/test_store.py
+++ b/tests/distribution/log/test_store.py
@@ -1,4 +1,4 @@
-"""A relay's log on disk: what is kept comes back; what is damaged, full, read-only or older is said."""
+"""A relay's log on disk: what is written is read again; a damaged, full or read-only file is an error."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def persist(number: int, **fields: object) -> Persist:
-    words = {
+    defaults = {
         "truncate_after": None,
         "changes": [],
         "epoch": 1,
@@ -35,7 +35,7 @@
         "publisher": "p",
         "incarnation": 7,
     }
-    return Persist(number, **{**words, **fields})
+    return Persist(number, **{**defaults, **fields})
 
 
 def opened(folder: Path) -> RelayLog:
@@ -44,7 +44,7 @@
     return store
 
 
-def test_what_is_kept_comes_back_and_a_new_file_holds_nothing(tmp_path):
+def test_what_is_written_is_read_again_and_a_new_file_is_empty(tmp_path):
     store = RelayLog(str(tmp_path), "north")
     assert store.read() == StoredLog()
     store.persist(
@@ -56,7 +56,7 @@
     assert stored == StoredLog(7, 2, "p", 4, [ENTRIES[1], *ENTRIES[3:]])
 
 
-def test_what_was_kept_survives_a_kill_right_after_it(tmp_path):
+def test_what_was_written_survives_a_kill_right_after_it(tmp_path):
     text = (
         "import os, sys; from tests.distribution.log.test_store import *\n"
         "store = opened(sys.argv[1])\n"
@@ -76,19 +76,19 @@
 
 
 @pytest.mark.parametrize("damage", DAMAGES)
-def test_damage_is_said(tmp_path, damage):
+def test_damage_is_an_error_that_names_it(tmp_path, damage):
     store = opened(tmp_path)
     store.persist([persist(1, changes=ENTRIES)])
     store.close()
-    words, said = DAMAGES[damage]
+    statement, message = DAMAGES[damage]
     changed = apsw.Connection(str(tmp_path / FILE_NAME))
-    changed.execute(words)
+    changed.execute(statement)
     changed.close()
-    with pytest.raises(RelayStoreError, match=said):
+    with pytest.raises(RelayStoreError, match=message):
         RelayLog(str(tmp_path), "north").read()
 
 
-def test_a_torn_file_another_regions_and_one_in_use_are_said(tmp_path):
+def test_a_corrupt_file_another_regions_and_one_in_use_are_errors(tmp_path):
     (tmp_path / FILE_NAME).write_bytes(os.urandom(8192))
     with pytest.raises(RelayStoreError):
         RelayLog(str(tmp_path), "north").read()
@@ -101,7 +101,7 @@
         RelayLog(str(tmp_path), "south").read()
 
 
-def test_a_disk_that_takes_nothing_is_said_before_anything_is_promised(tmp_path):
+def test_a_disk_that_cannot_be_written_is_an_error_before_anything_is_promised(tmp_path):
     with pytest.raises(RelayStoreError, match="no folder"):
         RelayLog(str(tmp_path / "none"), "north")
     (tmp_path / "taken" / FILE_NAME).mkdir(parents=True)
@@ -109,7 +109,7 @@
         RelayLog(str(tmp_path / "taken"), "north").read()
 
 
-def test_a_full_disk_keeps_nothing_of_what_it_refused_and_silences_the_relay(tmp_path):
+def test_a_full_disk_stores_nothing_of_a_failed_write_and_silences_the_relay(tmp_path):
     store = opened(tmp_path)
     store.persist([persist(1, changes=ENTRIES[:2])])
     (pages,) = store._connection.execute("pragma page_count").fetchone()
@@ -131,8 +131,8 @@
     assert left[-1].name == "distribution.store_failed" and "empty the store" in left[-1].fields["do"]
 
 
-def test_a_disk_put_back_older_begins_a_new_life(tmp_path):
-    """Without the operator's word that it never goes back, a start takes no memory for complete."""
+def test_a_disk_restored_to_an_earlier_state_starts_a_new_incarnation(tmp_path):
+    """Where the settings don't say that the disk never goes back, no start trusts its content."""
     folder, copy = tmp_path / "now", tmp_path / "copy"
     folder.mkdir()
     store = opened(folder)
@@ -149,7 +149,7 @@
     assert Replica("north", "a", stored, trusted=True, random=Random(2)).incarnation == stored.incarnation
 
 
-def test_a_disk_that_became_read_only_is_said(tmp_path):
+def test_a_disk_that_became_read_only_is_an_error(tmp_path):
     store = opened(tmp_path)
     store._connection.execute("pragma query_only=1")
     with pytest.raises(RelayStoreError, match="ReadOnlyError"):
@@ -157,7 +157,7 @@
 
 
 class RecordedWorld(LogWorld):
-    """Remembers what relay b writes."""
+    """Records what relay b writes."""
 
     def __init__(self, scenario: LogScenario) -> None:
         self.written: list[Persist] = []
@@ -169,8 +169,8 @@
         super()._write(name, core, persist)
 
 
-def test_the_file_holds_what_the_explored_worlds_take_a_disk_to_hold(tmp_path):
-    """Every Keep of a walk with faults, truncations and deletions that are let go among them."""
+def test_the_file_equals_the_disk_of_an_explored_world(tmp_path):
+    """Every Persist of a walk with faults, truncations and purged tombstones among them."""
     faults = ("part", "part", "part", "replace", "kept")
     scenario = replace(DELETES, ticks=120, publish_at=tuple(range(1, 120)), faults=faults, slow_disks=True)
     world, random = RecordedWorld(scenario), Random(SEED)
--- a/tests/distribution/log/world.py
+++ b/tests/distribution/log/world.py
@@ -1,6 +1,6 @@
-"""The cores of one region's log in a small world without faults: relays, publishers, messages in order.
+"""The state machines of one region's log in a small world without faults: relays, publishers, messages.
 
-Owns the messages under way and the disks. A relay's disk is what its decisions say is kept.
+Owns the messages in transit and the disks. A relay's disk is what its Persist decisions wrote.
 """
 
 from __future__ import annotations
@@ -10,8 +10,11 @@
 
 from msgspec import msgpack
 
-from linenbridge.distribution.changes import Change
+from linenbridge.distribution.changes import Change, Kind
 from linenbridge.distribution.decisions import Committed, Event, Persist, Send
+from linenbridge.distribution.log.publisher import Publisher
+from linenbridge.distribution.log.replica import Replica, StoredLog
+from linenbridge.distribution.log.replication import PublisherTiming
 from linenbridge.distribution.messages import (
     Append,
     Appended,
@@ -23,9 +26,6 @@
     Publish,
     Published,
 )
-from linenbridge.distribution.log.replication import PublisherTiming
-from linenbridge.distribution.log.publisher import Publisher
-from linenbridge.distribution.log.replica import StoredLog, Replica
 from linenbridge.peering.connections import WORD_MOST
 
 REGION = "north"
@@ -34,12 +34,12 @@
 
 
 def disk_after(stored: StoredLog, write: Persist) -> StoredLog:
-    """What a disk holds once a Keep is on it."""
+    """What a disk holds once a Persist is on it."""
     rows = stored.changes
     if write.truncate_after is not None:
         rows = [row for row in rows if row.sequence <= write.truncate_after]
-    gone = set(write.superseded)
-    rows = [row for row in (*rows, *write.changes) if row.sequence not in gone]
+    superseded = set(write.superseded)
+    rows = [row for row in (*rows, *write.changes) if row.sequence not in superseded]
     return StoredLog(
         write.incarnation, write.epoch, write.publisher, write.committed, rows, write.purged_up_to
     )
@@ -48,15 +48,17 @@
 class Region:
     """Relays by name and publishers by name, with the term that each believes to hold."""
 
-    def __init__(self, relays: tuple[str, ...] = ("a", "b", "c"), trusted: bool = False) -> None:
-        self.now, self.trusted, self.incarnations = START_AT, trusted, 0
+    def __init__(self, relays: tuple[str, ...] = ("a", "b", "c"), *, trusted: bool = False) -> None:
+        self.now = START_AT
+        self.trusted = trusted
+        self.incarnations = 0
         self.names = relays
         self.disks = dict.fromkeys(relays, StoredLog())
         self.replicas = {name: self._replica(name) for name in relays}
         self.publishers: dict[str, Publisher] = {}
         self.terms: dict[str, int | None] = {}
         self.down: set[str] = set()
-        self.flying: deque[tuple[str, str, Message]] = deque()
+        self.in_transit: deque[tuple[str, str, Message]] = deque()
         self.responses: list[tuple[str, Published]] = []
         self.events: list[tuple[str, Event]] = []
         self.committed: dict[str, list[Change]] = {name: [] for name in relays}
@@ -64,9 +66,8 @@
 
     def _replica(self, name: str) -> Replica:
         self.incarnations += 1
-        return Replica(
-            REGION, name, self.disks[name], Random(f"{name}/{self.incarnations}"), trusted=self.trusted
-        )
+        random = Random(f"{name}/{self.incarnations}")
+        return Replica(REGION, name, self.disks[name], random, trusted=self.trusted)
 
     # ---- what tests do -----------------------------------------------------------------------------------
 
@@ -75,108 +76,143 @@
         if name not in self.publishers:
             self.publishers[name] = Publisher(REGION, name, self.names, TIMING, Random(name), no_faults)
         self.terms[name] = term
-        self.settle()
+        self.deliver_all()
         return self.publishers[name]
 
     def publish(self, name: str, key: str, value: bytes, request: int = 1, client: str = "client") -> None:
+        """A client's change to a publisher."""
         message = Publish(request, REGION, 2, key, value)
         self.publishers[name].on_publish(self.now, client, message)
-        self.settle()
+        self.deliver_all()
+
+    def fill(self, keys: int, size: int = 2_000) -> None:
+        """Publish so many keys at once, by publisher p."""
+        for number in range(keys):
+            value = b"%05d" % number + b"x" * size
+            message = Publish(number, REGION, Kind.ROUTES, f"service-{number}", value)
+            self.publishers["p"].on_publish(self.now, "client", message)
+        self.deliver_all()
+
+    def publish_and_delete(self, keys: int, first: int = 0, name: str = "p") -> None:
+        """Publish so many keys one by one, each deleted right after."""
+        for number in range(first, first + keys):
+            self.publish(name, f"key-{number}", b"1", 2 * number)
+            self.publish(name, f"key-{number}", b"", 2 * number + 1)
+        self.run(TIMING.max_retry)
 
     def restart(self, name: str, stored: StoredLog | None = None) -> None:
-        """A relay starts anew, with its disk or with another one."""
-        self.flying = deque(row for row in self.flying if name not in row[:2])
+        """A relay restarts, with its disk or with another one."""
+        self.in_transit = deque(row for row in self.in_transit if name not in row[:2])
         self.disks[name] = self.disks[name] if stored is None else stored
         self.replicas[name] = self._replica(name)
         self.committed[name] = []
-        self.settle()
+        self.deliver_all()
 
     def run(self, time: int) -> None:
-        """Let time pass, waking everybody when they asked for it."""
+        """Let time pass, waking each state machine when it is due."""
         end = self.now + time
         while True:
-            wakes = [core.wake_at() for core in self.publishers.values()]
+            wakes = [publisher.wake_at() for publisher in self.publishers.values()]
             due = min((wake for wake in wakes if wake is not None), default=end)
             if due >= end:
                 break
             self.now = max(due, self.now + 1)
-            self.settle()
+            self.deliver_all()
         self.now = end
-        self.settle()
+        self.deliver_all()
 
-    def settle(self) -> None:
-        """Carry out decisions and deliver messages until nothing is left."""
+    def deliver_all(self) -> None:
+        """Execute decisions and deliver messages until nothing is left."""
         while True:
             for name in (*self.replicas, *self.publishers):
-                self._pump(name)
-            if not self.flying:
+                self._run_decisions(name)
+            if not self.in_transit:
                 return
-            self._deliver(*self.flying.popleft())
+            self._deliver(*self.in_transit.popleft())
+
+    # ---- what tests see ----------------------------------------------------------------------------------
+
+    def states(self) -> list[tuple[int, str]]:
+        """Each response to a client: the request and the state."""
+        return [(response.request, response.state) for _, response in self.responses]
+
+    def codes(self) -> list[tuple[str, str]]:
+        """Each response to a client: the state and the code."""
+        return [(response.state, response.code) for _, response in self.responses]
 
     def values(self, name: str) -> dict[str, bytes]:
-        """Each key's value as a relay has handed it on."""
-        found: dict[str, bytes] = {}
-        for change in self.committed[name]:
-            found[change.name] = change.value
-        return found
+        """Each key's value as a relay has delivered it."""
+        return {change.name: change.value for change in self.committed[name]}
+
+    def stored_keys(self, relay: str) -> set[str]:
+        """The names of the keys on a relay's disk."""
+        return {row.name for row in self.disks[relay].changes if row.kind != Kind.LOG}
+
+    def logs_are_equal(self) -> bool:
+        """Whether all relays' disks hold the same entries."""
+        logs = [disk.changes for disk in self.disks.values()]
+        return all(log == logs[0] for log in logs)
 
     # ---- the world ---------------------------------------------------------------------------------------
 
-    def _pump(self, name: str) -> None:
-        core = self.replicas.get(name) or self.publishers[name]
+    def _run_decisions(self, name: str) -> None:
+        machine = self.replicas.get(name) or self.publishers[name]
         while True:
-            if name in self.publishers:
-                core.on_term(self.now, self.terms[name])
-            decision = core.next_decision(self.now)
+            if isinstance(machine, Publisher):
+                machine.on_term(self.now, self.terms[name])
+            decision = machine.next_decision(self.now)
             if decision is None:
                 return
-            self._carry_out(name, core, decision)
-
-    def _carry_out(self, name: str, core: Replica | Publisher, decision: object) -> None:
-        if isinstance(decision, Send):
-            self._fly(name, decision)
-        elif isinstance(decision, Persist):
-            self._write(name, decision)
-            core.on_persisted(self.now, decision.number)
-            for send in decision.then:
-                self._fly(name, send)
-        elif isinstance(decision, Committed):
-            self.committed[name] += decision.changes
-        elif isinstance(decision, Event):
-            self.events.append((name, decision))
+            self._execute(name, machine, decision)
+
+    def _execute(self, name: str, machine: Replica | Publisher, decision: object) -> None:
+        match decision:
+            case Send():
+                self._transmit(name, decision)
+            case Persist():
+                self._write(name, decision)
+                machine.on_persisted(self.now, decision.number)
+                for send in decision.then:
+                    self._transmit(name, send)
+            case Committed():
+                self.committed[name] += decision.changes
+            case Event():
+                self.events.append((name, decision))
 
     def _write(self, name: str, write: Persist) -> None:
         self.disks[name] = disk_after(self.disks[name], write)
 
-    def _fly(self, name: str, send: Send) -> None:
+    def _transmit(self, name: str, send: Send) -> None:
         if isinstance(send.message, Published):
             self.responses.append((send.to, send.message))
         elif not {name, send.to} & self.down:
             self.sent += 1
             assert len(msgpack.encode(send.message)) <= WORD_MOST
-            self.flying.append((name, send.to, send.message))
+            self.in_transit.append((name, send.to, send.message))
 
     def _deliver(self, sender: str, to: str, message: Message) -> None:
-        core = self.replicas.get(to) or self.publishers[to]
-        deliver(core, self.now, sender, message)
-        self._pump(to)
-
-
-def deliver(core: Replica | Publisher, now: int, sender: str, message: Message) -> None:
-    """Hand a message to the input that takes it."""
-    if isinstance(message, Prepare):
-        core.on_prepare(now, sender, message)
-    elif isinstance(message, Fetch):
-        core.on_fetch(now, sender, message)
-    elif isinstance(message, Append):
-        core.on_append(now, sender, message)
-    elif isinstance(message, Prepared):
-        core.on_prepared(now, message)
-    elif isinstance(message, Fetched):
-        core.on_fetched(now, message)
-    elif isinstance(message, Appended):
-        core.on_appended(now, message)
+        machine = self.replicas.get(to) or self.publishers[to]
+        deliver(machine, self.now, sender, message)
+        self._run_decisions(to)
+
+
+def deliver(machine: Replica | Publisher, now: int, sender: str, message: Message) -> None:
+    """Pass a message to the input of its type."""
+    match message:
+        case Prepare():
+            machine.on_prepare(now, sender, message)
+        case Fetch():
+            machine.on_fetch(now, sender, message)
+        case Append():
+            machine.on_append(now, sender, message)
+        case Prepared():
+            machine.on_prepared(now, message)
+        case Fetched():
+            machine.on_fetched(now, message)
+        case Appended():
+            machine.on_appended(now, message)
 
 
 def no_faults(kind: int, name: str, value: bytes) -> str:
+    """A check of values that rejects the value `bad` alone."""
     return "not taken" if value == b"bad" else ""
