--- a/linenbridge/distribution/configuration.py
+++ b/linenbridge/distribution/configuration.py
@@ -19,7 +19,7 @@
     duration,
     size,
 )
-from linenbridge.errors import PlaceError
+from linenbridge.errors import FileFaultError
 from linenbridge.net.discovery import host_port
 
 Address = tuple[str, int]
@@ -35,7 +35,7 @@
     PUBLISHER = "publisher"
 
 
-class DistributionSettingsError(PlaceError):
+class DistributionSettingsError(FileFaultError):
     """One fault in the element `distribution`."""
 
     advice = "mend the settings; the process does not start with them"
--- a/linenbridge/distribution/errors.py
+++ b/linenbridge/distribution/errors.py
@@ -1,92 +1,91 @@
 """Errors of the distribution: what happened, where, and what an operator can do.
 
-A subclass of `Refusal` has a code, which stands in log lines and in responses on the wire; the others are
+A subclass of `Rejection` has a code, which stands in log lines and in responses on the wire; the others are
 local.
 """
 
 from __future__ import annotations
 
-from linenbridge.errors import FleetError, Refusal
+from linenbridge.errors import ControlPlaneError, Rejection
 
 
-class OlderEpoch(Refusal):
+class OlderEpoch(Rejection):
     """The message is of a publisher that has been replaced; relays accept nothing of it any more."""
 
     code = "older_epoch"
     advice = "none: its successor goes on; a change client asks again and reaches the successor"
 
 
-class LogGap(Refusal):
+class LogGap(Rejection):
     """The entries do not follow on what the relay has."""
 
     code = "gap"
     advice = "none: the publisher sends from where both agree"
 
 
-class RelayFull(Refusal):
+class RelayFull(Rejection):
     """The relay serves as many followers as its settings allow."""
 
     code = "full"
     advice = "start more relays in this region, or raise `followers` where the machine has room"
 
 
-class RelayBehind(Refusal):
+class RelayBehind(Rejection):
     """The relay has just started and has not caught up with the other regions."""
 
     code = "relay_behind"
     advice = "none: the follower goes to another relay; if it lasts, look at the links between the regions"
 
 
-class SilentFollower(Refusal):
+class SilentFollower(Rejection):
     """The follower has sent nothing for long, or the relay has no session with it."""
 
     code = "silent"
     advice = "none if it is rare: the follower begins anew; else look at its machine's load and its links"
 
 
-class ForeignKey(Refusal):
+class ForeignKey(Rejection):
     """The key belongs to another region."""
 
     code = "foreign_key"
     advice = "send the change to the publisher of the region that owns the key"
 
 
-class NotPublisher(Refusal):
+class NotPublisher(Rejection):
     """The process does not hold the region's lease."""
 
     code = "not_publisher"
-    advice = "ask another candidate; if none holds the lease for long, look at the quorum (`council.lost`)"
+    advice = "ask another candidate; if none holds the lease for long, look at the quorum (`quorum.lost`)"
 
 
-class PublisherBusy(Refusal):
+class PublisherBusy(Rejection):
     """More changes wait for a majority of the region's relays than the publisher holds."""
 
     code = "busy"
     advice = "publish it again a little later; where it lasts, bring back relays of this region"
 
 
-class ChangeRejected(Refusal):
+class ChangeRejected(Rejection):
     """The change cannot be read or fails its checks; the last good version stays in force."""
 
-    formerly = "ChangeRefused"
     code = "invalid"
     advice = "mend the value and publish it again; the error names the place"
 
 
-class QuorumUnreached(Refusal):
+class QuorumUnreached(Rejection):
     """No majority of the region's relays has the change on disk in time; it may still be accepted later."""
 
     code = "unconfirmed"
     advice = "bring back relays of this region; then publish it again: the newest version counts"
 
 
-class RelayStoreError(FleetError):
+class RelayStoreError(ControlPlaneError):
     """A relay's disk cannot be written, or does not hold what was written."""
 
     advice = "mend the disk or empty the store's folder: the relay then follows the others from the start"
 
 
-class ViewStoreError(FleetError):
+class ViewStoreError(ControlPlaneError):
     """A gateway's store cannot be used; the gateway goes on without one and requests everything from its
     relay at a start."""
 
--- a/linenbridge/distribution/log/change_requests.py
+++ b/linenbridge/distribution/log/change_requests.py
@@ -14,7 +14,7 @@
 from linenbridge.distribution.decisions import Send
 from linenbridge.distribution.errors import NotPublisher, PublisherBusy, QuorumUnreached
 from linenbridge.distribution.messages import ChangeState, Publish, Published
-from linenbridge.errors import Refusal
+from linenbridge.errors import Rejection
 
 MAX_QUEUED_CHANGES = 4_000  # changes that wait to be appended
 MAX_QUEUED_BYTES = 16_000_000  # of their values
@@ -73,7 +73,7 @@
         self._queue.append(QueuedChange(PendingChange(client, publish.request, deadline), publish))
         self._queued_bytes += size
 
-    def reject(self, client: str, publish: Publish, error: type[Refusal]) -> None:
+    def reject(self, client: str, publish: Publish, error: type[Rejection]) -> None:
         """Report a change that is not appended and will not be."""
         change = PendingChange(client, publish.request, deadline=0)
         self.responses.append(change.response(ChangeState.REFUSED, error.code))
--- a/linenbridge/distribution/view/values.py
+++ b/linenbridge/distribution/view/values.py
@@ -1,7 +1,7 @@
-"""Whether a change's value can be read and passes its checks.
+"""Whether the value of a change can be read and passes its checks.
 
-Decides without I/O. Publishers ask the same before they accept a change, so that what a gateway refuses is
-rare: a gateway of an earlier release, or a method that its settings do not have.
+Publishers run the same checks before they accept a change, so a gateway seldom rejects one: it may run an
+earlier release, or lack a method in its settings. Pure functions of the value and the settings' methods.
 """
 
 from __future__ import annotations
@@ -21,26 +21,27 @@
 )
 from linenbridge.distribution.errors import ChangeRejected
 from linenbridge.distribution.view.rules import pack_rules
-from linenbridge.interface import DRAINING, GONE, READY, Method
+from linenbridge.interface import InstanceState, Method
 from linenbridge.routes.language import RouteError, parse_by_rule
 from linenbridge.routes.table import FaultsError, checked_table
 
-WORD_MOST = 256  # characters of a zone's, cell's or host's name
-NUMBER_MOST = 1 << 53
-PORT_MOST = 65_535
+MAX_TEXT_LENGTH = 256  # characters of the name of a zone, a cell or a host
+MAX_INTEGER = 1 << 53  # the first integer that JSON readers may round
+MAX_PORT = 65_535
 
 Value = bytes | TenantValue | InstanceValue | ZoneValue
 
 
 class ValueChecks:
-    """Reads values against the methods of this gateway. `longest` is the longest deadline, in
-    microseconds."""
+    """The checks of a value, against the methods of this gateway."""
 
-    def __init__(self, methods: Iterable[Method], longest: int) -> None:
-        self.methods, self.longest = list(methods), longest
+    def __init__(self, methods: Iterable[Method], max_deadline: int) -> None:
+        """Check against these methods; `max_deadline` is the longest deadline of a route, in microseconds."""
+        self.methods = list(methods)
+        self.max_deadline = max_deadline
 
     def __call__(self, kind: int, name: str, value: bytes) -> str:
-        """Why a value would be refused; "" where it would not."""
+        """Return the reason why a value would be rejected; "" if it would not be."""
         try:
             self.read(kind, name, value)
         except ChangeRejected as error:
@@ -48,19 +49,21 @@
         return ""
 
     def read(self, kind: int, name: str, value: bytes) -> Value:
-        """The value in its table's form, a set of routes packed; else ChangeRefused."""
-        steps = self.reading(kind, name, value)
+        """Return the value in the form of its table, a rule set packed; ChangeRefused if it fails a check."""
+        steps = self.read_in_steps(kind, name, value)
         while True:
             try:
                 next(steps)
             except StopIteration as end:
                 return end.value
 
-    def reading(self, kind: int, name: str, value: bytes) -> Generator[None, None, Value]:
-        """The same in steps: a set of routes takes some milliseconds, a step one rule, or the checks of all
-        against each other."""
+    def read_in_steps(self, kind: int, name: str, value: bytes) -> Generator[None, None, Value]:
+        """Return the same as `read`, in steps of about a millisecond.
+
+        A rule set takes some milliseconds: a step parses one rule, or checks all rules against each other.
+        """
         if not 0 < len(name) <= MAX_NAME_CHARACTERS:
-            raise ChangeRejected(f"a name has 1 to {MAX_NAME_CHARACTERS} characters", name[:WORD_MOST])
+            raise ChangeRejected(f"a name has 1 to {MAX_NAME_CHARACTERS} characters", name[:MAX_TEXT_LENGTH])
         if len(value) > MAX_VALUE_BYTES:
             raise ChangeRejected(f"{len(value)} bytes, {MAX_VALUE_BYTES} at most", name)
         try:
@@ -74,7 +77,7 @@
                 case Kind.ZONE:
                     return msgspec.msgpack.decode(value, type=ZoneValue)
         except (msgspec.MsgspecError, ValueError) as error:
-            raise ChangeRejected(str(error), name) from None
+            raise ChangeRejected(str(error), name) from error
         raise ChangeRejected(f"no kind of key is numbered {kind}", name)
 
     def _routes(self, value: bytes) -> Generator[None, None, bytes]:
@@ -83,11 +86,11 @@
             for rule in parse_by_rule(value.decode()):
                 rules.append(rule)
                 yield
-            table = checked_table(rules, self.methods, self.longest)
+            table = checked_table(rules, self.methods, self.max_deadline)
             yield
             return pack_rules(table)
         except (FaultsError, RouteError) as error:
-            raise ValueError(str(error)) from None
+            raise ValueError(str(error)) from error
 
 
 def _tenant(value: bytes) -> TenantValue:
@@ -104,14 +107,17 @@
     if not service or not instance:
         raise ValueError("an instance's name is service/instance")
     found = msgspec.msgpack.decode(value, type=InstanceValue)
-    if found.state not in (GONE, READY, DRAINING):
+    if found.state not in (InstanceState.REMOVED, InstanceState.READY, InstanceState.DRAINING):
         raise ValueError(f"no state is numbered {found.state}")
     if not (isfinite(found.size) and found.size > 0.0):
         raise ValueError(f"a size is above 0, not {found.size}")
-    if not (0 <= found.build < NUMBER_MOST and 0 <= found.started < NUMBER_MOST):
+    if not (0 <= found.build < MAX_INTEGER and 0 <= found.started < MAX_INTEGER):
         raise ValueError("build and start are whole numbers from 0")
-    if max(len(found.zone), len(found.cell), len(found.host)) > WORD_MOST or not found.host:
-        raise ValueError(f"zone, cell and host have {WORD_MOST} characters at most, and there is a host")
-    if not 0 < found.port <= PORT_MOST:
+    longest = max(len(found.zone), len(found.cell), len(found.host))
+    if longest > MAX_TEXT_LENGTH or not found.host:
+        raise ValueError(
+            f"zone, cell and host have {MAX_TEXT_LENGTH} characters at most, and there is a host"
+        )
+    if not 0 < found.port <= MAX_PORT:
         raise ValueError(f"no port is numbered {found.port}")
     return found
--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -1,224 +1,285 @@
-"""One member of the fleet on a reactor: its proposer, its acceptor if it is one, links, store, and acts.
+"""One member of the fleet on a reactor: proposer, acceptor if it is one, connections and task actions.
 
-Connects these, and keeps one timer for both cores. Records are written by one thread in their order, and
-an acceptor's answer is sent after the write. It must never decide: it carries out what a core decides.
+Connects these, and keeps one timer for both state machines. It carries out what they decide, and decides
+nothing itself.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from random import Random
 from typing import Any
 
-from twisted.internet.threads import deferToThreadPool
-from twisted.python.threadpool import ThreadPool
+import msgspec
 
-from linenbridge.fleet.configuration import RESTARTS, FleetTold
-from linenbridge.errors import FleetError
-from linenbridge.peering import clock
-from linenbridge.fleet.hosting.task_actions import Errands
-from linenbridge.fleet.hosting.freezes import Freezes
-from linenbridge.peering.connections import Links, later
+from linenbridge.fleet.configuration import RESTARTS_TASK, FleetSettings
+from linenbridge.fleet.hosting.acceptor_host import AcceptorHost
+from linenbridge.fleet.hosting.freezes import RolloutFreezes
+from linenbridge.fleet.hosting.task_actions import ActiveLease, TaskActions
 from linenbridge.fleet.leases.acceptor import Acceptor
-from linenbridge.fleet.leases.messages import LeaseReply, LeaseRequest, RecoveryReply, RecoveryRequest
+from linenbridge.fleet.leases.decisions import (
+    AcceptorDecision,
+    LeaseAcquired,
+    LeaseLost,
+    LogEvent,
+    Persist,
+    ProposerDecision,
+    Send,
+)
+from linenbridge.fleet.leases.messages import (
+    LeaseReply,
+    LeaseRequest,
+    Message,
+    RecoveryReply,
+    RecoveryRequest,
+)
 from linenbridge.fleet.leases.proposer import Proposer
-from linenbridge.fleet.store.acceptor_records import promises
 from linenbridge.logging.event_log import Log
+from linenbridge.peering import clock
+from linenbridge.peering.connections import PeerConnections, call_soon
+
+MESSAGE_DECODER = msgspec.msgpack.Decoder(Message)
+CLOSE_DELAY = 0.25  # seconds in which the last messages of a member that leaves are sent
+MIN_WAIT = 0.001  # seconds
+REPLY_PEERS_PER_CONNECTION = 4  # of the bound on remembered proposers: a peer restarts under another name
+SPARE_REPLY_PEERS = 64
+
+
+def ignore_rollout_freeze(zones: frozenset[str] | None) -> None:
+    """Do nothing: for a member without a decision module."""
+
 
-GOODBYE = 0.25  # seconds for the last words of a member that leaves
+def ignore_task_change(task: str) -> None:
+    """Do nothing: for a member of whose tasks nobody else takes notice."""
 
 
 class Member:
-    """`life` differs for each start of the process. `held` is called with the zones in which releases are
-    held, None for none; `tasks_changed` with a task that this member has begun or ceased to hold."""
+    """A member from its start until it leaves.
+
+    `incarnation` differs for each start of the process. `on_rollout_freeze` is called with the zones in which
+    releases are frozen: the empty set for everywhere, None for nowhere. `on_task_changed` is called with a
+    task whose lease this member has acquired or lost.
+    """
 
     def __init__(
-        self, told: FleetTold, reactor: Any, log: Log, life: int,
-        held: Callable[[frozenset[str] | None], None] = lambda zones: None,
-        tasks_changed: Callable[[str], None] = lambda task: None,
-    ) -> None:  # fmt: skip
-        self.told, self.reactor, self.log, self.tasks_changed = told, reactor, log, tasks_changed
-        self.name, self.life = f"{told.member}#{life:x}", life
+        self,
+        settings: FleetSettings,
+        reactor: Any,
+        log: Log,
+        incarnation: int,
+        on_rollout_freeze: Callable[[frozenset[str] | None], None] = ignore_rollout_freeze,
+        on_task_changed: Callable[[str], None] = ignore_task_change,
+    ) -> None:
+        """Start: listen, connect to the acceptors and request the leases of all tasks."""
         now = clock.now()
-        self.proposer = Proposer(self.name, told.quorum, told.pace, life, now)
-        self.acceptor: Acceptor | None = None
-        self.proposers: dict[str, str] = {}  # by proposer, the link that it was last heard on
-        self.disk = self.pool = self.timer = self.leaving = None
-        self.gone = False
-        if told.is_acceptor():
-            self._start_acceptor(now, life)
-        self.links = Links(told.member, frozenset(told.members), reactor, log, self._hear)
-        self.port = reactor.listenTCP(told.listen[1], self.links, interface=told.listen[0])
-        self._dial()
-        for errand in told.errands:
-            if errand.task != RESTARTS:
-                self.proposer.stand_for(now, errand.task, errand.places)
-        self.freezes = Freezes(told.windows, reactor, log, held)
-        self.errands = Errands(self.name, told.errands, reactor, log, self.holds)
-        acceptor = told.is_acceptor()
-        log.event("member.started", member=told.member, life=f"{life:x}", acceptor=acceptor, seat=acceptor)
+        self.settings = settings
+        self.reactor = reactor
+        self.log = log
+        self.incarnation = incarnation
+        self.on_task_changed = on_task_changed
+        self.name = f"{settings.member}#{incarnation:x}"
+        self.proposer = Proposer(self.name, settings.quorum, settings.timing, incarnation, now)
+        self.acceptor_host: AcceptorHost | None = None
+        self.reply_peers: dict[str, str] = {}  # by proposer, the peer that its last request came from
+        self.timer: Any = None
+        self.on_left: Callable[[], None] | None = None  # set once this member begins to leave
+        self.has_left = False
+        if settings.is_acceptor():
+            self._start_acceptor(now)
+        self.connections = self._new_connections()
+        host, port = settings.listen
+        self.port = reactor.listenTCP(port, self.connections, interface=host)
+        self._dial_acceptors()
+        self._request_leases(now)
+        self.freezes = RolloutFreezes(settings.windows, reactor, log, on_rollout_freeze)
+        self.actions = TaskActions(self.name, settings.tasks, reactor, log, self.active_lease)
+        self._log_start()
         self.turn()
 
-    def _start_acceptor(self, now: int, life: int) -> None:
-        """Read the store, then start the acceptor. If the store can't be used the acceptor grants
-        nothing."""
-        told, broken, kept = self.told, "", None
-        try:
-            self.disk = promises(told.store, told.member)
-            kept = self.disk.read()
-        except FleetError as error:
-            broken = str(error)
-            self.log.event("store.failed", **error.fields())
-            kept = promises("", told.member).read()
-        number = Random(life).getrandbits(52)
-        self.acceptor = Acceptor(
-            told.member, told.quorum, told.pace, kept, now, told.first_term, told.trusted, number
+    def _new_connections(self) -> PeerConnections:
+        return PeerConnections(
+            self.settings.member,
+            frozenset(self.settings.members),
+            self.reactor,
+            self.log,
+            self._on_message,
+            decoder=MESSAGE_DECODER,
+        )
+
+    def _request_leases(self, now: int) -> None:
+        """Request the leases of all tasks; a turn to restart is requested by `leave` alone."""
+        for task in self.settings.tasks:
+            if task.task != RESTARTS_TASK:
+                self.proposer.request_lease(now, task.task, task.slots)
+
+    def _log_start(self) -> None:
+        self.log.event(
+            "member.started",
+            member=self.settings.member,
+            incarnation=f"{self.incarnation:x}",
+            acceptor=self.settings.is_acceptor(),
+        )
+
+    def _start_acceptor(self, now: int) -> None:
+        self.acceptor_host = AcceptorHost(
+            self.settings,
+            self.reactor,
+            self.log,
+            self.incarnation,
+            now,
+            on_persisted=self._send,
+            on_store_failed=self.turn,
         )
-        if broken:
-            self.acceptor.on_store_failed(now, broken)
-        self.pool = ThreadPool(1, 1, "promises")
-        self.pool.start()
 
-    def _dial(self) -> None:
-        for acceptor in self.told.quorum.everyone():
-            if acceptor != self.told.member:
-                self.links.dial(acceptor, self.told.members[acceptor])
+    @property
+    def acceptor(self) -> Acceptor | None:
+        """The acceptor's state machine, None if this member is no acceptor."""
+        return None if self.acceptor_host is None else self.acceptor_host.acceptor
+
+    def _dial_acceptors(self) -> None:
+        for acceptor in self.settings.quorum.all_acceptors():
+            if acceptor != self.settings.member:
+                self.connections.dial(acceptor, self.settings.members[acceptor])
 
-    # ---- messages ----------------------------------------------------------------------------------
+    # ---- messages ------------------------------------------------------------------------------------------
 
-    def _hear(self, far: str, message: Any) -> None:
-        """A message counts only if its sender is the member at the other end of the link."""
-        now, acceptor = clock.now(), self.acceptor
+    def _on_message(self, peer: str, message: Message) -> None:
+        """A message counts only if its sender is the member at the other end of the connection."""
+        now = clock.now()
         if isinstance(message, LeaseReply):
-            if message.acceptor == far:
+            if message.acceptor == peer:
                 self.proposer.on_reply(now, message)
-        elif acceptor is not None and isinstance(message, LeaseRequest):
-            if message.proposer.partition("#")[0] == far:
-                self._heard_on(message.proposer, far)
+        elif self.acceptor is not None:
+            self._on_acceptor_message(now, self.acceptor, peer, message)
+        self.turn()
+
+    def _on_acceptor_message(
+        self, now: int, acceptor: Acceptor, peer: str, message: LeaseRequest | RecoveryRequest | RecoveryReply
+    ) -> None:
+        match message:
+            case LeaseRequest() if message.proposer.partition("#")[0] == peer:
+                self._remember_reply_peer(message.proposer, peer)
                 acceptor.on_request(now, message)
-        elif acceptor is not None and isinstance(message, RecoveryRequest):
-            if message.acceptor == far:
+            case RecoveryRequest() if message.acceptor == peer:
                 acceptor.on_recovery_request(now, message)
-        elif acceptor is not None and isinstance(message, RecoveryReply) and message.acceptor == far:
-            acceptor.on_stamp(now, far, message.stamp)
-            acceptor.on_recovery_reply(now, message)
-        self.turn()
+            case RecoveryReply() if message.acceptor == peer:
+                acceptor.on_revision(peer, message.revision)
+                acceptor.on_recovery_reply(now, message)
 
-    def _heard_on(self, proposer: str, far: str) -> None:
-        """Remember the link to answer a proposer on; entries of closed links are dropped beyond a bound."""
-        if len(self.proposers) > 4 * len(self.links.to) + 64:
-            self.proposers = {name: link for name, link in self.proposers.items() if link in self.links.to}
-        self.proposers[proposer] = far
+    def _remember_reply_peer(self, proposer: str, peer: str) -> None:
+        """Remember whom to send the reply to; entries of lost connections are dropped beyond a bound."""
+        connected = self.connections.by_peer
+        if len(self.reply_peers) > REPLY_PEERS_PER_CONNECTION * len(connected) + SPARE_REPLY_PEERS:
+            self.reply_peers = {name: peer for name, peer in self.reply_peers.items() if peer in connected}
+        self.reply_peers[proposer] = peer
 
-    def _say(self, to: str, message: Any) -> None:
-        if to in (self.name, self.told.member):
-            later(self.reactor, self._hear, self.told.member, message)
+    def _send(self, send: Send) -> None:
+        if send.to in (self.name, self.settings.member):
+            call_soon(self.reactor, self._on_message, self.settings.member, send.message)
         else:
-            self.links.say(self.proposers.get(to, to), message)
+            self.connections.send(self.reply_peers.get(send.to, send.to), send.message)
 
-    # ---- turns -------------------------------------------------------------------------------------
+    # ---- decisions -----------------------------------------------------------------------------------------
 
     def turn(self) -> None:
-        """Carry out all decisions of both cores, then set the timer."""
+        """Carry out all decisions that are due, then set the timer."""
         now = clock.now()
-        for core in (self.proposer, self.acceptor):
-            while core is not None and (decision := core.next_decision(now)) is not None:
-                self._carry_out(decision)
-        wakes = [core.wake_at() for core in (self.proposer, self.acceptor) if core is not None]
-        at = min((wake for wake in wakes if wake is not None), default=None)
+        machines: list[Proposer | Acceptor] = [self.proposer]
+        if self.acceptor is not None:
+            machines.append(self.acceptor)
+        for machine in machines:
+            while (decision := machine.next_decision(now)) is not None:
+                self._execute(decision)
+        wake_times = [machine.wake_at() for machine in machines]
+        wake_at = min((at for at in wake_times if at is not None), default=None)
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        if at is not None:
-            self.timer = self.reactor.callLater(max(0.001, (at - now) / 1e6), self.turn)
-
-    def _carry_out(self, decision: tuple) -> None:
-        kind = decision[0]
-        if kind == "say":
-            self._say(decision[1], decision[2])
-        elif kind == "keep":
-            self._keep(decision[1], decision[2], decision[3])
-        elif kind == "log":
-            self.log.event(decision[1], **decision[2])
-        else:
-            _, task, place, term = decision
-            self.log.event(f"task.{kind}", task=task, place=place, term=term)
-            later(self.reactor, self.tasks_changed, task)
-            if kind == "held" and task == RESTARTS and self.leaving is not None:
-                self._go()
-
-    def _keep(self, rows: list[tuple], to: str, message: Any) -> None:
-        done = deferToThreadPool(self.reactor, self.pool, self.disk.keep, rows, self.acceptor.facts())
-        done.addCallbacks(lambda _: message is not None and self._say(to, message), self._not_kept)
-
-    def _not_kept(self, failure: Any) -> None:
-        self.acceptor.on_store_failed(clock.now(), failure.getErrorMessage())
-        self.turn()
+        if wake_at is not None:
+            self.timer = self.reactor.callLater(max(MIN_WAIT, (wake_at - now) / 1e6), self.turn)
 
-    # ---- what others ask ---------------------------------------------------------------------------
+    def _execute(self, decision: ProposerDecision | AcceptorDecision) -> None:
+        match decision:
+            case Send():
+                self._send(decision)
+            case Persist() if self.acceptor_host is not None:
+                self.acceptor_host.persist(decision)
+            case LogEvent(name, fields):
+                self.log.event(name, **fields)
+            case LeaseAcquired(task, slot, term):
+                self.log.event("task.acquired", task=task, slot=slot, term=term)
+                call_soon(self.reactor, self.on_task_changed, task)
+                if task == RESTARTS_TASK and self.on_left is not None:
+                    self._release_leases()
+            case LeaseLost(task, slot, term):
+                self.log.event("task.lost", task=task, slot=slot, term=term)
+                call_soon(self.reactor, self.on_task_changed, task)
 
-    def holds(self, task: str) -> tuple[int, int] | None:
-        """Term and place under which this member may act on the task at this moment, or None."""
+    # ---- the process ---------------------------------------------------------------------------------------
+
+    def active_lease(self, task: str) -> ActiveLease | None:
+        """The lease under which this member may act on the task at this moment, or None."""
         term = self.proposer.may_act(clock.now(), task)
-        return None if term is None else (term, self.proposer.holds[task].place)
+        return None if term is None else ActiveLease(term, self.proposer.leases[task].slot)
 
-    def take_up(self, told: FleetTold) -> None:
-        """New settings: the quorum, addresses and windows count at once, all else from the next start."""
+    def update_settings(self, settings: FleetSettings) -> None:
+        """Take new settings: quorum, addresses and windows count at once, all else from the next start."""
         now = clock.now()
-        self.told = told
-        self.proposer.on_quorum(now, told.quorum)
+        self.settings = settings
+        self.proposer.on_quorum(now, settings.quorum)
         if self.acceptor is not None:
-            self.acceptor.on_quorum(now, told.quorum)
-        elif told.is_acceptor():
-            self._start_acceptor(now, self.life)
-        self.links.known = frozenset(told.members)
-        acceptors = told.quorum.everyone()
-        for former in [name for name in self.links.dialled if name not in acceptors]:
-            self.links.drop(former)
-        self._dial()
-        self.freezes.take_up(told.windows)
+            self.acceptor.on_quorum(now, settings.quorum)
+        elif settings.is_acceptor():
+            self._start_acceptor(now)
+        self.connections.peer_names = frozenset(settings.members)
+        acceptors = settings.quorum.all_acceptors()
+        for former in [name for name in self.connections.dialled if name not in acceptors]:
+            self.connections.disconnect(former)
+        self._dial_acceptors()
+        self.freezes.update(settings.windows)
         self.turn()
 
-    def leave(self, gone: Callable[[], None]) -> None:
-        """End in order: wait for a turn to restart if the settings have turns, then give all leases back."""
-        if self.leaving is not None:
+    def leave(self, on_left: Callable[[], None]) -> None:
+        """Leave in order: wait for a turn to restart if the settings have turns, then give all leases back.
+
+        `on_left()` is called once all is closed.
+        """
+        if self.on_left is not None:
             return
-        self.leaving = gone
-        turns = [errand for errand in self.told.errands if errand.task == RESTARTS]
-        if not turns:
-            self._go()
+        self.on_left = on_left
+        restarts = next((task for task in self.settings.tasks if task.task == RESTARTS_TASK), None)
+        if restarts is None:
+            self._release_leases()
             return
-        self.proposer.stand_for(clock.now(), RESTARTS, turns[0].places)
-        self.reactor.callLater(self.told.restarts_within / 1e6, self._go)
+        self.proposer.request_lease(clock.now(), RESTARTS_TASK, restarts.slots)
+        self.reactor.callLater(self.settings.restart_timeout / 1e6, self._release_leases)
         self.turn()
 
-    def _go(self) -> None:
-        gone, self.leaving = self.leaving, lambda: None
-        if gone is None or self.gone:
+    def _release_leases(self) -> None:
+        """Give all leases back but the turn to restart, which ends by itself, and close a little later."""
+        if self.has_left:
             return
-        self.gone = True
-        self.errands.close()
+        self.has_left = True
+        self.actions.close()
         self.freezes.close()
         now = clock.now()
-        for task in list(self.proposer.holds):
-            if task != RESTARTS:
-                self.proposer.leave(now, task)
+        for task in list(self.proposer.leases):
+            if task != RESTARTS_TASK:
+                self.proposer.release_lease(now, task)
         self.turn()
-        self.reactor.callLater(GOODBYE, self._close, gone)
+        self.reactor.callLater(CLOSE_DELAY, self._close)
 
-    def _close(self, gone: Callable[[], None]) -> None:
+    def _close(self) -> None:
         self.port.stopListening()
-        self.links.close()
-        if self.pool is not None:
-            self.pool.stop()
-        if self.disk is not None:
-            self.disk.close()
-        gone()
+        self.connections.close()
+        if self.acceptor_host is not None:
+            self.acceptor_host.close()
+        if self.on_left is not None:
+            self.on_left()
 
     def facts(self) -> dict[str, int]:
         """Figures for the line of counters."""
-        held = sum(self.holds(task) is not None for task in self.proposer.holds)
+        active = sum(self.active_lease(task) is not None for task in self.proposer.leases)
         return {
-            "links": len(self.links.to),
-            "held": held,
-            "grants": int(bool(self.acceptor and self.acceptor.grants())),
+            "connected_peers": len(self.connections.by_peer),
+            "active_leases": active,
+            "granting": int(self.acceptor is not None and self.acceptor.grants()),
         }
--- a/linenbridge/processor/codec.py
+++ b/linenbridge/processor/codec.py
@@ -1,7 +1,7 @@
-"""Messages of the protocol, read and written. It owns the form alone and must never decide what is said.
+"""Messages of the external-processing protocol: requests decoded, responses encoded.
 
-A message that cannot be read raises MalformedError with a plain word. Names of headers come in lower case;
-values that are no text keep their bytes as latin-1. What is not known is passed over, as the protocol asks.
+A message that cannot be read raises MalformedError. Names of headers are lower-cased; values that are no text
+keep their bytes as latin-1. Unknown fields are ignored, as the protocol asks.
 """
 
 from __future__ import annotations
@@ -11,56 +11,72 @@
 from google.protobuf.message import DecodeError
 from google.protobuf.struct_pb2 import Struct
 
-from linenbridge.processor import stream_phases
 from linenbridge.processor import wire_pb2 as wire
+from linenbridge.processor.stream_phases import MessageKind
+from linenbridge.routes.table import Request
 
-HEADERS_MOST = 256  # headers of one message
-KIND_HEADERS = {stream_phases.REQUEST_HEADERS, stream_phases.RESPONSE_HEADERS}
-Overwrite = wire.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
+MAX_HEADERS = 256  # headers of one message
+HEADER_KINDS = {MessageKind.REQUEST_HEADERS, MessageKind.RESPONSE_HEADERS}
+OVERWRITE = wire.HeaderValueOption.OVERWRITE_IF_EXISTS_OR_ADD
 
 
 class MalformedError(ValueError):
-    """A message that is none; the text goes to the proxy."""
+    """The bytes are no message of the protocol; the text goes to the proxy."""
 
 
 @dataclass(slots=True)
-class Heard:
-    """One message of a proxy in plain words."""
+class ProxyMessage:
+    """One message of a proxy. `ended`: nothing of its direction follows; `observed`: it gets no response."""
 
-    kind: str | None
+    kind: MessageKind
     headers: dict[str, str] = field(default_factory=dict)
     attributes: dict[str, str] = field(default_factory=dict)
     ended: bool = False
-    watched: bool = False
-
-
-def read(data: bytes | memoryview) -> Heard:
-    """One ProcessingRequest."""
+    observed: bool = False
+
+    def request(self) -> Request:
+        """The request that request headers are about, as routes match it."""
+        return Request(
+            self.headers.get(":authority", self.headers.get("host", "")),
+            self.headers.get(":path", "/"),
+            self.headers.get(":method", "GET"),
+            self.headers.get(":scheme", "http"),
+            self.headers,
+            self.attributes,
+        )
+
+
+def decode(data: bytes | memoryview) -> ProxyMessage:
+    """Decode one ProcessingRequest; MalformedError where that fails."""
     message = wire.ProcessingRequest()
     try:
         message.ParseFromString(bytes(data))
-    except (DecodeError, RecursionError, ValueError):
-        raise MalformedError("the message is no ProcessingRequest") from None
-    kind = message.WhichOneof("request")
-    heard = Heard(kind, watched=message.observability_mode)
-    if kind is None:
-        return heard
+    except (DecodeError, RecursionError, ValueError) as error:
+        raise MalformedError("the message is no ProcessingRequest") from error
+    name = message.WhichOneof("request")
+    kind = MessageKind(name or "")
+    decoded = ProxyMessage(kind, observed=message.observability_mode)
+    if kind == MessageKind.UNKNOWN:
+        return decoded
     part = getattr(message, kind)
-    if kind in KIND_HEADERS:
-        heard.headers, heard.ended = _headers(part.headers), part.end_of_stream
-    elif kind in (stream_phases.REQUEST_TRAILERS, stream_phases.RESPONSE_TRAILERS):
-        heard.headers, heard.ended = _headers(part.trailers), True
+    if kind in HEADER_KINDS:
+        decoded.headers = _headers(part.headers)
+        decoded.ended = part.end_of_stream
+    elif kind in (MessageKind.REQUEST_TRAILERS, MessageKind.RESPONSE_TRAILERS):
+        decoded.headers = _headers(part.trailers)
+        decoded.ended = True
     else:
-        heard.ended = part.end_of_stream
+        decoded.ended = part.end_of_stream
     if message.attributes:
-        heard.attributes = _attributes(message.attributes)
-    return heard
+        decoded.attributes = _attributes(message.attributes)
+    return decoded
 
 
 def _headers(found: wire.HeaderMap) -> dict[str, str]:
-    """Several of one name are joined by a comma, as HTTP reads them; of pseudo headers there is one."""
-    if len(found.headers) > HEADERS_MOST:
-        raise MalformedError(f"more than {HEADERS_MOST} headers")
+    """Headers by name. Several of one name are joined by a comma (RFC 9110, section 5.2); a pseudo-header
+    comes once."""
+    if len(found.headers) > MAX_HEADERS:
+        raise MalformedError(f"more than {MAX_HEADERS} headers")
     named: dict[str, str] = {}
     for header in found.headers:
         name = header.key.lower()
@@ -74,7 +90,7 @@
 
 
 def _attributes(found: dict[str, Struct]) -> dict[str, str]:
-    """All groups' plain values under their names; numbers without a fraction as whole ones."""
+    """The plain values of all groups by name; numbers without a fraction as whole ones."""
     named: dict[str, str] = {}
     for _, group in sorted(found.items()):
         for name, value in sorted(group.fields.items()):
@@ -89,58 +105,59 @@
     return named
 
 
-# ---- answers -------------------------------------------------------------------------------------------
+# ---- responses ------------------------------------------------------------------------------------------
 
 
-def _mutation(mutation: wire.HeaderMutation, headers: dict[str, str]) -> None:
+def _set_headers(mutation: wire.HeaderMutation, headers: dict[str, str]) -> None:
     for name, value in headers.items():
         option = mutation.set_headers.add()
         option.header.key = name
         option.header.raw_value = value.encode("latin-1", "replace")
-        option.append_action = Overwrite
+        option.append_action = OVERWRITE
 
 
-def hand_out(headers: dict[str, str], metadata: tuple[str, dict[str, str]] | None, trailers: bool) -> bytes:
-    """The answer to request headers that go on; `metadata` is a namespace with its values. The proxy is asked
-    to show the response's headers, and its trailers where only they tell how it went."""
-    answer = wire.ProcessingResponse()
-    common = answer.request_headers.response
-    _mutation(common.header_mutation, headers)
+def dispatch_response(
+    headers: dict[str, str], metadata: tuple[str, dict[str, str]] | None, trailers: bool
+) -> bytes:
+    """The response to request headers that go on; `metadata` is a namespace with its values. It asks the
+    proxy to show the instance's response headers, and with `trailers` its trailers."""
+    response = wire.ProcessingResponse()
+    common = response.request_headers.response
+    _set_headers(common.header_mutation, headers)
     common.clear_route_cache = True
     if metadata is not None:
-        answer.dynamic_metadata[metadata[0]] = metadata[1]
-    mode = answer.mode_override
+        response.dynamic_metadata[metadata[0]] = metadata[1]
+    mode = response.mode_override
     mode.response_header_mode = wire.ProcessingMode.SEND
     mode.request_trailer_mode = wire.ProcessingMode.SKIP
     mode.response_trailer_mode = wire.ProcessingMode.SEND if trailers else wire.ProcessingMode.SKIP
-    return answer.SerializeToString()
+    return response.SerializeToString()
 
 
-def go_on(kind: str, headers: dict[str, str] | None = None) -> bytes:
-    """The answer to any other message: it passes, with these headers set where it is headers."""
-    answer = wire.ProcessingResponse()
-    if kind in (stream_phases.REQUEST_TRAILERS, stream_phases.RESPONSE_TRAILERS):
-        part = getattr(answer, kind)
+def continue_response(kind: MessageKind, headers: dict[str, str] | None = None) -> bytes:
+    """The response that lets any other message pass, with these headers set unless it is a body."""
+    response = wire.ProcessingResponse()
+    part = getattr(response, kind)
+    if kind in (MessageKind.REQUEST_TRAILERS, MessageKind.RESPONSE_TRAILERS):
         part.SetInParent()
         if headers:
-            _mutation(part.header_mutation, headers)
+            _set_headers(part.header_mutation, headers)
     else:
-        part = getattr(answer, kind)
         part.response.SetInParent()
         if headers:
-            _mutation(part.response.header_mutation, headers)
-    return answer.SerializeToString()
+            _set_headers(part.response.header_mutation, headers)
+    return response.SerializeToString()
 
 
-def immediate(code: int, headers: dict[str, str], details: str, grpc: int | None) -> bytes:
-    """A final answer from here; `grpc` is the status for callers that speak gRPC."""
-    answer = wire.ProcessingResponse()
-    part = answer.immediate_response
+def immediate_response(code: int, headers: dict[str, str], details: str, grpc: int | None) -> bytes:
+    """A final response in place of an instance's; `grpc` is the status for callers that use gRPC."""
+    response = wire.ProcessingResponse()
+    part = response.immediate_response
     part.status.code = code
-    _mutation(part.headers, headers)
+    _set_headers(part.headers, headers)
     part.details = details
     if grpc is None:
         part.body = f"{details}\n".encode()
     else:
         part.grpc_status.status = grpc
-    return answer.SerializeToString()
+    return response.SerializeToString()
--- a/linenbridge/routes/table.py
+++ b/linenbridge/routes/table.py
@@ -15,6 +15,7 @@
 from typing import Protocol
 from urllib.parse import parse_qsl
 
+import msgspec
 from msgspec import Struct
 
 from linenbridge.interface import Method
@@ -76,7 +77,9 @@
     method: str
     tenant: str
     key: str | None
-    soft_deadline: int
+    latency_objective: int = msgspec.field(
+        name="soft_deadline"
+    )  # the name that `route explain --json` prints
     deadline: int
     cost: int | None
 
@@ -102,10 +105,10 @@
     """All routes of one gateway, compiled."""
 
     def __init__(self, rules: list[Rule], methods: Iterable[Method], longest: int) -> None:
-        self.rules = rules
+        self.rules: Sequence[Rule] = rules
         self.methods = {method.name: method for method in methods}
         self.longest = longest
-        self.conditions = [compiled(rule.when) for rule in rules]
+        self.conditions: Sequence[Callable[[Request], bool]] = [compiled(rule.when) for rule in rules]
         self.everywhere: list[int] = []
         self.under: dict[str, list[int]] = {}
         self._sort_in()
@@ -149,7 +152,7 @@
     def _asked(self, rule: Rule, request: Request) -> Asked:
         method = self.methods[rule.method]
         deadline = min(_time(rule.deadline, request) or self.longest, self.longest)
-        soft = min(rule.soft or method.soft_deadline, deadline)
+        soft = min(rule.soft or method.latency_objective, deadline)
         cost = _time(rule.cost, request) if rule.cost is not None else None
         tenant, key = _value(rule.tenant, request) or "", _value(rule.key, request)
         return Asked(rule.name, rule.method, tenant, key, soft, deadline, cost)
--- /dev/null
+++ b/tests/distribution/dissemination/simulation/gateway_tables.py
@@ -0,0 +1,82 @@
+"""What the simulated gateways have in force, and the record of how it came about."""
+
+from __future__ import annotations
+
+from collections import defaultdict
+from dataclasses import dataclass
+from functools import lru_cache
+
+from linenbridge.distribution.changes import (
+    RANGES,
+    Change,
+    Version,
+    added,
+    digest_of,
+    range_of,
+    removed,
+)
+from linenbridge.distribution.decisions import ReplaceRange
+
+Key = tuple[int, str]
+_range_of = lru_cache(maxsize=None)(range_of)
+
+
+@dataclass(frozen=True)
+class InForce:
+    """One line of the record: at a gateway, a key is now at a version (None: it is removed). Without a
+    region: the gateway was started with an emptied store."""
+
+    at: int
+    gateway: str
+    region: str
+    kind: int
+    name: str
+    version: Version | None
+    value: bytes
+
+
+class Tables:
+    """What one gateway has in force, as plain dicts by region."""
+
+    def __init__(self) -> None:
+        self.rows: dict[str, dict[Key, Change]] = defaultdict(dict)
+        self.sums: dict[str, int] = defaultdict(int)
+        self.at: dict[str, Version] = {}
+
+    def put(self, change: Change) -> bool:
+        """Store a change; False if it is not newer than what is stored."""
+        rows = self.rows[change.region]
+        old = rows.get(change.key)
+        if old is not None and old.version >= change.version:
+            return False
+        if old is not None:
+            self.sums[change.region] = removed(self.sums[change.region], old)
+        rows[change.key] = change
+        self.sums[change.region] = added(self.sums[change.region], change)
+        return True
+
+    def drop(self, region: str, key: Key) -> None:
+        """Remove a key."""
+        self.sums[region] = removed(self.sums[region], self.rows[region].pop(key))
+
+    def remove_unnamed(self, snapshot: ReplaceRange) -> list[Key]:
+        """Remove the keys of a range up to its version that it does not name; returns them."""
+        named = {change.key for change in snapshot.changes}
+        unnamed = [
+            key
+            for key, change in self.rows[snapshot.region].items()
+            if key not in named
+            and _range_of(*key) == snapshot.range_index
+            and change.version <= snapshot.upto
+        ]
+        for key in unnamed:
+            self.drop(snapshot.region, key)
+        return unnamed
+
+    def range_digests(self, region: str) -> bytes:
+        """The digests of all ranges, 8 bytes each."""
+        sums = [0] * RANGES
+        for change in self.rows[region].values():
+            index = range_of(change.kind, change.name)
+            sums[index] = (sums[index] + digest_of(change)) % (1 << 64)
+        return b"".join(each.to_bytes(8, "big") for each in sums)
--- /dev/null
+++ b/tests/records.py
@@ -0,0 +1,82 @@
+"""How a day's record writes a decision down: in the form of the base (4d24a08), of which the digests are.
+
+Owns that form alone: the digests in `tests/test_days.py` hold whatever the decisions are called in the code.
+"""
+
+from __future__ import annotations
+
+from linenbridge.decisions import (
+    CancelAttempt,
+    CastVote,
+    Decision,
+    Fail,
+    Gossip,
+    LogMessage,
+    Reject,
+    SendAttempt,
+    WatchEndpoints,
+)
+from linenbridge.interface import RolloutPhase, Vote
+from linenbridge.policy import change_detection
+
+STATISTICS = {
+    change_detection.FAILURES: "failed",
+    change_detection.FAILURE_BURST: "failed much",
+    change_detection.LATENCY: "slow",
+    change_detection.FAILURES + change_detection.OTHER_METHODS_SUFFIX: "failed this hour",
+    change_detection.FAILURE_BURST + change_detection.OTHER_METHODS_SUFFIX: "failed much this hour",
+}
+
+
+def base_form(decision: Decision) -> str:
+    """One decision as the base showed it: the `repr` of a tuple that starts with its kind."""
+    return repr(base_tuple(decision))
+
+
+def base_tuple(decision: Decision) -> tuple[object, ...]:
+    """The tuple that stood for a decision at the base."""
+    match decision:
+        case SendAttempt():
+            return ("pick", decision.rpc_id, decision.instance, decision.timeout)
+        case CancelAttempt():
+            return ("cancel", decision.rpc_id, decision.attempt)
+        case Reject():
+            return ("push_back", decision.rpc_id, decision.retry_after)
+        case Fail():
+            return ("abort", decision.rpc_id)
+        case CastVote():
+            return ("vote", decision.build, decision.stage, int(decision.vote))
+        case Gossip():
+            return ("tell", decision.peer, decision.payload)
+        case WatchEndpoints():
+            return ("watch",)
+        case LogMessage():
+            return ("log", base_sentence(decision))
+
+
+def base_sentence(message: LogMessage) -> str:
+    """The base's log line, rebuilt from the fields of the message."""
+    fields = message.fields
+    match message.event:
+        case "alarm" | "alarm_cleared":
+            kind = "alarm" if message.event == "alarm" else "clear"
+            return (
+                f"{kind} {fields['method']} {STATISTICS[fields['statistic']]} build {fields['build']} "
+                f"W {fields['value']:.1f} level {fields['threshold']:.1f} ground {fields['baseline']:.3f}"
+            )
+        case "vote":
+            return (
+                f"vote {int(Vote[fields['vote'].upper()])} build {fields['build']} stage {fields['stage']} "
+                f"told {fields['reported_stage']} outcomes {fields['outcomes']} W {fields['value']:.1f}"
+            )
+        case "eject":
+            gap = fields["mean_response_gap_ms"]
+            return f"shun {fields['instance']} gap {gap} ms out {fields['in_flight']}"
+        case "rollout":
+            phase = int(RolloutPhase[fields["phase"].upper()])
+            return f"build {fields['build']} stage {fields['stage']} phase {phase} cap {fields['cap']:g}"
+        case "rollout_freeze":
+            zones = fields["zones"]
+            where = "over" if zones is None else " ".join(zones) or "everywhere"
+            return f"hold {where} build {fields['build']} stage {fields['stage']} cap {fields['cap']:g}"
+    raise ValueError(f"no sentence for {message!r}")
