--- a/linenbridge/distribution/view/regions.py
+++ b/linenbridge/distribution/view/regions.py
@@ -111,7 +111,7 @@
         self.by_index: list[Region] = []
 
     def get(self, name: str) -> Region:
-        """Return the region of that name, added if it is new; ChangeRefused if there are MAX_REGIONS
+        """Return the region of that name, added if it is new; ChangeRejected if there are MAX_REGIONS
         already.
         """
         region = self.by_name.get(name)
--- a/tests/compatibility/test_view.py
+++ b/tests/compatibility/test_view.py
@@ -22,7 +22,7 @@
 
 from linenbridge.distribution.changes import Change, Kind, Version
 from linenbridge.distribution.decisions import Apply, ReplaceRange
-from linenbridge.distribution.errors import ChangeRefused
+from linenbridge.distribution.errors import ChangeRejected
 from linenbridge.distribution.storage.view_store import ViewStore, fingerprint, restored
 from linenbridge.distribution.view.results import ApplyResult, Endpoint, PageKind, RejectedChange, StoredPage
 from linenbridge.distribution.view.rules import COMPRESSION_DICTIONARY
@@ -232,7 +232,7 @@
     checks = ValueChecks(METHODS, LONGEST)
 
     if "rejected" in expected:
-        with pytest.raises(ChangeRefused) as caught:
+        with pytest.raises(ChangeRejected) as caught:
             checks.read(kind, name, b64decode(value))
         assert {"rejected": caught.value.what, "where": caught.value.where} == expected
     else:
