--- a/linenbridge/distribution/configuration.py
+++ b/linenbridge/distribution/configuration.py
@@ -11,18 +11,16 @@
 
 from lxml import etree
 
+from linenbridge.configuration.faults import SettingsFaults
 from linenbridge.configuration.read import (
     SPACE,
     Configuration,
-    ConfigurationError,
     attributes,
     duration,
     size,
 )
+from linenbridge.configuration.values import Address, flag, socket_address
 from linenbridge.errors import FileFaultError
-from linenbridge.net.discovery import host_port
-
-Address = tuple[str, int]
 
 MIN_HEARTBEATS_IN_SILENCE = 2  # a peer is silent once it has missed at least so many heartbeats
 
@@ -89,23 +87,6 @@
         return None
 
 
-class _Faults:
-    """The faults of one element, in the order in which they were found."""
-
-    def __init__(self, configuration: Configuration) -> None:
-        self._configuration = configuration
-        self._errors: list[DistributionSettingsError] = []
-
-    def report(self, at: etree._Element, what: str, do: str) -> None:
-        """Add one fault: the element, what is wrong, and what the operator can do."""
-        self._errors.append(DistributionSettingsError(what, self._configuration.place(at), do))
-
-    def raise_any(self) -> None:
-        """Raise ConfigurationError with a line for each fault, if there are any."""
-        if self._errors:
-            raise ConfigurationError("\n".join(str(error) for error in self._errors))
-
-
 def publishers_task(region: str) -> str:
     """The fleet's task whose holder is the region's publisher; its term is the epoch."""
     return f"publish-{region}"
@@ -116,11 +97,11 @@
     element = configuration.part("distribution")
     if element is None:
         return None
-    faults = _Faults(configuration)
+    faults = SettingsFaults(configuration, DistributionSettingsError)
     settings = _settings(configuration, element, _regions(element, faults))
     _check_times(element, settings, faults)
-    _check_role(element, settings, configuration, faults)
-    faults.raise_any()
+    _check_role(element, settings, faults)
+    faults.raise_all()
     return settings
 
 
@@ -133,9 +114,9 @@
         role=Role(values["role"]),
         name=values["name"],
         region=values["region"],
-        listen=None if listen is None else _address(listen),
+        listen=None if listen is None else socket_address(listen),
         store=configuration.beside(values["store"]),
-        trusted=values["store-never-goes-back"] in ("true", "1"),
+        trusted=flag(values["store-never-goes-back"]),
         platform=configuration.beside(values["platform"]),
         rate=size(values["rate"]),
         rate_between_regions=size(values["rate-between-regions"]),
@@ -149,107 +130,99 @@
     )
 
 
-def _address(text: str) -> Address:
-    return host_port(text.replace("[", "").replace("]", ""))
-
-
-def _regions(element: etree._Element, faults: _Faults) -> dict[str, Region]:
+def _regions(element: etree._Element, faults: SettingsFaults) -> dict[str, Region]:
     regions = dict[str, Region]()
     names = set[str]()
     for row in element.iterchildren(f"{SPACE}region"):
         if row.get("name") in regions:
-            faults.report(
-                row, f"two regions are named {row.get('name')}", "give each region a name of its own"
-            )
+            faults.add(row, f"two regions are named {row.get('name')}", "give each region a name of its own")
         relays = _peers(row, "relay", names, faults)
         publishers = _peers(row, "publisher", names, faults)
         regions[row.get("name")] = Region(relays, publishers)
     return regions
 
 
-def _peers(region: etree._Element, kind: str, names: set[str], faults: _Faults) -> dict[str, Address]:
+def _peers(region: etree._Element, kind: str, names: set[str], faults: SettingsFaults) -> dict[str, Address]:
     """The processes of one kind in a region; a name is one process's in all regions."""
     found = dict[str, Address]()
     for row in region.iterchildren(SPACE + kind):
         name = row.get("name")
         if name in names:
             what = f"two processes are named {name}"
-            faults.report(row, what, "give each relay and publisher a name of its own")
+            faults.add(row, what, "give each relay and publisher a name of its own")
         names.add(name)
-        found[name] = _address(row.get("address"))
+        found[name] = socket_address(row.get("address"))
     return found
 
 
-def _check_times(element: etree._Element, settings: DistributionSettings, faults: _Faults) -> None:
+def _check_times(element: etree._Element, settings: DistributionSettings, faults: SettingsFaults) -> None:
     if settings.gather > settings.heartbeat:
-        faults.report(element, "changes are gathered longer than a heartbeat", "shorten `gather`")
+        faults.add(element, "changes are gathered longer than a heartbeat", "shorten `gather`")
     if settings.silence < MIN_HEARTBEATS_IN_SILENCE * settings.heartbeat:
         what = f"`silence` is shorter than {MIN_HEARTBEATS_IN_SILENCE} heartbeats"
-        faults.report(element, what, "shorten `heartbeat` or lengthen `silence`")
+        faults.add(element, what, "shorten `heartbeat` or lengthen `silence`")
 
 
-def _check_role(
-    element: etree._Element, settings: DistributionSettings, configuration: Configuration, faults: _Faults
-) -> None:
+def _check_role(element: etree._Element, settings: DistributionSettings, faults: SettingsFaults) -> None:
     home = settings.regions.get(settings.region)
     if home is None:
-        faults.report(element, f"no region is named {settings.region}", "add the region with its relays")
+        faults.add(element, f"no region is named {settings.region}", "add the region with its relays")
         return
-    if settings.role != Role.GATEWAY and configuration.part("processor") is not None:
+    if settings.role != Role.GATEWAY and faults.configuration.part("processor") is not None:
         what = f"a {settings.role} serves no proxies"
-        faults.report(element, what, "give the processor a process of its own")
+        faults.add(element, what, "give the processor a process of its own")
     if settings.role == Role.GATEWAY:
         _check_gateway(element, settings, faults)
         return
     if settings.listen is None:
-        faults.report(element, f"a {settings.role} is connected to by others", "add `listen`")
+        faults.add(element, f"a {settings.role} is connected to by others", "add `listen`")
     if settings.role == Role.RELAY:
         _check_relay(element, settings, home, faults)
     else:
         _check_publisher(element, settings, home, faults)
-        _check_publishers_task(element, settings, configuration, faults)
+        _check_publishers_task(element, settings, faults)
 
 
-def _check_gateway(element: etree._Element, settings: DistributionSettings, faults: _Faults) -> None:
+def _check_gateway(element: etree._Element, settings: DistributionSettings, faults: SettingsFaults) -> None:
     names = {name for region in settings.regions.values() for name in (*region.relays, *region.publishers)}
     if settings.name in names:
         what = f"a relay or publisher is named {settings.name}"
-        faults.report(element, what, "give the gateway its own name")
+        faults.add(element, what, "give the gateway its own name")
 
 
 def _check_relay(
-    element: etree._Element, settings: DistributionSettings, home: Region, faults: _Faults
+    element: etree._Element, settings: DistributionSettings, home: Region, faults: SettingsFaults
 ) -> None:
     if settings.name not in home.relays:
         what = f"{settings.name} is no relay of {settings.region}"
-        faults.report(element, what, "add it to the region's relays")
+        faults.add(element, what, "add it to the region's relays")
     if not settings.store:
         what = "a relay without a disk accepts nothing"
-        faults.report(element, what, "add `store`, a folder on a disk that lasts")
+        faults.add(element, what, "add `store`, a folder on a disk that lasts")
 
 
 def _check_publisher(
-    element: etree._Element, settings: DistributionSettings, home: Region, faults: _Faults
+    element: etree._Element, settings: DistributionSettings, home: Region, faults: SettingsFaults
 ) -> None:
     if settings.name not in home.publishers:
         what = f"{settings.name} is no publisher of {settings.region}"
         do = f"add it among the publishers of {settings.region}, so that change clients find it"
-        faults.report(element, what, do)
+        faults.add(element, what, do)
 
 
 def _check_publishers_task(
-    element: etree._Element, settings: DistributionSettings, configuration: Configuration, faults: _Faults
+    element: etree._Element, settings: DistributionSettings, faults: SettingsFaults
 ) -> None:
     """The element `fleet` has the region's task, for one holder at a time."""
     task = publishers_task(settings.region)
-    fleet = configuration.part("fleet")
+    fleet = faults.configuration.part("fleet")
     if fleet is None:
         do = f"add the element fleet with a task {task}"
-        faults.report(element, "a publisher holds a lease of the fleet", do)
+        faults.add(element, "a publisher holds a lease of the fleet", do)
         return
     rows = [row for row in fleet.iterchildren(f"{SPACE}task") if row.get("name") == task]
     if not rows:
         do = "add the task: its holder is the region's publisher"
-        faults.report(fleet, f"no task is named {task}", do)
+        faults.add(fleet, f"no task is named {task}", do)
     elif attributes(rows[0], "task")["places"] != "1":
-        faults.report(rows[0], "a region has one publisher at a time", "set `places` to 1")
+        faults.add(rows[0], "a region has one publisher at a time", "set `places` to 1")
--- a/linenbridge/distribution/view/values.py
+++ b/linenbridge/distribution/view/values.py
@@ -49,7 +49,7 @@
         return ""
 
     def read(self, kind: int, name: str, value: bytes) -> Value:
-        """Return the value in the form of its table, a rule set packed; ChangeRejected if it fails a check."""
+        """Return the value in its table's form, a rule set packed; ChangeRejected if it fails a check."""
         steps = self.read_in_steps(kind, name, value)
         while True:
             try:
