--- a/linenbridge/distribution/dissemination/acceptance.py
+++ b/linenbridge/distribution/dissemination/acceptance.py
@@ -12,7 +12,7 @@
 
 from linenbridge.distribution.changes import RANGES, START, Change, Position, Version, intact, range_of
 from linenbridge.distribution.decisions import Apply, ReplaceRange
-from linenbridge.distribution.messages import Batch, Whole, batch_checksum, whole_checksum
+from linenbridge.distribution.messages import Batch, RangeSnapshot, batch_checksum, range_checksum
 
 MAX_RANGE_BYTES = 16_000_000  # of the values of one range whose parts are being joined
 MAX_PENDING_DIGESTS = 256  # positions whose digest the host has yet to report
@@ -30,7 +30,7 @@
     MALFORMED = "malformed"
 
 
-def defect(message: Batch | Whole) -> str:
+def defect(message: Batch | RangeSnapshot) -> str:
     """The first check that the bytes of a message fail; empty if they pass all."""
     return batch_defect(message) if isinstance(message, Batch) else range_defect(message)
 
@@ -53,17 +53,17 @@
     return ""
 
 
-def range_defect(snapshot: Whole) -> str:
+def range_defect(snapshot: RangeSnapshot) -> str:
     """The first check that the bytes of a part of a range fail; empty if they pass all."""
     encoded = _encode(snapshot.changes)
-    expected = whole_checksum(
-        snapshot.region, snapshot.upto, snapshot.range, snapshot.part, snapshot.last, encoded
+    expected = range_checksum(
+        snapshot.region, snapshot.upto, snapshot.range_index, snapshot.part, snapshot.last, encoded
     )
     if snapshot.checksum != expected:
         return "the list's checksum"
-    if not 0 <= snapshot.range < RANGES:
+    if not 0 <= snapshot.range_index < RANGES:
         return "the range's number"
-    if any(range_of(change.kind, change.name) != snapshot.range for change in snapshot.changes):
+    if any(range_of(change.kind, change.name) != snapshot.range_index for change in snapshot.changes):
         return "a change of another range"
     return _changes_defect(snapshot.region, snapshot.changes)
 
@@ -110,7 +110,7 @@
         self.confirmed = self.digest_differs = self.behind_horizon = False
         self._drop_parts()
 
-    def judge(self, message: Batch | Whole) -> Verdict:
+    def judge(self, message: Batch | RangeSnapshot) -> Verdict:
         """Decide what to do with a message of this region. Records the relay's horizon and the first part of
         a range; all else changes in `accept` and `accept_snapshot`."""
         if defect(message):
@@ -155,17 +155,17 @@
 
     # ---- ranges ----------------------------------------------------------------------------------------
 
-    def _judge_snapshot(self, snapshot: Whole) -> Verdict:
+    def _judge_snapshot(self, snapshot: RangeSnapshot) -> Verdict:
         if snapshot.upto < self.accepted or self.transferring_at is None:
             return Verdict.IGNORED
         if snapshot.part == 0:
             self._drop_parts()
-            self._range = snapshot.range
-        if snapshot.range != self._range or snapshot.part != self._next_part:
+            self._range = snapshot.range_index
+        if snapshot.range_index != self._range or snapshot.part != self._next_part:
             return Verdict.GAP
         return Verdict.ACCEPTED
 
-    def accept_snapshot(self, now: int, snapshot: Whole) -> ReplaceRange | None:
+    def accept_snapshot(self, now: int, snapshot: RangeSnapshot) -> ReplaceRange | None:
         """Add a part; returns the complete range with its last part. `now` is in microseconds."""
         self.transferring_at = now
         self._next_part += 1
@@ -174,7 +174,7 @@
         if not snapshot.last:
             return None
         replace = ReplaceRange(
-            self.region, snapshot.upto, snapshot.range, self._parts, snapshot.final, snapshot.horizon
+            self.region, snapshot.upto, snapshot.range_index, self._parts, snapshot.final, snapshot.horizon
         )
         self._drop_parts()
         if snapshot.final:
--- a/linenbridge/distribution/dissemination/follower.py
+++ b/linenbridge/distribution/dissemination/follower.py
@@ -20,7 +20,15 @@
 from linenbridge.distribution.dissemination.relay_selection import RelayLocation, RelayOrder
 from linenbridge.distribution.dissemination.settings import SECOND, FollowerSettings
 from linenbridge.distribution.dissemination.standby_link import StandbyLink
-from linenbridge.distribution.messages import Batch, Digests, Follow, Progress, Refused, Summary, Whole
+from linenbridge.distribution.messages import (
+    Batch,
+    Digests,
+    Follow,
+    Progress,
+    FollowRejected,
+    SubtreeSummary,
+    RangeSnapshot,
+)
 
 MAX_SESSION = 1 << 53  # a number of a session that every decoder has exactly
 MAX_GAPS = 3  # in a row at one relay; then another is followed
@@ -77,7 +85,7 @@
         self._progress_at = now
         self._progress_due = False
         self._notified_at = now
-        self._below: dict[str, Summary] = {}
+        self._below: dict[str, SubtreeSummary] = {}
 
     # ---- state -----------------------------------------------------------------------------------------
 
@@ -198,11 +206,11 @@
         """Changes of one region, or a heartbeat."""
         self._on_content(now, relay, batch)
 
-    def on_range_snapshot(self, now: int, relay: str, snapshot: Whole) -> None:
+    def on_range_snapshot(self, now: int, relay: str, snapshot: RangeSnapshot) -> None:
         """A part of a requested range."""
         self._on_content(now, relay, snapshot)
 
-    def _on_content(self, now: int, relay: str, message: Batch | Whole) -> None:
+    def _on_content(self, now: int, relay: str, message: Batch | RangeSnapshot) -> None:
         if not self._is_current(relay, message.session, message.number):
             return
         acceptance = self._acceptances.of_region(message.region)
@@ -239,7 +247,7 @@
         self._check(now, acceptance, compared)
 
     def _on_judged_snapshot(
-        self, now: int, relay: str, acceptance: Acceptance, snapshot: Whole, verdict: Verdict
+        self, now: int, relay: str, acceptance: Acceptance, snapshot: RangeSnapshot, verdict: Verdict
     ) -> None:
         self._progress_due = True
         if verdict is not Verdict.ACCEPTED:
@@ -255,7 +263,7 @@
                 self._repair.on_repaired(snapshot.region)
             self._decisions.append(replace)
 
-    def on_rejected(self, now: int, relay: str, rejection: Refused) -> None:
+    def on_rejected(self, now: int, relay: str, rejection: FollowRejected) -> None:
         """The relay rejects this follower, or ends its session."""
         if relay == self.relay and rejection.session == self._session:
             self.counters.rejected += 1
@@ -292,7 +300,7 @@
         compared = acceptance.on_applied(upto, digest)
         self._check(now, acceptance, compared)
 
-    def on_progress_below(self, now: int, summaries: list[Summary]) -> None:  # noqa: ARG002  # inputs have the time first
+    def on_progress_below(self, now: int, summaries: list[SubtreeSummary]) -> None:  # noqa: ARG002  # inputs have the time first
         """A relay's summaries of its own followers; those of the regions followed here are passed on."""
         for summary in summaries:
             if summary.region in self._acceptances and self._below.get(summary.region) != summary:
--- a/linenbridge/distribution/dissemination/message_builder.py
+++ b/linenbridge/distribution/dissemination/message_builder.py
@@ -14,7 +14,12 @@
 from linenbridge.distribution.dissemination.page_cache import PageCache
 from linenbridge.distribution.dissemination.range_transfer import RangeTransfer
 from linenbridge.distribution.dissemination.sessions import Cursor, Session
-from linenbridge.distribution.messages import EncodedBatch, EncodedWhole, batch_checksum, whole_checksum
+from linenbridge.distribution.messages import (
+    EncodedBatch,
+    EncodedRangeSnapshot,
+    batch_checksum,
+    range_checksum,
+)
 
 _NO_CHANGES = Raw(EMPTY_LIST)
 
@@ -38,7 +43,7 @@
             return log.consistent and cursor.reported_head != log.head
         return cursor.version < log.head
 
-    def next_message(self, session: Session, cursor: Cursor) -> EncodedBatch | EncodedWhole:
+    def next_message(self, session: Session, cursor: Cursor) -> EncodedBatch | EncodedRangeSnapshot:
         """The waiting message; call it only if `has_more`."""
         if cursor.transfer is not None:
             return self._range_part(session, cursor, cursor.transfer)
@@ -97,7 +102,7 @@
             number=session.messages + 1,
         )
 
-    def _range_part(self, session: Session, cursor: Cursor, transfer: RangeTransfer) -> EncodedWhole:
+    def _range_part(self, session: Session, cursor: Cursor, transfer: RangeTransfer) -> EncodedRangeSnapshot:
         log = self._logs[cursor.region]
         part = transfer.next_part(log, session.bucket.max_page_bytes)
         if part.final:
@@ -105,16 +110,16 @@
             cursor.transfer = None
         self._counters.ranges += part.last
         upto = transfer.upto
-        return EncodedWhole(
+        return EncodedRangeSnapshot(
             session=session.number,
             region=cursor.region,
             upto=upto,
-            range=part.index,
+            range_index=part.index,
             part=part.part,
             last=part.last,
             final=part.final,
             changes=Raw(part.changes),
             horizon=log.horizon,
-            checksum=whole_checksum(cursor.region, upto, part.index, part.part, part.last, part.changes),
+            checksum=range_checksum(cursor.region, upto, part.index, part.part, part.last, part.changes),
             number=session.messages + 1,
         )
--- a/linenbridge/distribution/dissemination/progress.py
+++ b/linenbridge/distribution/dissemination/progress.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 
 from linenbridge.distribution.dissemination.settings import MILLISECOND, SECOND
-from linenbridge.distribution.messages import Progress, Summary
+from linenbridge.distribution.messages import Progress, SubtreeSummary
 
 LAG_BUCKETS = 24  # bucket n: less than 2**n ms; the last one has all above as well
 MAX_SLOWEST = 8  # names in one summary
@@ -54,7 +54,7 @@
 
     name: str
     positions: dict[str, int] = field(default_factory=dict)
-    below: dict[str, Summary] = field(default_factory=dict)
+    below: dict[str, SubtreeSummary] = field(default_factory=dict)
 
     def update(self, progress: Progress, regions: frozenset[str]) -> None:
         """Record a report; regions that are not among `regions` are ignored."""
@@ -138,7 +138,7 @@
 
 def summarize(
     region: str, head: int, heads: Heads, followers: Iterable[FollowerProgress], departed: Departed, now: int
-) -> Summary:
+) -> SubtreeSummary:
     """The summary of one region at a relay whose head is `head`. Names are bounded, numbers exact."""
     counted = [*followers, *departed.counted(region, now)]
     lost = departed.unreached(region, now)
@@ -158,13 +158,17 @@
         if position < head:
             slowest.append((position, progress.name))
         if below is not None:
-            lowest = min(lowest, below.least)
-            _add_lag_histogram(lag, below.lag, bucket)
-            slowest += [(below.least, name) for name in below.slowest[:MAX_SLOWEST] if below.least < head]
+            lowest = min(lowest, below.min_sequence)
+            _add_lag_histogram(lag, below.lag_histogram, bucket)
+            slowest += [
+                (below.min_sequence, name)
+                for name in below.slowest[:MAX_SLOWEST]
+                if below.min_sequence < head
+            ]
             unreached += below.unreached[:MAX_UNREACHED]
             unreached_count += below.unreached_count
     names = [name for _, name in sorted(slowest)[:MAX_SLOWEST]]
-    return Summary(region, count, lowest, names, unreached[:MAX_UNREACHED], unreached_count, lag)
+    return SubtreeSummary(region, count, lowest, names, unreached[:MAX_UNREACHED], unreached_count, lag)
 
 
 def _add_lag_histogram(lag: list[int], below: list[int], own: int) -> None:
--- a/linenbridge/distribution/dissemination/progress_reports.py
+++ b/linenbridge/distribution/dissemination/progress_reports.py
@@ -7,12 +7,12 @@
 from __future__ import annotations
 
 from linenbridge.distribution.changes import Position
-from linenbridge.distribution.decisions import Decision, Send, SumsBelow
+from linenbridge.distribution.decisions import Decision, Send, SubtreeProgress
 from linenbridge.distribution.dissemination.compacted_log import CompactedLog
 from linenbridge.distribution.dissemination.progress import Departed, FollowerProgress, Heads, summarize
 from linenbridge.distribution.dissemination.sessions import Session
 from linenbridge.distribution.dissemination.settings import FeedSettings
-from linenbridge.distribution.messages import Progress, Summary
+from linenbridge.distribution.messages import Progress, SubtreeSummary
 
 REPORT_SESSION = 1  # of a relay's Progress to its region's publisher
 
@@ -64,11 +64,11 @@
         """When the next report is due while something changes, microseconds."""
         return self._reported_at + self._settings.report_interval
 
-    def summaries(self, now: int) -> list[Summary]:
+    def summaries(self, now: int) -> list[SubtreeSummary]:
         """The summaries of all regions."""
         return [self._summary(region, now) for region in self._logs]
 
-    def _summary(self, region: str, now: int) -> Summary:
+    def _summary(self, region: str, now: int) -> SubtreeSummary:
         head = self._logs[region].head.sequence
         followers = [session.progress for session in self._sessions.values() if region in session.cursors]
         return summarize(region, head, self._heads[region], followers, self.departed, now)
@@ -89,7 +89,7 @@
         decisions: list[Decision] = []
         others = [self._summary(region, now) for region in self._logs if region != self._region]
         if others:
-            decisions.append(SumsBelow(others))
+            decisions.append(SubtreeProgress(others))
         if self._publisher:
             own = [self._summary(self._region, now)]
             report = Progress(self._name, REPORT_SESSION, heads(self._logs), own)
--- a/linenbridge/distribution/dissemination/relay_links.py
+++ b/linenbridge/distribution/dissemination/relay_links.py
@@ -8,7 +8,7 @@
 from collections import deque
 from collections.abc import Container, Iterator
 
-from linenbridge.distribution.decisions import Decision, Dial, HangUp
+from linenbridge.distribution.decisions import Decision, Dial, Disconnect
 
 MAX_LEFT_RELAYS = (
     8  # to be notified that another relay is followed; an earlier process of this name may have left them
@@ -34,7 +34,7 @@
         self.connected_at.pop(relay, None)
         if relay in self._wanted:
             self._wanted.discard(relay)
-            self._decisions.append(HangUp(relay))
+            self._decisions.append(Disconnect(relay))
 
     def disconnect_others(self, wanted: Container[str]) -> None:
         """Close all links but these."""
--- a/linenbridge/distribution/hosting/follower_settings.py
+++ b/linenbridge/distribution/hosting/follower_settings.py
@@ -6,7 +6,7 @@
 from linenbridge.distribution.dissemination.follower import Follower
 from linenbridge.distribution.dissemination.relay_selection import RelayLocation
 from linenbridge.distribution.dissemination.settings import FollowerSettings
-from linenbridge.distribution.messages import Batch, Refused, Whole
+from linenbridge.distribution.messages import Batch, FollowRejected, RangeSnapshot
 
 
 def follower_settings(settings: DistributionSettings, rate: int) -> FollowerSettings:
@@ -24,12 +24,14 @@
     return frozenset(relay for region in settings.regions.values() for relay in region.relays)
 
 
-def deliver(follower: Follower, now: int, relay: str, message: Batch | Whole | Refused) -> None:
+def deliver(
+    follower: Follower, now: int, relay: str, message: Batch | RangeSnapshot | FollowRejected
+) -> None:
     """Call the input of the follower for a relay's message. `now` in microseconds."""
     match message:
         case Batch():
             follower.on_batch(now, relay, message)
-        case Whole():
+        case RangeSnapshot():
             follower.on_range_snapshot(now, relay, message)
-        case Refused():
+        case FollowRejected():
             follower.on_rejected(now, relay, message)
--- a/linenbridge/distribution/view/regions.py
+++ b/linenbridge/distribution/view/regions.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from linenbridge.distribution.changes import RANGES, START, Position, Version
-from linenbridge.distribution.errors import ChangeRefused
+from linenbridge.distribution.errors import ChangeRejected
 from linenbridge.distribution.view.results import PageKind, StoredPage
 
 DIGESTS_PER_PAGE = 64  # ranges whose digests share a stored page
@@ -111,7 +111,7 @@
         self.by_index: list[Region] = []
 
     def get(self, name: str) -> Region:
-        """Return the region of that name, added if it is new; ChangeRefused if there are MAX_REGIONS
+        """Return the region of that name, added if it is new; ChangeRejected if there are MAX_REGIONS
         already.
         """
         region = self.by_name.get(name)
@@ -122,7 +122,7 @@
     def _add(self, name: str) -> Region:
         index = len(self.by_index)
         if index >= MAX_REGIONS:
-            raise ChangeRefused(f"more than {MAX_REGIONS} regions", name)
+            raise ChangeRejected(f"more than {MAX_REGIONS} regions", name)
         region = Region(name, index)
         self.by_name[name] = region
         self.by_index.append(region)
--- a/tests/distribution/dissemination/simulation/faults.py
+++ b/tests/distribution/dissemination/simulation/faults.py
@@ -83,7 +83,7 @@
 def reports(world: World) -> list[checker.Report]:
     """The relays' reports to their publishers, for the checker."""
     return [
-        checker.Report(at, relay, summary.region, summary.least, summary.unreached)
+        checker.Report(at, relay, summary.region, summary.min_sequence, summary.unreached)
         for at, relay, progress in world.reports
         for summary in progress.below
     ]
--- a/tests/distribution/dissemination/simulation/test_summaries.py
+++ b/tests/distribution/dissemination/simulation/test_summaries.py
@@ -31,9 +31,9 @@
         }
         relays = world.shape.relays * (len(world.regions) - 1)
         assert sum(each.followers for each in newest.values()) == len(world.tables) + relays
-        assert {each.least for each in newest.values()} == {len(world.logs[region])}
+        assert {each.min_sequence for each in newest.values()} == {len(world.logs[region])}
         assert sum(each.unreached_count for each in newest.values()) == 0
-        assert sum(each.lag[0] for each in newest.values()) == len(world.tables) + relays
+        assert sum(each.lag_histogram[0] for each in newest.values()) == len(world.tables) + relays
 
 
 def test_a_lost_gateway_is_named_until_it_follows_any_relay_again():
--- a/tests/distribution/dissemination/test_feed.py
+++ b/tests/distribution/dissemination/test_feed.py
@@ -8,7 +8,7 @@
 
 from linenbridge.distribution.changes import Position
 from linenbridge.distribution.dissemination.flow_control import MAX_PAGE_BYTES
-from linenbridge.distribution.messages import Follow, Progress, Refused
+from linenbridge.distribution.messages import Follow, Progress, FollowRejected
 from tests.distribution.dissemination.harness import FEED_SETTINGS as SETTINGS
 from tests.distribution.dissemination.harness import FeedHarness
 
@@ -61,7 +61,7 @@
     relay.run(2)
 
     assert "silent" not in relay.feed.sessions
-    assert isinstance(relay.sent["silent"][-1], Refused)
+    assert isinstance(relay.sent["silent"][-1], FollowRejected)
     assert relay.sent["silent"][-1].code == "silent"
     assert relay.feed.counters.silent == 1
 
@@ -113,7 +113,7 @@
     relay.feed.on_progress(0, Progress("g1", 5, [], [], 0))
     relay.pull()
 
-    assert relay.sent["g1"] == [Refused(5, "silent", 0)]
+    assert relay.sent["g1"] == [FollowRejected(5, "silent", 0)]
 
 
 def test_a_single_large_change_goes_alone_and_a_page_fits_into_a_message(relay):
@@ -147,7 +147,7 @@
     report = relay.sent["publisher"][-1]
 
     assert (report.follower, report.positions[0]) == ("relay", Position("r1", 1, 3))
-    assert [(each.region, each.followers, each.least) for each in report.below] == [("r1", 1, 3)]
+    assert [(each.region, each.followers, each.min_sequence) for each in report.below] == [("r1", 1, 3)]
     assert 4 <= len(relay.sent["publisher"]) <= 8
     assert [summary.region for summary in relay.sums[-1].summaries] == ["r2"]
 
--- a/tests/distribution/dissemination/test_follower.py
+++ b/tests/distribution/dissemination/test_follower.py
@@ -6,7 +6,7 @@
 from linenbridge.distribution.messages import (
     Follow,
     Progress,
-    Refused,
+    FollowRejected,
 )
 from tests.distribution.dissemination.harness import HOME_RELAYS, REMOTE_RELAYS, FollowerHarness
 
@@ -57,7 +57,7 @@
     gateway = FollowerHarness()
     gateway.run(1)
     full = gateway.core.relay
-    gateway.core.on_rejected(gateway.now, full, Refused(gateway.session, "full", 50 * SECOND))
+    gateway.core.on_rejected(gateway.now, full, FollowRejected(gateway.session, "full", 50 * SECOND))
     gateway.run(1)
 
     assert gateway.core.relay == gateway.order[1]
--- a/tests/distribution/hosting/test_relay.py
+++ b/tests/distribution/hosting/test_relay.py
@@ -36,7 +36,7 @@
     publisher.send(Prepare("eu", 4))
     relay.reactor.threads.run_all()
     relay.reactor.advance(0)
-    assert publisher.received() == [] and relay.replica.broken
+    assert publisher.received() == [] and relay.replica.failed
     broken.assert_called_once_with()
     assert b"distribution.store_failed" in relay.log.stream.getvalue()
 
--- a/tests/distribution/view/test_store.py
+++ b/tests/distribution/view/test_store.py
@@ -17,7 +17,12 @@
 from linenbridge.distribution.changes import Kind, Version
 from linenbridge.distribution.decisions import Apply
 from linenbridge.distribution.errors import ViewStoreError
-from linenbridge.distribution.storage.view_store import ASIDE, FORM, ViewStore, fingerprint
+from linenbridge.distribution.storage.view_store import (
+    FORMAT_VERSION,
+    SET_ASIDE_SUFFIX,
+    ViewStore,
+    fingerprint,
+)
 from linenbridge.distribution.view.view import View
 from tests.distribution.view.helpers import (
     SERVICES,
@@ -98,7 +103,7 @@
     "the state lost": "delete from state",
     "the state changed": "update state set words = x'930000a0'",
     "the tables gone": "drop table page",
-    "another form": f"pragma user_version = {FORM + 1}",
+    "another form": f"pragma user_version = {FORMAT_VERSION + 1}",
 }
 
 
@@ -112,7 +117,7 @@
 
     assert is_empty(incarnation.view)
     assert incarnation.event_names() == ["distribution.store_set_aside"]
-    assert os.path.exists(stored + ASIDE)
+    assert os.path.exists(stored + SET_ASIDE_SUFFIX)
     assert incarnation.apply(content(1, 0.5))
     incarnation.store.close()
     assert has_content(Incarnation(stored).view, 1, 0.5)
