--- a/linenbridge/cli/logs.py
+++ b/linenbridge/cli/logs.py
@@ -1,12 +1,20 @@
-"""A folder of gateways' logs, read file by file.
+"""`linenbridge logs`: the sums of a folder of gateways' logs.
 
 Owns the files while they are read; `sums` says what their lines mean.
 """
 
 from __future__ import annotations
 
+import json
+import sys
 from pathlib import Path
+from typing import Annotated
 
+import typer
+from rich.console import Console
+from rich.table import Table
+
+from linenbridge.cli.options import AsJson, unusable
 from linenbridge.cli.sums import Sums
 
 
@@ -20,3 +28,33 @@
         with file.open(encoding="utf-8", errors="replace") as lines:
             sums.read(file.stem, lines)
     return sums
+
+
+def logs(
+    folder: Annotated[Path, typer.Argument(help="A folder with one gateway's log in each file.")],
+    every: Annotated[float, typer.Option(help="Seconds in each stretch of the table.")] = 5.0,
+    max_rows: Annotated[int, typer.Option("--most", help="Rows to show.")] = 40,
+    as_json: AsJson = False,
+) -> None:
+    """Add up a whole fleet's logs: lines of each kind by stretch of time, and all counters."""
+    try:
+        sums = sum_folder(folder, every)
+    except (OSError, ValueError) as error:
+        raise unusable(error) from error
+    rows, counters = sums.rows()[:max_rows], dict(sorted(sums.counters.items()))
+    if as_json:
+        table = [
+            {"kind": row.kind, "lines": row.lines, "gateways": row.gateways, "by": row.by_interval}
+            for row in rows
+        ]
+        print(json.dumps({"every": every, "unread": sums.unread, "rows": table, "counters": counters}))
+        return
+    grid = Table("kind", "lines", "gateways", f"lines by {every:g} s")
+    for row in rows:
+        by_interval = " ".join(f"{index}:{number}" for index, number in row.by_interval.items())
+        grid.add_row(row.kind, str(row.lines), str(row.gateways), by_interval)
+    Console().print(grid)
+    for name, count in counters.items():
+        print(f"{name} {count}")
+    if sums.unread:
+        print(f"{sums.unread} lines were no gateway's", file=sys.stderr)
--- a/tests/compatibility/test_command_line.py
+++ b/tests/compatibility/test_command_line.py
@@ -44,5 +44,15 @@
     assert {"words": row["words"], **found} == row
 
 
+def test_a_renamed_command_keeps_its_earlier_name_hidden():
+    commands = get_command(app).commands
+
+    assert commands["drill"].hidden
+    assert not commands["faults"].hidden
+    found = dict(options(get_command(app)))
+    for name in ("", " processor", " transport"):
+        assert found[f"faults{name}"] == found[f"drill{name}"]
+
+
 def test_every_call_is_recorded():
     assert [tuple(row["words"]) for row in RECORD["calls"]] == list(CALLS)
--- a/tests/compatibility/test_settings.py
+++ b/tests/compatibility/test_settings.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from linenbridge.cli.commands import shown
+from linenbridge.cli.settings_commands import shown
 from linenbridge.configuration.read import ConfigurationError, parse, schema_text
 from linenbridge.distribution.configuration import distribution
 from linenbridge.fleet.configuration import fleet_settings
--- a/tests/distribution/hosting/test_configuration.py
+++ b/tests/distribution/hosting/test_configuration.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from linenbridge.cli.commands import shown
+from linenbridge.cli.settings_commands import shown
 from linenbridge.configuration.read import ConfigurationError, parse, read
 from linenbridge.distribution.configuration import Role, distribution
 from linenbridge.distribution.hosting.methods import methods_of
