--- a/linenbridge/cli/commands.py
+++ b/linenbridge/cli/commands.py
@@ -1,7 +1,8 @@
 """The command line: its commands and groups on `typer`, each in the module that its concern names.
 
 Exit codes: 0 done, 1 a check or a day of faults found something, 2 what was given can't be used; `publish`
-has its own. Commands import what they run when they are called, so that none waits for the libraries of another.
+has its own. Commands import what they run when they are called, so that none waits for the libraries of
+another.
 """
 
 from __future__ import annotations
--- a/linenbridge/configuration/__init__.py
+++ b/linenbridge/configuration/__init__.py
@@ -1,1 +1,4 @@
-"""Settings of our own: what the platform's configuration does not say."""
+"""The settings file of an installation: its schema, its reading, and its values and faults.
+
+The platform's own configuration is read by `linenbridge.process.configuration`.
+"""
--- a/linenbridge/processor/configuration.py
+++ b/linenbridge/processor/configuration.py
@@ -13,12 +13,12 @@
 from lxml import etree
 
 from linenbridge.configuration.read import (
-    FILE_MOST,
+    MAX_FILE_BYTES,
     SPACE,
     Configuration,
     ConfigurationError,
+    child_attributes,
     duration,
-    said,
     size,
 )  # fmt: skip
 from linenbridge.interface import Method
@@ -72,16 +72,17 @@
         return None
     path = configuration.path
     host, port = host_port(element.get("listen").replace("[", "").replace("]", ""))
-    bounds, terms = said(element, "bounds"), said(element, "tickets")
+    bounds = child_attributes(element, "bounds")
+    terms = child_attributes(element, "tickets")
     use_within = duration(terms["use-within"])
     if use_within > USE_WITHIN_MOST:
         most = USE_WITHIN_MOST // 1000
-        raise configuration.refused(element.find(f"{SPACE}tickets"), f"use-within is {most}ms at most")
+        raise configuration.error_at(element.find(f"{SPACE}tickets"), f"use-within is {most}ms at most")
     peers = tuple(_peer(configuration, found) for found in element.iter(f"{SPACE}partner"))
     names = [known.peer.name for known in peers]
     for found in element.iter(f"{SPACE}partner"):
         if names.count(found.get("name")) > 1:
-            raise configuration.refused(found, f"two are named {found.get('name')}")
+            raise configuration.error_at(found, f"two are named {found.get('name')}")
     tls, store, routes = (
         element.find(f"{SPACE}tls"),
         element.find(f"{SPACE}store"),
@@ -90,13 +91,13 @@
     file, text, line = path, routes.text or "", routes.sourceline
     if (named := routes.get("file")) is not None:
         if text.strip():
-            raise configuration.refused(routes, "a file or the routes themselves, not both")
+            raise configuration.error_at(routes, "a file or the routes themselves, not both")
         file, line = configuration.beside(named), 1
         try:
             with open(file, encoding="utf-8") as opened:
-                text = opened.read(FILE_MOST)
+                text = opened.read(MAX_FILE_BYTES)
         except (OSError, UnicodeDecodeError) as error:
-            raise configuration.refused(routes, f"{file}: {error}") from None
+            raise configuration.error_at(routes, f"{file}: {error}") from None
     kept = None
     if store is not None:
         kept = configuration.beside(store.get("file")), store.get("outlives", "process")
@@ -138,7 +139,7 @@
 
 
 def _peer(configuration: Configuration, element: etree._Element) -> PeerIdentity:
-    refuse = partial(configuration.refused, element)
+    refuse = partial(configuration.error_at, element)
     identity, address, network = element.get("identity", ""), element.get("address", ""), None
     if bool(identity) == bool(address):
         raise refuse("it is known by an identity or by an address, one of the two")
--- a/tests/compatibility/test_command_line.py
+++ b/tests/compatibility/test_command_line.py
@@ -22,7 +22,8 @@
 def files(tmp_path, monkeypatch):
     """A working folder with the files that the calls name."""
     for name in ("LB_SETTINGS", "LB_CONFIG"):
-        monkeypatch.delenv(name, raising=False)
+        monkeypatch.setenv(name, "")  # so that what a call sets is undone
+        monkeypatch.delenv(name)
     lay_out(tmp_path, ROOT / "examples" / "config.json")
     monkeypatch.chdir(tmp_path)
     return tmp_path
