--- a/linenbridge/logging/__init__.py
+++ b/linenbridge/logging/__init__.py
@@ -1,1 +1,1 @@
-"""Structured logging, for all that is served beside the platform's gateway."""
+"""Logs as JSON lines: `event_log` is the gateway's lean one, `structured` adds levels."""
--- a/linenbridge/logging/event_log.py
+++ b/linenbridge/logging/event_log.py
@@ -1,7 +1,7 @@
-"""What a running gateway says of itself: one JSON line an event, and counters.
+"""The log of a running process: one JSON line for each event on standard error, and counters.
 
-Owns standard error and the figures counted. It must never decide what happens next, nor raise into its
-callers.
+The lean form, which the gateway's process `run` uses; `structured` adds levels for the others. Nothing here
+raises into its callers.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
         self.detail: Callable[..., None] | None = None  # of single RPCs, where somebody asked for it
 
     def event(self, name: str, /, **fields: object) -> None:
-        """One line; a field that JSON has no form for is written as text."""
+        """Writes one line; a field that JSON can't represent is written as text."""
         if self.write is not None:
             self.write(name, fields)
             return
@@ -37,24 +37,27 @@
             self.counts["log", "lost"] += 1
 
     def failed(self, where: str, error: BaseException) -> None:
-        """An exception that one call raised; the process goes on."""
+        """Counts and writes an exception that one call raised; the process goes on."""
         self.counts["failed",] += 1
         trace = "".join(traceback.format_exception(error))
         self.event("failed", where=where, error=f"{type(error).__name__}: {error}", trace=trace)
 
     def rarely(self, name: str, of: str, **fields: object) -> None:
-        """What a peer can bring about as often as it likes: each is counted, a line written for the first and
-        whenever their number has doubled, so that a flood of them costs no disk and little time."""
+        """Counts an event that a peer can cause at will, and writes a line whenever their number has doubled.
+
+        A flood of them so costs little disk and time.
+        """
         self.count(name, of)
         number = self.counts[name, of]
         if not number & (number - 1):
             self.event(name, of=of, number=number, **fields)
 
     def count(self, *names: str) -> None:
+        """Adds one to the counter of these names, which a line joins with dots."""
         self.counts[names] += 1
 
     def counters(self, **now: int) -> None:
-        """All counters in one line, with what stands open at present."""
+        """Writes all counters in one line, with the present values of `now`."""
         self.event(
             "counters", counts={".".join(names): count for names, count in sorted(self.counts.items())}, **now
         )
--- a/linenbridge/logging/structured.py
+++ b/linenbridge/logging/structured.py
@@ -1,7 +1,7 @@
 """Structured logging for the parts beside the platform's gateway: `structlog` with orjson's lines.
 
-Owns the form of lines on one stream, which is the platform's: `at`, `event`, then fields. At level `debug`
-there is a line for each hand-out and report, with the request's id and the ticket. It must never raise into
+Lines have the form that `event_log` writes: `at`, `event`, then fields. At level `debug` there is a line
+for each dispatched attempt and each report, with the request's id and the attempt. Nothing here raises into
 its callers.
 """
 
@@ -16,21 +16,40 @@
 from linenbridge.logging.event_log import Log
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30}
-LOUD = frozenset(("lost", "set_aside", "refused", "failed", "malformed", "end"))
-
-
-def _line(_: Any, __: str, fields: dict[str, Any]) -> bytes:
+WARNINGS = frozenset(
+    (
+        "disconnected",
+        "end",
+        "failed",
+        "lost",
+        "malformed",
+        "refused",
+        "rejected",
+        "set_aside",
+        "settings_rejected",
+    )
+)  # last parts of the names of events that are warnings
+NO_WARNINGS = frozenset(("distribution.malformed",))  # followers leave the relay and log that
+
+
+def is_warning(event: str) -> bool:
+    """Whether an event reports harm, and so is written at the level `warning` too."""
+    return event.rpartition(".")[2] in WARNINGS and event not in NO_WARNINGS
+
+
+def _line(_logger: Any, _method: str, fields: dict[str, Any]) -> bytes:
     event = fields.pop("event")
     return orjson.dumps({"at": round(time.time(), 3), "event": event, **fields}, default=str)
 
 
 class _Stream:
-    """Where lines go; one that cannot be written is counted and forgotten."""
+    """The stream that lines are written to; a line that can't be written is counted and dropped."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
 
     def msg(self, line: bytes) -> None:
+        """Writes one line."""
         try:
             self.log.stream.write(line + b"\n")
             self.log.stream.flush()
@@ -41,7 +60,7 @@
 
 
 def structured(stream: BinaryIO, level: str = "info", **bound: object) -> Log:
-    """The gateway's log written by structlog: lines under `level` are left out, `bound` stands in each."""
+    """A log whose lines structlog writes: those under `level` are left out, `bound` fields are in each."""
     log = Log(stream)
     logger = structlog.wrap_logger(
         _Stream(log),
@@ -50,9 +69,8 @@
     ).bind(**bound)
 
     def write(name: str, fields: dict[str, object]) -> None:
-        """What tells of harm is a warning."""
-        loud = name.rpartition(".")[2] in LOUD
-        (logger.warning if loud else logger.info)(name, **fields)
+        log_line = logger.warning if is_warning(name) else logger.info
+        log_line(name, **fields)
 
     log.write = write
     log.detail = logger.debug if level == "debug" else None
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import io
 import json
 from pathlib import Path
 
@@ -11,6 +12,9 @@
 from linenbridge.cli.commands import app
 from linenbridge.cli.event_names import EVENTS
 from linenbridge.cli.sums import MAX_KINDS, Sums, kind
+from linenbridge.logging.structured import is_warning, structured
+
+WARNINGS_OF_THE_BASE = {"lost", "set_aside", "refused", "failed", "malformed", "end"}
 
 
 def line(at: float, event: str, **fields: object) -> str:
@@ -174,3 +178,18 @@
 
 def test_a_sentence_of_no_known_form_is_its_own_row():
     assert kind("mode", {"text": "set aside 3"}) == "set aside 3"
+
+
+@pytest.mark.parametrize(("earlier", "present"), EVENTS.items())
+def test_a_renamed_event_is_written_at_the_level_of_the_base(earlier, present):
+    assert is_warning(present) == (earlier.rpartition(".")[2] in WARNINGS_OF_THE_BASE)
+
+
+def test_a_log_at_level_warning_has_warnings_alone():
+    stream = io.BytesIO()
+    log = structured(stream, "warning")
+
+    log.event("peer.disconnected", peer="g2")
+    log.event("peer.connected", peer="g2")
+
+    assert [json.loads(text)["event"] for text in stream.getvalue().splitlines()] == ["peer.disconnected"]
