--- a/linenbridge/cli/event_names.py
+++ b/linenbridge/cli/event_names.py
@@ -24,6 +24,7 @@
     "distribution.stranger": "distribution.unauthorized_peer",
     "fleet.refused": "fleet.settings_rejected",
     "fleet.reloaded": "fleet.settings_reloaded",
+    "handed": "dispatched",
     "hold.open": "rollout_freeze.opened",
     "hold.over": "rollout_freeze.ended",
     "keys.refused": "tls.reload.failed",
@@ -42,7 +43,16 @@
     "stranger": "unauthorized_peer",
     "task.held": "task.acquired",
 }
-COUNTERS: Final[Mapping[str, str]] = {"act": "task_action"} | {
+SOURCES: Final[Mapping[str, str]] = {"may_have_run": "maybe_executed"}  # of an event, in the field `of`
+COUNTERS: Final[Mapping[str, str]] = {
+    "act": "task_action",
+    "admitted.again": "admitted.retry",
+    "admitted.full_house": "admitted.capacity_exhausted",
+    "admitted.may_have_run": "admitted.maybe_executed",
+    "admitted.take": "admitted.accepted",
+    "refused.may_have_run": "refused.maybe_executed",
+    "unfit": "invalid",
+} | {
     earlier: present for earlier, present in EVENTS.items() if earlier.startswith("link.")
 }  # by the start of a counter's name, up to a dot
 STATISTICS: Final[Mapping[str, str]] = {
@@ -72,6 +82,7 @@
     Sentence(
         re.compile(r"build (?P<build>\S+) stage (?P<stage>\S+) phase (?P<phase>[0-3]) cap .*"), "rollout"
     ),
+    Sentence(re.compile(r"set aside .+"), "proxy.distrusted"),
     Sentence(re.compile(r"hold .* build (?P<build>\S+) stage (?P<stage>\S+) cap .*"), "rollout_freeze"),
 )
 
