--- a/tests/compatibility/test_command_line.py
+++ b/tests/compatibility/test_command_line.py
@@ -3,10 +3,8 @@
 from __future__ import annotations
 
 import json
-import os
 from pathlib import Path
 from typing import Any
-from unittest.mock import patch
 
 import pytest
 from typer.main import get_command
@@ -22,13 +20,13 @@
 
 @pytest.fixture
 def files(tmp_path, monkeypatch):
-    """A working folder with the files that the calls name. LB_CONFIG, which a call sets, ends with the test."""
-    with patch.dict(os.environ):
-        for name in ("LB_SETTINGS", "LB_CONFIG"):
-            os.environ.pop(name, None)
-        lay_out(tmp_path, ROOT / "examples" / "config.json")
-        monkeypatch.chdir(tmp_path)
-        yield tmp_path
+    """A working folder with the files that the calls name."""
+    for name in ("LB_SETTINGS", "LB_CONFIG"):
+        monkeypatch.setenv(name, "")  # so that what a call sets is undone
+        monkeypatch.delenv(name)
+    lay_out(tmp_path, ROOT / "examples" / "config.json")
+    monkeypatch.chdir(tmp_path)
+    return tmp_path
 
 
 @pytest.mark.parametrize("path", sorted(RECORD["commands"]), ids=lambda path: path or "linenbridge")
@@ -47,5 +45,15 @@
     assert {"words": row["words"], **found} == row
 
 
+def test_a_renamed_command_keeps_its_earlier_name_hidden():
+    commands = get_command(app).commands
+
+    assert commands["drill"].hidden
+    assert not commands["faults"].hidden
+    found = dict(options(get_command(app)))
+    for name in ("", " processor", " transport"):
+        assert found[f"faults{name}"] == found[f"drill{name}"]
+
+
 def test_every_call_is_recorded():
     assert [tuple(row["words"]) for row in RECORD["calls"]] == list(CALLS)
