--- a/tests/distribution/dissemination/simulation/checker.py
+++ b/tests/distribution/dissemination/simulation/checker.py
@@ -18,7 +18,7 @@
 
 
 class Published(NamedTuple):
-    """One change as its author handed it in."""
+    """One change as it was published."""
 
     region: str
     sequence: int
@@ -38,8 +38,8 @@
 
 
 def breaches_of_versions(record: Iterable, published: Iterable[Published]) -> list[Breach]:
-    """Over the whole record: no older version over a newer, nothing that was not published, nothing gone that
-    was not deleted."""
+    """Over the whole record: no older version over a newer, nothing that was not published, nothing removed
+    that was not deleted."""
     written = {(p.region, p.kind, p.name, p.sequence): p.value for p in published}
     deleted: dict[Key, list[int]] = defaultdict(list)
     for region, kind, name, sequence in written:
@@ -59,7 +59,7 @@
         if line.version is None:
             if not any(
                 sequence >= here.get(key, 0) for sequence in deleted[key]
-            ):  # equal: it was gone before
+            ):  # equal: it was removed before
                 found.append(Breach("gone without a deletion", where))
             continue
         sequence = line.version.sequence
@@ -126,13 +126,13 @@
 
 
 class Report(NamedTuple):
-    """What a relay reports to its publisher of its region: the least sequence in force below it, and whom it
+    """What a relay reports to its publisher of its region: the lowest sequence in force below it, and whom it
     cannot reach."""
 
     at: int
     relay: str
     region: str
-    least: int
+    min_sequence: int
     unreached: list[str]
 
 
@@ -142,7 +142,7 @@
     followed: list[tuple[int, str, str]],
     silence: int,
 ) -> list[Breach]:
-    """Whenever the newest reports of a region's relays say that a sequence is in force everywhere, each
+    """Whenever the newest reports of a region's relays have a sequence in force everywhere, each
     gateway that ever followed a relay has had it in force, or is named, or is behind a relay that is named or
     silent. `reached` are (time, gateway, region, sequence), `followed` (time, follower, relay), of a relay as
     "name:region"; all lists are in order of time."""
@@ -167,7 +167,7 @@
         for gateway in [follower for follower in follows if ":" not in follower]:
             relay = follows[gateway]
             chain = {gateway, relay, follows.get(f"{relay}:{report.region}", relay)}
-            if not chain & claim.unreached and had[gateway, report.region] < claim.least:
+            if not chain & claim.unreached and had[gateway, report.region] < claim.min_sequence:
                 found.append(Breach("reported in force but is not", f"{report.at} {gateway} {report.region}"))
     return found
 
@@ -175,7 +175,7 @@
 class Everywhere(NamedTuple):
     """What a publisher may tell an author."""
 
-    least: int
+    min_sequence: int
     unreached: set[str]
 
 
@@ -183,5 +183,5 @@
     fresh = [each for each in newest if each.at > since]
     silent = {each.relay for each in newest if each.at <= since}
     return Everywhere(
-        min(each.least for each in fresh), silent | {name for each in fresh for name in each.unreached}
+        min(each.min_sequence for each in fresh), silent | {name for each in fresh for name in each.unreached}
     )
--- a/tests/distribution/view/test_serving.py
+++ b/tests/distribution/view/test_serving.py
@@ -181,9 +181,9 @@
         tenant = ("t1", "t2", "t3")[number % 3]
         rpc = f"r{number}"
         module.on_request(number * 500, rpc, "look", 50 * MS, None, tenant, None)
-        active = module.rpcs.get(rpc)
+        active = module.requests.get(rpc)
         assert active is not None
-        found.append(active.utility)
+        found.append(active.weight)
     return found
 
 
