--- a/tests/distribution/hosting/test_relay.py
+++ b/tests/distribution/hosting/test_relay.py
@@ -61,5 +61,5 @@
 
 
 def test_a_relay_follows_every_other_region_and_serves_its_own_log(relay):
-    assert list(relay.followers) == ["us"] and set(relay.feed.tables) == {"eu", "us"}
+    assert list(relay.followers) == ["us"] and set(relay.feed.logs) == {"eu", "us"}
     assert {"followers", "epoch", "member", "committed"} <= set(relay.facts())
--- a/tests/upgrade/__main__.py
+++ b/tests/upgrade/__main__.py
@@ -14,8 +14,8 @@
 from functools import partial
 from pathlib import Path
 
+from tests.fleet.procs.fake_resource import FakeResource
 from tests.fleet.procs.installation import ROOT
-from tests.fleet.procs.fake_resource import StandinResource
 from tests.upgrade.checkout import Checkout
 from tests.upgrade.play import ORDERS, Upgrade
 
@@ -24,7 +24,7 @@
 
 async def play(folder: Path, base: Checkout, new: Checkout, order: str) -> bool:
     """One upgrade in a folder of its own; whether it passed."""
-    resource = StandinResource()
+    resource = FakeResource()
     await resource.open()
     began = time.monotonic()
     report(f"upgrade in place, {order}: {base.root} -> {new.root}")
--- a/tests/upgrade/checks.py
+++ b/tests/upgrade/checks.py
@@ -19,10 +19,10 @@
 # lost: those of the base and their names in this version. A relay that has just started sends followers that
 # are ahead of it elsewhere; that is no fault (`refused_follower`).
 FAULTS = re.compile(
-    r"malformed|stranger|unauthori[sz]ed|misnamed|mismatch|spoilt|corrupt|differ|too_long|too_many|unread"
+    r"malformed|stranger|unauthori[sz]ed|misnamed|mismatch|spoilt|corrupt|differ|too_long|too_many|unread|send_buffer_full"
     r"|store[._](?:lost|failed|set_aside)|act\.refused|action\.(?:refused|rejected)"
     r"|change_(?:refused|rejected)|(?:refused|rejected)_change|(?:changes|keys)_(?:refused|rejected)"
-    r"|invalid|^failed$"
+    r"|settings_(?:refused|rejected)|reload\.failed|invalid|^failed$"
 )
 
 
--- a/tests/upgrade/play.py
+++ b/tests/upgrade/play.py
@@ -7,26 +7,19 @@
 
 from __future__ import annotations
 
-import io
 import time
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from linenbridge.configuration.read import read
-from linenbridge.distribution.changes import Change
-from linenbridge.distribution.configuration import distribution
-from linenbridge.distribution.hosting.gateway import open_view
-from linenbridge.distribution.hosting.methods import methods_of
-from linenbridge.distribution.storage.log_store import RelayLog
-from linenbridge.logging.event_log import Log
 from tests.distribution.hosting.installation import Installation
 from tests.fleet.procs.checker import breaches, longest_gap
-from tests.fleet.procs.fake_resource import StandinResource
+from tests.fleet.procs.fake_resource import FakeResource
 from tests.upgrade import checks
 from tests.upgrade.checkout import Checkout
 from tests.upgrade.event_names import in_present_terms
 from tests.upgrade.load import IN_FORCE, ChangeLoad, request
+from tests.upgrade.stores import relay_changes, stored_view
 
 TASK = "sweep"  # the task whose holder sends fenced requests to the stand-in
 EVERY = "30ms"  # between two of them
@@ -82,7 +75,9 @@
         for name in names:
             self.launch = self._checkouts[name].launch
             super().start(name)
-            self.incarnations.append(Incarnation(name, self._checkouts[name].label, self.running[name].pid))
+            self.incarnations.append(
+                Incarnation(name, self._checkouts[name].label, self.running[name].pid or 0)
+            )
 
     def replace(self, name: str, checkout: Checkout) -> int | None:
         """End a process in order and start it from another checkout; the exit code of the old one."""
@@ -110,7 +105,7 @@
         folder: Path,
         base: Checkout,
         new: Checkout,
-        resource: StandinResource,
+        resource: FakeResource,
         on_step: Callable[[str], None],
     ) -> None:
         self.base = base
@@ -175,7 +170,9 @@
         installation = self.installation
         installation.wait_until_started(name)
         if name in installation.fleet_ports:
-            installation.until(lambda: bool(installation.events(name, "seat.returned")), f"{name} to grant")
+            installation.until(
+                lambda: bool(installation.events(name, "acceptor.recovered")), f"{name} to grant"
+            )
         if name in installation.relays:
             installation.until(lambda: installation.has_joined(name), f"{name} to count")
         installation.until(lambda: installation.publisher() != "", "a publisher")
@@ -184,13 +181,13 @@
                 lambda one=gateway: installation.followed_by(one) != "", f"{gateway} to follow"
             )
         changes = self.load.acknowledged() + CHANGES_AFTER_STEP
-        requests = len(self.resource.acts) + REQUESTS_AFTER_STEP
+        requests = len(self.resource.actions) + REQUESTS_AFTER_STEP
         installation.until(lambda: self.load.acknowledged() >= changes, "changes to be acknowledged")
-        installation.until(lambda: len(self.resource.acts) >= requests, "fenced requests")
+        installation.until(lambda: len(self.resource.actions) >= requests, "fenced requests")
 
     def _holder(self) -> str:
-        acts = self.resource.acts
-        return acts[-1].by.partition("#")[0] if acts else ""
+        actions = self.resource.actions
+        return actions[-1].member.partition("#")[0] if actions else ""
 
     def _publish_last(self) -> None:
         """One change after all others, which says that everything before it is in force."""
@@ -207,19 +204,19 @@
     # ---- checks ------------------------------------------------------------------------------------------
 
     def _check_fenced_requests(self, since: float, until: float) -> None:
-        acts = [act for act in list(self.resource.acts) if act.task == TASK]
-        terms = [act.term for act in acts]
-        gap = longest_gap(acts, TASK, since, until)
+        actions = [action for action in list(self.resource.actions) if action.task == TASK]
+        terms = [action.term for action in actions]
+        gap = longest_gap(actions, TASK, since, until)
         self.report.lines.append(
-            f"fenced requests: {len(acts)}, terms {sorted(set(terms))}, holders in order "
-            f"{list(dict.fromkeys(act.by.partition('#')[0] for act in acts))}, "
+            f"fenced requests: {len(actions)}, terms {sorted(set(terms))}, holders in order "
+            f"{list(dict.fromkeys(action.member.partition('#')[0] for action in actions))}, "
             f"longest time without one {gap:.2f} s (bound {MAX_GAP} s)"
         )
         self.report.check(
             "fenced requests",
-            breaches(acts, [])
+            breaches(actions, [])
             + checks.unrisen_terms(terms, self.replaced_holders)
-            + [f"rejected: {act}" for act in acts if not act.taken]
+            + [f"rejected: {action}" for action in actions if not action.accepted]
             + ([f"no request for {gap:.2f} s"] if gap > MAX_GAP else []),
         )
 
@@ -262,7 +259,7 @@
         last = max(change.sequence for change in outcomes.acknowledged)
         digests = dict[str, int | None]()
         for relay in installation.relays:
-            table = checks.newest_of_each_key(self._log_of(relay), last)
+            table = checks.newest_of_each_key(relay_changes(installation.folder / relay, "eu"), last)
             digests[relay] = checks.table_digest(table.values())
             lost = checks.lost_changes(outcomes.acknowledged, table)
             self.report.check(f"acknowledged changes at {relay} ({len(table)} keys)", lost)
@@ -271,24 +268,10 @@
         self.report.lines.append("digests: " + ", ".join(f"{name} {one}" for name, one in digests.items()))
         self.report.check("digests equal", checks.differing_digests(digests))
 
-    def _log_of(self, relay: str) -> list[Change]:
-        store = RelayLog(str(self.installation.folder / relay), "eu")
-        try:
-            return store.read().changes
-        finally:
-            store.close()
-
     def _check_gateway(self, gateway: str, last: int, digests: dict[str, int | None]) -> None:
         """The view that it has stored: at the last sequence, nothing rejected; its digest goes to
         `digests`."""
-        settings = distribution(read(str(self.installation.folder / f"{gateway}.xml")))
-        view, store = open_view(settings, methods_of(settings), Log(io.BytesIO()))
-        try:
-            digests[gateway] = view.digest("eu")
-            positions = [position.sequence for position in view.positions() if position.region == "eu"]
-            rejected = [f"{one.name}: {one}" for one in view.refused()]
-        finally:
-            if store is not None:
-                store.close()
-        wrong = [f"at {positions}, not at {last}"] if positions != [last] else []
-        self.report.check(f"in force at {gateway} up to {last}", wrong + rejected)
+        view = stored_view(self.installation.folder / f"{gateway}.xml", "eu")
+        digests[gateway] = view.digest
+        wrong = [f"at {view.sequence}, not at {last}"] if view.sequence != last else []
+        self.report.check(f"in force at {gateway} up to {last}", wrong + view.rejected)
--- a/tests/upgrade/test_checks.py
+++ b/tests/upgrade/test_checks.py
@@ -28,13 +28,19 @@
 
 def test_a_log_without_faults_is_counted_by_event():
     summary = read_log(
-        line("link.up", of="p1", number=1)
+        line("distribution.follower_rejected", follower="g-1", code="relay_behind")
+        + line("link.up", of="p1", number=1)
         + line("link.up", of="p2", number=1)
         + line("distribution.refused_follower", follower="g-1", code="relay_behind")
         + line("counters", counts={"link.up.p1": 3, "link.malformed.p1": 0}, spoilt=0, refused_followers=1)
     )
     assert summary.faults == []
-    assert summary.events == {"link.up": 2, "distribution.refused_follower": 1, "counters": 1}
+    assert summary.events == {
+        "distribution.follower_rejected": 1,
+        "link.up": 2,
+        "distribution.refused_follower": 1,
+        "counters": 1,
+    }
 
 
 @pytest.mark.parametrize(
@@ -65,10 +71,21 @@
 
 
 @pytest.mark.parametrize(
-    "event", ["unauthorized_peer", "name_mismatch", "rejected_change", "action.rejected"]
+    "event",
+    [
+        "distribution.unauthorized_peer",
+        "distribution.name_mismatch",
+        "distribution.rejected_change",
+        "task_action.rejected",
+        "peer.malformed",
+        "peer.unauthorized",
+        "peer.message_too_long",
+        "peer.send_buffer_full",
+        "fleet.settings_rejected",
+    ],
 )
 def test_the_terms_of_this_version_are_found_too(event):
-    assert read_log(line(f"distribution.{event}")).faults
+    assert read_log(line(event)).faults
 
 
 @pytest.mark.parametrize(
