--- a/linenbridge/distribution/hosting/core_driver.py
+++ b/linenbridge/distribution/hosting/core_driver.py
@@ -38,7 +38,7 @@
         reactor: Any,
         state_machines: Sequence[StateMachine],
         execute: Callable[[StateMachine, int, Decision], None],
-        before_pull: Callable[[int], None] = lambda now: None,
+        before_pull: Callable[[int], None] = lambda _now: None,
         on_turn_end: Callable[[], None] = lambda: None,
     ) -> None:
         self.reactor = reactor
--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -46,7 +46,7 @@
         view: View,
         random: Random,
         store: ViewStore | None = None,
-        on_applied: Callable[[ApplyResult], None] = lambda applied: None,
+        on_applied: Callable[[ApplyResult], None] = lambda _applied: None,
     ) -> None:
         self.settings = settings
         self.reactor = reactor
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -64,7 +64,7 @@
         self.settings = settings
         self.reactor = reactor
         self.log = log
-        self._on_broken: Callable[[], None] | None = on_broken
+        self.on_broken: Callable[[], None] | None = on_broken
         now = clock.now()
         self.disk = RelayLog(settings.store, settings.region)
         self.replica = Replica(settings.region, settings.name, self.disk.read(), settings.trusted, random)
@@ -212,8 +212,8 @@
         self.followers[content.region].on_applied(now, content.region, content.upto, digest)
 
     def _report_broken_disk(self) -> None:
-        if self.replica.broken and self._on_broken is not None:
-            on_broken, self._on_broken = self._on_broken, None
+        if self.replica.broken and self.on_broken is not None:
+            on_broken, self.on_broken = self.on_broken, None
             call_soon(self.reactor, on_broken)
 
     def _address(self, relay: str) -> tuple[str, int]:
--- a/linenbridge/processor/external_processor.py
+++ b/linenbridge/processor/external_processor.py
@@ -283,7 +283,7 @@
     def withdraw_unsent(self, active: ActiveRequest) -> None:
         """Nothing: a reservation that is not dispatched ends with the final answer."""
 
-    def answered(self, entry: RpcEntry, outcome: str, retry_after: int, value: object) -> None:
+    def answered(self, entry: RpcEntry, outcome: str, retry_after: int, _value: object) -> None:
         """The module's final answer, for the streams that still wait; `retry_after` in microseconds."""
         now = self.loop.now()
         rejected = outcome == REJECTED
--- a/linenbridge/processor/response_classification.py
+++ b/linenbridge/processor/response_classification.py
@@ -27,6 +27,8 @@
 GRPC_CALLER_STATUSES = frozenset((0, 1, 3, 5, 6, 7, 9, 11, 16))
 GRPC_CONTENT_TYPE = "application/grpc"
 MAX_GRPC_STATUS_DIGITS = 3
+HTTP_STATUS_DIGITS = 3
+HTTP_OK = 200  # the only status of a gRPC response
 MIN_FINAL_STATUS = 200  # lower ones are interim responses (RFC 9110, section 15.2)
 MIN_SERVER_ERROR = 500
 
@@ -66,7 +68,7 @@
         outcome = self._not_executed(status, headers, attributes)
         if outcome is not None:
             return outcome
-        if status == 200 and headers.get("content-type", "").startswith(GRPC_CONTENT_TYPE):
+        if status == HTTP_OK and headers.get("content-type", "").startswith(GRPC_CONTENT_TYPE):
             grpc_status = headers.get("grpc-status")
             if grpc_status is not None:
                 return grpc_outcome(grpc_status)
@@ -75,7 +77,7 @@
 
     def classify_trailers(self, trailers: Mapping[str, str], attributes: Mapping[str, str]) -> Outcome:
         """The outcome that the trailers of a gRPC response tell."""
-        outcome = self._not_executed(200, trailers, attributes)
+        outcome = self._not_executed(HTTP_OK, trailers, attributes)
         return grpc_outcome(trailers.get("grpc-status", "")) if outcome is None else outcome
 
     def _not_executed(
@@ -92,7 +94,7 @@
 
 def _http_status(text: str) -> int | None:
     """Three digits as a number; None for anything else."""
-    return int(text) if len(text) == 3 and text.isascii() and text.isdigit() else None
+    return int(text) if len(text) == HTTP_STATUS_DIGITS and text.isascii() and text.isdigit() else None
 
 
 def grpc_outcome(status: str) -> Outcome:
--- a/linenbridge/processor/stream_session.py
+++ b/linenbridge/processor/stream_session.py
@@ -1,7 +1,7 @@
-"""One stream of a proxy: the receiver of its messages, and the RPC that it is about while it is.
+"""One stream of a proxy: the receiver of its messages, and the RPC that it is about.
 
-Owns the stream's phases and what is said on it. It must never decide: what it hears goes to its handler, of
-which it knows the interface alone.
+Owns the stream's phases and the responses on it. Decides nothing: request headers and reports go to the
+handler, of which it knows the interface alone.
 """
 
 from __future__ import annotations
@@ -45,18 +45,22 @@
 
 
 class StreamSession:
-    """One stream: the receiver of its messages, and the RPC that it is about while it is."""
+    """One stream of `peer`; `entry` and `reservation` are set while it is about an RPC."""
 
-    __slots__ = ("call", "entry", "grpc", "handler", "awaits_trailers", "peer", "phases", "reservation")
+    __slots__ = ("awaits_trailers", "call", "entry", "grpc", "handler", "peer", "phases", "reservation")
 
     def __init__(self, handler: Handler, peer: ProxyPeer, call: http2.Call) -> None:
-        self.handler, self.peer, self.call = handler, peer, call
+        self.handler = handler
+        self.peer = peer
+        self.call = call
         self.phases = StreamPhases()
         self.entry: RpcEntry | None = None
         self.reservation: AttemptReservation | None = None
-        self.grpc = self.awaits_trailers = False
+        self.grpc = False
+        self.awaits_trailers = False
 
     def on_message(self, data: memoryview) -> None:
+        """A message has come whole: act on it by the stream's state."""
         handler = self.handler
         try:
             message = codec.decode(data)
@@ -82,21 +86,22 @@
         self.reservation = None
 
     def fail(self, status: int, text: str) -> None:
-        """The stream ends here; what it was about is settled as if the proxy had left."""
+        """End the stream with an error; its RPC goes on as if the proxy had left."""
         self.handler.on_stream_ended(self)
         self.call.finish(status, text)
 
     def on_half_closed(self) -> None:
-        """The proxy says no more: an answer still owed is given, else the stream ends well."""
+        """The proxy has ended its side: the stream ends with OK, after a response that is still due."""
         if self.phases.state != StreamState.AWAITING_DECISION and not self.handler.has_pending_response(self):
             self.handler.on_stream_ended(self)
             self.call.finish(http2.OK)
 
     def on_closed(self) -> None:
+        """The stream has ended, by either side or with its connection."""
         self.handler.on_stream_ended(self)
 
     def dispatch(self, answer: bytes) -> None:
-        """The request goes on, and so does what has deferred behind it."""
+        """Let the request go on, and the messages that were deferred behind it."""
         deferred = self.phases.on_dispatched()
         self.call.send(answer)
         for kind in deferred:
@@ -105,7 +110,7 @@
             self.on_half_closed()
 
     def reject(self, answer: bytes) -> None:
-        """The final answer from here; the stream has served."""
+        """Send the final response and end the stream."""
         self.phases.on_rejected()
         self.entry = None
         self.call.send(answer)
--- a/linenbridge/processor/tls.py
+++ b/linenbridge/processor/tls.py
@@ -59,7 +59,7 @@
     return context
 
 
-def _select_protocol(connection: SSL.Connection, offered: list[bytes]) -> Any:
+def _select_protocol(_connection: SSL.Connection, offered: list[bytes]) -> Any:
     return b"h2" if b"h2" in offered else SSL.NO_OVERLAPPING_PROTOCOLS
 
 
