--- a/tests/upgrade/checks.py
+++ b/tests/upgrade/checks.py
@@ -10,6 +10,7 @@
 import re
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
+from itertools import pairwise
 
 from linenbridge.distribution.changes import Change, digest_of
 
@@ -19,10 +20,10 @@
 # lost: those of the base and their names in this version. A relay that has just started sends followers that
 # are ahead of it elsewhere; that is no fault (`refused_follower`).
 FAULTS = re.compile(
-    r"malformed|stranger|unauthori[sz]ed|misnamed|mismatch|spoilt|corrupt|differ|too_long|too_many|unread"
+    r"malformed|stranger|unauthori[sz]ed|misnamed|mismatch|spoilt|corrupt|differ|too_long|too_many|unread|send_buffer_full"
     r"|store[._](?:lost|failed|set_aside)|act\.refused|action\.(?:refused|rejected)"
     r"|change_(?:refused|rejected)|(?:refused|rejected)_change|(?:changes|keys)_(?:refused|rejected)"
-    r"|invalid|^failed$"
+    r"|settings_(?:refused|rejected)|reload\.failed|invalid|^failed$"
 )
 
 
@@ -133,11 +134,7 @@
     """Terms of one task in the order of its fenced requests: they never fall, and rise at least once for each
     holder that was replaced."""
     terms = list(terms)
-    found = [
-        f"term {after} follows {before}"
-        for before, after in zip(terms, terms[1:], strict=False)
-        if after < before
-    ]
+    found = [f"term {after} follows {before}" for before, after in pairwise(terms) if after < before]
     if len(set(terms)) <= replaced_holders:
         found.append(f"{len(set(terms))} terms for {replaced_holders} replaced holders")
     return found
