--- a/tests/compatibility/test_command_line.py
+++ b/tests/compatibility/test_command_line.py
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def files(tmp_path, monkeypatch):
-    """A working folder with the files that the calls name. LB_CONFIG, which a call sets, ends with the test."""
+    """A working folder with the files that the calls name; LB_CONFIG, which a call sets, ends with it."""
     with patch.dict(os.environ):
         for name in ("LB_SETTINGS", "LB_CONFIG"):
             os.environ.pop(name, None)
