--- a/linenbridge/distribution/view/paths.py
+++ b/linenbridge/distribution/view/paths.py
@@ -75,9 +75,9 @@
 def _leading_segments(test: Question) -> set[Segments]:
     """The complete segments that a path begins with if it passes the test."""
     if test.operator in ("is", "in"):
-        return {_segments(path) for path in test.words}
+        return {_segments(path) for path in test.operands}
     if test.operator == "starts":
-        return {_segments(test.words[0].rpartition("/")[0])}
+        return {_segments(test.operands[0].rpartition("/")[0])}
     return {()}
 
 
--- a/linenbridge/distribution/view/rules.py
+++ b/linenbridge/distribution/view/rules.py
@@ -152,8 +152,8 @@
 
 def _pack_condition(condition: Condition) -> list[Any]:
     match condition:
-        case Question(subject, operator, words):
-            return [Form.QUESTION, subject.kind, subject.name, operator, words]
+        case Question(subject, operator, operands):
+            return [Form.QUESTION, subject.kind, subject.name, operator, operands]
         case Not(part):
             return [Form.NOT, _pack_condition(part)]
         case language.All(parts):
@@ -164,7 +164,7 @@
 
 
 def _pack_part(part: Part) -> PackedPart:
-    return PackedPart(_pack_subject(part.subject), part.segment, part.word)
+    return PackedPart(_pack_subject(part.subject), part.segment, part.literal)
 
 
 def _pack_duration(timed: Timed | None) -> PackedDuration | None:
--- a/linenbridge/routes/language.py
+++ b/linenbridge/routes/language.py
@@ -15,8 +15,8 @@
 from lark import Lark, Token, Transformer, v_args
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput
 
-TEXT_MOST = 256 * 1024  # characters of one routes file
-RULES_MOST = 512
+MAX_TEXT_LENGTH = 256 * 1024  # characters of one routes file
+MAX_RULES = 512
 # All up to the end of a rule: a `}` that stands neither in a string nor in a comment.
 RULE_END = re.compile(r'(?:"(?:[^"\\\n]|\\["\\])*"|#[^\n]*|[^"#}])*\}')
 UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000}
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a word stands: line and column, both from 1."""
+    """A place in the text of the routes: line and column, both from 1."""
 
     line: int
     column: int
@@ -51,20 +51,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Question:
-    """One plain question: `has`, `is`, `starts`, `ends`, `contains`, `matches` or `in`, with its words."""
+    """One plain question: `has`, `is`, `starts`, `ends`, `contains`, `matches` or `in`, with its operands."""
 
     subject: Subject
     operator: str
-    words: tuple[str, ...] = ()
+    operands: tuple[str, ...] = ()
     place: Place = field(default=Place(0, 0), compare=False)
 
     def __str__(self) -> str:
         if self.operator == "has":
             return f"has {self.subject}"
         if self.operator == "in":
-            words = ", ".join('"' + word + '"' for word in self.words)
-            return f"{self.subject} in ({words})"
-        return f'{self.subject} {self.operator} "{self.words[0]}"'
+            quoted = ", ".join(f'"{operand}"' for operand in self.operands)
+            return f"{self.subject} in ({quoted})"
+        return f'{self.subject} {self.operator} "{self.operands[0]}"'
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,11 +89,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """Where a value comes from: a subject, a segment of the path (from 1), or a word as it stands."""
+    """Where a value comes from: a subject, a segment of the path (from 1), or a literal."""
 
     subject: Subject | None = None
     segment: int = 0
-    word: str | None = None
+    literal: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,7 @@
 
 @dataclass(slots=True)
 class Rule:
-    """One route as written. Times are microseconds; 0 and None mean that nothing was said."""
+    """One route as written. Times are microseconds; 0 and None where the route gives none."""
 
     name: str
     place: Place
@@ -126,7 +126,7 @@
     return Place(token.line or 0, token.column or 0)
 
 
-def _word(token: Token) -> str:
+def _unquoted(token: Token) -> str:
     return str(token)[1:-1].replace('\\"', '"').replace("\\\\", "\\")
 
 
@@ -144,10 +144,10 @@
         return Subject(str(kind))
 
     def named(self, kind: Token, name: Token) -> Subject:
-        word = _word(name)
-        if not word:
+        text = _unquoted(name)
+        if not text:
             raise RouteError(_place(name), f"{kind} needs a name")
-        return Subject(str(kind), word.lower() if kind == "header" else word)
+        return Subject(str(kind), text.lower() if kind == "header" else text)
 
     def always(self) -> Condition:
         return All(())
@@ -155,11 +155,11 @@
     def present(self, subject: Subject) -> Condition:
         return Question(subject, "has")
 
-    def compare(self, subject: Subject, operator: Token, word: Token) -> Condition:
-        return Question(subject, str(operator), (_word(word),), _place(word))
+    def compare(self, subject: Subject, operator: Token, text: Token) -> Condition:
+        return Question(subject, str(operator), (_unquoted(text),), _place(text))
 
-    def among(self, subject: Subject, *words: Token) -> Condition:
-        return Question(subject, "in", tuple(sorted({_word(word) for word in words})), _place(words[0]))
+    def among(self, subject: Subject, *texts: Token) -> Condition:
+        return Question(subject, "in", tuple(sorted({_unquoted(text) for text in texts})), _place(texts[0]))
 
     def negated(self, part: Condition) -> Condition:
         return Not(part)
@@ -170,8 +170,8 @@
     def any_of(self, *parts: Condition) -> Condition:
         return Any(parts)
 
-    def literal(self, word: Token) -> Part:
-        return Part(word=_word(word))
+    def literal(self, text: Token) -> Part:
+        return Part(literal=_unquoted(text))
 
     def segment(self, number: Token) -> Part:
         if int(number) < 1:
@@ -187,8 +187,8 @@
         subject, unit, default = parts
         return Timed(duration(str(default)), subject, str(unit))  # type: ignore[arg-type]
 
-    def method(self, word: Token) -> tuple:
-        return "method", _word(word), _place(word)
+    def method(self, text: Token) -> tuple:
+        return "method", _unquoted(text), _place(text)
 
     def tenant(self, value: tuple[Part, ...]) -> tuple:
         return "tenant", value, None
@@ -209,11 +209,11 @@
         return "over", tuple(str(name) for name in names), _place(names[0])
 
     def rule(self, name: Token, when: Condition, *clauses: tuple) -> Rule:
-        rule, said = Rule(str(name), _place(name), when), set[str]()
+        rule, clause_names = Rule(str(name), _place(name), when), set[str]()
         for what, value, place in clauses:
-            if what in said:
+            if what in clause_names:
                 raise RouteError(place or rule.place, f"route {name} says its {what} twice")
-            said.add(what)
+            clause_names.add(what)
             setattr(rule, what, value)
             if what == "method":
                 rule.method_place = place
@@ -231,8 +231,8 @@
 
 def parse(text: str) -> list[Rule]:
     """The rules of a text in their order; RouteError names the first place that cannot be read."""
-    if len(text) > TEXT_MOST:
-        raise RouteError(Place(1, 1), f"the routes are longer than {TEXT_MOST} characters")
+    if len(text) > MAX_TEXT_LENGTH:
+        raise RouteError(Place(1, 1), f"the routes are longer than {MAX_TEXT_LENGTH} characters")
     try:
         rules = _parser().parse(text)
     except UnexpectedInput as error:
@@ -241,8 +241,8 @@
         if isinstance(cause := getattr(error, "orig_exc", error), RouteError):
             raise cause from None
         raise
-    if len(rules) > RULES_MOST:
-        raise RouteError(rules[RULES_MOST].place, f"more than {RULES_MOST} routes")
+    if len(rules) > MAX_RULES:
+        raise RouteError(rules[MAX_RULES].place, f"more than {MAX_RULES} routes")
     return rules
 
 
@@ -253,8 +253,8 @@
         for piece in _pieces(text):
             for rule in parse(piece):
                 count += 1
-                if count > RULES_MOST:
-                    raise RouteError(rule.place, f"more than {RULES_MOST} routes")
+                if count > MAX_RULES:
+                    raise RouteError(rule.place, f"more than {MAX_RULES} routes")
                 yield rule
     except RouteError:
         parse(text)  # It names the first place that is wrong in the whole text.
@@ -263,8 +263,8 @@
 
 def _pieces(text: str) -> Iterator[str]:
     """The text cut behind each rule's end, each piece at its own line and column."""
-    if len(text) > TEXT_MOST:
-        raise RouteError(Place(1, 1), f"the routes are longer than {TEXT_MOST} characters")
+    if len(text) > MAX_TEXT_LENGTH:
+        raise RouteError(Place(1, 1), f"the routes are longer than {MAX_TEXT_LENGTH} characters")
     begin = line = column = 0
     while begin < len(text):
         found = RULE_END.match(text, begin)
@@ -282,7 +282,7 @@
         return Place(len(lines), len(lines[-1]) + 1), "the text ends in the middle of a route"
     place = Place(error.line, error.column)
     if isinstance(error, UnexpectedCharacters):
-        return place, f"no word can start with {error.char!r}"
+        return place, f"no text can start with {error.char!r}"
     found = getattr(error, "token", "")
     return place, f"{str(found)!r} does not fit here"
 
--- a/linenbridge/routes/table.py
+++ b/linenbridge/routes/table.py
@@ -21,12 +21,26 @@
 from linenbridge.interface import Method
 from linenbridge.routes.checks import check, choice, possible
 from linenbridge.routes.language import (
-    All, Any, Condition, Not, Part, RouteError, Rule, Subject, Question, Timed, UNITS, parse, tests,
+    UNITS,
+    All,
+    Any,
+    Condition,
+    Not,
+    Part,
+    Question,
+    RouteError,
+    Rule,
+    Subject,
+    Timed,
+    parse,
+    tests,
 )  # fmt: skip
 
-VALUE_MOST = 4096  # characters of a value that an expression is held against; what is longer does not match
-NAME_MOST = 256  # characters of a tenant's or a key's name
-DIGITS_MOST = 12
+MAX_VALUE_LENGTH = (
+    4096  # characters of a value that an expression is held against; what is longer does not match
+)
+MAX_NAME_LENGTH = 256  # characters of a tenant's or a key's name
+MAX_DIGITS = 12
 GRPC_UNITS = {"n": 0.001, "u": 1, "m": 1_000, "S": 1_000_000, "M": 60_000_000, "H": 3_600_000_000}
 
 
@@ -46,7 +60,7 @@
         self.segments = self.plain.split("/")[1:]
 
     @cached_property
-    def asked(self) -> dict[str, str]:
+    def query(self) -> dict[str, str]:
         """The query's names; the first of several of one name counts."""
         found: dict[str, str] = {}
         try:
@@ -64,13 +78,13 @@
             case "header":
                 return self.headers.get(subject.name)
             case "query":
-                return self.asked.get(subject.name)
+                return self.query.get(subject.name)
             case "attribute":
                 return self.attributes.get(subject.name)
         return getattr(self, subject.kind)
 
 
-class Asked(Struct, frozen=True):
+class MatchedRequest(Struct, frozen=True):
     """The RPC that a request is. Times are microseconds; `cost` is a hint at the work, None where unknown."""
 
     rule: str
@@ -98,7 +112,7 @@
 
     methods: Mapping[str, Method]
 
-    def find(self, request: Request) -> Asked | None: ...
+    def find(self, request: Request) -> MatchedRequest | None: ...
 
 
 class Table:
@@ -124,11 +138,11 @@
             for segment in named if found is None else sorted(found):
                 self.under[segment].append(number)
 
-    def find(self, request: Request) -> Asked | None:
+    def find(self, request: Request) -> MatchedRequest | None:
         """The RPC that the first rule to take the request makes of it; None where none does."""
         for number in self._candidates(request):
             if self.conditions[number](request):
-                return self._asked(self.rules[number], request)
+                return self._matched(self.rules[number], request)
         return None
 
     def _candidates(self, request: Request) -> Sequence[int]:
@@ -149,13 +163,13 @@
                 break
         return steps
 
-    def _asked(self, rule: Rule, request: Request) -> Asked:
+    def _matched(self, rule: Rule, request: Request) -> MatchedRequest:
         method = self.methods[rule.method]
         deadline = min(_time(rule.deadline, request) or self.longest, self.longest)
         soft = min(rule.soft or method.latency_objective, deadline)
         cost = _time(rule.cost, request) if rule.cost is not None else None
         tenant, key = _value(rule.tenant, request) or "", _value(rule.key, request)
-        return Asked(rule.name, rule.method, tenant, key, soft, deadline, cost)
+        return MatchedRequest(rule.name, rule.method, tenant, key, soft, deadline, cost)
 
 
 def table(text: str, methods: Iterable[Method], longest: int) -> Table:
@@ -204,26 +218,26 @@
 
 
 def _question(test: Question) -> Callable[[Request], bool]:
-    value_of, word = _reader(test.subject), test.words[0] if test.words else ""
+    value_of, operand = _reader(test.subject), test.operands[0] if test.operands else ""
     match test.operator:
         case "has":
             return lambda request: value_of(request) is not None
         case "is":
-            return lambda request: value_of(request) == word
+            return lambda request: value_of(request) == operand
         case "in":
-            words = frozenset(test.words)
-            return lambda request: value_of(request) in words
+            operands = frozenset(test.operands)
+            return lambda request: value_of(request) in operands
         case "starts":
-            return lambda request: (value := value_of(request)) is not None and value.startswith(word)
+            return lambda request: (value := value_of(request)) is not None and value.startswith(operand)
         case "ends":
-            return lambda request: (value := value_of(request)) is not None and value.endswith(word)
+            return lambda request: (value := value_of(request)) is not None and value.endswith(operand)
         case "contains":
-            return lambda request: (value := value_of(request)) is not None and word in value
-    search = re.compile(word).search
+            return lambda request: (value := value_of(request)) is not None and operand in value
+    search = re.compile(operand).search
 
     def matches(request: Request) -> bool:
         value = value_of(request)
-        return value is not None and len(value) <= VALUE_MOST and search(value) is not None
+        return value is not None and len(value) <= MAX_VALUE_LENGTH and search(value) is not None
 
     return matches
 
@@ -237,7 +251,7 @@
         case "header":
             return lambda request: request.headers.get(name)
         case "query":
-            return lambda request: request.asked.get(name)
+            return lambda request: request.query.get(name)
         case "attribute":
             return lambda request: request.attributes.get(name)
     return attrgetter(subject.kind)
@@ -246,14 +260,14 @@
 def _value(parts: tuple[Part, ...], request: Request) -> str | None:
     """The first part that the request has; bounded, as names are kept."""
     for part in parts:
-        if part.word is not None:
-            return part.word
+        if part.literal is not None:
+            return part.literal
         if part.subject is not None:
             found = request.value(part.subject)
         else:
             found = request.segments[part.segment - 1] if part.segment <= len(request.segments) else None
         if found:
-            return found[:NAME_MOST]
+            return found[:MAX_NAME_LENGTH]
     return None
 
 
@@ -266,7 +280,7 @@
         digits, unit = text[:-1], GRPC_UNITS.get(text[-1:], 0)
         if unit and digits.isascii() and digits.isdigit() and len(digits) <= 8:
             return max(1, round(int(digits) * unit))
-    elif text.isascii() and text.isdigit() and len(text) <= DIGITS_MOST:
+    elif text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS:
         return max(1, int(text) * UNITS[timed.unit])
     return timed.default
 
@@ -278,9 +292,9 @@
         if not possible(conjunction):
             continue
         named = [_segments_of(literal.test) for literal in conjunction if literal.wanted]
-        if not (asked := [segments for segments in named if segments is not None]):
+        if not (required := [segments for segments in named if segments is not None]):
             return None
-        found |= set.intersection(*asked)
+        found |= set.intersection(*required)
     return found
 
 
@@ -288,7 +302,7 @@
     if test.subject.kind != "path":
         return None
     if test.operator in ("is", "in"):
-        return {(word.split("/") + [""])[1] for word in test.words}
-    if test.operator == "starts" and test.words[0].count("/") >= 2:
-        return {test.words[0].split("/")[1]}
+        return {(operand.split("/") + [""])[1] for operand in test.operands}
+    if test.operator == "starts" and test.operands[0].count("/") >= 2:
+        return {test.operands[0].split("/")[1]}
     return None
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from linenbridge.routes.checks import check, choice, covers, holds, possible
+from linenbridge.routes.checks import check, choice, covers, answer, possible
 from linenbridge.routes.language import All, Any, Not, Place, RouteError, Question, parse
 from linenbridge.routes.regexes import runaway
 from linenbridge.routes.table import FaultsError, Request, Table, table
@@ -155,7 +155,7 @@
 def _plainly(condition, request: Request) -> bool:
     match condition:
         case Question():
-            return holds(condition, request.value(condition.subject))
+            return answer(condition, request.value(condition.subject))
         case Not(part):
             return not _plainly(part, request)
         case All(parts):
@@ -185,7 +185,7 @@
 
             def agrees(conjunction, request=request):
                 return all(
-                    holds(literal.test, request.value(literal.test.subject)) == literal.wanted
+                    answer(literal.test, request.value(literal.test.subject)) == literal.wanted
                     for literal in conjunction
                 )
 
@@ -201,7 +201,7 @@
 
 
 def test_the_index_by_segment_finds_what_a_walk_over_all_rules_finds():
-    """Seeded tables: the first rule that holds, wherever it stands."""
+    """Seeded tables: the first rule that answer, wherever it stands."""
     for seed in range(60):
         chance = seeded(seed)
         rules = parse("".join(f'route r{n} {{ when always method "look" }}' for n in range(6)))
