--- a/linenbridge/distribution/dissemination/feed.py
+++ b/linenbridge/distribution/dissemination/feed.py
@@ -29,11 +29,11 @@
 from linenbridge.distribution.messages import (
     Digests,
     EncodedBatch,
-    EncodedWhole,
+    EncodedRangeSnapshot,
     Follow,
     Progress,
-    Refused,
-    Summary,
+    FollowRejected,
+    SubtreeSummary,
 )
 
 
@@ -87,7 +87,7 @@
         """The digests of all ranges of a region's log, 8 bytes each."""
         return self.logs[region].range_digests()
 
-    def summaries(self, now: int) -> list[Summary]:
+    def summaries(self, now: int) -> list[SubtreeSummary]:
         """The summaries of all regions, for monitoring; reports are sent without a call."""
         return self._reports.summaries(now)
 
@@ -116,7 +116,7 @@
         the digest for `Follower.on_applied`."""
         log = self.logs[replace.region]
         log.replace(
-            replace.range, replace.upto, replace.changes, final=replace.final, horizon=replace.horizon
+            replace.range_index, replace.upto, replace.changes, final=replace.final, horizon=replace.horizon
         )
         log.consistent = False
         if replace.final:
@@ -166,7 +166,7 @@
         after = self.settings.rejection_wait
         after += self._random.randrange(after // 2 + 1)
         self.counters.rejected += 1
-        self._decisions.append(Send(follower, Refused(session, code, after)))
+        self._decisions.append(Send(follower, FollowRejected(session, code, after)))
         fields: dict[str, object] = {"follower": follower, "code": code}
         self._decisions.append(Event("distribution.follower_rejected", fields))
 
@@ -187,7 +187,9 @@
             self.on_lost(now, progress.follower)  # the old link may not be known to be down yet
             self._reports.departed.elsewhere(progress.follower, now)
         elif progress.follower not in self.sessions:
-            self._decisions.append(Send(progress.follower, Refused(progress.session, SilentFollower.code, 0)))
+            self._decisions.append(
+                Send(progress.follower, FollowRejected(progress.session, SilentFollower.code, 0))
+            )
 
     def on_digests(self, now: int, follower: str, digests: Digests) -> None:
         """A follower requests the ranges that differ from its own, or all of them."""
@@ -271,7 +273,7 @@
                 waiting.append(cursor)
         return False
 
-    def _send(self, session: Session, message: EncodedBatch | EncodedWhole, now: int) -> None:
+    def _send(self, session: Session, message: EncodedBatch | EncodedRangeSnapshot, now: int) -> None:
         session.on_sent(message, now)
         self._decisions.append(Send(session.follower, message))
 
--- a/linenbridge/distribution/hosting/link_messages.py
+++ b/linenbridge/distribution/hosting/link_messages.py
@@ -18,12 +18,12 @@
     Progress,
     Publish,
     Published,
-    Refused,
-    Whole,
+    FollowRejected,
+    RangeSnapshot,
 )
 
 RELAY_DECODER = Decoder(Prepare | Fetch | Append | Follow | Progress | Digests)
-FOLLOWER_DECODER = Decoder(Batch | Whole | Refused)
+FOLLOWER_DECODER = Decoder(Batch | RangeSnapshot | FollowRejected)
 PUBLISHER_DECODER = Decoder(Prepared | Fetched | Appended | Progress)  # from relays
 CHANGE_REQUEST_DECODER = Decoder(Publish)  # a publisher's, from change clients
 CHANGE_CLIENT_DECODER = Decoder(Published)
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -19,11 +19,11 @@
     Decision,
     Dial,
     Event,
-    HangUp,
-    Keep,
+    Disconnect,
+    Persist,
     ReplaceRange,
     Send,
-    SumsBelow,
+    SubtreeProgress,
 )
 from linenbridge.distribution.dissemination.feed import Feed
 from linenbridge.distribution.dissemination.follower import Follower
@@ -64,10 +64,12 @@
         self.settings = settings
         self.reactor = reactor
         self.log = log
-        self._on_broken: Callable[[], None] | None = on_broken
+        self.on_broken: Callable[[], None] | None = on_broken
         now = clock.now()
         self.disk = RelayLog(settings.store, settings.region)
-        self.replica = Replica(settings.region, settings.name, self.disk.read(), settings.trusted, random)
+        self.replica = Replica(
+            settings.region, settings.name, self.disk.read(), random, trusted=settings.trusted
+        )
         self.feed = Feed(
             settings.name,
             settings.region,
@@ -85,7 +87,9 @@
         self.region_of = {
             relay: region for region, found in settings.regions.items() for relay in found.relays
         }
-        self.writer = GroupWriter[Keep](reactor, self.disk.keep, self._on_persisted, self._on_persist_failed)
+        self.writer = GroupWriter[Persist](
+            reactor, self.disk.persist, self._on_persisted, self._on_persist_failed
+        )
         self.downstream = PeerConnections(
             settings.name,
             WellFormedNames(),
@@ -185,19 +189,19 @@
             case Send():
                 connections = self.upstream if isinstance(state_machine, Follower) else self.downstream
                 connections.send(decision.to, decision.message)
-            case Keep():
+            case Persist():
                 self.writer.put(decision)
             case Committed():
-                settled = self.replica.log.settled
+                settled = self.replica.log.purged_up_to
                 self.feed.on_committed(now, decision.region, decision.changes, settled)
             case Apply() | ReplaceRange():
                 self._put_into_feed(now, decision)
-            case SumsBelow():
+            case SubtreeProgress():
                 for follower in self.followers.values():
                     follower.on_progress_below(now, decision.summaries)
             case Dial():
                 self.upstream.dial(decision.relay, self._address(decision.relay))
-            case HangUp():
+            case Disconnect():
                 self.upstream.disconnect(decision.relay)
             case Event():
                 self.log.event(decision.name, **decision.fields)
@@ -212,22 +216,22 @@
         self.followers[content.region].on_applied(now, content.region, content.upto, digest)
 
     def _report_broken_disk(self) -> None:
-        if self.replica.broken and self._on_broken is not None:
-            on_broken, self._on_broken = self._on_broken, None
+        if self.replica.failed and self.on_broken is not None:
+            on_broken, self.on_broken = self.on_broken, None
             call_soon(self.reactor, on_broken)
 
     def _address(self, relay: str) -> tuple[str, int]:
         return self.settings.regions[self.region_of[relay]].relays[relay]
 
-    def _on_persisted(self, persists: list[Keep]) -> None:
+    def _on_persisted(self, persists: list[Persist]) -> None:
         now = clock.now()
         for persist in persists:
-            self.replica.on_kept(now, persist.number)
+            self.replica.on_persisted(now, persist.number)
             for send in persist.then:
                 self.downstream.send(send.to, send.message)
         self.driver.turn()
 
-    def _on_persist_failed(self, _persists: list[Keep], error: BaseException) -> None:
+    def _on_persist_failed(self, _persists: list[Persist], error: BaseException) -> None:
         if not isinstance(error, RelayStoreError):
             error = RelayStoreError(f"{type(error).__name__}: {error}", self.settings.store)
         self.replica.on_store_failed(clock.now(), error)
--- a/linenbridge/distribution/view/values.py
+++ b/linenbridge/distribution/view/values.py
@@ -12,14 +12,14 @@
 import msgspec
 
 from linenbridge.distribution.changes import (
-    NAME_MOST,
-    VALUE_MOST,
+    MAX_NAME_CHARACTERS,
+    MAX_VALUE_BYTES,
     InstanceValue,
     Kind,
     TenantValue,
     ZoneValue,
 )
-from linenbridge.distribution.errors import ChangeRefused
+from linenbridge.distribution.errors import ChangeRejected
 from linenbridge.distribution.view.rules import pack_rules
 from linenbridge.interface import InstanceState, Method
 from linenbridge.routes.language import RouteError, parse_by_rule
@@ -44,12 +44,12 @@
         """Return the reason why a value would be rejected; "" if it would not be."""
         try:
             self.read(kind, name, value)
-        except ChangeRefused as error:
+        except ChangeRejected as error:
             return error.what
         return ""
 
     def read(self, kind: int, name: str, value: bytes) -> Value:
-        """Return the value in the form of its table, a rule set packed; ChangeRefused if it fails a check."""
+        """Return the value in its table's form, a rule set packed; ChangeRejected if it fails a check."""
         steps = self.read_in_steps(kind, name, value)
         while True:
             try:
@@ -62,10 +62,10 @@
 
         A rule set takes some milliseconds: a step parses one rule, or checks all rules against each other.
         """
-        if not 0 < len(name) <= NAME_MOST:
-            raise ChangeRefused(f"a name has 1 to {NAME_MOST} characters", name[:MAX_TEXT_LENGTH])
-        if len(value) > VALUE_MOST:
-            raise ChangeRefused(f"{len(value)} bytes, {VALUE_MOST} at most", name)
+        if not 0 < len(name) <= MAX_NAME_CHARACTERS:
+            raise ChangeRejected(f"a name has 1 to {MAX_NAME_CHARACTERS} characters", name[:MAX_TEXT_LENGTH])
+        if len(value) > MAX_VALUE_BYTES:
+            raise ChangeRejected(f"{len(value)} bytes, {MAX_VALUE_BYTES} at most", name)
         try:
             match kind:
                 case Kind.ROUTES:
@@ -77,8 +77,8 @@
                 case Kind.ZONE:
                     return msgspec.msgpack.decode(value, type=ZoneValue)
         except (msgspec.MsgspecError, ValueError) as error:
-            raise ChangeRefused(str(error), name) from error
-        raise ChangeRefused(f"no kind of key is numbered {kind}", name)
+            raise ChangeRejected(str(error), name) from error
+        raise ChangeRejected(f"no kind of key is numbered {kind}", name)
 
     def _routes(self, value: bytes) -> Generator[None, None, bytes]:
         rules = []
--- a/tests/distribution/dissemination/harness.py
+++ b/tests/distribution/dissemination/harness.py
@@ -7,7 +7,15 @@
 import msgspec
 
 from linenbridge.distribution.changes import Kind, Position, Version, sealed
-from linenbridge.distribution.decisions import Apply, Dial, Event, HangUp, ReplaceRange, Send, SumsBelow
+from linenbridge.distribution.decisions import (
+    Apply,
+    Dial,
+    Event,
+    Disconnect,
+    ReplaceRange,
+    Send,
+    SubtreeProgress,
+)
 from linenbridge.distribution.dissemination.feed import Feed
 from linenbridge.distribution.dissemination.follower import Follower
 from linenbridge.distribution.dissemination.relay_selection import RelayLocation, rank_relays
@@ -17,9 +25,9 @@
     Follow,
     Message,
     Progress,
-    Whole,
+    RangeSnapshot,
     batch_checksum,
-    whole_checksum,
+    range_checksum,
 )
 
 SECOND = 1_000_000
@@ -72,7 +80,7 @@
                 self.dialled.append(decision.relay)
                 if decision.relay not in self.dead:
                     self.core.on_link(self.now, decision.relay, connected=True)
-            elif isinstance(decision, HangUp):
+            elif isinstance(decision, Disconnect):
                 self.disconnected.append(decision.relay)
             elif isinstance(decision, Send):
                 self.sent.append(decision)
@@ -101,20 +109,22 @@
         batch = Batch(self.session, "r1", after, end, changes, None, 0, checksum, self.number)
         return msgspec.structs.replace(batch, **fields)
 
-    def snapshot(self, upto: int, index: int, names: str, **fields) -> Whole:
+    def snapshot(self, upto: int, index: int, names: str, **fields) -> RangeSnapshot:
         self.number += 1
         changes = [sealed("r1", Version(1, 1), Kind.TENANT, name, b"w") for name in names.split()]
-        snapshot = Whole(
+        snapshot = RangeSnapshot(
             self.session, "r1", Version(1, upto), index, 0, True, True, changes, 0, 0, self.number
         )
         return self.with_checksum(msgspec.structs.replace(snapshot, **fields))
 
-    def with_checksum(self, snapshot: Whole) -> Whole:
+    def with_checksum(self, snapshot: RangeSnapshot) -> RangeSnapshot:
         encoded = _encode(snapshot.changes)
-        checksum = whole_checksum("r1", snapshot.upto, snapshot.range, snapshot.part, snapshot.last, encoded)
+        checksum = range_checksum(
+            "r1", snapshot.upto, snapshot.range_index, snapshot.part, snapshot.last, encoded
+        )
         return msgspec.structs.replace(snapshot, checksum=checksum)
 
-    def take(self, message: Batch | Whole, relay: str = "") -> None:
+    def take(self, message: Batch | RangeSnapshot, relay: str = "") -> None:
         handle = self.core.on_batch if isinstance(message, Batch) else self.core.on_range_snapshot
         handle(self.now, relay or self.core.relay, message)
         self.pull()
@@ -146,7 +156,7 @@
         self.sequence = 0
         self.sent: dict[str, list] = {}
         self.events: list[Event] = []
-        self.sums: list[SumsBelow] = []
+        self.sums: list[SubtreeProgress] = []
 
     def run(self, seconds: float) -> None:
         end = self.now + int(seconds * SECOND)
@@ -177,7 +187,7 @@
         self.pull()
 
     def acknowledge(self, name: str, session: int = 1) -> None:
-        messages = [each for each in self.sent.get(name, []) if isinstance(each, Batch | Whole)]
+        messages = [each for each in self.sent.get(name, []) if isinstance(each, Batch | RangeSnapshot)]
         batches = [each.upto.sequence for each in messages if isinstance(each, Batch)]
         position = Position("r1", 1, max(batches, default=0))
         self.feed.on_progress(self.now, Progress(name, session, [position], [], len(messages)))
--- a/tests/distribution/dissemination/simulation/corruption.py
+++ b/tests/distribution/dissemination/simulation/corruption.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from linenbridge.distribution.messages import Batch, Whole
+from linenbridge.distribution.messages import Batch, RangeSnapshot
 from tests.distribution.dissemination.simulation.faults import publish_over
 from tests.distribution.dissemination.simulation.shape import SECOND, Shape
 from tests.distribution.dissemination.simulation.world import World
@@ -21,12 +21,12 @@
         self.relay = relay
         self.kind = kind
         self.random = random
-        self.earlier: list[Batch | Whole] = []
-        self.deferred: list[Batch | Whole] = []
+        self.earlier: list[Batch | RangeSnapshot] = []
+        self.deferred: list[Batch | RangeSnapshot] = []
         self.done = 0
 
     def __call__(self, sender: str, to: str, message):  # noqa: ARG002  # as the world calls it
-        if sender != self.relay or not isinstance(message, Batch | Whole):
+        if sender != self.relay or not isinstance(message, Batch | RangeSnapshot):
             return [message]
         self.earlier.append(message)
         if self.random.random() > 0.3:
@@ -67,7 +67,7 @@
         return [msgspec.structs.replace(older, session=message.session, number=message.number), message]
 
     def digest(self, message):
-        if isinstance(message, Whole) or message.digest is None:
+        if isinstance(message, RangeSnapshot) or message.digest is None:
             return [message]
         return [msgspec.structs.replace(message, digest=message.digest ^ 1)]
 
--- a/tests/distribution/dissemination/test_range_transfer.py
+++ b/tests/distribution/dissemination/test_range_transfer.py
@@ -8,7 +8,7 @@
 
 from linenbridge.distribution.changes import RANGES, Kind, Position, Version, sealed
 from linenbridge.distribution.decisions import Apply, ReplaceRange
-from linenbridge.distribution.messages import Digests, Follow, Whole
+from linenbridge.distribution.messages import Digests, Follow, RangeSnapshot
 from tests.distribution.dissemination.harness import FEED_SETTINGS as SETTINGS
 from tests.distribution.dissemination.harness import FeedHarness
 
@@ -26,9 +26,9 @@
 
     relay.feed.on_digests(relay.now, "g1", Digests(1, "r1", Version(1, 10), 0, b"", True))
     relay.run(1)
-    wholes = [each for each in relay.sent["g1"] if isinstance(each, Whole)]
+    wholes = [each for each in relay.sent["g1"] if isinstance(each, RangeSnapshot)]
 
-    assert [snapshot.range for snapshot in wholes] == list(range(RANGES))
+    assert [snapshot.range_index for snapshot in wholes] == list(range(RANGES))
     assert [snapshot.final for snapshot in wholes] == [False] * (RANGES - 1) + [True]
     assert sum(len(snapshot.changes) for snapshot in wholes) == 27
 
@@ -58,14 +58,14 @@
     relay.feed.on_digests(0, "g1", Digests(1, "r1", Version(1, 50), 0, bytes(own), True))
     relay.run(1)
 
-    assert [each.range for each in relay.sent["g1"] if isinstance(each, Whole)] == [0]
+    assert [each.range_index for each in relay.sent["g1"] if isinstance(each, RangeSnapshot)] == [0]
 
     own[8 * 77] ^= 1
     own[8 * 300] ^= 1
     relay.feed.on_digests(relay.now, "g1", Digests(1, "r1", Version(1, 50), 0, bytes(own), True))
     relay.run(1)
 
-    assert [each.range for each in relay.sent["g1"] if isinstance(each, Whole)][1:] == [77, 300]
+    assert [each.range_index for each in relay.sent["g1"] if isinstance(each, RangeSnapshot)][1:] == [77, 300]
 
 
 @pytest.mark.parametrize(
@@ -78,7 +78,7 @@
     relay.run(1)
 
     assert relay.feed.counters.malformed == 1
-    assert not any(isinstance(each, Whole) for each in relay.sent["g1"])
+    assert not any(isinstance(each, RangeSnapshot) for each in relay.sent["g1"])
 
 
 def test_a_log_in_the_middle_of_a_catch_up_has_no_digest_and_transfers_nothing(relay):
@@ -100,7 +100,7 @@
     relay.feed.on_digests(relay.now, "g1", Digests(1, "r2", Version(1, 3), 0, b"", True))
     relay.run(2)
 
-    assert not any(isinstance(each, Whole) for each in relay.sent["g1"])
+    assert not any(isinstance(each, RangeSnapshot) for each in relay.sent["g1"])
 
 
 def test_followers_of_a_region_that_lost_all_disks_need_ranges(relay):
@@ -114,7 +114,7 @@
 
     relay.feed.on_digests(relay.now, "g1", Digests(1, "r1", Version(1, 100), 0, b"", True))
     relay.run(1)
-    final = [each for each in relay.sent["g1"] if isinstance(each, Whole)][-1]
+    final = [each for each in relay.sent["g1"] if isinstance(each, RangeSnapshot)][-1]
 
     assert final.final
     assert final.upto == change.version > Version(1, 100)
