--- a/linenbridge/cli/commands.py
+++ b/linenbridge/cli/commands.py
@@ -55,11 +55,11 @@
     Exit codes: 0 in force everywhere, 1 accepted but not known to be in force everywhere, 2 refused or not
     published, 3 unknown: it may be accepted later.
     """
-    from linenbridge.cli.publish import Wanted, publish as ask
+    from linenbridge.cli.publish import ChangeOptions, publish
 
-    wanted = Wanted(kind, name, value, delete, region, accepted_within, in_force_within)
+    options = ChangeOptions(kind, name, value, delete, region, accepted_within, in_force_within)
     try:
-        code = ask(read(str(settings_file)), wanted, as_json)
+        code = publish(read(str(settings_file)), options, as_json=as_json)
     except (ConfigurationError, ValueError, OSError) as error:
         raise unusable(error) from error
     raise typer.Exit(code)
--- a/linenbridge/cli/publish.py
+++ b/linenbridge/cli/publish.py
@@ -1,7 +1,7 @@
-"""`linenbridge publish`: one change to its region's publisher, and what becomes of it in plain words.
+"""`linenbridge publish`: one change to its region's publisher, and the publisher's responses as text.
 
-Owns the words, the exit codes and the forms of values as people write them. It must never decide where a
-change goes: that is the change client's (`distribution/hosting/change_client.py`).
+Owns the options, the printed lines, the exit codes and the forms of values as files hold them. Which
+publisher a change goes to is decided by `ChangeClient` (distribution/hosting/change_client.py).
 """
 
 from __future__ import annotations
@@ -10,6 +10,7 @@
 import json
 import secrets
 from dataclasses import dataclass
+from enum import IntEnum
 from pathlib import Path
 from typing import Any
 
@@ -20,8 +21,13 @@
 from linenbridge.distribution.changes import InstanceValue, Kind, TenantValue, ZoneValue
 from linenbridge.distribution.configuration import DistributionSettings, Region, distribution
 from linenbridge.distribution.errors import (
-    ChangeRejected, ForeignKey, NotPublisher, OlderEpoch, PublisherBusy, QuorumUnreached,
-)  # fmt: skip
+    ChangeRejected,
+    ForeignKey,
+    NotPublisher,
+    OlderEpoch,
+    PublisherBusy,
+    QuorumUnreached,
+)
 from linenbridge.distribution.hosting.change_client import ChangeClient, Outcome
 from linenbridge.distribution.hosting.methods import methods_of
 from linenbridge.distribution.messages import Publish, Published
@@ -30,19 +36,28 @@
 from linenbridge.logging.event_log import Log
 from linenbridge.net.reactor import Reactor
 
-IN_FORCE, ACCEPTED, REFUSED, UNKNOWN = range(4)  # exit codes
+
+class ExitCode(IntEnum):
+    """What `publish` ends with."""
+
+    IN_FORCE = 0
+    ACCEPTED = 1  # and not known to be in force everywhere
+    REJECTED = 2  # or not published
+    UNKNOWN = 3  # it may be accepted later
+
+
 KINDS = {"routes": Kind.ROUTES, "tenant": Kind.TENANT, "instance": Kind.INSTANCE, "zone": Kind.ZONE}
 FORMS = {Kind.TENANT: TenantValue, Kind.INSTANCE: InstanceValue, Kind.ZONE: ZoneValue}
-REFUSALS: dict[str, type[Rejection]] = {
+REJECTIONS: dict[str, type[Rejection]] = {
     kind.code: kind
     for kind in (ChangeRejected, ForeignKey, NotPublisher, OlderEpoch, PublisherBusy, QuorumUnreached)
 }
-REQUEST_MOST = 1 << 53
+MAX_REQUEST_ID = 1 << 53  # whole numbers up to here are exact in JSON
 
 
 @dataclass(frozen=True, slots=True)
-class Wanted:
-    """What was asked for on the command line. Times in seconds."""
+class ChangeOptions:
+    """The options of the command line. Times are seconds."""
 
     kind: str
     name: str
@@ -53,38 +68,41 @@
     in_force_within: float
 
 
-def publish(configuration: Configuration, wanted: Wanted, as_json: bool) -> int:
-    """Until the change is in force or time is up; the exit code."""
+def publish(configuration: Configuration, options: ChangeOptions, *, as_json: bool) -> int:
+    """Publishes a change, waits until it is in force or time is up, and returns the exit code.
+
+    ConfigurationError, ValueError and OSError where the settings or the options can't be used.
+    """
     settings = distribution(configuration)
     if settings is None:
         raise ConfigurationError(f"{configuration.path}: it has no element distribution; add it")
-    name = wanted.region or settings.region
+    name = options.region or settings.region
     region = settings.regions.get(name)
     if region is None or not region.publishers:
         raise ConfigurationError(f"{configuration.path}: no publisher of {name}; add it to the region")
     change = Publish(
-        secrets.randbelow(REQUEST_MOST), name, _kind(wanted.kind), wanted.name, _value(wanted)
-    )  # fmt: skip
+        secrets.randbelow(MAX_REQUEST_ID), name, _kind(options.kind), options.name, _value(options)
+    )
     _check(settings, change)
-    teller = Teller(name, as_json)
-    outcome = _ask(region, change, wanted, teller)
-    return teller.end(outcome)
+    printer = ResponsePrinter(name, as_json=as_json)
+    outcome = _exchange(region, change, options, printer)
+    return printer.finish(outcome)
 
 
-def _kind(word: str) -> Kind:
-    if word not in KINDS:
-        raise ValueError(f"no kind is named {word}; name one of {', '.join(KINDS)}")
-    return KINDS[word]
+def _kind(name: str) -> Kind:
+    if name not in KINDS:
+        raise ValueError(f"no kind is named {name}; name one of {', '.join(KINDS)}")
+    return KINDS[name]
 
 
-def _value(wanted: Wanted) -> bytes:
-    """Routes as they are written; all else from a JSON object to its form, which fills in no default."""
-    if wanted.delete and wanted.value is None:
+def _value(options: ChangeOptions) -> bytes:
+    """The value's bytes: routes as text, others from a JSON object that holds every field of their form."""
+    if options.delete and options.value is None:
         return b""
-    if wanted.delete or wanted.value is None:
+    if options.delete or options.value is None:
         raise ValueError("a change has a value or deletes its key; give one of --value and --delete")
-    data = wanted.value.read_bytes()
-    kind = _kind(wanted.kind)
+    data = options.value.read_bytes()
+    kind = _kind(options.kind)
     if kind == Kind.ROUTES:
         return data
     form = FORMS[kind]
@@ -92,17 +110,19 @@
         found = msgspec.json.decode(data, type=dict[str, Any])
         value = msgspec.convert([found.pop(field) for field in form.__struct_fields__], form)
     except KeyError as error:
-        raise ValueError(f"{wanted.value}: it has no field {error.args[0]}; add it") from None
+        raise ValueError(f"{options.value}: it has no field {error.args[0]}; add it") from None
     except msgspec.MsgspecError as error:
-        raise ValueError(f"{wanted.value}: {error}; mend the value") from None
+        raise ValueError(f"{options.value}: {error}; mend the value") from None
     if found:
-        raise ValueError(f"{wanted.value}: unknown fields {', '.join(found)}; remove them")
+        raise ValueError(f"{options.value}: unknown fields {', '.join(found)}; remove them")
     return msgspec.msgpack.encode(value)
 
 
 def _check(settings: DistributionSettings, change: Publish) -> None:
-    """What the publisher will check, ahead of it, so that the author hears the place of a fault; routes only
-    where the settings name the platform's configuration."""
+    """Makes the publisher's checks ahead of it, since they name the place of a fault.
+
+    Routes are checked only where the settings name the platform's configuration.
+    """
     if not change.value or (change.kind == Kind.ROUTES and not settings.platform):
         return
     methods = methods_of(settings)
@@ -110,36 +130,38 @@
         raise ValueError(f"{change.name}: {fault}; {ChangeRejected.advice}")
 
 
-def _ask(region: Region, change: Publish, wanted: Wanted, teller: Teller) -> Outcome:
-    """A reactor for as long as the change takes."""
+def _exchange(region: Region, change: Publish, options: ChangeOptions, printer: ResponsePrinter) -> Outcome:
+    """Runs a reactor for as long as the change takes."""
     reactor = Reactor()
     installReactor(reactor)
-    log = Log(io.BytesIO())  # what links have to say is not for the author
+    log = Log(io.BytesIO())  # lines about connections are not printed
     deadline: list[Any] = []
 
-    def said(published: Published) -> None:
-        teller.say(published)
+    def on_response(published: Published) -> None:
+        printer.print_response(published)
         if published.state == "accepted":
             deadline.pop().cancel()
-            deadline.append(reactor.callLater(wanted.in_force_within, reactor.stop))
+            deadline.append(reactor.callLater(options.in_force_within, reactor.stop))
 
     def begin() -> None:
-        deadline.append(reactor.callLater(wanted.accepted_within, reactor.stop))
+        deadline.append(reactor.callLater(options.accepted_within, reactor.stop))
 
-    client = ChangeClient(region, change, reactor, log, said, reactor.stop)
+    client = ChangeClient(region, change, reactor, log, on_response, reactor.stop)
     reactor.callWhenRunning(begin)
     reactor.run(installSignalHandlers=True)
     client.close()
     return client.outcome
 
 
-class Teller:
-    """Prints what becomes of the change, a line each."""
+class ResponsePrinter:
+    """Prints the publisher's responses, one line each."""
 
-    def __init__(self, region: str, as_json: bool) -> None:
-        self.region, self.as_json = region, as_json
+    def __init__(self, region: str, *, as_json: bool) -> None:
+        self.region = region
+        self.as_json = as_json
 
-    def say(self, published: Published) -> None:
+    def print_response(self, published: Published) -> None:
+        """Prints one response, as text or as a JSON object."""
         if self.as_json:
             row = msgspec.structs.asdict(published)
             print(json.dumps({**row, "version": msgspec.structs.asdict(published.version)}), flush=True)
@@ -149,36 +171,36 @@
             print(f"accepted    {place}", flush=True)
         elif published.state == "in_force":
             print(f"in force    {place}", flush=True)
-            self._say_unreached(published)
+            self._print_unreached(published)
         else:
             print(f"{published.state:<12}{_advised(published.code)}", flush=True)
 
-    def _say_unreached(self, published: Published) -> None:
+    def _print_unreached(self, published: Published) -> None:
         if published.unreached_count:
             more = published.unreached_count - len(published.unreached)
             names = " ".join(published.unreached) + (f" and {more} more" if more > 0 else "")
             print(f"unreached   {published.unreached_count}: {names}", flush=True)
 
-    def end(self, outcome: Outcome) -> int:
-        """The exit code, with a last word where something is left open."""
+    def finish(self, outcome: Outcome) -> ExitCode:
+        """Prints a last line where the outcome is open, and returns the exit code."""
         if outcome.in_force is not None:
-            return ACCEPTED if outcome.in_force.unreached_count else IN_FORCE
+            return ExitCode.ACCEPTED if outcome.in_force.unreached_count else ExitCode.IN_FORCE
         if outcome.accepted is not None:
-            self._last("not known to be in force everywhere yet; it stays accepted: look at the relays")
-            return ACCEPTED
+            self._print_last("not known to be in force everywhere yet; it stays accepted: look at the relays")
+            return ExitCode.ACCEPTED
         if outcome.rejected is not None:
-            return REFUSED
+            return ExitCode.REJECTED
         if outcome.maybe_accepted:
-            self._last(f"unknown: it may be accepted later; {QuorumUnreached.advice}")
-            return UNKNOWN
-        self._last(f"not published: no publisher of {self.region} took it; {NotPublisher.advice}")
-        return REFUSED
+            self._print_last(f"unknown: it may be accepted later; {QuorumUnreached.advice}")
+            return ExitCode.UNKNOWN
+        self._print_last(f"not published: no publisher of {self.region} took it; {NotPublisher.advice}")
+        return ExitCode.REJECTED
 
-    def _last(self, words: str) -> None:
+    def _print_last(self, line: str) -> None:
         if not self.as_json:
-            print(words, flush=True)
+            print(line, flush=True)
 
 
 def _advised(code: str) -> str:
-    kind = REFUSALS.get(code)
+    kind = REJECTIONS.get(code)
     return code if kind is None else f"{code}: {kind.advice}"
