--- a/linenbridge/cli/event_names.py
+++ b/linenbridge/cli/event_names.py
@@ -17,11 +17,16 @@
     "council.lost": "quorum.lost",
     "council.moves": "quorum.changing",
     "council.newer": "quorum.newer_generation",
+    "distribution.change_refused": "distribution.change_rejected",
+    "distribution.life_began": "distribution.incarnation_began",
     "distribution.misnamed": "distribution.name_mismatch",
+    "distribution.reading": "distribution.log_recovery",
     "distribution.refused_change": "distribution.rejected_change",
     "distribution.refused_follower": "distribution.follower_rejected",
     "distribution.spoilt": "distribution.malformed",
     "distribution.stranger": "distribution.unauthorized_peer",
+    "feed.lost": "rollout_feed.lost",
+    "feed.regained": "rollout_feed.regained",
     "fleet.refused": "fleet.settings_rejected",
     "fleet.reloaded": "fleet.settings_reloaded",
     "handed": "dispatched",
@@ -43,18 +48,44 @@
     "stranger": "unauthorized_peer",
     "task.held": "task.acquired",
 }
-SOURCES: Final[Mapping[str, str]] = {"may_have_run": "maybe_executed"}  # of an event, in the field `of`
+SOURCES: Final[Mapping[str, str]] = {
+    "feed": "rollout_feed",
+    "may_have_run": "maybe_executed",
+}  # of an event, in the field `of` of earlier versions and `source` of the present one
 COUNTERS: Final[Mapping[str, str]] = {
     "act": "task_action",
     "admitted.again": "admitted.retry",
     "admitted.full_house": "admitted.capacity_exhausted",
     "admitted.may_have_run": "admitted.maybe_executed",
     "admitted.take": "admitted.accepted",
+    "client.cut_off": "client.reset",
+    "client.spared": "client.evicted",
+    "client.too_much": "client.over_budget",
+    "client.turned_away": "client.rejected",
+    "feed": "rollout_feed",
+    "gone": "client_disconnected",
+    "line.spared": "upstream.evicted",
+    "line.spent": "upstream.unusable",
+    "line": "upstream",
+    "malformed.feed": "malformed.rollout_feed",
+    "picked": "attempted",
     "refused.may_have_run": "refused.maybe_executed",
+    "taken": "accepted",
     "unfit": "invalid",
+    "vote.moot": "vote.stale",
 } | {
     earlier: present for earlier, present in EVENTS.items() if earlier.startswith("link.")
 }  # by the start of a counter's name, up to a dot
+OUTCOME_COUNTERS: Final = ("answered", "ended", "reported")  # whose last part is an outcome
+OUTCOMES: Final[Mapping[str, str]] = {
+    "aborted": "failed",
+    "broken": "connection_lost",
+    "full": "overloaded",
+    "pushed_back": "rejected",
+    "spoilt": "malformed_response",
+    "unreached": "connect_failed",
+    "unsent": "not_sent",
+}
 STATISTICS: Final[Mapping[str, str]] = {
     "failed": "failures",
     "failed much": "failure_burst",
@@ -93,7 +124,11 @@
 
 
 def counter_name(counter: str) -> str:
-    """The present name of a counter, whose later parts (a method, an outcome, a code) stay."""
+    """The present name of a counter, whose later parts (a method, a code) stay, but for an outcome."""
+    first = counter.partition(".")[0]
+    last = counter.rpartition(".")[2]
+    if first in OUTCOME_COUNTERS:
+        return counter[: len(counter) - len(last)] + OUTCOMES.get(last, last)
     for earlier, present in COUNTERS.items():
         if counter == earlier or counter.startswith(f"{earlier}."):
             return present + counter[len(earlier) :]
--- a/linenbridge/logging/event_log.py
+++ b/linenbridge/logging/event_log.py
@@ -42,15 +42,15 @@
         trace = "".join(traceback.format_exception(error))
         self.event("failed", where=where, error=f"{type(error).__name__}: {error}", trace=trace)
 
-    def rarely(self, name: str, of: str, **fields: object) -> None:
+    def rarely(self, name: str, source: str, /, **fields: object) -> None:
         """Counts an event that a peer can cause at will, and writes a line whenever their number has doubled.
 
         A flood of them so costs little disk and time.
         """
-        self.count(name, of)
-        number = self.counts[name, of]
+        self.count(name, source)
+        number = self.counts[name, source]
         if not number & (number - 1):
-            self.event(name, of=of, number=number, **fields)
+            self.event(name, source=source, number=number, **fields)
 
     def count(self, *names: str) -> None:
         """Adds one to the counter of these names, which a line joins with dots."""
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -10,7 +10,7 @@
 from typer.testing import CliRunner
 
 from linenbridge.cli.commands import app
-from linenbridge.cli.event_names import EVENTS
+from linenbridge.cli.event_names import EVENTS, counter_name
 from linenbridge.cli.sums import MAX_KINDS, Sums, kind
 from linenbridge.logging.structured import is_warning, structured
 
@@ -47,7 +47,10 @@
     assert rows["vote promote build 7 stage 0"] == (2, 2, {"0": 1, "1": 1})
     assert rows["eject"] == (1, 1, {"1": 1})
     assert rows["started"] == (2, 1, {"0": 1, "2": 1})
-    assert sums["counters"] == {"taken.look": 5, "vote.sent": 6}  # two processes, the last counters of each
+    assert sums["counters"] == {
+        "accepted.look": 5,
+        "vote.sent": 6,
+    }  # two processes, the last counters of each
     assert sums["unread"] == 3
 
 
@@ -187,6 +190,45 @@
     assert kind("refused", {"of": "may_have_run"}) == kind("refused", {"of": "maybe_executed"})
 
 
+@pytest.mark.parametrize(
+    ("earlier", "present"),
+    [
+        ("taken.look", "accepted.look"),
+        ("picked.look", "attempted.look"),
+        ("gone.look", "client_disconnected.look"),
+        ("answered.look.pushed_back", "answered.look.rejected"),
+        ("answered.look.aborted", "answered.look.failed"),
+        ("answered.look.ok", "answered.look.ok"),
+        ("ended.full.full", "ended.full.overloaded"),
+        ("ended.look.unreached", "ended.look.connect_failed"),
+        ("ended.look.broken", "ended.look.connection_lost"),
+        ("ended.look.spoilt", "ended.look.malformed_response"),
+        ("ended.look.unsent", "ended.look.not_sent"),
+        ("client.turned_away", "client.rejected"),
+        ("client.spared", "client.evicted"),
+        ("client.cut_off", "client.reset"),
+        ("client.too_much", "client.over_budget"),
+        ("client.connected", "client.connected"),
+        ("line.opened", "upstream.opened"),
+        ("line.spared", "upstream.evicted"),
+        ("line.spent", "upstream.unusable"),
+        ("line.no_descriptor", "upstream.no_descriptor"),
+        ("feed.opened", "rollout_feed.opened"),
+        ("malformed.feed", "malformed.rollout_feed"),
+        ("malformed.client", "malformed.client"),
+        ("vote.moot", "vote.stale"),
+        ("vote.status_429", "vote.status_429"),
+        ("unfit", "invalid"),
+    ],
+)
+def test_a_counter_of_the_base_counts_under_its_present_name(earlier, present):
+    assert counter_name(earlier) == present
+
+
+def test_the_source_of_a_line_of_the_base_counts_under_its_present_name():
+    assert kind("malformed", {"of": "feed"}) == kind("malformed", {"source": "rollout_feed"})
+
+
 @pytest.mark.parametrize(("earlier", "present"), EVENTS.items())
 def test_a_renamed_event_is_written_at_the_level_of_the_base(earlier, present):
     assert is_warning(present) == (earlier.rpartition(".")[2] in WARNINGS_OF_THE_BASE)
