--- a/linenbridge/distribution/view/paths.py
+++ b/linenbridge/distribution/view/paths.py
@@ -12,7 +12,7 @@
 from msgspec import Struct
 
 from linenbridge.routes.checks import Conjunction, choice, possible
-from linenbridge.routes.language import Question, Rule
+from linenbridge.routes.language import Predicate, Rule
 
 MAX_DEPTH = 4  # path segments that the index looks at
 
@@ -65,19 +65,19 @@
     """The prefixes that a conjunction asks for, by the question that gives the longest ones."""
     alternatives: list[set[Segments]] = [{()}]
     alternatives.extend(
-        _leading_segments(literal.test)
+        _leading_segments(literal.predicate)
         for literal in conjunction
-        if literal.wanted and literal.test.subject.kind == "path"
+        if literal.expected and literal.predicate.subject.kind == "path"
     )
     return max(alternatives, key=lambda prefixes: min(map(len, prefixes)))
 
 
-def _leading_segments(test: Question) -> set[Segments]:
+def _leading_segments(predicate: Predicate) -> set[Segments]:
     """The complete segments that a path begins with if it passes the test."""
-    if test.operator in ("is", "in"):
-        return {_segments(path) for path in test.words}
-    if test.operator == "starts":
-        return {_segments(test.words[0].rpartition("/")[0])}
+    if predicate.operator in ("is", "in"):
+        return {_segments(path) for path in predicate.operands}
+    if predicate.operator == "starts":
+        return {_segments(predicate.operands[0].rpartition("/")[0])}
     return {()}
 
 
--- a/linenbridge/distribution/view/rules.py
+++ b/linenbridge/distribution/view/rules.py
@@ -20,7 +20,7 @@
 from linenbridge.distribution.view.paths import PathIndex, path_index
 from linenbridge.interface import Method
 from linenbridge.routes import language
-from linenbridge.routes.language import Condition, Not, Part, Place, Question, Rule, Subject, Timed
+from linenbridge.routes.language import Condition, Not, Part, Place, Predicate, Rule, Subject, Timed
 from linenbridge.routes.table import Request, Table, compiled
 
 Item = TypeVar("Item")
@@ -143,7 +143,7 @@
         method=rule.method,
         tenant=[_pack_part(part) for part in rule.tenant],
         key=[_pack_part(part) for part in rule.key],
-        latency_objective=rule.soft,
+        latency_objective=rule.latency_objective,
         deadline=_pack_duration(rule.deadline),
         cost=_pack_duration(rule.cost),
         over=rule.over,
@@ -152,8 +152,8 @@
 
 def _pack_condition(condition: Condition) -> list[Any]:
     match condition:
-        case Question(subject, operator, words):
-            return [Form.QUESTION, subject.kind, subject.name, operator, words]
+        case Predicate(subject, operator, operands):
+            return [Form.QUESTION, subject.kind, subject.name, operator, operands]
         case Not(part):
             return [Form.NOT, _pack_condition(part)]
         case language.All(parts):
@@ -164,7 +164,7 @@
 
 
 def _pack_part(part: Part) -> PackedPart:
-    return PackedPart(_pack_subject(part.subject), part.segment, part.word)
+    return PackedPart(_pack_subject(part.subject), part.segment, part.literal)
 
 
 def _pack_duration(timed: Timed | None) -> PackedDuration | None:
@@ -184,7 +184,7 @@
         method=found.method,
         tenant=tuple(map(_read_part, found.tenant)),
         key=tuple(map(_read_part, found.key)),
-        soft=found.latency_objective,
+        latency_objective=found.latency_objective,
         deadline=_read_duration(found.deadline),
         cost=_read_duration(found.cost),
         over=found.over,
@@ -195,7 +195,7 @@
     form, *rest = packed
     if form == _QUESTION:
         kind, name, operator, operands = rest
-        return Question(Subject(kind, name), operator, tuple(operands))
+        return Predicate(Subject(kind, name), operator, tuple(operands))
     if form == _NOT:
         return Not(_read_condition(rest[0]))
     parts = tuple(map(_read_condition, rest))
--- a/linenbridge/distribution/view/serving.py
+++ b/linenbridge/distribution/view/serving.py
@@ -11,7 +11,7 @@
 
 from linenbridge.distribution.view.view import View
 from linenbridge.interface import Method
-from linenbridge.routes.table import Asked, Request, Step, Table
+from linenbridge.routes.table import RouteMatch, Request, Step, Table
 
 
 class RoutesByAuthority:
@@ -25,7 +25,7 @@
         self.settings = settings
         self.methods: Mapping[str, Method] = settings.methods
 
-    def find(self, request: Request) -> Asked | None:
+    def find(self, request: Request) -> RouteMatch | None:
         """Return the RPC that the first matching rule makes of the request; None if no rule matches."""
         return self._table(request).find(request)
 
--- a/linenbridge/distribution/view/values.py
+++ b/linenbridge/distribution/view/values.py
@@ -23,7 +23,7 @@
 from linenbridge.distribution.view.rules import pack_rules
 from linenbridge.interface import InstanceState, Method
 from linenbridge.routes.language import RouteError, parse_by_rule
-from linenbridge.routes.table import FaultsError, checked_table
+from linenbridge.routes.table import RoutesError, checked_table
 
 MAX_TEXT_LENGTH = 256  # characters of the name of a zone, a cell or a host
 MAX_INTEGER = 1 << 53  # the first integer that JSON readers may round
@@ -89,7 +89,7 @@
             table = checked_table(rules, self.methods, self.max_deadline)
             yield
             return pack_rules(table)
-        except (FaultsError, RouteError) as error:
+        except (RoutesError, RouteError) as error:
             raise ValueError(str(error)) from error
 
 
--- a/linenbridge/processor/configuration.py
+++ b/linenbridge/processor/configuration.py
@@ -30,7 +30,7 @@
 from linenbridge.processor.stream_session import ProxyPeer
 from linenbridge.processor.tls import KeyFiles
 from linenbridge.routes.language import RouteError
-from linenbridge.routes.table import FaultsError, Table, table
+from linenbridge.routes.table import RoutesError, Table, table
 
 USE_WITHIN_MOST = 250_000  # half of the grace for drains: what is handed out is sent well inside it
 TLS_FILES = ("certificate", "key", "authorities")
@@ -165,8 +165,8 @@
     """The routing table; ConfigurationError gives each fault's place in the file that it stands in."""
     try:
         return table(settings.routes, methods, longest)
-    except FaultsError as faults:
-        raise ConfigurationError("\n".join(_placed(settings, error) for error in faults.wrong)) from None
+    except RoutesError as faults:
+        raise ConfigurationError("\n".join(_placed(settings, error) for error in faults.errors)) from None
     except RouteError as error:
         raise ConfigurationError(_placed(settings, error)) from None
 
--- a/linenbridge/routes/checks.py
+++ b/linenbridge/routes/checks.py
@@ -22,22 +22,22 @@
     RouteError,
     Rule,
     Subject,
-    Question,
-    tests,
+    Predicate,
+    predicates,
 )
 from linenbridge.routes.regexes import runaway
 
-CHOICES_MOST = 256  # conjunctions that one condition may come to
+MAX_CHOICES = 256  # conjunctions that one condition may come to
 VERBS = frozenset(("GET", "HEAD", "POST", "PUT", "DELETE", "CONNECT", "OPTIONS", "TRACE", "PATCH"))
 SCHEMES = frozenset(("http", "https"))
 
 
 @dataclass(frozen=True, slots=True)
 class Literal:
-    """A plain question and the answer that is asked for."""
+    """A predicate and the result that is required of it."""
 
-    test: Question
-    wanted: bool = True
+    predicate: Predicate
+    expected: bool = True
 
 
 Conjunction = tuple[Literal, ...]
@@ -73,25 +73,25 @@
     for name in rule.over:
         if name not in names or name == rule.name:
             yield RouteError(rule.place, f"route {rule.name} is to go over {name}, which is no other route")
-    for test in tests(rule.when):
-        if test.operator == "matches" and (why := runaway(test.words[0])):
-            yield RouteError(test.place, f"the expression cannot be used: {why}")
-        wrong = [word for word in test.words if not _fits(test, word)]
+    for predicate in predicates(rule.when):
+        if predicate.operator == "matches" and (why := runaway(predicate.operands[0])):
+            yield RouteError(predicate.place, f"the expression cannot be used: {why}")
+        wrong = [operand for operand in predicate.operands if not _fits(predicate, operand)]
         if wrong:
-            yield RouteError(test.place, f"no request has the {test.subject.kind} {wrong[0]!r}")
+            yield RouteError(predicate.place, f"no request has the {predicate.subject.kind} {wrong[0]!r}")
 
 
-def _fits(test: Question, word: str) -> bool:
+def _fits(predicate: Predicate, operand: str) -> bool:
     """A verb or scheme that does not exist, a path without its slash: such a rule would wait for ever."""
-    if test.operator not in ("is", "in", "starts"):
+    if predicate.operator not in ("is", "in", "starts"):
         return True
-    if test.subject.kind == "path":
-        return word.startswith(("/", "*"))
-    if test.operator == "starts":
+    if predicate.subject.kind == "path":
+        return operand.startswith(("/", "*"))
+    if predicate.operator == "starts":
         return True
-    if test.subject.kind == "verb":
-        return word in VERBS
-    return test.subject.kind != "scheme" or word in SCHEMES
+    if predicate.subject.kind == "verb":
+        return operand in VERBS
+    return predicate.subject.kind != "scheme" or operand in SCHEMES
 
 
 def _together(rules: list[Rule], choices: dict[int, list[Conjunction]]) -> Iterator[RouteError]:
@@ -133,10 +133,10 @@
 
 
 def _path_start(literal: Literal) -> str:
-    test = literal.test
-    if not literal.wanted or test.subject.kind != "path" or test.operator not in ("is", "starts"):
+    predicate = literal.predicate
+    if not literal.expected or predicate.subject.kind != "path" or predicate.operator not in ("is", "starts"):
         return ""
-    return test.words[0]
+    return predicate.operands[0]
 
 
 def _apart(one: list[str], two: list[str]) -> bool:
@@ -153,141 +153,143 @@
 # ---- conditions as choices of conjunctions -----------------------------------------------------------
 
 
-def choice(condition: Condition, place: Place, wanted: bool = True) -> list[Conjunction]:
-    """The condition (or, not `wanted`, its contrary) as conjunctions one of which must hold."""
+def choice(condition: Condition, place: Place, expected: bool = True) -> list[Conjunction]:
+    """The condition (or, not `expected`, its contrary) as conjunctions one of which must hold."""
     match condition:
-        case Question() if condition.operator == "in" and wanted:
+        case Predicate() if condition.operator == "in" and expected:
             return [
-                (Literal(Question(condition.subject, "is", (word,), condition.place)),)
-                for word in condition.words
+                (Literal(Predicate(condition.subject, "is", (operand,), condition.place)),)
+                for operand in condition.operands
             ]
-        case Question():
-            return [(Literal(condition, wanted),)]
+        case Predicate():
+            return [(Literal(condition, expected),)]
         case Not(part):
-            return choice(part, place, not wanted)
+            return choice(part, place, not expected)
         case All(parts) | Any(parts):
-            found = [choice(part, place, wanted) for part in parts]
-            if isinstance(condition, All) != wanted:
+            found = [choice(part, place, expected) for part in parts]
+            if isinstance(condition, All) != expected:
                 return [conjunction for part in found for conjunction in part]
             product: list[Conjunction] = [()]
             for part in found:
                 product = [(*c, *d) for c in product for d in part]
-                if len(product) > CHOICES_MOST:
-                    raise RouteError(place, f"the condition comes to more than {CHOICES_MOST} choices")
+                if len(product) > MAX_CHOICES:
+                    raise RouteError(place, f"the condition comes to more than {MAX_CHOICES} choices")
             return product
     raise AssertionError(condition)
 
 
-def holds(test: Question, value: str | None) -> bool:
+def evaluate(predicate: Predicate, value: str | None) -> bool:
     """The answer to a plain question about a value; None where the request has none."""
     if value is None:
         return False
-    if test.operator == "has":
+    if predicate.operator == "has":
         return True
-    if test.operator == "in":
-        return value in test.words
-    word = test.words[0]
-    match test.operator:
+    if predicate.operator == "in":
+        return value in predicate.operands
+    operand = predicate.operands[0]
+    match predicate.operator:
         case "is":
-            return value == word
+            return value == operand
         case "starts":
-            return value.startswith(word)
+            return value.startswith(operand)
         case "ends":
-            return value.endswith(word)
+            return value.endswith(operand)
         case "contains":
-            return word in value
-    return re.search(word, value) is not None
+            return operand in value
+    return re.search(operand, value) is not None
 
 
 def possible(conjunction: Conjunction) -> bool:
-    """Whether some request may answer all these questions as asked; when in doubt, yes."""
+    """Whether some request may satisfy all these literals; when in doubt, yes."""
     subjects: dict[Subject, list[Literal]] = {}
     for literal in conjunction:
-        subjects.setdefault(literal.test.subject, []).append(literal)
+        subjects.setdefault(literal.predicate.subject, []).append(literal)
     return all(_possible(subject, literals) for subject, literals in subjects.items())
 
 
 def _possible(subject: Subject, literals: list[Literal]) -> bool:
-    asked = [literal.test for literal in literals if literal.wanted]
-    denied = [literal.test for literal in literals if not literal.wanted]
-    if asked and any(test.operator == "has" for test in denied):
+    required = [literal.predicate for literal in literals if literal.expected]
+    denied = [literal.predicate for literal in literals if not literal.expected]
+    if required and any(predicate.operator == "has" for predicate in denied):
         return False
-    if not asked and any(test.operator == "has" for test in denied):
+    if not required and any(predicate.operator == "has" for predicate in denied):
         return True
-    if (values := _values(asked)) is not None:
+    if (values := _values(required)) is not None:
         return any(_agrees(value, literals) for value in values)
-    if not asked and subject.kind not in ("verb", "scheme"):
+    if not required and subject.kind not in ("verb", "scheme"):
         return True
     if subject.kind in ("verb", "scheme"):
         every = VERBS if subject.kind == "verb" else SCHEMES
         return any(_agrees(value, literals) for value in sorted(every))
-    start, end = _longest(asked, "starts"), _longest(asked, "ends")
+    start, end = _longest(required, "starts"), _longest(required, "ends")
     if start is None or end is None:
         return False
-    for test in denied:
-        inside = test.operator == "contains" and any(
-            test.words[0] in other.words[0]
-            for other in asked
+    for predicate in denied:
+        inside = predicate.operator == "contains" and any(
+            predicate.operands[0] in other.operands[0]
+            for other in required
             if other.operator in ("starts", "ends", "contains")
         )
-        if inside or test in asked:
+        if inside or predicate in required:
             return False
-        if test.operator == "starts" and start.startswith(test.words[0]):
+        if predicate.operator == "starts" and start.startswith(predicate.operands[0]):
             return False
-        if test.operator == "ends" and end.endswith(test.words[0]):
+        if predicate.operator == "ends" and end.endswith(predicate.operands[0]):
             return False
     return True
 
 
-def _values(asked: list[Question]) -> set[str] | None:
+def _values(required: list[Predicate]) -> set[str] | None:
     """The few values that the questions leave, where they name any."""
-    named = [set(test.words) for test in asked if test.operator in ("is", "in")]
+    named = [set(predicate.operands) for predicate in required if predicate.operator in ("is", "in")]
     return set.intersection(*named) if named else None
 
 
 def _agrees(value: str, literals: list[Literal]) -> bool:
-    return all(holds(literal.test, value) == literal.wanted for literal in literals)
+    return all(evaluate(literal.predicate, value) == literal.expected for literal in literals)
 
 
-def _longest(asked: list[Question], operator: str) -> str | None:
-    """The longest word asked for at one end, "" where there is none; None where two contradict each other."""
-    words = sorted((test.words[0] for test in asked if test.operator == operator), key=len)
-    for shorter, longer in zip(words, words[1:], strict=False):
+def _longest(required: list[Predicate], operator: str) -> str | None:
+    """The longest required operand at one end, "" without one; None where two contradict each other."""
+    operands = sorted(
+        (predicate.operands[0] for predicate in required if predicate.operator == operator), key=len
+    )
+    for shorter, longer in zip(operands, operands[1:], strict=False):
         if not (longer.startswith(shorter) if operator == "starts" else longer.endswith(shorter)):
             return None
-    return words[-1] if words else ""
+    return operands[-1] if operands else ""
 
 
 def covers(wide: Conjunction, narrow: Conjunction) -> bool:
-    """Whether every request that answers `narrow` as asked answers `wide` so too; when in doubt, no."""
+    """Whether every request that satisfies `narrow` satisfies `wide` too; when in doubt, no."""
     return all(_implied(literal, narrow) for literal in wide)
 
 
 def _implied(literal: Literal, given: Conjunction) -> bool:
-    about = [other for other in given if other.test.subject == literal.test.subject]
+    about = [other for other in given if other.predicate.subject == literal.predicate.subject]
     if literal in about:
         return True
-    asked = [other.test for other in about if other.wanted]
-    if (values := _values(asked)) is not None:
+    required = [other.predicate for other in about if other.expected]
+    if (values := _values(required)) is not None:
         agreeing = [value for value in values if _agrees(value, about)]
-        return all(holds(literal.test, value) == literal.wanted for value in agreeing)
-    test = literal.test
-    if not literal.wanted:
+        return all(evaluate(literal.predicate, value) == literal.expected for value in agreeing)
+    predicate = literal.predicate
+    if not literal.expected:
         # What contradicts the question implies its contrary.
-        return bool(about) and not _possible(test.subject, [*about, Literal(test)])
-    if test.operator == "has":
-        return bool(asked)
-    if test.operator not in ("starts", "ends", "contains"):
+        return bool(about) and not _possible(predicate.subject, [*about, Literal(predicate)])
+    if predicate.operator == "has":
+        return bool(required)
+    if predicate.operator not in ("starts", "ends", "contains"):
         return False
-    word = test.words[0]
-    for other in asked:
+    operand = predicate.operands[0]
+    for other in required:
         if other.operator not in ("starts", "ends", "contains"):
             continue
-        found = other.words[0]
-        if test.operator == "contains" and word in found:
+        found = other.operands[0]
+        if predicate.operator == "contains" and operand in found:
             return True
-        if test.operator == other.operator == "starts" and found.startswith(word):
+        if predicate.operator == other.operator == "starts" and found.startswith(operand):
             return True
-        if test.operator == other.operator == "ends" and found.endswith(word):
+        if predicate.operator == other.operator == "ends" and found.endswith(operand):
             return True
-    return not word and bool(asked)
+    return not operand and bool(required)
--- a/linenbridge/routes/language.py
+++ b/linenbridge/routes/language.py
@@ -15,8 +15,8 @@
 from lark import Lark, Token, Transformer, v_args
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput
 
-TEXT_MOST = 256 * 1024  # characters of one routes file
-RULES_MOST = 512
+MAX_TEXT_LENGTH = 256 * 1024  # characters of one routes file
+MAX_RULES = 512  # of one routes file
 # All up to the end of a rule: a `}` that stands neither in a string nor in a comment.
 RULE_END = re.compile(r'(?:"(?:[^"\\\n]|\\["\\])*"|#[^\n]*|[^"#}])*\}')
 UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000}
@@ -50,21 +50,21 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
-    """One plain question: `has`, `is`, `starts`, `ends`, `contains`, `matches` or `in`, with its words."""
+class Predicate:
+    """One comparison: `has`, `is`, `starts`, `ends`, `contains`, `matches` or `in`, with its operands."""
 
     subject: Subject
     operator: str
-    words: tuple[str, ...] = ()
+    operands: tuple[str, ...] = ()
     place: Place = field(default=Place(0, 0), compare=False)
 
     def __str__(self) -> str:
         if self.operator == "has":
             return f"has {self.subject}"
         if self.operator == "in":
-            words = ", ".join('"' + word + '"' for word in self.words)
-            return f"{self.subject} in ({words})"
-        return f'{self.subject} {self.operator} "{self.words[0]}"'
+            operands = ", ".join('"' + operand + '"' for operand in self.operands)
+            return f"{self.subject} in ({operands})"
+        return f'{self.subject} {self.operator} "{self.operands[0]}"'
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +84,7 @@
     parts: tuple[Condition, ...]
 
 
-Condition = Question | Not | All | Any
+Condition = Predicate | Not | All | Any
 
 
 @dataclass(frozen=True, slots=True)
@@ -93,7 +93,7 @@
 
     subject: Subject | None = None
     segment: int = 0
-    word: str | None = None
+    literal: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +107,7 @@
 
 @dataclass(slots=True)
 class Rule:
-    """One route as written. Times are microseconds; 0 and None mean that nothing was said."""
+    """One route as written. Times are microseconds; 0 and None mean that the route leaves it out."""
 
     name: str
     place: Place
@@ -116,7 +116,7 @@
     method_place: Place = Place(0, 0)
     tenant: tuple[Part, ...] = ()
     key: tuple[Part, ...] = ()
-    soft: int = 0
+    latency_objective: int = 0
     deadline: Timed | None = None
     cost: Timed | None = None
     over: tuple[str, ...] = ()
@@ -126,7 +126,7 @@
     return Place(token.line or 0, token.column or 0)
 
 
-def _word(token: Token) -> str:
+def _unquoted(token: Token) -> str:
     return str(token)[1:-1].replace('\\"', '"').replace("\\\\", "\\")
 
 
@@ -144,22 +144,24 @@
         return Subject(str(kind))
 
     def named(self, kind: Token, name: Token) -> Subject:
-        word = _word(name)
-        if not word:
+        string = _unquoted(name)
+        if not string:
             raise RouteError(_place(name), f"{kind} needs a name")
-        return Subject(str(kind), word.lower() if kind == "header" else word)
+        return Subject(str(kind), string.lower() if kind == "header" else string)
 
     def always(self) -> Condition:
         return All(())
 
     def present(self, subject: Subject) -> Condition:
-        return Question(subject, "has")
+        return Predicate(subject, "has")
 
-    def compare(self, subject: Subject, operator: Token, word: Token) -> Condition:
-        return Question(subject, str(operator), (_word(word),), _place(word))
+    def compare(self, subject: Subject, operator: Token, string: Token) -> Condition:
+        return Predicate(subject, str(operator), (_unquoted(string),), _place(string))
 
-    def among(self, subject: Subject, *words: Token) -> Condition:
-        return Question(subject, "in", tuple(sorted({_word(word) for word in words})), _place(words[0]))
+    def among(self, subject: Subject, *strings: Token) -> Condition:
+        return Predicate(
+            subject, "in", tuple(sorted({_unquoted(string) for string in strings})), _place(strings[0])
+        )
 
     def negated(self, part: Condition) -> Condition:
         return Not(part)
@@ -170,8 +172,8 @@
     def any_of(self, *parts: Condition) -> Condition:
         return Any(parts)
 
-    def literal(self, word: Token) -> Part:
-        return Part(word=_word(word))
+    def literal(self, string: Token) -> Part:
+        return Part(literal=_unquoted(string))
 
     def segment(self, number: Token) -> Part:
         if int(number) < 1:
@@ -187,8 +189,8 @@
         subject, unit, default = parts
         return Timed(duration(str(default)), subject, str(unit))  # type: ignore[arg-type]
 
-    def method(self, word: Token) -> tuple:
-        return "method", _word(word), _place(word)
+    def method(self, string: Token) -> tuple:
+        return "method", _unquoted(string), _place(string)
 
     def tenant(self, value: tuple[Part, ...]) -> tuple:
         return "tenant", value, None
@@ -209,12 +211,12 @@
         return "over", tuple(str(name) for name in names), _place(names[0])
 
     def rule(self, name: Token, when: Condition, *clauses: tuple) -> Rule:
-        rule, said = Rule(str(name), _place(name), when), set[str]()
+        rule, seen = Rule(str(name), _place(name), when), set[str]()
         for what, value, place in clauses:
-            if what in said:
+            if what in seen:
                 raise RouteError(place or rule.place, f"route {name} says its {what} twice")
-            said.add(what)
-            setattr(rule, what, value)
+            seen.add(what)
+            setattr(rule, "latency_objective" if what == "soft" else what, value)
             if what == "method":
                 rule.method_place = place
         return rule
@@ -231,8 +233,8 @@
 
 def parse(text: str) -> list[Rule]:
     """The rules of a text in their order; RouteError names the first place that cannot be read."""
-    if len(text) > TEXT_MOST:
-        raise RouteError(Place(1, 1), f"the routes are longer than {TEXT_MOST} characters")
+    if len(text) > MAX_TEXT_LENGTH:
+        raise RouteError(Place(1, 1), f"the routes are longer than {MAX_TEXT_LENGTH} characters")
     try:
         rules = _parser().parse(text)
     except UnexpectedInput as error:
@@ -241,8 +243,8 @@
         if isinstance(cause := getattr(error, "orig_exc", error), RouteError):
             raise cause from None
         raise
-    if len(rules) > RULES_MOST:
-        raise RouteError(rules[RULES_MOST].place, f"more than {RULES_MOST} routes")
+    if len(rules) > MAX_RULES:
+        raise RouteError(rules[MAX_RULES].place, f"more than {MAX_RULES} routes")
     return rules
 
 
@@ -253,8 +255,8 @@
         for piece in _pieces(text):
             for rule in parse(piece):
                 count += 1
-                if count > RULES_MOST:
-                    raise RouteError(rule.place, f"more than {RULES_MOST} routes")
+                if count > MAX_RULES:
+                    raise RouteError(rule.place, f"more than {MAX_RULES} routes")
                 yield rule
     except RouteError:
         parse(text)  # It names the first place that is wrong in the whole text.
@@ -263,8 +265,8 @@
 
 def _pieces(text: str) -> Iterator[str]:
     """The text cut behind each rule's end, each piece at its own line and column."""
-    if len(text) > TEXT_MOST:
-        raise RouteError(Place(1, 1), f"the routes are longer than {TEXT_MOST} characters")
+    if len(text) > MAX_TEXT_LENGTH:
+        raise RouteError(Place(1, 1), f"the routes are longer than {MAX_TEXT_LENGTH} characters")
     begin = line = column = 0
     while begin < len(text):
         found = RULE_END.match(text, begin)
@@ -287,13 +289,13 @@
     return place, f"{str(found)!r} does not fit here"
 
 
-def tests(condition: Condition) -> Iterator[Question]:
-    """Every plain question of a condition, in the order of the text."""
+def predicates(condition: Condition) -> Iterator[Predicate]:
+    """Every predicate of a condition, in the order of the text."""
     match condition:
-        case Question():
+        case Predicate():
             yield condition
         case Not(part):
-            yield from tests(part)
+            yield from predicates(part)
         case All(parts) | Any(parts):
             for part in parts:
-                yield from tests(part)
+                yield from predicates(part)
--- a/linenbridge/routes/regexes.py
+++ b/linenbridge/routes/regexes.py
@@ -12,8 +12,8 @@
 from re import _constants as sre  # type: ignore[attr-defined]
 from re import _parser  # type: ignore[attr-defined]
 
-LENGTH_MOST = 512
-REPEAT_MOST = 1_000  # of a counted repeat, so that compiling stays cheap
+MAX_PATTERN_LENGTH = 512  # characters
+MAX_REPEAT_COUNT = 1_000  # of a counted repeat, so that compiling stays cheap
 SIDE_BY_SIDE = 2  # a square of the text's length is borne: what is matched is bounded in length
 EVERYTHING = frozenset(range(257))  # Code points up to 255, and one that stands for all others.
 REPEATS = {sre.MAX_REPEAT, sre.MIN_REPEAT}
@@ -22,8 +22,8 @@
 
 def runaway(pattern: str) -> str | None:
     """Why the expression is not let through, in plain words; None where it is."""
-    if len(pattern) > LENGTH_MOST:
-        return f"it is longer than {LENGTH_MOST} characters"
+    if len(pattern) > MAX_PATTERN_LENGTH:
+        return f"it is longer than {MAX_PATTERN_LENGTH} characters"
     try:
         parsed = _parser.parse(pattern)
         re.compile(pattern)
@@ -55,8 +55,8 @@
     operator, argument = item
     if operator in REPEATS:
         low, high, inner = argument
-        if high is not sre.MAXREPEAT and high > REPEAT_MOST:
-            return f"a repeat of more than {REPEAT_MOST}"
+        if high is not sre.MAXREPEAT and high > MAX_REPEAT_COUNT:
+            return f"a repeat of more than {MAX_REPEAT_COUNT}"
         if _unbounded(argument):
             if in_repeat:
                 return "a repeat within a repeat"
--- a/linenbridge/routes/table.py
+++ b/linenbridge/routes/table.py
@@ -21,12 +21,12 @@
 from linenbridge.interface import Method
 from linenbridge.routes.checks import check, choice, possible
 from linenbridge.routes.language import (
-    All, Any, Condition, Not, Part, RouteError, Rule, Subject, Question, Timed, UNITS, parse, tests,
+    All, Any, Condition, Not, Part, RouteError, Rule, Subject, Predicate, Timed, UNITS, parse, predicates,
 )  # fmt: skip
 
-VALUE_MOST = 4096  # characters of a value that an expression is held against; what is longer does not match
-NAME_MOST = 256  # characters of a tenant's or a key's name
-DIGITS_MOST = 12
+MAX_VALUE_LENGTH = 4096  # characters of a value that an expression searches; a longer value does not match
+MAX_NAME_LENGTH = 256  # characters of a tenant's or a key's name
+MAX_TIME_DIGITS = 12  # digits of a time in a request
 GRPC_UNITS = {"n": 0.001, "u": 1, "m": 1_000, "S": 1_000_000, "M": 60_000_000, "H": 3_600_000_000}
 
 
@@ -46,7 +46,7 @@
         self.segments = self.plain.split("/")[1:]
 
     @cached_property
-    def asked(self) -> dict[str, str]:
+    def query_parameters(self) -> dict[str, str]:
         """The query's names; the first of several of one name counts."""
         found: dict[str, str] = {}
         try:
@@ -64,13 +64,13 @@
             case "header":
                 return self.headers.get(subject.name)
             case "query":
-                return self.asked.get(subject.name)
+                return self.query_parameters.get(subject.name)
             case "attribute":
                 return self.attributes.get(subject.name)
         return getattr(self, subject.kind)
 
 
-class Asked(Struct, frozen=True):
+class RouteMatch(Struct, frozen=True):
     """The RPC that a request is. Times are microseconds; `cost` is a hint at the work, None where unknown."""
 
     rule: str
@@ -98,7 +98,7 @@
 
     methods: Mapping[str, Method]
 
-    def find(self, request: Request) -> Asked | None: ...
+    def find(self, request: Request) -> RouteMatch | None: ...
 
 
 class Table:
@@ -124,11 +124,11 @@
             for segment in named if found is None else sorted(found):
                 self.under[segment].append(number)
 
-    def find(self, request: Request) -> Asked | None:
+    def find(self, request: Request) -> RouteMatch | None:
         """The RPC that the first rule to take the request makes of it; None where none does."""
         for number in self._candidates(request):
             if self.conditions[number](request):
-                return self._asked(self.rules[number], request)
+                return self._match(self.rules[number], request)
         return None
 
     def _candidates(self, request: Request) -> Sequence[int]:
@@ -141,7 +141,8 @@
         steps = []
         for number, rule in enumerate(self.rules):
             answers = tuple(
-                (str(test), request.value(test.subject), compiled(test)(request)) for test in tests(rule.when)
+                (str(predicate), request.value(predicate.subject), compiled(predicate)(request))
+                for predicate in predicates(rule.when)
             )
             took = self.conditions[number](request)
             steps.append(Step(rule.name, took, answers))
@@ -149,13 +150,13 @@
                 break
         return steps
 
-    def _asked(self, rule: Rule, request: Request) -> Asked:
+    def _match(self, rule: Rule, request: Request) -> RouteMatch:
         method = self.methods[rule.method]
         deadline = min(_time(rule.deadline, request) or self.longest, self.longest)
-        soft = min(rule.soft or method.latency_objective, deadline)
+        latency_objective = min(rule.latency_objective or method.latency_objective, deadline)
         cost = _time(rule.cost, request) if rule.cost is not None else None
         tenant, key = _value(rule.tenant, request) or "", _value(rule.key, request)
-        return Asked(rule.name, rule.method, tenant, key, soft, deadline, cost)
+        return RouteMatch(rule.name, rule.method, tenant, key, latency_objective, deadline, cost)
 
 
 def table(text: str, methods: Iterable[Method], longest: int) -> Table:
@@ -166,17 +167,17 @@
 def checked_table(rules: list[Rule], methods: Iterable[Method], longest: int) -> Table:
     """The table of these rules; raises one error with all that is wrong, a line each."""
     methods = list(methods)
-    if wrong := check(rules, [method.name for method in methods]):
-        raise FaultsError(wrong)
+    if errors := check(rules, [method.name for method in methods]):
+        raise RoutesError(errors)
     return Table(rules, methods, longest)
 
 
-class FaultsError(ValueError):
+class RoutesError(ValueError):
     """All that is wrong with a text of routes."""
 
-    def __init__(self, wrong: list[RouteError]) -> None:
-        super().__init__("\n".join(str(error) for error in wrong))
-        self.wrong = wrong
+    def __init__(self, errors: list[RouteError]) -> None:
+        super().__init__("\n".join(str(error) for error in errors))
+        self.errors = errors
 
 
 # ---- conditions and values as functions --------------------------------------------------------------
@@ -194,7 +195,7 @@
         case Any(parts):
             some = [compiled(part) for part in parts]
             return lambda request: any(part(request) for part in some)
-        case Question():
+        case Predicate():
             return _question(condition)
     raise AssertionError(condition)
 
@@ -203,27 +204,27 @@
     return lambda request: first(request) and second(request)
 
 
-def _question(test: Question) -> Callable[[Request], bool]:
-    value_of, word = _reader(test.subject), test.words[0] if test.words else ""
-    match test.operator:
+def _question(predicate: Predicate) -> Callable[[Request], bool]:
+    value_of, operand = _reader(predicate.subject), predicate.operands[0] if predicate.operands else ""
+    match predicate.operator:
         case "has":
             return lambda request: value_of(request) is not None
         case "is":
-            return lambda request: value_of(request) == word
+            return lambda request: value_of(request) == operand
         case "in":
-            words = frozenset(test.words)
-            return lambda request: value_of(request) in words
+            operands = frozenset(predicate.operands)
+            return lambda request: value_of(request) in operands
         case "starts":
-            return lambda request: (value := value_of(request)) is not None and value.startswith(word)
+            return lambda request: (value := value_of(request)) is not None and value.startswith(operand)
         case "ends":
-            return lambda request: (value := value_of(request)) is not None and value.endswith(word)
+            return lambda request: (value := value_of(request)) is not None and value.endswith(operand)
         case "contains":
-            return lambda request: (value := value_of(request)) is not None and word in value
-    search = re.compile(word).search
+            return lambda request: (value := value_of(request)) is not None and operand in value
+    search = re.compile(operand).search
 
     def matches(request: Request) -> bool:
         value = value_of(request)
-        return value is not None and len(value) <= VALUE_MOST and search(value) is not None
+        return value is not None and len(value) <= MAX_VALUE_LENGTH and search(value) is not None
 
     return matches
 
@@ -237,7 +238,7 @@
         case "header":
             return lambda request: request.headers.get(name)
         case "query":
-            return lambda request: request.asked.get(name)
+            return lambda request: request.query_parameters.get(name)
         case "attribute":
             return lambda request: request.attributes.get(name)
     return attrgetter(subject.kind)
@@ -246,14 +247,14 @@
 def _value(parts: tuple[Part, ...], request: Request) -> str | None:
     """The first part that the request has; bounded, as names are kept."""
     for part in parts:
-        if part.word is not None:
-            return part.word
+        if part.literal is not None:
+            return part.literal
         if part.subject is not None:
             found = request.value(part.subject)
         else:
             found = request.segments[part.segment - 1] if part.segment <= len(request.segments) else None
         if found:
-            return found[:NAME_MOST]
+            return found[:MAX_NAME_LENGTH]
     return None
 
 
@@ -266,7 +267,7 @@
         digits, unit = text[:-1], GRPC_UNITS.get(text[-1:], 0)
         if unit and digits.isascii() and digits.isdigit() and len(digits) <= 8:
             return max(1, round(int(digits) * unit))
-    elif text.isascii() and text.isdigit() and len(text) <= DIGITS_MOST:
+    elif text.isascii() and text.isdigit() and len(text) <= MAX_TIME_DIGITS:
         return max(1, int(text) * UNITS[timed.unit])
     return timed.default
 
@@ -277,18 +278,18 @@
     for conjunction in choice(rule.when, rule.place):
         if not possible(conjunction):
             continue
-        named = [_segments_of(literal.test) for literal in conjunction if literal.wanted]
-        if not (asked := [segments for segments in named if segments is not None]):
+        named = [_segments_of(literal.predicate) for literal in conjunction if literal.expected]
+        if not (required := [segments for segments in named if segments is not None]):
             return None
-        found |= set.intersection(*asked)
+        found |= set.intersection(*required)
     return found
 
 
-def _segments_of(test: Question) -> set[str] | None:
-    if test.subject.kind != "path":
+def _segments_of(predicate: Predicate) -> set[str] | None:
+    if predicate.subject.kind != "path":
         return None
-    if test.operator in ("is", "in"):
-        return {(word.split("/") + [""])[1] for word in test.words}
-    if test.operator == "starts" and test.words[0].count("/") >= 2:
-        return {test.words[0].split("/")[1]}
+    if predicate.operator in ("is", "in"):
+        return {(operand.split("/") + [""])[1] for operand in predicate.operands}
+    if predicate.operator == "starts" and predicate.operands[0].count("/") >= 2:
+        return {predicate.operands[0].split("/")[1]}
     return None
--- a/tests/distribution/view/test_routes.py
+++ b/tests/distribution/view/test_routes.py
@@ -16,8 +16,8 @@
 from linenbridge.distribution.view.view import View
 from linenbridge.routes import checks
 from linenbridge.routes.checks import check
-from linenbridge.routes.language import RULES_MOST, RouteError, Rule, parse, parse_by_rule
-from linenbridge.routes.table import FaultsError, Request, table
+from linenbridge.routes.language import MAX_RULES, RouteError, Rule, parse, parse_by_rule
+from linenbridge.routes.table import RoutesError, Request, table
 from tests.distribution.view.helpers import MAX_DEADLINE, METHODS, method_of, new_view
 from tests.distribution.view.model import batch, change, route_text
 
@@ -80,7 +80,7 @@
         try:
             plain = table(rules(seeded), METHODS, MAX_DEADLINE)
             break
-        except FaultsError:
+        except RoutesError:
             continue  # A rule that can never match: another text.
 
     packed = PackedTable(pack_rules(plain), BY_NAME, MAX_DEADLINE)
@@ -188,12 +188,12 @@
         batch(
             change(Kind.ROUTES, "shop", full.encode(), 1),
             change(Kind.ROUTES, "pay", full.encode(), 2),
-            change(Kind.ROUTES, "many", b"route r { when always }" * (RULES_MOST + 1), 3),
+            change(Kind.ROUTES, "many", b"route r { when always }" * (MAX_RULES + 1), 3),
         )
     )
 
     assert [(one.name, one.reason.partition(": ")[2]) for one in result.rejected] == [
-        ("many", f"more than {RULES_MOST} routes")
+        ("many", f"more than {MAX_RULES} routes")
     ]
 
 
--- a/tests/scale/measure/routes.py
+++ b/tests/scale/measure/routes.py
@@ -1,6 +1,6 @@
 """A gateway's route table: the time to make one, its memory, and the time of a look-up.
 
-The limits on the length of a routes file (RULES_MOST, TEXT_MOST) are lifted in this program only.
+The limits on the length of a routes file (MAX_RULES, MAX_TEXT_LENGTH) are lifted in this program only.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 def lift_limits() -> None:
     """Lets a text of any length through, in this process."""
-    language.RULES_MOST = language.TEXT_MOST = 1 << 40
+    language.MAX_RULES = language.MAX_TEXT_LENGTH = 1 << 40
 
 
 def text(rules: int) -> str:
--- a/tests/scale/page/gateway_tables.py
+++ b/tests/scale/page/gateway_tables.py
@@ -242,7 +242,7 @@
             role=ROUTES,
             what="rules of one table",
             unit="number",
-            mechanism="`RULES_MOST` of a routes file",
+            mechanism="`MAX_RULES` of a routes file",
             ordinary=Figure(count),
             budget=MAX_RULES,
         ),
--- a/tests/scale/tables/process.py
+++ b/tests/scale/tables/process.py
@@ -187,8 +187,8 @@
     table = view.routes(service)
     rule = table.rules[chosen.randrange(len(table.rules))]
     starts, verbs, *headers = rule.when.parts
-    wanted = {test.subject.name: test.words[0] for test in headers}
-    return Request(service, starts.words[0] + "17", verbs.words[0], "http", {"x-tenant": "t", **wanted})
+    wanted = {test.subject.name: test.operands[0] for test in headers}
+    return Request(service, starts.operands[0] + "17", verbs.operands[0], "http", {"x-tenant": "t", **wanted})
 
 
 def look_up_time(view: View, service: str, request: Request) -> float:
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from linenbridge.routes.checks import check, choice, covers, holds, possible
-from linenbridge.routes.language import All, Any, Not, Place, RouteError, Question, parse
+from linenbridge.routes.checks import check, choice, covers, evaluate, possible
+from linenbridge.routes.language import All, Any, Not, Place, RouteError, Predicate, parse
 from linenbridge.routes.regexes import runaway
-from linenbridge.routes.table import FaultsError, Request, Table, table
+from linenbridge.routes.table import RoutesError, Request, Table, table
 from tests.helpers import MS, startup
 from tests.peer_script import seeded
 
@@ -20,7 +20,7 @@
 
 
 def faults(text: str) -> list[str]:
-    with pytest.raises(FaultsError) as found:
+    with pytest.raises(RoutesError) as found:
         made(text)
     return str(found.value).split("\n")
 
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "words"),
+    ("text", "line", "message"),
     [
         ('route a { when always method "pay" }', "1:30", "no method is named 'pay'"),
         ("route a { when always }", "1:7", "names no method"),
@@ -70,11 +70,11 @@
         ('route a { when always method "look" }\nroute a { when always method "look" }', "2:7", "two routes named a"),
     ],
 )  # fmt: skip
-def test_what_makes_no_sense_is_named_with_its_place(text, line, words):
-    assert any(fault.startswith(line + ":") and words in fault for fault in faults(text)), faults(text)
+def test_what_makes_no_sense_is_named_with_its_place(text, line, message):
+    assert any(fault.startswith(line + ":") and message in fault for fault in faults(text)), faults(text)
 
 
-def test_a_special_case_before_the_general_and_what_is_said_to_go_over_are_no_conflict():
+def test_a_special_case_before_the_general_one_and_an_over_clause_are_no_conflict():
     made(
         'route a { when path starts "/a/b" method "charge" }\nroute b { when path starts "/a" method "look" }'
     )
@@ -88,7 +88,7 @@
     ["(a+)+", "(a*)*b", "(a|a)*", "(aa|a?)*c", "(.*)*", "a*a*a*b", "(?:x+x+)+y", "(a?)*", r"(\d+\w*)*", "([a-z]+)*$",
      "a{2000}", "(a", "x" * 600, r"(a)\1", ".*.*.*x"],
 )  # fmt: skip
-def test_expressions_that_can_run_away_are_found(pattern):
+def test_expressions_that_can_run_away_are_rejected(pattern):
     assert runaway(pattern) is not None
 
 
@@ -110,7 +110,7 @@
     assert runaway(pattern) is None
 
 
-def test_the_table_says_all_of_an_rpc():
+def test_a_match_gives_method_tenant_key_and_times_of_an_rpc():
     routes = made(
         'route a { when path starts "/charge/" method "charge" tenant header("x-tenant") else query("t") else "none"\n'
         '          key segment(2) soft 300ms deadline header("grpc-timeout") grpc else 2s cost query("w") us else 7ms }'
@@ -135,7 +135,7 @@
 
 # ---- against plain evaluation, at random -------------------------------------------------------------
 
-WORDS = ("/a", "/a/b", "/b", "/a/b/c", "/", "")
+OPERANDS = ("/a", "/a/b", "/b", "/a/b/c", "/", "")
 
 
 def _condition(chance, depth: int = 0):
@@ -147,15 +147,15 @@
     subject = chance.choice((Subject("path"), Subject("header", "x")))
     operator = chance.choice(("is", "starts", "ends", "contains", "in", "has"))
     if operator == "has":
-        return Question(subject, "has")
+        return Predicate(subject, "has")
     count = chance.randint(1, 3) if operator == "in" else 1
-    return Question(subject, operator, tuple(chance.choice(WORDS) for _ in range(count)))
+    return Predicate(subject, operator, tuple(chance.choice(OPERANDS) for _ in range(count)))
 
 
 def _plainly(condition, request: Request) -> bool:
     match condition:
-        case Question():
-            return holds(condition, request.value(condition.subject))
+        case Predicate():
+            return evaluate(condition, request.value(condition.subject))
         case Not(part):
             return not _plainly(part, request)
         case All(parts):
@@ -185,7 +185,7 @@
 
             def agrees(conjunction, request=request):
                 return all(
-                    holds(literal.test, request.value(literal.test.subject)) == literal.wanted
+                    evaluate(literal.predicate, request.value(literal.predicate.subject)) == literal.expected
                     for literal in conjunction
                 )
 
@@ -201,7 +201,7 @@
 
 
 def test_the_index_by_segment_finds_what_a_walk_over_all_rules_finds():
-    """Seeded tables: the first rule that holds, wherever it stands."""
+    """Seeded tables: the first rule that matches, wherever it stands."""
     for seed in range(60):
         chance = seeded(seed)
         rules = parse("".join(f'route r{n} {{ when always method "look" }}' for n in range(6)))
