--- a/linenbridge/distribution/dissemination/sessions.py
+++ b/linenbridge/distribution/dissemination/sessions.py
@@ -13,7 +13,7 @@
 from linenbridge.distribution.dissemination.flow_control import MESSAGE_OVERHEAD, TokenBucket, Window
 from linenbridge.distribution.dissemination.progress import FollowerProgress
 from linenbridge.distribution.dissemination.range_transfer import RangeTransfer
-from linenbridge.distribution.messages import EncodedBatch, EncodedWhole, Follow
+from linenbridge.distribution.messages import EncodedBatch, EncodedRangeSnapshot, Follow
 
 
 @dataclass(slots=True)
@@ -51,7 +51,7 @@
         """Whether the window and the rate allow a message."""
         return self.window.open and self.bucket.ready(now)
 
-    def on_sent(self, message: EncodedBatch | EncodedWhole, now: int) -> None:
+    def on_sent(self, message: EncodedBatch | EncodedRangeSnapshot, now: int) -> None:
         """Account for a message."""
         size = len(bytes(message.changes)) + MESSAGE_OVERHEAD
         self.messages += 1
--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -13,7 +13,7 @@
 
 from linenbridge.distribution.changes import Position
 from linenbridge.distribution.configuration import DistributionSettings
-from linenbridge.distribution.decisions import Apply, Decision, Dial, Event, HangUp, ReplaceRange, Send
+from linenbridge.distribution.decisions import Apply, Decision, Dial, Event, Disconnect, ReplaceRange, Send
 from linenbridge.distribution.dissemination.follower import Follower
 from linenbridge.distribution.hosting.apply_queue import ApplyQueue, Content
 from linenbridge.distribution.hosting.core_driver import CoreDriver, StateMachine
@@ -46,7 +46,7 @@
         view: View,
         random: Random,
         store: ViewStore | None = None,
-        on_applied: Callable[[ApplyResult], None] = lambda applied: None,
+        on_applied: Callable[[ApplyResult], None] = lambda _applied: None,
     ) -> None:
         self.settings = settings
         self.reactor = reactor
@@ -101,7 +101,7 @@
                 address = self.settings.relay_address(decision.relay)
                 if address is not None:
                     self.connections.dial(decision.relay, address)
-            case HangUp():
+            case Disconnect():
                 self.connections.disconnect(decision.relay)
             case Event():
                 self.log.event(decision.name, **decision.fields)
--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -16,7 +16,7 @@
 from linenbridge.distribution.hosting.core_driver import CoreDriver, StateMachine
 from linenbridge.distribution.hosting.link_messages import CHANGE_REQUEST_DECODER, PUBLISHER_DECODER
 from linenbridge.distribution.log.publisher import Check, Publisher
-from linenbridge.distribution.log.replication import PublisherPace
+from linenbridge.distribution.log.replication import PublisherTiming
 from linenbridge.distribution.messages import Appended, Fetched, Prepared, Progress, Publish, Published
 from linenbridge.fleet.configuration import FleetSettings
 from linenbridge.fleet.hosting.member import Member
@@ -44,7 +44,7 @@
         self.task = publishers_task(settings.region)
         relays = settings.home.relays
         self.publisher = Publisher(
-            settings.region, settings.name, tuple(relays), PublisherPace(), random, check
+            settings.region, settings.name, tuple(relays), PublisherTiming(), random, check
         )
         self.clients = PeerConnections(
             settings.name,
--- a/linenbridge/distribution/view/validation.py
+++ b/linenbridge/distribution/view/validation.py
@@ -9,11 +9,11 @@
 from collections.abc import Generator, Iterator
 
 from linenbridge.distribution.changes import Change, digest_of
-from linenbridge.distribution.errors import ChangeRefused
+from linenbridge.distribution.errors import ChangeRejected
 from linenbridge.distribution.view.tenants import MAX_EPOCH, MAX_SEQUENCE
 from linenbridge.distribution.view.values import Value, ValueChecks
 
-ValidatedValue = Value | ChangeRefused | None  # the value as read, the rejection, or None for a deletion
+ValidatedValue = Value | ChangeRejected | None  # the value as read, the rejection, or None for a deletion
 
 
 class ChangeValidator:
@@ -51,8 +51,8 @@
         if not change.value:
             return None
         if not (0 <= change.epoch < MAX_EPOCH and 0 <= change.sequence < MAX_SEQUENCE):
-            return ChangeRefused(f"epoch below {MAX_EPOCH}, sequence below {MAX_SEQUENCE}", change.name)
+            return ChangeRejected(f"epoch below {MAX_EPOCH}, sequence below {MAX_SEQUENCE}", change.name)
         try:
             return (yield from self.checks.read_in_steps(change.kind, change.name, change.value))
-        except ChangeRefused as error:
+        except ChangeRejected as error:
             return error
--- a/linenbridge/distribution/view/view.py
+++ b/linenbridge/distribution/view/view.py
@@ -21,7 +21,7 @@
     range_of,
 )
 from linenbridge.distribution.decisions import Apply, ReplaceRange
-from linenbridge.distribution.errors import ChangeRefused
+from linenbridge.distribution.errors import ChangeRejected
 from linenbridge.distribution.view.instances import InstanceTable
 from linenbridge.distribution.view.regions import Region, Regions
 from linenbridge.distribution.view.rejections import RejectionTable
@@ -237,7 +237,7 @@
         return 0 if table is None else table.digest(region, name)
 
     def _put(self, region: Region, change: Change, validated: ValidatedValue, result: _ResultBuilder) -> None:
-        if isinstance(validated, ChangeRefused):
+        if isinstance(validated, ChangeRejected):
             result.rejected.append(
                 RejectedChange(region.name, change.version, change.kind, change.name, validated.what)
             )
@@ -261,7 +261,7 @@
         """
         region = self.regions.get(content.region)
         result = _ResultBuilder()
-        if region.is_ahead_of(content.range, content.upto) or not 0 <= content.range < RANGES:
+        if region.is_ahead_of(content.range_index, content.upto) or not 0 <= content.range_index < RANGES:
             result.skipped = len(content.changes)
         else:
             self._replace(region, content, result)
@@ -275,8 +275,8 @@
         result.skipped += len(content.changes) - len(changes)
         keys = {change.key for change in changes}
         for kind, table in self.tables.items():
-            table.retain(region, content.range, {name for own, name in keys if own == kind})
-        self.rejections.retain(region, content.range, keys)
+            table.retain(region, content.range_index, {name for own, name in keys if own == kind})
+        self.rejections.retain(region, content.range_index, keys)
         total = 0
         for change in changes:
             wanted = digest_of(change)
@@ -285,15 +285,15 @@
                 result.skipped += 1
             else:
                 self._put(region, change, self.validator.take(change), result)
-        region.add(content.range, total - region.digests[content.range])
-        region.raise_floor(content.range, max([content.upto, *(change.version for change in changes)]))
+        region.add(content.range_index, total - region.digests[content.range_index])
+        region.raise_floor(content.range_index, max([content.upto, *(change.version for change in changes)]))
 
     @staticmethod
     def _belongs(region: Region, content: ReplaceRange, change: Change) -> bool:
         return (
             change.region == region.name
             and bool(change.value)
-            and range_of(change.kind, change.name) == content.range
+            and range_of(change.kind, change.name) == content.range_index
         )
 
     def _commit(self) -> None:
--- a/tests/compatibility/test_command_line.py
+++ b/tests/compatibility/test_command_line.py
@@ -22,7 +22,8 @@
 def files(tmp_path, monkeypatch):
     """A working folder with the files that the calls name."""
     for name in ("LB_SETTINGS", "LB_CONFIG"):
-        monkeypatch.delenv(name, raising=False)
+        monkeypatch.setenv(name, "")  # so that what a call sets is undone
+        monkeypatch.delenv(name)
     lay_out(tmp_path, ROOT / "examples" / "config.json")
     monkeypatch.chdir(tmp_path)
     return tmp_path
@@ -44,5 +45,15 @@
     assert {"words": row["words"], **found} == row
 
 
+def test_a_renamed_command_keeps_its_earlier_name_hidden():
+    commands = get_command(app).commands
+
+    assert commands["drill"].hidden
+    assert not commands["faults"].hidden
+    found = dict(options(get_command(app)))
+    for name in ("", " processor", " transport"):
+        assert found[f"faults{name}"] == found[f"drill{name}"]
+
+
 def test_every_call_is_recorded():
     assert [tuple(row["words"]) for row in RECORD["calls"]] == list(CALLS)
--- a/tests/distribution/dissemination/simulation/gateway_tables.py
+++ b/tests/distribution/dissemination/simulation/gateway_tables.py
@@ -65,7 +65,9 @@
         unnamed = [
             key
             for key, change in self.rows[snapshot.region].items()
-            if key not in named and _range_of(*key) == snapshot.range and change.version <= snapshot.upto
+            if key not in named
+            and _range_of(*key) == snapshot.range_index
+            and change.version <= snapshot.upto
         ]
         for key in unnamed:
             self.drop(snapshot.region, key)
--- a/tests/distribution/dissemination/simulation/test_planted_breaches.py
+++ b/tests/distribution/dissemination/simulation/test_planted_breaches.py
@@ -28,7 +28,7 @@
     assert breaches_of_summaries(world) == []
 
     at, _, progress = world.reports[-1]
-    too_much = msgspec.structs.replace(progress.below[0], least=progress.below[0].least + 1)
+    too_much = msgspec.structs.replace(progress.below[0], min_sequence=progress.below[0].min_sequence + 1)
     for other in {name for _, name, each in world.reports if each.below[0].region == too_much.region}:
         world.reports.append((at, other, msgspec.structs.replace(progress, below=[too_much])))
 
--- a/tests/distribution/dissemination/simulation/world.py
+++ b/tests/distribution/dissemination/simulation/world.py
@@ -24,12 +24,28 @@
     Version,
     sealed,
 )
-from linenbridge.distribution.decisions import Apply, Dial, Event, HangUp, ReplaceRange, Send, SumsBelow
+from linenbridge.distribution.decisions import (
+    Apply,
+    Dial,
+    Event,
+    Disconnect,
+    ReplaceRange,
+    Send,
+    SubtreeProgress,
+)
 from linenbridge.distribution.dissemination.feed import Feed
 from linenbridge.distribution.dissemination.follower import Follower
 from linenbridge.distribution.dissemination.relay_selection import RelayLocation
 from linenbridge.distribution.dissemination.settings import FollowerSettings
-from linenbridge.distribution.messages import Batch, Digests, Follow, Message, Progress, Refused, Whole
+from linenbridge.distribution.messages import (
+    Batch,
+    Digests,
+    Follow,
+    Message,
+    Progress,
+    FollowRejected,
+    RangeSnapshot,
+)
 from tests.distribution.dissemination.simulation.gateway_tables import InForce, Tables
 from tests.distribution.dissemination.simulation.shape import MS, SECOND, Shape
 
@@ -310,9 +326,9 @@
         follower = self.followers[core]
         if isinstance(message, Batch):
             follower.on_batch(self.now, relay, message)
-        elif isinstance(message, Whole):
+        elif isinstance(message, RangeSnapshot):
             follower.on_range_snapshot(self.now, relay, message)
-        elif isinstance(message, Refused):
+        elif isinstance(message, FollowRejected):
             follower.on_rejected(self.now, relay, message)
         self.pump(core)
 
@@ -350,13 +366,13 @@
             self._send(core_name, decision.to, decision.message)
         elif isinstance(decision, Dial):
             self._dial(core_name, decision.relay)
-        elif isinstance(decision, HangUp):
+        elif isinstance(decision, Disconnect):
             self.wanted.discard((core_name, decision.relay))
             if (core_name, decision.relay) in self.links:
                 self._break_link((core_name, decision.relay))
         elif isinstance(decision, Event):
             self.events.append((self.now, core_name, decision))
-        elif isinstance(decision, SumsBelow):
+        elif isinstance(decision, SubtreeProgress):
             for other in self.regions:
                 if other != self.home[core_name]:
                     self.followers[f"{core_name}:{other}"].on_progress_below(self.now, decision.summaries)
--- a/tests/distribution/dissemination/test_acceptance.py
+++ b/tests/distribution/dissemination/test_acceptance.py
@@ -121,7 +121,7 @@
     gateway.take(gateway.snapshot(9, index, "a"))
     replaced = gateway.applied[-1]
 
-    assert (replaced.range, replaced.final, replaced.upto) == (index, True, Version(1, 9))
+    assert (replaced.range_index, replaced.final, replaced.upto) == (index, True, Version(1, 9))
 
     gateway.answer()
 
--- a/tests/distribution/hosting/installation.py
+++ b/tests/distribution/hosting/installation.py
@@ -27,7 +27,7 @@
 
 
 PUBLISHING_EVENTS = frozenset(
-    ("distribution.publishing", "distribution.stopped", "distribution.replaced", "distribution.reading")
+    ("distribution.publishing", "distribution.stopped", "distribution.replaced", "distribution.log_recovery")
 )
 
 
@@ -214,10 +214,8 @@
     def events(self, name: str, event: str = "") -> list[dict]:
         """The lines that the present process of a name has logged, of one event or all."""
         log = self.folder / f"{name}.log"
-        rows = []
-        for line in log.read_bytes().split(b"\n") if log.exists() else ():
-            if line.startswith(b"{") and line.endswith(b"}"):
-                rows.append(json.loads(line))
+        lines = log.read_bytes().split(b"\n") if log.exists() else []
+        rows = [json.loads(line) for line in lines if line.startswith(b"{") and line.endswith(b"}")]
         return [row for row in rows if row["event"] == event] if event else rows
 
     @staticmethod
@@ -247,9 +245,9 @@
 
     def has_joined(self, relay: str) -> bool:
         """Whether a publisher counts the relay in its present life."""
-        (began,) = self.events(relay, "distribution.life_began")
+        (began,) = self.events(relay, "distribution.incarnation_began")
         joined = [row for name in self.publishers for row in self.events(name, "distribution.relay_joins")]
-        return any((row["relay"], row["life"]) == (relay, began["life"]) for row in joined)
+        return any((row["relay"], row["incarnation"]) == (relay, began["incarnation"]) for row in joined)
 
     def in_force(self, gateway: str) -> int:
         """The newest sequence in force that the present process of a gateway has logged."""
--- a/tests/distribution/view/test_view.py
+++ b/tests/distribution/view/test_view.py
@@ -5,9 +5,9 @@
 import msgspec
 import pytest
 
-from linenbridge.distribution.changes import VALUE_MOST, InstanceValue, Kind, TenantValue, Version
+from linenbridge.distribution.changes import MAX_VALUE_BYTES, InstanceValue, Kind, TenantValue, Version
 from linenbridge.distribution.decisions import Apply
-from linenbridge.distribution.errors import ChangeRefused
+from linenbridge.distribution.errors import ChangeRejected
 from linenbridge.distribution.view.regions import MAX_REGIONS
 from linenbridge.distribution.view.results import StoredPage
 from linenbridge.distribution.view.tenants import MAX_EPOCH, MAX_SEQUENCE
@@ -51,7 +51,7 @@
         "routes shop at eu/1/2: 1:42: no method is named 'pay'; "
         "mend the value and publish it again; the error names the place"
     ]
-    assert isinstance(result.rejected[0].error(), ChangeRefused)
+    assert isinstance(result.rejected[0].error(), ChangeRejected)
     assert method_of(view) == "look"
     assert view.tenant_quota("t1") == 0.5
     assert (result.applied, view.counters.rejected, result.upto) == (1, 1, Version(1, 3))
@@ -78,7 +78,7 @@
     [
         (Kind.ROUTES, "shop", b"\xff", "utf-8"),
         (Kind.ROUTES, "shop", b"route a {", "ends in the middle"),
-        (Kind.ROUTES, "shop", b"#" * (VALUE_MOST + 1), f"{VALUE_MOST} at most"),
+        (Kind.ROUTES, "shop", b"#" * (MAX_VALUE_BYTES + 1), f"{MAX_VALUE_BYTES} at most"),
         (Kind.ROUTES, "", route_text("look"), "1 to 256 characters"),
         (Kind.ROUTES, "s" * 257, route_text("look"), "1 to 256 characters"),
         (Kind.TENANT, "t1", b"\xc1", "MessagePack"),
@@ -124,7 +124,7 @@
     for number in range(MAX_REGIONS):
         view.apply(Apply(f"r{number}", Version(1, 1), []))
 
-    with pytest.raises(ChangeRefused, match="255 regions"):
+    with pytest.raises(ChangeRejected, match="255 regions"):
         view.apply(Apply("one-more", Version(1, 1), []))
 
 
