--- a/linenbridge/cli/route_commands.py
+++ b/linenbridge/cli/route_commands.py
@@ -9,7 +9,7 @@
 import typer
 
 from linenbridge.cli.options import FOUND, AsJson, ConfigFile, SettingsFile, load_routes
-from linenbridge.routes.table import Asked, Request, Step
+from linenbridge.routes.table import RouteMatch, Request, Step
 
 app = typer.Typer(no_args_is_help=True, help="Look at the routes: which RPC a request at a proxy is.")
 
@@ -53,7 +53,7 @@
     return [(name, value) for name, _, value in parts]
 
 
-def _print_json(match: Asked | None, steps: list[Step]) -> None:
+def _print_json(match: RouteMatch | None, steps: list[Step]) -> None:
     rows = [
         {"route": step.rule, "took": step.took, "answers": [list(answer) for answer in step.answers]}
         for step in steps
@@ -61,7 +61,7 @@
     print(json.dumps({"rpc": msgspec.to_builtins(match), "routes": rows}))
 
 
-def _print_text(match: Asked | None, steps: list[Step]) -> None:
+def _print_text(match: RouteMatch | None, steps: list[Step]) -> None:
     for step in steps:
         print(f"{'takes it' if step.took else 'passes  '}  {step.rule}")
         for question, value, answer in step.answers:
