--- a/linenbridge/routes/__init__.py
+++ b/linenbridge/routes/__init__.py
@@ -1,1 +1,5 @@
-"""Routes: which RPC a request at a proxy is. A small language, its checks, and the table made of it."""
+"""Routes: the RPC that a request at a proxy belongs to.
+
+`language` parses the text of the routes, `regexes` rejects expensive expressions, `checks` finds
+contradictions between rules, and `table` compiles checked rules into the look-up for a proxy's requests.
+"""
--- a/linenbridge/routes/language.py
+++ b/linenbridge/routes/language.py
@@ -1,7 +1,8 @@
-"""The routes' language, from text to rules. Decides without I/O: the same text always gives the same rules.
+"""Parses the text of the routes into rules.
 
-Owns the meaning of the grammar (`grammar.lark`) and the place of each word in the text. It must never look at
-a request, nor know a method of any deployment: whether the rules make sense together is for `checks.py`.
+The grammar is `grammar.lark`; this module gives it its meaning and keeps the position of each token for error
+messages. The parser does no I/O: one text always gives the same rules. `checks` compares the rules with each
+other and with the methods of a deployment.
 """
 
 from __future__ import annotations
@@ -11,6 +12,7 @@
 from dataclasses import dataclass, field
 from functools import cache
 from importlib import resources
+from typing import NamedTuple, cast
 
 from lark import Lark, Token, Transformer, v_args
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput
@@ -24,23 +26,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a word stands: line and column, both from 1."""
+    """The position of a token in the text: line and column, both from 1."""
 
     line: int
     column: int
 
 
 class RouteError(ValueError):
-    """One thing wrong in the text of the routes; `str` gives `line:column: what`."""
+    """One error in the text of the routes; `str` gives `line:column: what`."""
 
     def __init__(self, place: Place, what: str) -> None:
         super().__init__(f"{place.line}:{place.column}: {what}")
-        self.place, self.what = place, what
+        self.place = place
+        self.what = what
 
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """What of a request is looked at: `kind` is one of the plain words, or header, query, attribute."""
+    """A property of a request: authority, path, verb, scheme, or a header, query or attribute by its name."""
 
     kind: str
     name: str = ""
@@ -69,6 +72,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Not:
+    """The part does not hold."""
+
     part: Condition
 
 
@@ -81,6 +86,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Any:
+    """At least one part holds."""
+
     parts: tuple[Condition, ...]
 
 
@@ -89,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """Where a value comes from: a subject, a segment of the path (from 1), or a word as it stands."""
+    """Where a value comes from: a subject, a segment of the path (from 1), or a literal."""
 
     subject: Subject | None = None
     segment: int = 0
@@ -122,6 +129,17 @@
     over: tuple[str, ...] = ()
 
 
+class Clause(NamedTuple):
+    """One clause of a rule as parsed; `place` is the position of its value, where an error names it."""
+
+    name: str
+    value: object
+    place: Place | None = None
+
+
+CLAUSE_ATTRIBUTES = {"soft": "latency_objective"}  # clauses whose attribute of Rule has another name
+
+
 def _place(token: Token) -> Place:
     return Place(token.line or 0, token.column or 0)
 
@@ -138,7 +156,7 @@
 
 @v_args(inline=True)
 class _Builder(Transformer):
-    """Rules as the parser meets their parts; each method is named after its line in the grammar."""
+    """Builds the rules from the parse tree; each method has the name of its line in the grammar."""
 
     def plain(self, kind: Token) -> Subject:
         return Subject(str(kind))
@@ -189,35 +207,36 @@
         subject, unit, default = parts
         return Timed(duration(str(default)), subject, str(unit))  # type: ignore[arg-type]
 
-    def method(self, string: Token) -> tuple:
-        return "method", _unquoted(string), _place(string)
+    def method(self, string: Token) -> Clause:
+        return Clause("method", _unquoted(string), _place(string))
 
-    def tenant(self, value: tuple[Part, ...]) -> tuple:
-        return "tenant", value, None
+    def tenant(self, value: tuple[Part, ...]) -> Clause:
+        return Clause("tenant", value)
 
-    def key(self, value: tuple[Part, ...]) -> tuple:
-        return "key", value, None
+    def key(self, value: tuple[Part, ...]) -> Clause:
+        return Clause("key", value)
 
-    def soft(self, token: Token) -> tuple:
-        return "soft", duration(str(token)), _place(token)
+    def soft(self, token: Token) -> Clause:
+        return Clause("soft", duration(str(token)), _place(token))
 
-    def deadline(self, timed: Timed) -> tuple:
-        return "deadline", timed, None
+    def deadline(self, timed: Timed) -> Clause:
+        return Clause("deadline", timed)
 
-    def cost(self, timed: Timed) -> tuple:
-        return "cost", timed, None
+    def cost(self, timed: Timed) -> Clause:
+        return Clause("cost", timed)
 
-    def over(self, *names: Token) -> tuple:
-        return "over", tuple(str(name) for name in names), _place(names[0])
+    def over(self, *names: Token) -> Clause:
+        return Clause("over", tuple(str(name) for name in names), _place(names[0]))
 
-    def rule(self, name: Token, when: Condition, *clauses: tuple) -> Rule:
-        rule, seen = Rule(str(name), _place(name), when), set[str]()
-        for what, value, place in clauses:
-            if what in seen:
-                raise RouteError(place or rule.place, f"route {name} says its {what} twice")
-            seen.add(what)
-            setattr(rule, "latency_objective" if what == "soft" else what, value)
-            if what == "method":
+    def rule(self, name: Token, when: Condition, *clauses: Clause) -> Rule:
+        rule = Rule(str(name), _place(name), when)
+        seen: set[str] = set()
+        for clause, value, place in clauses:
+            if clause in seen:
+                raise RouteError(place or rule.place, f"route {name} says its {clause} twice")
+            seen.add(clause)
+            setattr(rule, CLAUSE_ATTRIBUTES.get(clause, clause), value)
+            if clause == "method" and place is not None:
                 rule.method_place = place
         return rule
 
@@ -232,11 +251,11 @@
 
 
 def parse(text: str) -> list[Rule]:
-    """The rules of a text in their order; RouteError names the first place that cannot be read."""
+    """Return the rules of a text in their order; RouteError has the first position that is wrong."""
     if len(text) > MAX_TEXT_LENGTH:
         raise RouteError(Place(1, 1), f"the routes are longer than {MAX_TEXT_LENGTH} characters")
     try:
-        rules = _parser().parse(text)
+        rules = cast(list[Rule], _parser().parse(text))  # what _Builder.start returns
     except UnexpectedInput as error:
         raise RouteError(*_unexpected(error, text)) from None
     except Exception as error:
@@ -249,7 +268,7 @@
 
 
 def parse_by_rule(text: str) -> Iterator[Rule]:
-    """What `parse` gives, one rule at a time: a caller may do other things between two."""
+    """Yield the rules that `parse` returns one at a time, so that a caller can do other work in between."""
     count = 0
     try:
         for piece in _pieces(text):
@@ -259,12 +278,12 @@
                     raise RouteError(rule.place, f"more than {MAX_RULES} routes")
                 yield rule
     except RouteError:
-        parse(text)  # It names the first place that is wrong in the whole text.
+        parse(text)  # its error has the first position that is wrong in the whole text
         raise
 
 
 def _pieces(text: str) -> Iterator[str]:
-    """The text cut behind each rule's end, each piece at its own line and column."""
+    """Split the text after the end of each rule; padding keeps each piece at its line and column."""
     if len(text) > MAX_TEXT_LENGTH:
         raise RouteError(Place(1, 1), f"the routes are longer than {MAX_TEXT_LENGTH} characters")
     begin = line = column = 0
--- a/linenbridge/routes/table.py
+++ b/linenbridge/routes/table.py
@@ -1,8 +1,8 @@
-"""The routing table: which RPC a request is. Decides without I/O, the same for the same request.
+"""The routing table: finds the RPC that a request belongs to.
 
-Made once from checked rules: each condition becomes one function, and rules that ask for a path's first
-segment stand under it, so that a request meets few of them. It must never change after it is made, nor fail
-on any request: what a rule asks for and the request does not have is simply not there.
+A table is compiled once from checked rules and is immutable: each condition becomes one function, and rules
+that require a first path segment are indexed by it, so that a look-up evaluates few rules. A look-up does no
+I/O and accepts any request: a property that the request lacks has no value and satisfies no predicate.
 """
 
 from __future__ import annotations
@@ -27,12 +27,14 @@
 MAX_VALUE_LENGTH = 4096  # characters of a value that an expression searches; a longer value does not match
 MAX_NAME_LENGTH = 256  # characters of a tenant's or a key's name
 MAX_TIME_DIGITS = 12  # digits of a time in a request
+BINARY = 2  # operands of the usual conjunction, which has a shorter function
+SEGMENT_SLASHES = 2  # slashes in a prefix of a path that holds its whole first segment
 GRPC_UNITS = {"n": 0.001, "u": 1, "m": 1_000, "S": 1_000_000, "M": 60_000_000, "H": 3_600_000_000}
 
 
 @dataclass
 class Request:
-    """What a proxy says of one request; names of headers in lower case."""
+    """The properties of one request that a proxy reports; names of headers in lower case."""
 
     authority: str = ""
     path: str = "/"
@@ -47,7 +49,7 @@
 
     @cached_property
     def query_parameters(self) -> dict[str, str]:
-        """The query's names; the first of several of one name counts."""
+        """The parameters of the query; of several with one name the first counts."""
         found: dict[str, str] = {}
         try:
             pairs = parse_qsl(self.path.partition("?")[2], keep_blank_values=True, max_num_fields=64)
@@ -58,6 +60,7 @@
         return found
 
     def value(self, subject: Subject) -> str | None:
+        """Return the value of a property; None if the request lacks it."""
         match subject.kind:
             case "path":
                 return self.plain
@@ -71,7 +74,7 @@
 
 
 class RouteMatch(Struct, frozen=True):
-    """The RPC that a request is. Times are microseconds; `cost` is a hint at the work, None where unknown."""
+    """The RPC of a request. Times are microseconds; `cost` is an estimate of the work, None if unknown."""
 
     rule: str
     method: str
@@ -86,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One rule in an explanation: whether it took the request, and each question with its answer."""
+    """One rule in an explanation: whether it matched, and each predicate with the value and the result."""
 
     rule: str
     took: bool
@@ -94,11 +97,13 @@
 
 
 class Routing(Protocol):
-    """What says which RPC a request is, and the methods that it may name."""
+    """Finds the RPC of a request among the given methods."""
 
     methods: Mapping[str, Method]
 
-    def find(self, request: Request) -> RouteMatch | None: ...
+    def find(self, request: Request) -> RouteMatch | None:
+        """Return the RPC that the first matching rule gives; None if no rule matches."""
+        ...
 
 
 class Table:
@@ -114,7 +119,7 @@
         self._sort_in()
 
     def _sort_in(self) -> None:
-        """A rule whose every choice asks for one first segment stands under those segments alone."""
+        """Index each rule by the first segments that it requires; a rule that requires none is under all."""
         firsts = [_first_segments(rule) for rule in self.rules]
         named = sorted({segment for found in firsts if found is not None for segment in found})
         self.under = {segment: [] for segment in named}
@@ -125,19 +130,19 @@
                 self.under[segment].append(number)
 
     def find(self, request: Request) -> RouteMatch | None:
-        """The RPC that the first rule to take the request makes of it; None where none does."""
+        """Return the RPC that the first matching rule gives; None if no rule matches."""
         for number in self._candidates(request):
             if self.conditions[number](request):
                 return self._match(self.rules[number], request)
         return None
 
     def _candidates(self, request: Request) -> Sequence[int]:
-        """Rules that may take the request, in their order, by its path's first segment."""
+        """Return the numbers of the rules that can match, in their order, by the path's first segment."""
         first = request.segments[0] if request.segments else ""
         return self.under.get(first, self.everywhere)
 
     def explain(self, request: Request) -> list[Step]:
-        """Each rule in its order up to the one that takes the request."""
+        """Return each rule in its order up to the one that matches."""
         steps = []
         for number, rule in enumerate(self.rules):
             answers = tuple(
@@ -155,17 +160,18 @@
         deadline = min(_time(rule.deadline, request) or self.longest, self.longest)
         latency_objective = min(rule.latency_objective or method.latency_objective, deadline)
         cost = _time(rule.cost, request) if rule.cost is not None else None
-        tenant, key = _value(rule.tenant, request) or "", _value(rule.key, request)
+        tenant = _value(rule.tenant, request) or ""
+        key = _value(rule.key, request)
         return RouteMatch(rule.name, rule.method, tenant, key, latency_objective, deadline, cost)
 
 
 def table(text: str, methods: Iterable[Method], longest: int) -> Table:
-    """The table that a text describes; raises one error with all that is wrong, a line each."""
+    """Return the table of a text; RouteError or RoutesError say what is wrong with it."""
     return checked_table(parse(text), methods, longest)
 
 
 def checked_table(rules: list[Rule], methods: Iterable[Method], longest: int) -> Table:
-    """The table of these rules; raises one error with all that is wrong, a line each."""
+    """Return the table of these rules; RoutesError holds every error of the checks."""
     methods = list(methods)
     if errors := check(rules, [method.name for method in methods]):
         raise RoutesError(errors)
@@ -173,7 +179,7 @@
 
 
 class RoutesError(ValueError):
-    """All that is wrong with a text of routes."""
+    """All errors that the checks find in a set of rules, one a line."""
 
     def __init__(self, errors: list[RouteError]) -> None:
         super().__init__("\n".join(str(error) for error in errors))
@@ -184,14 +190,18 @@
 
 
 def compiled(condition: Condition) -> Callable[[Request], bool]:
-    """The condition as one function of a request."""
+    """Return the condition as one function of a request."""
     match condition:
         case Not(part):
             inner = compiled(part)
             return lambda request: not inner(request)
         case All(parts):
             every = [compiled(part) for part in parts]
-            return _both(*every) if len(every) == 2 else lambda request: all(part(request) for part in every)
+            return (
+                _both(*every)
+                if len(every) == BINARY
+                else lambda request: all(part(request) for part in every)
+            )
         case Any(parts):
             some = [compiled(part) for part in parts]
             return lambda request: any(part(request) for part in some)
@@ -205,7 +215,8 @@
 
 
 def _question(predicate: Predicate) -> Callable[[Request], bool]:
-    value_of, operand = _reader(predicate.subject), predicate.operands[0] if predicate.operands else ""
+    value_of = _reader(predicate.subject)
+    operand = predicate.operands[0] if predicate.operands else ""
     match predicate.operator:
         case "has":
             return lambda request: value_of(request) is not None
@@ -245,7 +256,7 @@
 
 
 def _value(parts: tuple[Part, ...], request: Request) -> str | None:
-    """The first part that the request has; bounded, as names are kept."""
+    """Return the first part that the request has, cut at MAX_NAME_LENGTH."""
     for part in parts:
         if part.literal is not None:
             return part.literal
@@ -259,13 +270,15 @@
 
 
 def _time(timed: Timed | None, request: Request) -> int:
-    """Microseconds; a value that is no time counts as not said."""
+    """Return microseconds; a value that is no time counts as absent."""
     if timed is None:
         return 0
     text = (request.value(timed.subject) or "") if timed.subject is not None else ""
     if timed.unit == "grpc":
-        digits, unit = text[:-1], GRPC_UNITS.get(text[-1:], 0)
-        if unit and digits.isascii() and digits.isdigit() and len(digits) <= 8:
+        digits = text[:-1]
+        unit = GRPC_UNITS.get(text[-1:], 0)
+        # Eight digits at most (gRPC over HTTP/2, "TimeoutValue"); a literal costs a look-up nothing.
+        if unit and digits.isascii() and digits.isdigit() and len(digits) <= 8:  # noqa: PLR2004
             return max(1, round(int(digits) * unit))
     elif text.isascii() and text.isdigit() and len(text) <= MAX_TIME_DIGITS:
         return max(1, int(text) * UNITS[timed.unit])
@@ -273,7 +286,7 @@
 
 
 def _first_segments(rule: Rule) -> set[str] | None:
-    """The first segments that the rule's every choice asks for; None where one asks for none."""
+    """Return the first segments that the conjunctions of a rule require; None if one requires none."""
     found: set[str] = set()
     for conjunction in choice(rule.when, rule.place):
         if not possible(conjunction):
@@ -289,7 +302,7 @@
     if predicate.subject.kind != "path":
         return None
     if predicate.operator in ("is", "in"):
-        return {(operand.split("/") + [""])[1] for operand in predicate.operands}
-    if predicate.operator == "starts" and predicate.operands[0].count("/") >= 2:
+        return {[*operand.split("/"), ""][1] for operand in predicate.operands}
+    if predicate.operator == "starts" and predicate.operands[0].count("/") >= SEGMENT_SLASHES:
         return {predicate.operands[0].split("/")[1]}
     return None
