--- a/linenbridge/routes/checks.py
+++ b/linenbridge/routes/checks.py
@@ -1,17 +1,18 @@
-"""Whether routes make sense together. Decides without I/O, on the rules alone.
+"""Checks of the rules of one text against each other; no I/O.
 
-Each condition is brought into a choice of plain conjunctions; on these it is decided whether a rule can ever
-take a request, whether rules before it leave it any, and whether two rules contend for some without either
-being the special case of the other. It must never guess in a rule's favour: where it cannot tell, a rule
-counts as one that may match, and the file must then say which of two goes `over` the other.
+Each condition is expanded into conjunctions of literals, any one of which is enough. The checks decide
+on them whether a rule can match at all, whether earlier rules match all of its requests, and whether two
+rules with different methods match the same request though neither is a special case of the other. The
+checks are conservative: where they cannot decide, a rule counts as one that can match, and the author of
+the text states the order with `over`.
 """
 
 from __future__ import annotations
 
 import re
-from collections.abc import Iterable, Iterator
+from collections.abc import Iterable, Iterator, Set
 from dataclasses import dataclass
-from itertools import combinations
+from itertools import combinations, pairwise
 
 from linenbridge.routes.language import (
     All,
@@ -30,6 +31,8 @@
 MAX_CHOICES = 256  # conjunctions that one condition may come to
 VERBS = frozenset(("GET", "HEAD", "POST", "PUT", "DELETE", "CONNECT", "OPTIONS", "TRACE", "PATCH"))
 SCHEMES = frozenset(("http", "https"))
+KNOWN_VALUES = {"verb": VERBS, "scheme": SCHEMES}  # subjects with a fixed set of values
+SUBSTRING_OPERATORS = frozenset(("starts", "ends", "contains"))
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,8 +47,9 @@
 
 
 def check(rules: list[Rule], methods: Iterable[str]) -> list[RouteError]:
-    """Everything that is wrong with the rules, in the order of the text."""
-    known, names = set(methods), {rule.name for rule in rules}
+    """Return all errors of the rules, in the order of the text."""
+    known = set(methods)
+    names = {rule.name for rule in rules}
     wrong = [error for rule in rules for error in _alone(rule, known, names)]
     seen: set[str] = set()
     for rule in rules:
@@ -61,7 +65,9 @@
             continue
         if not choices[number]:
             wrong.append(RouteError(rule.place, f"route {rule.name} can never match: it contradicts itself"))
-    wrong.extend(_together(rules, choices))
+    starts = {number: _path_starts(own) for number, own in choices.items()}
+    wrong.extend(_shadowed(rules, choices, starts))
+    wrong.extend(_conflicts(rules, choices, starts))
     return sorted(wrong, key=lambda error: (error.place.line, error.place.column))
 
 
@@ -82,44 +88,56 @@
 
 
 def _fits(predicate: Predicate, operand: str) -> bool:
-    """A verb or scheme that does not exist, a path without its slash: such a rule would wait for ever."""
+    """Whether some request can have the operand: verbs and schemes are known, a path begins with a slash."""
     if predicate.operator not in ("is", "in", "starts"):
         return True
     if predicate.subject.kind == "path":
         return operand.startswith(("/", "*"))
     if predicate.operator == "starts":
         return True
-    if predicate.subject.kind == "verb":
-        return operand in VERBS
-    return predicate.subject.kind != "scheme" or operand in SCHEMES
+    known = KNOWN_VALUES.get(predicate.subject.kind)
+    return known is None or operand in known
 
 
-def _together(rules: list[Rule], choices: dict[int, list[Conjunction]]) -> Iterator[RouteError]:
-    starts = {number: _path_starts(own) for number, own in choices.items()}
+def _shadowed(
+    rules: list[Rule], choices: dict[int, list[Conjunction]], starts: dict[int, list[str]]
+) -> Iterator[RouteError]:
+    """Rules all of whose requests match earlier rules."""
     for number, own in choices.items():
         if not own:
             continue
-        before = [
-            (n, choices[n]) for n in range(number) if n in choices and not _apart(starts[n], starts[number])
-        ]
-        left = [c for c in own if not any(covers(other, c) for _, earlier in before for other in earlier)]
-        if not left:
+        earlier = {
+            other: choices[other]
+            for other in range(number)
+            if other in choices and not _apart(starts[other], starts[number])
+        }
+        wide = [conjunction for found in earlier.values() for conjunction in found]
+        if all(any(covers(general, special) for general in wide) for special in own):
             takers = [
-                rules[n].name for n, earlier in before if any(covers(o, c) for o in earlier for c in own)
+                rules[other].name
+                for other, found in earlier.items()
+                if any(covers(general, special) for general in found for special in own)
             ]
             yield RouteError(
                 rules[number].place,
                 f"route {rules[number].name} can never match: {' and '.join(takers)} before it take it all",
             )
+
+
+def _conflicts(
+    rules: list[Rule], choices: dict[int, list[Conjunction]], starts: dict[int, list[str]]
+) -> Iterator[RouteError]:
+    """Pairs of rules with different methods that match the same request, without an order that is stated."""
     for first, second in combinations(choices, 2):
-        one, two = rules[first], rules[second]
+        one = rules[first]
+        two = rules[second]
         if _apart(starts[first], starts[second]):
             continue
         if one.method == two.method or two.name in one.over or one.name in two.over:
             continue
         if _special(choices[first], choices[second]) or _special(choices[second], choices[first]):
             continue
-        if any(possible((*c, *d)) for c in choices[first] for d in choices[second]):
+        if any(possible((*left, *right)) for left in choices[first] for right in choices[second]):
             yield RouteError(
                 two.place,
                 f"routes {one.name} and {two.name} can both match and name different methods; "
@@ -128,7 +146,7 @@
 
 
 def _path_starts(choices: list[Conjunction]) -> list[str]:
-    """What a path starts with in each choice, "" where one does not say."""
+    """Return the prefix that each conjunction requires of a path, "" where it requires none."""
     return [max((_path_start(literal) for literal in found), key=len, default="") for found in choices]
 
 
@@ -140,21 +158,23 @@
 
 
 def _apart(one: list[str], two: list[str]) -> bool:
-    """Whether no path starts as one rule and as the other asks: then neither takes what the other does, and
-    nothing else has to be compared. Most rules of one service are apart from each other."""
+    """Whether no path has a prefix of each list: then the rules match no request in common.
+
+    Most rules of one service are apart, which saves the comparison of their conjunctions.
+    """
     return not any(first.startswith(second) or second.startswith(first) for first in one for second in two)
 
 
 def _special(narrow: list[Conjunction], wide: list[Conjunction]) -> bool:
-    """Whether all that one rule takes the other would take too: the usual special case before the general."""
-    return all(any(covers(other, c) for other in wide) for c in narrow)
+    """Whether every request that matches one rule matches the other: a special case of it."""
+    return all(any(covers(general, special) for general in wide) for special in narrow)
 
 
 # ---- conditions as choices of conjunctions -----------------------------------------------------------
 
 
-def choice(condition: Condition, place: Place, expected: bool = True) -> list[Conjunction]:
-    """The condition (or, not `expected`, its contrary) as conjunctions one of which must hold."""
+def choice(condition: Condition, place: Place, *, expected: bool = True) -> list[Conjunction]:
+    """Return the condition, or its negation if not `expected`, as conjunctions; any one is enough."""
     match condition:
         case Predicate() if condition.operator == "in" and expected:
             return [
@@ -164,14 +184,14 @@
         case Predicate():
             return [(Literal(condition, expected),)]
         case Not(part):
-            return choice(part, place, not expected)
+            return choice(part, place, expected=not expected)
         case All(parts) | Any(parts):
-            found = [choice(part, place, expected) for part in parts]
+            expanded = [choice(part, place, expected=expected) for part in parts]
             if isinstance(condition, All) != expected:
-                return [conjunction for part in found for conjunction in part]
+                return [conjunction for own in expanded for conjunction in own]
             product: list[Conjunction] = [()]
-            for part in found:
-                product = [(*c, *d) for c in product for d in part]
+            for own in expanded:
+                product = [(*left, *right) for left in product for right in own]
                 if len(product) > MAX_CHOICES:
                     raise RouteError(place, f"the condition comes to more than {MAX_CHOICES} choices")
             return product
@@ -179,7 +199,7 @@
 
 
 def evaluate(predicate: Predicate, value: str | None) -> bool:
-    """The answer to a plain question about a value; None where the request has none."""
+    """Return whether a value satisfies a predicate; None means that the request lacks the property."""
     if value is None:
         return False
     if predicate.operator == "has":
@@ -210,37 +230,42 @@
 def _possible(subject: Subject, literals: list[Literal]) -> bool:
     required = [literal.predicate for literal in literals if literal.expected]
     denied = [literal.predicate for literal in literals if not literal.expected]
-    if required and any(predicate.operator == "has" for predicate in denied):
-        return False
-    if not required and any(predicate.operator == "has" for predicate in denied):
-        return True
-    if (values := _values(required)) is not None:
+    if any(predicate.operator == "has" for predicate in denied):
+        return not required
+    values = _values(required)
+    if values is None:
+        values = KNOWN_VALUES.get(subject.kind)
+    if values is not None:
         return any(_agrees(value, literals) for value in values)
-    if not required and subject.kind not in ("verb", "scheme"):
+    if not required:
         return True
-    if subject.kind in ("verb", "scheme"):
-        every = VERBS if subject.kind == "verb" else SCHEMES
-        return any(_agrees(value, literals) for value in sorted(every))
-    start, end = _longest(required, "starts"), _longest(required, "ends")
+    start = _longest(required, "starts")
+    end = _longest(required, "ends")
     if start is None or end is None:
         return False
-    for predicate in denied:
-        inside = predicate.operator == "contains" and any(
-            predicate.operands[0] in other.operands[0]
-            for other in required
-            if other.operator in ("starts", "ends", "contains")
-        )
-        if inside or predicate in required:
-            return False
-        if predicate.operator == "starts" and start.startswith(predicate.operands[0]):
-            return False
-        if predicate.operator == "ends" and end.endswith(predicate.operands[0]):
-            return False
-    return True
-
-
-def _values(required: list[Predicate]) -> set[str] | None:
-    """The few values that the questions leave, where they name any."""
+    return not any(_contradicts(predicate, required, start, end) for predicate in denied)
+
+
+def _contradicts(denied: Predicate, required: list[Predicate], start: str, end: str) -> bool:
+    """Whether what is required, with its longest prefix and suffix, implies the denied predicate."""
+    if denied in required:
+        return True
+    match denied.operator:
+        case "contains":
+            return any(
+                denied.operands[0] in other.operands[0]
+                for other in required
+                if other.operator in SUBSTRING_OPERATORS
+            )
+        case "starts":
+            return start.startswith(denied.operands[0])
+        case "ends":
+            return end.endswith(denied.operands[0])
+    return False
+
+
+def _values(required: list[Predicate]) -> Set[str] | None:
+    """Return the values that the predicates leave, None where they name none."""
     named = [set(predicate.operands) for predicate in required if predicate.operator in ("is", "in")]
     return set.intersection(*named) if named else None
 
@@ -254,7 +279,7 @@
     operands = sorted(
         (predicate.operands[0] for predicate in required if predicate.operator == operator), key=len
     )
-    for shorter, longer in zip(operands, operands[1:], strict=False):
+    for shorter, longer in pairwise(operands):
         if not (longer.startswith(shorter) if operator == "starts" else longer.endswith(shorter)):
             return None
     return operands[-1] if operands else ""
@@ -279,17 +304,21 @@
         return bool(about) and not _possible(predicate.subject, [*about, Literal(predicate)])
     if predicate.operator == "has":
         return bool(required)
-    if predicate.operator not in ("starts", "ends", "contains"):
+    if predicate.operator not in SUBSTRING_OPERATORS:
         return False
-    operand = predicate.operands[0]
-    for other in required:
-        if other.operator not in ("starts", "ends", "contains"):
-            continue
-        found = other.operands[0]
-        if predicate.operator == "contains" and operand in found:
-            return True
-        if predicate.operator == other.operator == "starts" and found.startswith(operand):
-            return True
-        if predicate.operator == other.operator == "ends" and found.endswith(operand):
-            return True
-    return not operand and bool(required)
+    if any(_entails(other, predicate) for other in required):
+        return True
+    return not predicate.operands[0] and bool(required)
+
+
+def _entails(premise: Predicate, conclusion: Predicate) -> bool:
+    """Whether each value that satisfies one substring predicate satisfies the other."""
+    if premise.operator not in SUBSTRING_OPERATORS:
+        return False
+    known = premise.operands[0]
+    operand = conclusion.operands[0]
+    if conclusion.operator == "contains":
+        return operand in known
+    if conclusion.operator != premise.operator:
+        return False
+    return known.startswith(operand) if conclusion.operator == "starts" else known.endswith(operand)
--- a/linenbridge/routes/regexes.py
+++ b/linenbridge/routes/regexes.py
@@ -1,8 +1,8 @@
-"""Regular expressions that can run away. Decides without I/O, from the expression's own structure.
+"""Rejects regular expressions that can take too long, by their structure alone.
 
-Python's matcher tries one way after another. Three shapes make the ways grow faster than the text: a repeat
-within a repeat, a repeated choice whose branches begin alike, and repeats side by side that take the same
-characters. It must never match anything, nor let through what it does not understand.
+Python's matcher backtracks. Three shapes make the number of attempts grow faster than the text: a repeat
+within a repeat, a repeated choice whose branches can begin alike, and adjacent repeats of the same
+characters. This module matches nothing and rejects every construct that it does not know.
 """
 
 from __future__ import annotations
@@ -15,13 +15,15 @@
 MAX_PATTERN_LENGTH = 512  # characters
 MAX_REPEAT_COUNT = 1_000  # of a counted repeat, so that compiling stays cheap
 SIDE_BY_SIDE = 2  # a square of the text's length is borne: what is matched is bounded in length
-EVERYTHING = frozenset(range(257))  # Code points up to 255, and one that stands for all others.
+OTHERS = 256  # stands for all code points above 255
+EVERYTHING = frozenset(range(OTHERS + 1))
+MAX_BOUNDED_SPREAD = 64  # a counted repeat with more between its bounds counts as unbounded
 REPEATS = {sre.MAX_REPEAT, sre.MIN_REPEAT}
 SAFE = {sre.AT, sre.ASSERT, sre.ASSERT_NOT}
 
 
 def runaway(pattern: str) -> str | None:
-    """Why the expression is not let through, in plain words; None where it is."""
+    """Return why the expression is rejected, as a user reads it; None if it is accepted."""
     if len(pattern) > MAX_PATTERN_LENGTH:
         return f"it is longer than {MAX_PATTERN_LENGTH} characters"
     try:
@@ -33,7 +35,7 @@
 
 
 def _sequence(items: list, in_repeat: bool) -> str | None:
-    """Looks through a sequence; what stands side by side is compared by the characters that it takes."""
+    """Check a sequence; adjacent repeats are compared by the characters that they match."""
     beside: list[frozenset[int]] = []
     for item in items:
         if why := _item(item, in_repeat):
@@ -54,30 +56,11 @@
 def _item(item: tuple, in_repeat: bool) -> str | None:
     operator, argument = item
     if operator in REPEATS:
-        low, high, inner = argument
-        if high is not sre.MAXREPEAT and high > MAX_REPEAT_COUNT:
-            return f"a repeat of more than {MAX_REPEAT_COUNT}"
-        if _unbounded(argument):
-            if in_repeat:
-                return "a repeat within a repeat"
-            if _may_be_empty(list(inner)):
-                return "a repeat of something that may be empty"
-            return _sequence(list(inner), in_repeat=True)
-        return _sequence(list(inner), in_repeat)
+        return _repeat(argument, in_repeat)
     if operator is sre.SUBPATTERN:
         return _sequence(list(argument[3]), in_repeat)
     if operator is sre.BRANCH:
-        branches = [list(branch) for branch in argument[1]]
-        if in_repeat:
-            if sum(_may_be_empty(branch) for branch in branches) > 1:
-                return "a repeated choice whose branches can begin alike"
-            seen: frozenset[int] = frozenset()
-            for branch in branches:
-                first = _first(branch)
-                if first & seen:
-                    return "a repeated choice whose branches can begin alike"
-                seen |= first
-        return next((why for branch in branches if (why := _sequence(branch, in_repeat))), None)
+        return _branches([list(branch) for branch in argument[1]], in_repeat)
     if operator in (sre.ASSERT, sre.ASSERT_NOT):
         return _sequence(list(argument[1]), in_repeat)
     if operator in (sre.LITERAL, sre.NOT_LITERAL, sre.ANY, sre.IN, sre.AT):
@@ -85,8 +68,34 @@
     return f"{str(operator).lower()} is not taken here"
 
 
+def _repeat(repeat: tuple, in_repeat: bool) -> str | None:
+    _, high, inner = repeat
+    if high is not sre.MAXREPEAT and high > MAX_REPEAT_COUNT:
+        return f"a repeat of more than {MAX_REPEAT_COUNT}"
+    if not _unbounded(repeat):
+        return _sequence(list(inner), in_repeat)
+    if in_repeat:
+        return "a repeat within a repeat"
+    if _may_be_empty(list(inner)):
+        return "a repeat of something that may be empty"
+    return _sequence(list(inner), in_repeat=True)
+
+
+def _branches(branches: list[list], in_repeat: bool) -> str | None:
+    if in_repeat:
+        if sum(_may_be_empty(branch) for branch in branches) > 1:
+            return "a repeated choice whose branches can begin alike"
+        seen: frozenset[int] = frozenset()
+        for branch in branches:
+            first = _first(branch)
+            if first & seen:
+                return "a repeated choice whose branches can begin alike"
+            seen |= first
+    return next((why for branch in branches if (why := _sequence(branch, in_repeat))), None)
+
+
 def _unbounded(repeat: tuple) -> bool:
-    return repeat[1] is sre.MAXREPEAT or repeat[1] - repeat[0] > 64
+    return repeat[1] is sre.MAXREPEAT or repeat[1] - repeat[0] > MAX_BOUNDED_SPREAD
 
 
 def _may_be_empty(items: list) -> bool:
@@ -106,7 +115,7 @@
 
 
 def _first(items: list) -> frozenset[int]:
-    """What a sequence can begin with."""
+    """Return the characters that a sequence can begin with."""
     found: frozenset[int] = frozenset()
     for item in items:
         operator, argument = item
@@ -124,13 +133,13 @@
 
 
 def _characters(items: list) -> frozenset[int]:
-    """Every character that a sequence can take anywhere."""
+    """Return every character that a sequence can match anywhere."""
     found: frozenset[int] = frozenset()
     for operator, argument in items:
         if operator is sre.LITERAL:
-            found |= {min(argument, 256)}
+            found |= {min(argument, OTHERS)}
         elif operator is sre.NOT_LITERAL:
-            found |= EVERYTHING - ({argument} if argument < 256 else frozenset())
+            found |= EVERYTHING - ({argument} if argument < OTHERS else frozenset())
         elif operator is sre.IN:
             found |= _members(argument)
         elif operator in REPEATS:
@@ -151,18 +160,18 @@
         if operator is sre.NEGATE:
             negated = True
         elif operator is sre.LITERAL:
-            found.add(min(argument, 256))
+            found.add(min(argument, OTHERS))
         elif operator is sre.RANGE:
             low, high = argument
-            found.update(range(low, min(high, 255) + 1))
-            found.update({256} if high > 255 else ())
+            found.update(range(low, min(high, OTHERS - 1) + 1))
+            found.update({OTHERS} if high >= OTHERS else ())
         else:
-            found |= EVERYTHING if negated or sys.maxunicode < 256 else _category(argument)
-    return EVERYTHING - frozenset(found - {256}) if negated else frozenset(found)
+            found |= EVERYTHING if negated or sys.maxunicode < OTHERS else _category(argument)
+    return EVERYTHING - frozenset(found - {OTHERS}) if negated else frozenset(found)
 
 
 def _category(category: object) -> frozenset[int]:
     shape = {sre.CATEGORY_DIGIT: r"\d", sre.CATEGORY_WORD: r"\w", sre.CATEGORY_SPACE: r"\s"}.get(category)
     if shape is None:
         return EVERYTHING
-    return frozenset(code for code in range(256) if re.match(shape, chr(code))) | {256}
+    return frozenset(code for code in range(OTHERS) if re.match(shape, chr(code))) | {OTHERS}
