--- a/linenbridge/routes/language.py
+++ b/linenbridge/routes/language.py
@@ -1,7 +1,8 @@
-"""The routes' language, from text to rules. Decides without I/O: the same text always gives the same rules.
+"""Parses the text of the routes into rules.
 
-Owns the meaning of the grammar (`grammar.lark`) and the place of each word in the text. It must never look at
-a request, nor know a method of any deployment: whether the rules make sense together is for `checks.py`.
+The grammar is `grammar.lark`; this module gives it its meaning and keeps the position of each token for error
+messages. The parser does no I/O: one text always gives the same rules. `checks` compares the rules with each
+other and with the methods of a deployment.
 """
 
 from __future__ import annotations
@@ -11,12 +12,13 @@
 from dataclasses import dataclass, field
 from functools import cache
 from importlib import resources
+from typing import NamedTuple, cast
 
 from lark import Lark, Token, Transformer, v_args
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput
 
 MAX_TEXT_LENGTH = 256 * 1024  # characters of one routes file
-MAX_RULES = 512
+MAX_RULES = 512  # of one routes file
 # All up to the end of a rule: a `}` that stands neither in a string nor in a comment.
 RULE_END = re.compile(r'(?:"(?:[^"\\\n]|\\["\\])*"|#[^\n]*|[^"#}])*\}')
 UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000}
@@ -24,23 +26,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """A place in the text of the routes: line and column, both from 1."""
+    """The position of a token in the text: line and column, both from 1."""
 
     line: int
     column: int
 
 
 class RouteError(ValueError):
-    """One thing wrong in the text of the routes; `str` gives `line:column: what`."""
+    """One error in the text of the routes; `str` gives `line:column: what`."""
 
     def __init__(self, place: Place, what: str) -> None:
         super().__init__(f"{place.line}:{place.column}: {what}")
-        self.place, self.what = place, what
+        self.place = place
+        self.what = what
 
 
 @dataclass(frozen=True, slots=True)
 class Subject:
-    """What of a request is looked at: `kind` is one of the plain words, or header, query, attribute."""
+    """A property of a request: authority, path, verb, scheme, or a header, query or attribute by its name."""
 
     kind: str
     name: str = ""
@@ -50,8 +53,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
-    """One plain question: `has`, `is`, `starts`, `ends`, `contains`, `matches` or `in`, with its operands."""
+class Predicate:
+    """One comparison: `has`, `is`, `starts`, `ends`, `contains`, `matches` or `in`, with its operands."""
 
     subject: Subject
     operator: str
@@ -62,13 +65,15 @@
         if self.operator == "has":
             return f"has {self.subject}"
         if self.operator == "in":
-            quoted = ", ".join(f'"{operand}"' for operand in self.operands)
-            return f"{self.subject} in ({quoted})"
+            operands = ", ".join('"' + operand + '"' for operand in self.operands)
+            return f"{self.subject} in ({operands})"
         return f'{self.subject} {self.operator} "{self.operands[0]}"'
 
 
 @dataclass(frozen=True, slots=True)
 class Not:
+    """The part does not hold."""
+
     part: Condition
 
 
@@ -81,10 +86,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Any:
+    """At least one part holds."""
+
     parts: tuple[Condition, ...]
 
 
-Condition = Question | Not | All | Any
+Condition = Predicate | Not | All | Any
 
 
 @dataclass(frozen=True, slots=True)
@@ -107,7 +114,7 @@
 
 @dataclass(slots=True)
 class Rule:
-    """One route as written. Times are microseconds; 0 and None where the route gives none."""
+    """One route as written. Times are microseconds; 0 and None mean that the route leaves it out."""
 
     name: str
     place: Place
@@ -116,12 +123,23 @@
     method_place: Place = Place(0, 0)
     tenant: tuple[Part, ...] = ()
     key: tuple[Part, ...] = ()
-    soft: int = 0
+    latency_objective: int = 0
     deadline: Timed | None = None
     cost: Timed | None = None
     over: tuple[str, ...] = ()
 
 
+class Clause(NamedTuple):
+    """One clause of a rule as parsed; `place` is the position of its value, where an error names it."""
+
+    name: str
+    value: object
+    place: Place | None = None
+
+
+CLAUSE_ATTRIBUTES = {"soft": "latency_objective"}  # clauses whose attribute of Rule has another name
+
+
 def _place(token: Token) -> Place:
     return Place(token.line or 0, token.column or 0)
 
@@ -138,28 +156,30 @@
 
 @v_args(inline=True)
 class _Builder(Transformer):
-    """Rules as the parser meets their parts; each method is named after its line in the grammar."""
+    """Builds the rules from the parse tree; each method has the name of its line in the grammar."""
 
     def plain(self, kind: Token) -> Subject:
         return Subject(str(kind))
 
     def named(self, kind: Token, name: Token) -> Subject:
-        text = _unquoted(name)
-        if not text:
+        string = _unquoted(name)
+        if not string:
             raise RouteError(_place(name), f"{kind} needs a name")
-        return Subject(str(kind), text.lower() if kind == "header" else text)
+        return Subject(str(kind), string.lower() if kind == "header" else string)
 
     def always(self) -> Condition:
         return All(())
 
     def present(self, subject: Subject) -> Condition:
-        return Question(subject, "has")
+        return Predicate(subject, "has")
 
-    def compare(self, subject: Subject, operator: Token, text: Token) -> Condition:
-        return Question(subject, str(operator), (_unquoted(text),), _place(text))
+    def compare(self, subject: Subject, operator: Token, string: Token) -> Condition:
+        return Predicate(subject, str(operator), (_unquoted(string),), _place(string))
 
-    def among(self, subject: Subject, *texts: Token) -> Condition:
-        return Question(subject, "in", tuple(sorted({_unquoted(text) for text in texts})), _place(texts[0]))
+    def among(self, subject: Subject, *strings: Token) -> Condition:
+        return Predicate(
+            subject, "in", tuple(sorted({_unquoted(string) for string in strings})), _place(strings[0])
+        )
 
     def negated(self, part: Condition) -> Condition:
         return Not(part)
@@ -170,8 +190,8 @@
     def any_of(self, *parts: Condition) -> Condition:
         return Any(parts)
 
-    def literal(self, text: Token) -> Part:
-        return Part(literal=_unquoted(text))
+    def literal(self, string: Token) -> Part:
+        return Part(literal=_unquoted(string))
 
     def segment(self, number: Token) -> Part:
         if int(number) < 1:
@@ -187,35 +207,36 @@
         subject, unit, default = parts
         return Timed(duration(str(default)), subject, str(unit))  # type: ignore[arg-type]
 
-    def method(self, text: Token) -> tuple:
-        return "method", _unquoted(text), _place(text)
+    def method(self, string: Token) -> Clause:
+        return Clause("method", _unquoted(string), _place(string))
 
-    def tenant(self, value: tuple[Part, ...]) -> tuple:
-        return "tenant", value, None
+    def tenant(self, value: tuple[Part, ...]) -> Clause:
+        return Clause("tenant", value)
 
-    def key(self, value: tuple[Part, ...]) -> tuple:
-        return "key", value, None
+    def key(self, value: tuple[Part, ...]) -> Clause:
+        return Clause("key", value)
 
-    def soft(self, token: Token) -> tuple:
-        return "soft", duration(str(token)), _place(token)
+    def soft(self, token: Token) -> Clause:
+        return Clause("soft", duration(str(token)), _place(token))
 
-    def deadline(self, timed: Timed) -> tuple:
-        return "deadline", timed, None
+    def deadline(self, timed: Timed) -> Clause:
+        return Clause("deadline", timed)
 
-    def cost(self, timed: Timed) -> tuple:
-        return "cost", timed, None
+    def cost(self, timed: Timed) -> Clause:
+        return Clause("cost", timed)
 
-    def over(self, *names: Token) -> tuple:
-        return "over", tuple(str(name) for name in names), _place(names[0])
+    def over(self, *names: Token) -> Clause:
+        return Clause("over", tuple(str(name) for name in names), _place(names[0]))
 
-    def rule(self, name: Token, when: Condition, *clauses: tuple) -> Rule:
-        rule, clause_names = Rule(str(name), _place(name), when), set[str]()
-        for what, value, place in clauses:
-            if what in clause_names:
-                raise RouteError(place or rule.place, f"route {name} says its {what} twice")
-            clause_names.add(what)
-            setattr(rule, what, value)
-            if what == "method":
+    def rule(self, name: Token, when: Condition, *clauses: Clause) -> Rule:
+        rule = Rule(str(name), _place(name), when)
+        seen: set[str] = set()
+        for clause, value, place in clauses:
+            if clause in seen:
+                raise RouteError(place or rule.place, f"route {name} says its {clause} twice")
+            seen.add(clause)
+            setattr(rule, CLAUSE_ATTRIBUTES.get(clause, clause), value)
+            if clause == "method" and place is not None:
                 rule.method_place = place
         return rule
 
@@ -230,11 +251,11 @@
 
 
 def parse(text: str) -> list[Rule]:
-    """The rules of a text in their order; RouteError names the first place that cannot be read."""
+    """Return the rules of a text in their order; RouteError has the first position that is wrong."""
     if len(text) > MAX_TEXT_LENGTH:
         raise RouteError(Place(1, 1), f"the routes are longer than {MAX_TEXT_LENGTH} characters")
     try:
-        rules = _parser().parse(text)
+        rules = cast(list[Rule], _parser().parse(text))  # what _Builder.start returns
     except UnexpectedInput as error:
         raise RouteError(*_unexpected(error, text)) from None
     except Exception as error:
@@ -247,7 +268,7 @@
 
 
 def parse_by_rule(text: str) -> Iterator[Rule]:
-    """What `parse` gives, one rule at a time: a caller may do other things between two."""
+    """Yield the rules that `parse` returns one at a time, so that a caller can do other work in between."""
     count = 0
     try:
         for piece in _pieces(text):
@@ -257,12 +278,12 @@
                     raise RouteError(rule.place, f"more than {MAX_RULES} routes")
                 yield rule
     except RouteError:
-        parse(text)  # It names the first place that is wrong in the whole text.
+        parse(text)  # its error has the first position that is wrong in the whole text
         raise
 
 
 def _pieces(text: str) -> Iterator[str]:
-    """The text cut behind each rule's end, each piece at its own line and column."""
+    """Split the text after the end of each rule; padding keeps each piece at its line and column."""
     if len(text) > MAX_TEXT_LENGTH:
         raise RouteError(Place(1, 1), f"the routes are longer than {MAX_TEXT_LENGTH} characters")
     begin = line = column = 0
@@ -282,18 +303,18 @@
         return Place(len(lines), len(lines[-1]) + 1), "the text ends in the middle of a route"
     place = Place(error.line, error.column)
     if isinstance(error, UnexpectedCharacters):
-        return place, f"no text can start with {error.char!r}"
+        return place, f"no word can start with {error.char!r}"
     found = getattr(error, "token", "")
     return place, f"{str(found)!r} does not fit here"
 
 
-def tests(condition: Condition) -> Iterator[Question]:
-    """Every plain question of a condition, in the order of the text."""
+def predicates(condition: Condition) -> Iterator[Predicate]:
+    """Every predicate of a condition, in the order of the text."""
     match condition:
-        case Question():
+        case Predicate():
             yield condition
         case Not(part):
-            yield from tests(part)
+            yield from predicates(part)
         case All(parts) | Any(parts):
             for part in parts:
-                yield from tests(part)
+                yield from predicates(part)
--- a/tests/distribution/view/test_routes.py
+++ b/tests/distribution/view/test_routes.py
@@ -17,7 +17,7 @@
 from linenbridge.routes import checks
 from linenbridge.routes.checks import check
 from linenbridge.routes.language import MAX_RULES, RouteError, Rule, parse, parse_by_rule
-from linenbridge.routes.table import FaultsError, Request, table
+from linenbridge.routes.table import RoutesError, Request, table
 from tests.distribution.view.helpers import MAX_DEADLINE, METHODS, method_of, new_view
 from tests.distribution.view.model import batch, change, route_text
 
@@ -80,7 +80,7 @@
         try:
             plain = table(rules(seeded), METHODS, MAX_DEADLINE)
             break
-        except FaultsError:
+        except RoutesError:
             continue  # A rule that can never match: another text.
 
     packed = PackedTable(pack_rules(plain), BY_NAME, MAX_DEADLINE)
