--- a/linenbridge/process/components.py
+++ b/linenbridge/process/components.py
@@ -13,7 +13,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from linenbridge.interface import Startup
+from linenbridge.interface import Method, Startup
 from linenbridge.logging.event_log import Log
 from linenbridge.net.decision_loop import DecisionLoop
 from linenbridge.net.discovery import Discovery, EndpointListener, host_port
@@ -112,19 +112,30 @@
     loop.platform = platform
     loop.discovery = discovery
     _begin(configuration, discovery, platform, loop)
+    clients = _clients(configuration, budgets, loop, reactor, instances, methods, log)
+    return GatewayComponents(clients, instances, platform, discovery, loop)
+
 
-    clients = Clients(
+def _clients(
+    configuration: ProcessConfiguration,
+    budgets: _Budgets,
+    loop: DecisionLoop,
+    reactor: Any,
+    instances: Instances,
+    methods: dict[str, Method],
+    log: Log,
+) -> Clients:
+    return Clients(
         loop,
         reactor,
         instances,
         methods,
-        settings.max_deadline(),
+        configuration.settings.max_deadline(),
         budgets.max_line,
         Descriptors(budgets.descriptors - budgets.descriptors // 2),
         configuration.limits.sockets // CLIENT_POOL_SHARE,
         log,
     )
-    return GatewayComponents(clients, instances, platform, discovery, loop)
 
 
 def _begin(
