--- a/linenbridge/__main__.py
+++ b/linenbridge/__main__.py
@@ -10,6 +10,7 @@
 
 
 def main() -> int:
+    """Run the platform's gateway, or with arguments the command line; return the exit code."""
     # A SIGHUP ends the process where no handler stands: it waits until one does, and again at the end.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
     if len(sys.argv) > 1:
--- a/linenbridge/distribution/configuration.py
+++ b/linenbridge/distribution/configuration.py
@@ -76,7 +76,7 @@
 
     @property
     def home(self) -> Region:
-        """This process's own region."""
+        """The region of the process itself."""
         return self.regions[self.region]
 
     def relay_address(self, relay: str) -> Address | None:
--- a/linenbridge/distribution/log/replica.py
+++ b/linenbridge/distribution/log/replica.py
@@ -80,7 +80,7 @@
 
     # ---- inputs ------------------------------------------------------------------------------------------
 
-    def on_prepare(self, now: int, publisher: str, message: Prepare) -> None:
+    def on_prepare(self, now: int, publisher: str, message: Prepare) -> None:  # noqa: ARG002  # as all inputs
         """A new publisher requests the promise to accept nothing of earlier epochs."""
         if self.failed or message.region != self.region:
             return
@@ -90,7 +90,7 @@
         promised = self._promise(publisher, message.epoch)
         self._respond(publisher, self._prepared(), promised=promised)
 
-    def on_fetch(self, now: int, publisher: str, message: Fetch) -> None:
+    def on_fetch(self, now: int, publisher: str, message: Fetch) -> None:  # noqa: ARG002  # as all inputs
         """The publisher that holds the promise reads the log."""
         if self.failed or message.region != self.region:
             return
@@ -122,11 +122,11 @@
             gap = self._appended(self.log.committed, LogGap.code)
             self._respond(publisher, gap, promised=promised)
 
-    def on_persisted(self, now: int, number: int) -> None:
+    def on_persisted(self, now: int, number: int) -> None:  # noqa: ARG002  # as all inputs
         """The host has everything up to this Persist on disk."""
         self._persisted = max(self._persisted, number)
 
-    def on_store_failed(self, now: int, error: RelayStoreError) -> None:
+    def on_store_failed(self, now: int, error: RelayStoreError) -> None:  # noqa: ARG002  # as all inputs
         """The disk cannot be used: this replica answers nobody until it is started again."""
         if self.failed:
             return
@@ -136,7 +136,7 @@
 
     # ---- decisions ---------------------------------------------------------------------------------------
 
-    def next_decision(self, now: int) -> Decision | None:
+    def next_decision(self, now: int) -> Decision | None:  # noqa: ARG002  # as all inputs
         """The next decision, in order; None where there is none."""
         return self._decisions.popleft() if self._decisions else None
 
--- a/linenbridge/distribution/storage/view_store.py
+++ b/linenbridge/distribution/storage/view_store.py
@@ -14,6 +14,7 @@
 from collections.abc import Callable, Iterable, Iterator, Sequence
 from contextlib import contextmanager
 from hashlib import blake2b
+from typing import cast
 
 import apsw
 import msgspec
@@ -167,8 +168,8 @@
         for page in pages:
             key = (page.kind, _part(page), page.name, page.number)
             replaced = connection.execute(SELECT_CHECKSUM, key).fetchall()
-            row_count += (page.body is not None) - len(replaced)
-            checksums -= sum(int.from_bytes(checksum, "big") for (checksum,) in replaced)
+            row_count += int(page.body is not None) - len(replaced)
+            checksums -= sum(int.from_bytes(cast("bytes", checksum), "big") for (checksum,) in replaced)
             if page.body is None:
                 connection.execute(DELETE_PAGE, key)
                 continue
@@ -230,9 +231,12 @@
 
 def _read_state(connection: apsw.Connection) -> State:
     rows = connection.execute("select words, sum from state where one = 1").fetchall()
-    if not rows or rows[0][1] != _checksum(rows[0][0]):
+    if not rows:
         raise _UnusableStoreError("the state is not as it was written")
-    return msgspec.msgpack.decode(rows[0][0], type=State)
+    encoded = cast("bytes", rows[0][0])
+    if rows[0][1] != _checksum(encoded):
+        raise _UnusableStoreError("the state is not as it was written")
+    return msgspec.msgpack.decode(encoded, type=State)
 
 
 def _checksum(encoded: bytes) -> bytes:
--- a/linenbridge/logging/structured.py
+++ b/linenbridge/logging/structured.py
@@ -8,6 +8,7 @@
 from __future__ import annotations
 
 import time
+from collections.abc import MutableMapping
 from typing import Any, BinaryIO
 
 import orjson
@@ -37,7 +38,7 @@
     return event.rpartition(".")[2] in WARNINGS and event not in NO_WARNINGS
 
 
-def _line(_logger: Any, _method: str, fields: dict[str, Any]) -> bytes:
+def _line(_logger: Any, _method: str, fields: MutableMapping[str, Any]) -> bytes:
     event = fields.pop("event")
     return orjson.dumps({"at": round(time.time(), 3), "event": event, **fields}, default=str)
 
--- a/linenbridge/net/http.py
+++ b/linenbridge/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as a client: cuts what was read into answers and lines, and words requests.
+"""HTTP/1.1 as a client: parses responses, splits their bodies into messages, and writes requests.
 
 Owns the bytes of a head, a chunk's length or a line that has not wholly come. Pieces of bodies are slices
 of the buffer that they were read into. It must never touch a socket, a clock or the meaning of a body.
@@ -129,18 +129,21 @@
 
 
 class Splitter(Protocol):
-    """Cuts the pieces of a body that never ends into what is told one by one."""
+    """Splits a body that never ends into messages."""
 
-    def feed(self, piece: memoryview) -> Iterator[memoryview]: ...
+    def feed(self, piece: memoryview) -> Iterator[memoryview]:
+        """Return the messages that a further piece completes."""
+        ...
 
 
 class LineSplitter:
-    """Cuts pieces into lines; a line within one piece is a slice of it, the rest is copied until its end."""
+    """Splits into lines of at most `max_length` bytes; one within a piece is a slice, others are copied."""
 
     def __init__(self, max_length: int) -> None:
         self.max_length, self.partial = max_length, bytearray()
 
     def feed(self, piece: memoryview) -> Iterator[memoryview]:
+        """Return the lines that a further piece completes; MalformedError for one that is too long."""
         start = 0
         for found in NEWLINE.finditer(piece):
             line, start = piece[start : found.start()], found.end()
@@ -164,6 +167,7 @@
         self.size = self.open = 0
 
     def feed(self, piece: memoryview) -> Iterator[memoryview]:
+        """Return the objects that a further piece completes; MalformedError for one that can't be read."""
         for line in self.lines.feed(piece):
             if (complete := self._take(bytes(line) + b"\n")) is not None:
                 yield complete
--- a/linenbridge/net/reactor.py
+++ b/linenbridge/net/reactor.py
@@ -1,8 +1,7 @@
-"""Twisted's epoll reactor with a shorter way to the protocols.
+"""Twisted's epoll reactor with a shorter path to the protocols.
 
-Owns the round of reading: what is ready is read without a logging context for each event, and the loop's
-turn runs right after the round, without a timer in between. It must never know what is read, nor treat
-anything but plain reads differently from Twisted.
+Owns the round of reading: what is ready is read without a logging context for each event, and the loop's turn
+runs right after the round, without a timer in between. Anything but a plain read is left to Twisted.
 """
 
 from __future__ import annotations
@@ -22,13 +21,15 @@
     loop: DecisionLoop | None = None
 
     def serve(self, loop: DecisionLoop) -> None:
+        """Run the loop's turns after each round of reading."""
         self.loop, loop.polled = loop, True
 
     def timeout(self) -> float | None:
-        """What timers have gathered does not wait for the next event."""
+        """Return how long to wait for an event: not at all while inputs are pending."""
         return 0 if self.loop is not None and self.loop.pending_inputs else super().timeout()
 
     def doPoll(self, timeout: float | None) -> None:
+        """Read all that is ready, then run the loop's turn."""
         ready = self._poller.poll(-1 if timeout is None else timeout, len(self._selectables))
         for fd, event in ready:
             selectable = self._selectables.get(fd)
--- a/linenbridge/policy/decision_module.py
+++ b/linenbridge/policy/decision_module.py
@@ -166,13 +166,13 @@
         self.requests.add(request, max(now, deadline - LAST_MOMENT))
         self.dispatcher.enqueue(request)
 
-    def on_client_disconnected(self, now: int, rpc_id: str) -> None:
+    def on_client_disconnected(self, now: int, rpc_id: str) -> None:  # noqa: ARG002  # the contract's
         """The client of a request has left; its attempts in flight go on to their end."""
         request = self.requests.get(rpc_id)
         if request is not None:
             self.requests.end(request)
 
-    def on_response_started(self, now: int, rpc_id: str, attempt: int) -> None:
+    def on_response_started(self, now: int, rpc_id: str, attempt: int) -> None:  # noqa: ARG002  # the contract's
         """The response of a request has begun to go to its client."""
         request = self.requests.get(rpc_id)
         if request is not None:
@@ -247,11 +247,11 @@
         """A peer's payload."""
         self.evidence.on_gossip(now, peer, payload)
 
-    def on_flag(self, now: int, instance: Id, method: str, sent: int) -> None:
+    def on_flag(self, now: int, instance: Id, method: str, sent: int) -> None:  # noqa: ARG002  # the contract's
         """The platform reports a failed attempt that was sent then."""
         self.evidence.on_flag(instance, method, sent)
 
-    def on_rollout_freeze(self, now: int, zones: frozenset[str] | None) -> None:
+    def on_rollout_freeze(self, now: int, zones: frozenset[str] | None) -> None:  # noqa: ARG002  # the contract's
         """Releases are frozen in these zones, everywhere where none is named; None: no longer."""
         self.freeze.change(zones)
         self.exposure.on_caps_changed()
--- a/linenbridge/policy/log_messages.py
+++ b/linenbridge/policy/log_messages.py
@@ -63,7 +63,7 @@
     def vote(
         self, vote: int, build: int, stage: int, reported_stage: int, outcomes: int, highest: float
     ) -> None:
-        """This gateway casts another vote; `highest` is the largest cumulative sum."""
+        """The gateway casts another vote; `highest` is the largest cumulative sum."""
         self._add(
             "vote",
             {
--- a/linenbridge/processor/configuration.py
+++ b/linenbridge/processor/configuration.py
@@ -184,6 +184,7 @@
         self.peers = peers
 
     def find(self, address: str, names: tuple[str, ...]) -> ProxyPeer | None:
+        """Return the peer at an address with these certificate names; None where it is unknown."""
         for known in self.peers:
             if known.identity:
                 if known.identity in names:
--- a/linenbridge/processor/http2/status.py
+++ b/linenbridge/processor/http2/status.py
@@ -9,9 +9,14 @@
 MESSAGE_MOST = 1024  # bytes of a status message before it is encoded
 
 
+FIRST_PLAIN = 0x20  # of ASCII, printable
+LAST_PLAIN = 0x7E
+PERCENT = 0x25
+
+
 def percent_encoded(text: str) -> bytes:
     """A status message as gRPC words it: plain ASCII, the rest by percent."""
     return b"".join(
-        bytes((byte,)) if 0x20 <= byte <= 0x7E and byte != 0x25 else b"%%%02X" % byte
+        bytes((byte,)) if FIRST_PLAIN <= byte <= LAST_PLAIN and byte != PERCENT else b"%%%02X" % byte
         for byte in text.encode()[:MESSAGE_MOST]
     )
--- a/linenbridge/processor/http2/stream.py
+++ b/linenbridge/processor/http2/stream.py
@@ -32,9 +32,14 @@
 class Receiver(Protocol):
     """What a service makes of one stream."""
 
-    def on_message(self, data: memoryview) -> None: ...
-    def on_half_closed(self) -> None: ...
-    def on_closed(self) -> None: ...
+    def on_message(self, data: memoryview) -> None:
+        """Take in a message."""
+
+    def on_half_closed(self) -> None:
+        """Take in that the peer sends no more."""
+
+    def on_closed(self) -> None:
+        """Take in that the stream has closed."""
 
 
 class Peer:
@@ -51,8 +56,11 @@
 
     peer: Peer
 
-    def send(self, call: Call, data: bytes) -> None: ...
-    def finish(self, call: Call, status: int, text: str) -> None: ...
+    def send(self, call: Call, data: bytes) -> None:
+        """Send a message on a stream."""
+
+    def finish(self, call: Call, status: int, text: str) -> None:
+        """End a stream with a status."""
 
 
 class Call:
@@ -73,6 +81,7 @@
 
     @property
     def peer(self) -> Peer:
+        """Who is at the other end."""
         return self.connection.peer
 
     def send(self, data: bytes) -> None:
