--- a/tests/compatibility/test_task_actions.py
+++ b/tests/compatibility/test_task_actions.py
@@ -18,7 +18,7 @@
 LONG_BODY = b"x" * 70_000  # of the answer that announces 90,000 bytes
 # Log events that have been renamed since, old -> new.
 RENAMED = {"act": "task_action", "act.refused": "task_action.rejected", "act.failed": "task_action.failed"}
-RENAMED_FIELDS = {"place": "slot", "by": "member"}
+RENAMED_FIELDS = {"place": "slot", "by": "member", "of": "source"}
 
 
 def play(row: dict[str, Any]) -> dict[str, Any]:
