--- a/tests/upgrade/event_names.py
+++ b/tests/upgrade/event_names.py
@@ -13,7 +13,10 @@
     "council.lost": "quorum.lost",
     "council.moves": "quorum.changing",
     "council.newer": "quorum.newer_generation",
+    "distribution.change_refused": "distribution.change_rejected",
+    "distribution.life_began": "distribution.incarnation_began",
     "distribution.misnamed": "distribution.name_mismatch",
+    "distribution.reading": "distribution.log_recovery",
     "distribution.refused_change": "distribution.rejected_change",
     "distribution.refused_follower": "distribution.follower_rejected",
     "distribution.spoilt": "distribution.malformed",
@@ -31,7 +34,7 @@
     "seat.returned": "acceptor.recovered",
     "task.held": "task.acquired",
 }
-FIELDS: dict[str, str] = {"far": "peer"}
+FIELDS: dict[str, str] = {"far": "peer", "life": "incarnation"}
 
 
 def in_present_terms(row: dict) -> dict:
