--- a/linenbridge/cli/fault_commands.py
+++ b/linenbridge/cli/fault_commands.py
@@ -24,9 +24,9 @@
 
     Prints decisions, the rules, and the added latency beside an empty processor. Exit 1: a rule broke.
     """
-    from linenbridge.faults.processor import play
+    from linenbridge.faults.processor import run_drill
 
-    report = play(seed, quick)
+    report = run_drill(seed, quick)
     print(json.dumps(report.as_dict()) if as_json else report.as_text())
     if report.broken():
         raise typer.Exit(FOUND)
@@ -38,9 +38,9 @@
     as_json: AsJson = False,
 ) -> None:
     """The same dialogue against an empty processor on each transport: what each costs for a stream."""
-    from linenbridge.faults.transport import weigh
+    from linenbridge.faults.transport import measure_transports
 
-    rows = weigh(seconds)
+    rows = measure_transports(seconds)
     if as_json:
         print(json.dumps([vars(row) for row in rows]))
         return
--- a/linenbridge/cli/serving.py
+++ b/linenbridge/cli/serving.py
@@ -38,9 +38,9 @@
 
 def try_out() -> None:
     """Start a gateway before fake servers on loopback, send some requests and show what comes back."""
-    from linenbridge.faults.demo import show
+    from linenbridge.faults.demo import run_demo
 
-    raise typer.Exit(show())
+    raise typer.Exit(run_demo())
 
 
 def _run(settings_file: Path, config: Path | None, *, serve_clients: bool) -> None:
--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -101,7 +101,7 @@
             case Progress() if message.follower == peer:
                 self.publisher.on_progress(now, peer, message)
             case _:
-                self.log.rarely("distribution.name_mismatch", "relay", peer=peer)
+                self.log.event_sampled("distribution.name_mismatch", "relay", peer=peer)
         self.driver.turn()
 
     def _execute(self, _state_machine: StateMachine, _now: int, decision: Decision) -> None:
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -161,14 +161,14 @@
             case Digests():
                 self.feed.on_digests(now, peer, message)
             case _:
-                self.log.rarely(
+                self.log.event_sampled(
                     "distribution.name_mismatch", "follower", peer=peer, claimed_name=message.follower[:64]
                 )
         self.driver.turn()
 
     def _on_publisher_message(self, now: int, peer: str, message: Prepare | Fetch | Append) -> None:
         if peer not in self.settings.home.publishers:
-            self.log.rarely("distribution.unauthorized_peer", "publisher", peer=peer)
+            self.log.event_sampled("distribution.unauthorized_peer", "publisher", peer=peer)
             return
         match message:
             case Prepare():
--- a/linenbridge/distribution/hosting/server.py
+++ b/linenbridge/distribution/hosting/server.py
@@ -14,7 +14,7 @@
 from linenbridge.configuration.read import Configuration, ConfigurationError
 from linenbridge.distribution.configuration import DistributionSettings, Role, distribution
 from linenbridge.distribution.hosting.methods import Methods, methods_of
-from linenbridge.logging.structured import structured
+from linenbridge.logging.structured import structured_log
 from linenbridge.process import lifecycle
 
 EXIT_BROKEN = 1  # exit code of a process that ended by itself: its log says why
@@ -40,7 +40,7 @@
         self, configuration: Configuration, settings: DistributionSettings, methods: Methods
     ) -> None:
         self.configuration = configuration
-        self.log = structured(sys.stderr.buffer, configuration.log_level)
+        self.log = structured_log(sys.stderr.buffer, configuration.log_level)
         self.reactor = lifecycle.begin(self.log)
         self.random = Random(secrets.randbits(64))
         self.exit_code = 0
--- a/linenbridge/faults/demo.py
+++ b/linenbridge/faults/demo.py
@@ -14,16 +14,16 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.task import deferLater
 
-from linenbridge.faults.deployment import KINDS, PATHS
+from linenbridge.faults.deployment import METHODS, PATHS
 from linenbridge.faults.processor import Drill
 from linenbridge.faults.fake_client import Client
-from linenbridge.faults.fake_proxy import Ask, Proxy, Told
+from linenbridge.faults.fake_proxy import PlannedRequest, Proxy, RequestRecord
 
 
-def show() -> int:
+def run_demo() -> int:
     """Print a table of requests by both ways; 0 where each had one answer."""
     drill = Drill(seed=7, quick=True)
-    told: list[tuple[str, Told]] = []
+    records: list[tuple[str, RequestRecord]] = []
 
     @inlineCallbacks
     def look() -> Iterator[Deferred]:
@@ -34,17 +34,31 @@
         proxy.dial()
         yield deferLater(reactor, 0.3)
         for number in range(9):
-            method = list(KINDS)[number % 3]
+            method = list(METHODS)[number % 3]
             path, verb = PATHS[method]
             for way, asked in (("processor", proxy), ("RESP2", client)):
                 now = world.clock()
-                told.append((way, asked.ask(Ask(f"{way}-{number}", method, now, path, verb), now)))
+                records.append(
+                    (
+                        way,
+                        asked.start_request(PlannedRequest(f"{way}-{number}", method, now, path, verb), now),
+                    )
+                )
             yield deferLater(reactor, 0.05)
         yield deferLater(reactor, 0.5)
         # A second attempt of a request with an effect: whoever it comes from, it does not go out again.
-        for one in [one for way, one in told if way == "processor" and one.ask.method == "confirm"][:1]:
+        for one in [one for way, one in records if way == "processor" and one.planned.method == "confirm"][
+            :1
+        ]:
             now = world.clock()
-            told.append(("once more", proxy.ask(Ask(one.ask.id, "confirm", now, *PATHS["confirm"]), now)))
+            records.append(
+                (
+                    "once more",
+                    proxy.start_request(
+                        PlannedRequest(one.planned.id, "confirm", now, *PATHS["confirm"]), now
+                    ),
+                )
+            )
         yield deferLater(reactor, 0.3)
         proxy.close()
         client.close()
@@ -64,9 +78,11 @@
     if drill.failure is not None:
         drill.failure.raiseException()
     grid = Table("way", "request", "method", "sent to", "answer", "after ms", title="linenbridge on loopback")
-    for way, one in told:
+    for way, one in records:
         sent = ", ".join(f"{node} (build {build})" for _, node, build, _ in one.sent) or "-"
-        at, what = one.finals[0] if one.finals else (one.ask.at, "none")
-        grid.add_row(way, one.ask.id, one.ask.method, sent, what, f"{(at - one.ask.at) * 1000:.1f}")
+        at, what = one.final_responses[0] if one.final_responses else (one.planned.at, "none")
+        grid.add_row(
+            way, one.planned.id, one.planned.method, sent, what, f"{(at - one.planned.at) * 1000:.1f}"
+        )
     Console().print(grid)
-    return 0 if all(len(one.finals) == 1 for _, one in told) else 1
+    return 0 if all(len(one.final_responses) == 1 for _, one in records) else 1
--- a/linenbridge/faults/deployment.py
+++ b/linenbridge/faults/deployment.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from linenbridge.faults import checker
-from linenbridge.faults.fake_world import LOOPBACK, Kind, World
+from linenbridge.faults.fake_world import LOOPBACK, FakeMethod, World
 
-KINDS = {
-    "quote": Kind("quote", 0.012, True, 0.25, 1.0, 3.0),
-    "lookup": Kind("lookup", 0.008, True, 0.25, 1.0, 1.0),
-    "confirm": Kind("confirm", 0.010, False, 0.25, 1.0, 5.0),
+METHODS = {
+    "quote": FakeMethod("quote", 0.012, True, 0.25, 1.0, 3.0),
+    "lookup": FakeMethod("lookup", 0.008, True, 0.25, 1.0, 1.0),
+    "confirm": FakeMethod("confirm", 0.010, False, 0.25, 1.0, 5.0),
 }
 PATHS = {
     "quote": ("/v1/quote/a", "GET"),
@@ -43,9 +43,9 @@
 def configuration(world: World, listen: int) -> dict[str, Any]:
     """What the platform would tell a gateway of this deployment."""
     profiles = [
-        {"name": kind.name, "aim": kind.soft, "give_up": kind.deadline, "worth": kind.utility,
-         "idempotency": "repeatable" if kind.idempotent else "once"}
-        for kind in KINDS.values()
+        {"name": method.name, "aim": method.soft, "give_up": method.deadline, "worth": method.utility,
+         "idempotency": "repeatable" if method.idempotent else "once"}
+        for method in METHODS.values()
     ]  # fmt: skip
     return {
         "name": "drill", "listen": f"{LOOPBACK}:{listen}", "discovery": world.discovery, "seed": "2a",
--- a/linenbridge/faults/fake_proxy.py
+++ b/linenbridge/faults/fake_proxy.py
@@ -29,7 +29,7 @@
 
 
 @dataclass
-class Ask:
+class PlannedRequest:
     """One request of the day, with what the proxy does amiss on it."""
 
     id: str
@@ -37,19 +37,21 @@
     at: float
     path: str
     verb: str
-    amiss: str = ""
+    fault: str = ""
 
 
 @dataclass
-class Told:
+class RequestRecord:
     """What became of one request: its final answers at the proxy, and where it was sent."""
 
-    ask: Ask
-    finals: list[tuple[float, str]] = field(default_factory=list)
+    planned: PlannedRequest
+    final_responses: list[tuple[float, str]] = field(default_factory=list)
     sent: list[tuple[float, str, int, bool]] = field(default_factory=list)  # when, node, build, by a ticket
     streams: int = 0
-    answers: list[int] = field(default_factory=list)  # of each stream's messages, answers beyond what is owed
-    waits: list[float] = field(default_factory=list)  # each decision's time, from the intended time on
+    # Of each stream's messages, answers beyond what is owed.
+    unexpected_responses: list[int] = field(default_factory=list)
+    # Each decision's time, from the intended time on.
+    decision_times: list[float] = field(default_factory=list)
     statuses: list[str] = field(default_factory=list)
 
 
@@ -148,8 +150,8 @@
 class Stream:
     """One attempt's stream."""
 
-    def __init__(self, proxy: Proxy, told: Told, attempt: int, intended: float) -> None:
-        self.proxy, self.told, self.attempt, self.intended = proxy, told, attempt, intended
+    def __init__(self, proxy: Proxy, record: RequestRecord, attempt: int, intended: float) -> None:
+        self.proxy, self.record, self.attempt, self.intended = proxy, record, attempt, intended
         self.line: Line | None = None
         self.number = -1
         self.owed = 0
@@ -160,24 +162,25 @@
 
     def start(self, line: Line) -> None:
         self.line = line
-        self.told.streams += 1
+        self.record.streams += 1
         line.open(self)
-        ask, message = self.told.ask, wire.ProcessingRequest()
+        request, message = self.record.planned, wire.ProcessingRequest()
         headers = message.request_headers.headers.headers
         for name, value in (
-            (":method", ask.verb), (":path", ask.path), (":authority", "bookings"), (":scheme", "http"),
-            ("x-request-id", ask.id), ("x-envoy-attempt-count", str(self.attempt)), ("x-tenant", "t1"),
+            (":method", request.verb), (":path", request.path), (":authority", "bookings"),
+            (":scheme", "http"), ("x-request-id", request.id),
+            ("x-envoy-attempt-count", str(self.attempt)), ("x-tenant", "t1"),
         ):  # fmt: skip
             headers.add(key=name, raw_value=value.encode())
         message.request_headers.end_of_stream = True
         self.owed += 1
         line.say(self, message)
-        amiss = self.told.ask.amiss if self.attempt == 1 else ""
-        if amiss == "reset-before-read":
+        fault = self.record.planned.fault if self.attempt == 1 else ""
+        if fault == "reset-before-read":
             line.reset(self)  # In the same write: the processor reads both at once.
             self.proxy.impatient(self)
             return
-        patience = 0.0003 if amiss == "impatient" else self.proxy.patience
+        patience = 0.0003 if fault == "impatient" else self.proxy.patience
         self.timer = self.proxy.world.reactor.callLater(patience, self._impatient)
 
     def _impatient(self) -> None:
@@ -195,14 +198,14 @@
     def heard(self, answer: wire.ProcessingResponse) -> None:
         self.owed -= 1
         if self.owed < 0:
-            self.told.answers.append(self.owed)
+            self.record.unexpected_responses.append(self.owed)
         kind = answer.WhichOneof("response")
         if self.phase == "asking":
             self._stop_timer()
-            self.told.waits.append(self.proxy.world.clock() - self.intended)
+            self.record.decision_times.append(self.proxy.world.clock() - self.intended)
             if kind == "immediate_response":
                 self.phase = "refused"
-                self.proxy.final(self.told, f"immediate {answer.immediate_response.status.code}")
+                self.proxy.final(self.record, f"immediate {answer.immediate_response.status.code}")
             elif kind == "request_headers":
                 self._go(answer)
         elif self.phase == "reporting":
@@ -218,8 +221,8 @@
             for option in answer.request_headers.response.header_mutation.set_headers
         }
         self.phase = "upstream"
-        amiss = self.told.ask.amiss if self.attempt == 1 else ""
-        if amiss == "leave-after-hand-out":
+        fault = self.record.planned.fault if self.attempt == 1 else ""
+        if fault == "leave-after-hand-out":
             # As if the answer had come too late: the proxy does not send, and tries once more.
             if self.line is not None:
                 self.line.reset(self)
@@ -227,11 +230,11 @@
             return
         node = self.proxy.world.by_address.get(named.get(ENDPOINT, ""))
         if node is None:
-            self.proxy.final(self.told, "no endpoint")
+            self.proxy.final(self.record, "no endpoint")
             return
-        self.told.sent.append((self.proxy.world.clock(), node.name, node.build, True))
+        self.record.sent.append((self.proxy.world.clock(), node.name, node.build, True))
         self.timer = self.proxy.world.reactor.callLater(self.proxy.upstream_most, self._done, "timeout")
-        node.serve(self.told.ask.id, self.told.ask.method, self._done)
+        node.serve(self.record.planned.id, self.record.planned.method, self._done)
 
     def _done(self, outcome: str) -> None:
         """The upstream has answered: report it, unless this proxy keeps silent or lies."""
@@ -239,15 +242,15 @@
             return
         self._stop_timer()
         self.outcome = outcome
-        amiss = self.told.ask.amiss if self.attempt == 1 else ""
-        if amiss == "silent" and self.line is not None:
+        fault = self.record.planned.fault if self.attempt == 1 else ""
+        if fault == "silent" and self.line is not None:
             self.phase = "over"
             self.line.reset(self)
-            self.proxy.final(self.told, outcome)
+            self.proxy.final(self.record, outcome)
             return
         if self.line is None or self.line.streams.get(self.number) is not self:
             self.phase = "over"
-            self.proxy.final(self.told, outcome)  # The processor has gone: what came is passed on.
+            self.proxy.final(self.record, outcome)  # The processor has gone: what came is passed on.
             return
         status = {"ok": "200", "error": "500", "full": "503", "unreached": "503", "timeout": "504"}[outcome]
         message = wire.ProcessingRequest()
@@ -266,13 +269,13 @@
         """The processor has ended the stream, or is gone."""
         self._stop_timer() if self.phase == "asking" else None
         if self.status:
-            self.told.statuses.append(self.status)
+            self.record.statuses.append(self.status)
         if self.phase == "asking":
             self.phase = "over"
             self.proxy.unanswered(self)
         elif self.phase == "reporting":
             self.phase = "over"
-            self.proxy.final(self.told, self.outcome)
+            self.proxy.final(self.record, self.outcome)
 
 
 class Proxy:
@@ -286,7 +289,7 @@
         self.patience, self.attempts, self.fail_open, self.rosy = patience, attempts, fail_open, rosy
         self.upstream_most = 2.0
         self.lines: list[Line] = []
-        self.told: list[Told] = []
+        self.records: list[RequestRecord] = []
         self.next = 0
         self.closed = False
         self.dialling = 0
@@ -324,15 +327,15 @@
         for line in list(self.lines):
             line.transport.abortConnection()
 
-    def ask(self, ask: Ask, intended: float) -> Told:
-        told = Told(ask)
-        self.told.append(told)
-        self._attempt(told, 1, intended)
-        return told
+    def start_request(self, request: PlannedRequest, intended: float) -> RequestRecord:
+        record = RequestRecord(request)
+        self.records.append(record)
+        self._attempt(record, 1, intended)
+        return record
 
-    def _attempt(self, told: Told, attempt: int, intended: float) -> None:
+    def _attempt(self, record: RequestRecord, attempt: int, intended: float) -> None:
         usable = [line for line in self.lines if line.usable]
-        stream = Stream(self, told, attempt, intended)
+        stream = Stream(self, record, attempt, intended)
         if not usable:
             stream.phase = "over"
             self.unanswered(stream)
@@ -344,7 +347,7 @@
         if stream.attempt >= self.attempts:
             return False
         later = self.world.reactor.callLater
-        later(wait, lambda: self._attempt(stream.told, stream.attempt + 1, self.world.clock()))
+        later(wait, lambda: self._attempt(stream.record, stream.attempt + 1, self.world.clock()))
         return True
 
     def impatient(self, stream: Stream) -> None:
@@ -353,30 +356,30 @@
         if self.fail_open:
             self._bypass(stream)
         elif not self._retry(stream):
-            self.final(stream.told, "no answer")
+            self.final(stream.record, "no answer")
 
     def unanswered(self, stream: Stream) -> None:
         """The processor has gone or refused the stream: the same, a little later."""
         if self.fail_open:
             self._bypass(stream)
         elif not self._retry(stream, 0.05):
-            self.final(stream.told, "no answer")
+            self.final(stream.record, "no answer")
 
     def _bypass(self, stream: Stream) -> None:
-        told, up = stream.told, [node for node in self.world.nodes.values() if node.state == "active"]
-        node = up[len(self.told) % len(up)]
-        told.sent.append((self.world.clock(), node.name, node.build, False))
+        record, up = stream.record, [node for node in self.world.nodes.values() if node.state == "active"]
+        node = up[len(self.records) % len(up)]
+        record.sent.append((self.world.clock(), node.name, node.build, False))
 
         def done(outcome: str) -> None:
             if outcome == "ok" or not self._retry(stream):
-                self.final(told, outcome)
+                self.final(record, outcome)
 
-        node.serve(told.ask.id, told.ask.method, done)
+        node.serve(record.planned.id, record.planned.method, done)
 
     def reported(self, stream: Stream, again: bool) -> None:
         """The processor has heard. A failure is tried again where it says that there is more to come."""
         if stream.outcome == "ok" or not again or not self._retry(stream):
-            self.final(stream.told, stream.outcome)
+            self.final(stream.record, stream.outcome)
 
-    def final(self, told: Told, outcome: str) -> None:
-        told.finals.append((self.world.clock(), outcome))
+    def final(self, record: RequestRecord, outcome: str) -> None:
+        record.final_responses.append((self.world.clock(), outcome))
--- a/linenbridge/faults/processor.py
+++ b/linenbridge/faults/processor.py
@@ -24,13 +24,13 @@
 from twisted.internet.task import deferLater
 
 from linenbridge.faults import checker
-from linenbridge.faults.deployment import KINDS, SETTINGS, TERMS, configuration
+from linenbridge.faults.deployment import METHODS, SETTINGS, TERMS, configuration
 from linenbridge.faults.plan import plan
 from linenbridge.faults.process import Process, free_port
 from linenbridge.faults.report import PERCENTILES, Day, Report
 from linenbridge.faults.fake_client import Client
-from linenbridge.faults.fake_proxy import Ask, Proxy, Told
-from linenbridge.faults.fake_world import News, World
+from linenbridge.faults.fake_proxy import PlannedRequest, Proxy, RequestRecord
+from linenbridge.faults.fake_world import RolloutStatus, World
 
 
 class Drill:
@@ -44,7 +44,7 @@
         self.processes: list[Process] = []
 
     def world(self) -> World:
-        world = World(reactor, self.seed, KINDS, time.monotonic)
+        world = World(reactor, self.seed, METHODS, time.monotonic)
         world.listen([(f"n{number}", 1) for number in range(8)], cores=4)
         return world
 
@@ -71,30 +71,36 @@
 
     @inlineCallbacks
     def play(
-        self, asks: list[Ask], asked: Any, script: list[tuple[float, Callable[[], None]]]
+        self, requests: list[PlannedRequest], asked: Any, script: list[tuple[float, Callable[[], None]]]
     ) -> Iterator[Deferred]:
         """Open loop: each request at its intended time, whatever came of those before."""
         began = time.monotonic() + 0.1
-        for ask in asks:
-            ask.at += began
-            reactor.callLater(max(0.0, ask.at - time.monotonic()), asked.ask, ask, ask.at)
+        for request in requests:
+            request.at += began
+            reactor.callLater(
+                max(0.0, request.at - time.monotonic()), asked.start_request, request, request.at
+            )
         for at, what in script:
             reactor.callLater(max(0.0, began + at - time.monotonic()), what)
-        last = max([ask.at for ask in asks], default=began) - began
+        last = max([request.at for request in requests], default=began) - began
         yield deferLater(reactor, last + 0.5)
         for _ in range(80):
-            if all(one.finals for one in asked.told):
+            if all(one.final_responses for one in asked.records):
                 break
             yield deferLater(reactor, 0.05)
         yield deferLater(reactor, 0.3)
 
-    def day(self, name: str, world: World, told: list[Told], cpu: float, memory: float) -> Day:
+    def day(self, name: str, world: World, records: list[RequestRecord], cpu: float, memory: float) -> Day:
         day = Day(
-            name, len(told), dict(sorted(Counter(one.finals[0][1] for one in told if one.finals).items()))
+            name,
+            len(records),
+            dict(
+                sorted(Counter(one.final_responses[0][1] for one in records if one.final_responses).items())
+            ),
         )
-        day.g = checker.g(told, KINDS)
-        day.broken = checker.check(world, told, TERMS)
-        waits = [wait for one in told for wait in one.waits]
+        day.g = checker.utility_ratio(records, METHODS)
+        day.broken = checker.check(world, records, TERMS)
+        waits = [wait for one in records for wait in one.decision_times]
         if waits:
             histogram = HdrHistogram(1, 60_000_000, 3)
             for wait in waits:
@@ -102,9 +108,9 @@
             day.waits_ms = {
                 f"p{p:g}": round(histogram.get_value_at_percentile(p) / 1000, 3) for p in PERCENTILES
             }
-        streams = sum(one.streams for one in told) or len(told)
+        streams = sum(one.streams for one in records) or len(records)
         if cpu:
-            day.cpu_us, day.streams_per_core = cpu / max(1, len(told)) * 1e6, streams / cpu
+            day.cpu_us, day.streams_per_core = cpu / max(1, len(records)) * 1e6, streams / cpu
         day.memory_mb = round(memory, 1)
         self.report.days.append(day)
         return day
@@ -134,7 +140,7 @@
             yield deferLater(reactor, 0.3)
         before = process.cpu()
         yield self.play(plan(self.seed, rate, seconds, 0.0), asked, [])
-        day = self.day(name, world, asked.told, process.cpu() - before, process.memory_mb())
+        day = self.day(name, world, asked.records, process.cpu() - before, process.memory_mb())
         if name == "empty":
             day.broken = []  # It decides nothing: only its time counts.
         asked.close()
@@ -157,7 +163,7 @@
         def trial() -> None:
             world.add("n8", 2, 4)
             world.add("n9", 2, 4)
-            world.tell(News(2, 0, "testing", 0.2))
+            world.set_rollout(RolloutStatus(2, 0, "testing", 0.2))
 
         def killed() -> None:
             process.end(signal.SIGKILL)
@@ -179,13 +185,13 @@
             (seconds * 0.25, lambda: world.drain("n1")),
             (seconds * 0.3, world.nodes["n2"].die),
             (seconds * 0.4, killed),
-            (seconds * 0.55, lambda: world.tell(News(2, 0, "recalling", 0.0))),
+            (seconds * 0.55, lambda: world.set_rollout(RolloutStatus(2, 0, "recalling", 0.0))),
             (seconds * 0.6, planned),
             (seconds * 0.8, lambda: world.drain("n3")),
         ]
         yield self.play(plan(self.seed + 1, rate, seconds, 0.06), proxy, script)
         day = self.day(
-            f"faults, {'open' if fail_open else 'closed'}", world, proxy.told, 0.0, process.memory_mb()
+            f"faults, {'open' if fail_open else 'closed'}", world, proxy.records, 0.0, process.memory_mb()
         )
         recalled = [event["ids"] for event in process.events("store.recalled")]
         day.notes.append(f"ids recalled at each start: {recalled}")
@@ -227,6 +233,6 @@
         return self.report
 
 
-def play(seed: int, quick: bool) -> Report:
+def run_drill(seed: int, quick: bool) -> Report:
     """One whole drill; the caller's process is its own, as the reactor runs once."""
     return Drill(seed, quick).run()
--- a/linenbridge/faults/transport.py
+++ b/linenbridge/faults/transport.py
@@ -21,9 +21,9 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.task import deferLater
 
-from linenbridge.faults.deployment import KINDS, PATHS
+from linenbridge.faults.deployment import METHODS, PATHS
 from linenbridge.faults.process import Process, free_port
-from linenbridge.faults.fake_proxy import Ask, Proxy, Told
+from linenbridge.faults.fake_proxy import PlannedRequest, Proxy, RequestRecord
 from linenbridge.faults.fake_world import World
 
 SERVERS = {
@@ -34,7 +34,7 @@
 
 
 @dataclass
-class Weighed:
+class TransportCosts:
     """One transport's figures: streams for a processor second of the server, and so on."""
 
     name: str
@@ -55,10 +55,12 @@
         if self.running:
             self.asked += 1
             path, verb = PATHS["lookup"]
-            self.ask(Ask(f"t{self.asked}", "lookup", self.world.clock(), path, verb), self.world.clock())
+            self.start_request(
+                PlannedRequest(f"t{self.asked}", "lookup", self.world.clock(), path, verb), self.world.clock()
+            )
 
-    def final(self, told: Told, outcome: str) -> None:
-        super().final(told, outcome)
+    def final(self, record: RequestRecord, outcome: str) -> None:
+        super().final(record, outcome)
         self.world.reactor.callLater(0, self.more)
 
 
@@ -71,13 +73,17 @@
         done("ok")
 
 
-def weigh(seconds: float) -> list[Weighed]:
+def measure_transports(seconds: float) -> list[TransportCosts]:
     """Each transport in turn, in one run."""
-    folder, rows, failures = Path(tempfile.mkdtemp(prefix="linenbridge-transport-")), list[Weighed](), []
+    folder, rows, failures = (
+        Path(tempfile.mkdtemp(prefix="linenbridge-transport-")),
+        list[TransportCosts](),
+        [],
+    )
 
     @inlineCallbacks
     def one(name: str, module: str) -> Iterator[Deferred]:
-        world, port = World(reactor, 1, KINDS, time.monotonic), free_port()
+        world, port = World(reactor, 1, METHODS, time.monotonic), free_port()
         world.by_address["127.0.0.1:9"] = Quick()  # type: ignore[assignment]
         began = time.monotonic()
         process = Process([sys.executable, "-m", module, str(port), "127.0.0.1:9"], {}, folder, module)
@@ -94,12 +100,18 @@
             yield deferLater(reactor, seconds)
             proxy.running = False
             used = process.cpu() - before
-            done = [told for told in proxy.told if told.finals]
-            waits = sorted(told.waits[0] for told in done if told.waits)
+            done = [record for record in proxy.records if record.final_responses]
+            waits = sorted(record.decision_times[0] for record in done if record.decision_times)
             rows.append(
-                Weighed(name, len(done), len(done) / max(used, 1e-3), waits[len(waits) // 2] * 1e3, start,
-                        process.memory_mb())
-            )  # fmt: skip
+                TransportCosts(
+                    name,
+                    len(done),
+                    len(done) / max(used, 1e-3),
+                    waits[len(waits) // 2] * 1e3,
+                    start,
+                    process.memory_mb(),
+                )
+            )
             proxy.close()
         finally:
             process.end(signal.SIGKILL)
--- a/linenbridge/fleet/hosting/quorum_member.py
+++ b/linenbridge/fleet/hosting/quorum_member.py
@@ -12,7 +12,7 @@
 from linenbridge.fleet.configuration import FleetSettings, fleet_settings
 from linenbridge.fleet.hosting.member import Member
 from linenbridge.logging.event_log import Log
-from linenbridge.logging.structured import structured
+from linenbridge.logging.structured import structured_log
 from linenbridge.process import lifecycle
 
 INCARNATION_BITS = 60
@@ -20,7 +20,7 @@
 
 def run(configuration: Configuration, settings: FleetSettings) -> int:
     """Run one process from start to end; returns the exit code."""
-    log = structured(sys.stderr.buffer, configuration.log_level)
+    log = structured_log(sys.stderr.buffer, configuration.log_level)
     reactor = lifecycle.begin(log)
     member = Member(settings, reactor, log, secrets.randbits(INCARNATION_BITS))
     log.event("started", member=settings.member)
--- a/linenbridge/fleet/hosting/task_actions.py
+++ b/linenbridge/fleet/hosting/task_actions.py
@@ -132,7 +132,7 @@
 
     def _on_failure(self, failure: Any, action: dict[str, Any]) -> None:
         self.in_flight.discard(action["task"])
-        self.log.rarely(
+        self.log.event_sampled(
             "task_action.failed",
             action["task"],
             error=failure.getErrorMessage(),
--- a/linenbridge/logging/event_log.py
+++ b/linenbridge/logging/event_log.py
@@ -42,7 +42,7 @@
         trace = "".join(traceback.format_exception(error))
         self.event("failed", where=where, error=f"{type(error).__name__}: {error}", trace=trace)
 
-    def rarely(self, name: str, source: str, /, **fields: object) -> None:
+    def event_sampled(self, name: str, source: str, /, **fields: object) -> None:
         """Counts an event that a peer can cause at will, and writes a line whenever their number has doubled.
 
         A flood of them so costs little disk and time.
--- a/linenbridge/logging/structured.py
+++ b/linenbridge/logging/structured.py
@@ -60,7 +60,7 @@
     debug = info = warning = error = critical = msg
 
 
-def structured(stream: BinaryIO, level: str = "info", **bound: object) -> Log:
+def structured_log(stream: BinaryIO, level: str = "info", **bound: object) -> Log:
     """A log whose lines structlog writes: those under `level` are left out, `bound` fields are in each."""
     log = Log(stream)
     logger = structlog.wrap_logger(
--- a/linenbridge/net/client_connection.py
+++ b/linenbridge/net/client_connection.py
@@ -112,7 +112,7 @@
             for arguments in self.reader.feed(data):
                 self._on_command(arguments)
         except resp.MalformedError as error:
-            self.owner.log.rarely("malformed", "client", error=str(error))
+            self.owner.log.event_sampled("malformed", "client", error=str(error))
             self.is_reading = False
             self.reject(str(error))
         self.is_reading = False
--- a/linenbridge/net/downstream.py
+++ b/linenbridge/net/downstream.py
@@ -230,7 +230,7 @@
             self.port.stopReading()
         else:
             self.port.startReading()
-        self.log.rarely("accept", "paused" if self.paused else "resumed", clients=len(self.open))
+        self.log.event_sampled("accept", "paused" if self.paused else "resumed", clients=len(self.open))
 
     # ---- the stop --------------------------------------------------------------------------------
 
--- a/linenbridge/net/load_reports.py
+++ b/linenbridge/net/load_reports.py
@@ -4,7 +4,7 @@
 
 import re
 
-from linenbridge.startup import LOADS
+from linenbridge.startup import LOAD_REPORT_FIELDS
 
 # PROTOCOL, Gateways to instances.
 REPORT = re.compile(rb"[a-z_]+=\d{1,9}(\.\d{1,9})?(,[a-z_]+=\d{1,9}(\.\d{1,9})?)*")
@@ -17,6 +17,6 @@
         return load
     for part in bytes(text).split(b","):
         name, _, figure = part.partition(b"=")
-        if (known := LOADS.get(name.decode())) is not None:
+        if (known := LOAD_REPORT_FIELDS.get(name.decode())) is not None:
             load[known] = float(figure)
     return load
--- a/linenbridge/net/platform.py
+++ b/linenbridge/net/platform.py
@@ -234,7 +234,7 @@
                 return
             msgspec.json.decode(response.body, type=VoteError)
         except msgspec.DecodeError as error:
-            self.log.rarely("malformed", "vote", error=str(error))
+            self.log.event_sampled("malformed", "vote", error=str(error))
             self._on_not_counted("vote.unanswered", is_stale=False)  # It may have counted.
             return
         is_stale = response.status == HTTP_CONFLICT
@@ -244,7 +244,7 @@
 
     def _on_no_response(self, failure: Any) -> None:
         if failure.check(MalformedError):
-            self.log.rarely("malformed", "vote", error=str(failure.value))
+            self.log.event_sampled("malformed", "vote", error=str(failure.value))
         self._on_not_counted("vote.unanswered", is_stale=False)
 
     def _on_not_counted(self, counter: str, *, is_stale: bool) -> None:
--- a/linenbridge/net/upstream.py
+++ b/linenbridge/net/upstream.py
@@ -182,7 +182,9 @@
 
     def on_malformed(self, connection: Connection, error: resp.MalformedError) -> None:
         """Close a connection; the attempt in flight on it may have been executed."""
-        self.log.rarely("malformed", "instance", error=str(error), instance=connection.pool.entry.instance)
+        self.log.event_sampled(
+            "malformed", "instance", error=str(error), instance=connection.pool.entry.instance
+        )
         if connection.attempt is not None:
             self._end(connection.attempt, Outcome.MALFORMED_RESPONSE)
         self._close(connection)
--- a/linenbridge/net/watch_stream.py
+++ b/linenbridge/net/watch_stream.py
@@ -61,7 +61,7 @@
                 if part.last:
                     self.transport.abortConnection()
         except MalformedError as error:
-            self.watch.log.rarely("malformed", self.watch.settings.name, error=str(error))
+            self.watch.log.event_sampled("malformed", self.watch.settings.name, error=str(error))
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Any = None) -> None:  # Twisted's signature  # noqa: ARG002  # Twisted's signature
--- a/linenbridge/peering/connections.py
+++ b/linenbridge/peering/connections.py
@@ -259,7 +259,7 @@
     def buildProtocol(self, addr: Any) -> PeerConnection | None:  # noqa: ARG002  (Twisted's signature)
         """Twisted: accept a connection, unless as many as the bound are open."""
         if len(self.open_connections) >= self._connection_bound():
-            self.log.rarely("peer.too_many_connections", ALL_PEERS)
+            self.log.event_sampled("peer.too_many_connections", ALL_PEERS)
             return None
         return PeerConnection(self)
 
@@ -272,9 +272,9 @@
         """Count an event by the peer's name if the settings hold the names; else under one label, since a
         peer can make up any number of names."""
         if isinstance(self.peer_names, frozenset):
-            self.log.rarely(event, peer, **fields)
+            self.log.event_sampled(event, peer, **fields)
         else:
-            self.log.rarely(event, ANY_PEER, peer=peer, **fields)
+            self.log.event_sampled(event, ANY_PEER, peer=peer, **fields)
 
     def dial(self, peer: str, address: tuple[str, int]) -> None:
         """Keep a connection to a process; after a failure it is opened again with exponential backoff and
--- a/linenbridge/processor/external_processor.py
+++ b/linenbridge/processor/external_processor.py
@@ -117,7 +117,7 @@
             wait = self.ledger.terms.retry_within
             session.reject(self.format.rejection(session.grpc, wait, "too many requests are open"))
         else:
-            self.log.rarely(
+            self.log.event_sampled(
                 "refused", admission, proxy=session.peer.name, request=request[:64], attempt=int(attempt)
             )
             no_id = admission == Admission.NO_ID
--- a/linenbridge/processor/http2/connection.py
+++ b/linenbridge/processor/http2/connection.py
@@ -98,7 +98,9 @@
             if len(self.goaways.last_streams) > GOAWAYS_MOST:
                 self.end("it says goodbye again and again")
         except h2.exceptions.ProtocolError as error:
-            self.server.log.rarely("malformed", "proxy", error=str(error)[:200], peer=self.peer.address)
+            self.server.log.event_sampled(
+                "malformed", "proxy", error=str(error)[:200], peer=self.peer.address
+            )
             self.end("it does not keep to HTTP/2", getattr(error, "error_code", None))
             return
         except Exception as error:
@@ -135,7 +137,7 @@
             return
         self.ending = True
         self.server.log.count("proxy.ended")
-        self.server.log.rarely("proxy.end", why, peer=self.peer.address)
+        self.server.log.event_sampled("proxy.end", why, peer=self.peer.address)
         try:
             error = h2.errors.ErrorCodes.ENHANCE_YOUR_CALM if code is None else code
             self.h2.close_connection(error, why.encode())
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -15,7 +15,7 @@
 
 from linenbridge.configuration.read import Configuration, ConfigurationError
 from linenbridge.logging.event_log import Log
-from linenbridge.logging.structured import structured
+from linenbridge.logging.structured import structured_log
 from linenbridge.net.decision_loop import DecisionLoop
 from linenbridge.net.discovery import host_port
 from linenbridge.process import lifecycle
@@ -96,7 +96,7 @@
     def _open_session(self, call: Call) -> StreamSession | UnauthorizedStream:
         peer = self.directory.find(call.peer.address, call.peer.names or ())
         if peer is None or self.processor is None:
-            self.log.rarely("unauthorized_peer", call.peer.address, names=call.peer.names)
+            self.log.event_sampled("unauthorized_peer", call.peer.address, names=call.peer.names)
             return UnauthorizedStream(call)
         return StreamSession(self.processor, peer, call)
 
@@ -186,7 +186,7 @@
     """One process until its end: the processor, and RESP2 too where `resp` says so."""
     if (told := processor_settings(configuration)) is None:
         raise ConfigurationError(f"{configuration.path}: element 'linenbridge': it has no processor")
-    log = structured(sys.stderr.buffer, configuration.log_level)
+    log = structured_log(sys.stderr.buffer, configuration.log_level)
     reactor = lifecycle.begin(log)
     distributed = _distributed(configuration, at, log, reactor)
     view, start = (None, None) if distributed is None else (distributed.view, distributed.start)
--- a/linenbridge/processor/stream_session.py
+++ b/linenbridge/processor/stream_session.py
@@ -66,11 +66,11 @@
             message = codec.decode(data)
             action = self.phases.on_message(message.kind, observed=message.observed)
         except codec.MalformedError as error:
-            handler.log.rarely("malformed", "message", error=str(error), proxy=self.peer.name)
+            handler.log.event_sampled("malformed", "message", error=str(error), proxy=self.peer.name)
             self.fail(http2.INVALID_ARGUMENT, str(error))
             return
         except OutOfOrderError as error:
-            handler.log.rarely("malformed", "order", error=str(error), proxy=self.peer.name)
+            handler.log.event_sampled("malformed", "order", error=str(error), proxy=self.peer.name)
             self.fail(http2.FAILED_PRECONDITION, str(error))
             return
         if action == Action.DECIDE:
--- a/linenbridge/startup.py
+++ b/linenbridge/startup.py
@@ -18,7 +18,7 @@
     "by_key": Idempotency.IDEMPOTENT_BY_KEY,
     "once": Idempotency.NON_IDEMPOTENT,
 }
-LOADS = {
+LOAD_REPORT_FIELDS = {
     "rif": "in_flight",
     "q": "waiting",
     "busy": "busy",
