--- a/linenbridge/__main__.py
+++ b/linenbridge/__main__.py
@@ -19,9 +19,9 @@
         return run()
     # The platform's gateway speaks no TLS: Twisted takes the library up wherever it finds it, for 8 MB.
     sys.modules.setdefault("OpenSSL", None)  # type: ignore[arg-type]
-    from linenbridge.process.gateway import main as gateway
+    from linenbridge.process.gateway import main as run_gateway
 
-    return gateway()
+    return run_gateway()
 
 
 if __name__ == "__main__":
--- a/linenbridge/process/components.py
+++ b/linenbridge/process/components.py
@@ -30,8 +30,8 @@
 # when it is read again.
 RESERVED_DESCRIPTORS = 8
 MEBIBYTE = 1 << 20
-LINE_SHARE_OF_MEMORY = 16  # a list, or half-read commands, may take one part in so many
-CLIENT_POOL_SHARE = 3  # LATER, Score: clients hold one descriptor in so many at most
+MESSAGE_MEMORY_DIVISOR = 16  # a list, or half-read commands, may take one part in so many
+CLIENT_POOL_DIVISOR = 3  # LATER, Score: clients hold one descriptor in so many at most
 
 
 def now() -> int:
@@ -54,20 +54,20 @@
     """What one gateway may use: descriptors for clients and instances together, and bytes of one message."""
 
     descriptors: int
-    max_line: int
+    max_message_bytes: int
 
 
 def _budgets(configuration: ProcessConfiguration) -> _Budgets:
     in_use = len(os.listdir("/proc/self/fd")) + RESERVED_DESCRIPTORS
-    max_line = int(configuration.limits.memory_mb * MEBIBYTE) // LINE_SHARE_OF_MEMORY
-    return _Budgets(configuration.limits.sockets - in_use, max_line)
+    max_message_bytes = int(configuration.limits.memory_mb * MEBIBYTE) // MESSAGE_MEMORY_DIVISOR
+    return _Budgets(configuration.limits.sockets - in_use, max_message_bytes)
 
 
 def build(
     configuration: ProcessConfiguration,
     log: Log,
     reactor: Any,
-    add_front: Callable[[DecisionLoop], EndpointListener] | None = None,
+    add_frontend: Callable[[DecisionLoop], EndpointListener] | None = None,
     start: Startup | None = None,
 ) -> GatewayComponents:
     """Build one gateway; the module has the list and the rollout's state before anyone can send a request.
@@ -85,7 +85,7 @@
     idle_timeout = micros(settings.allowances.idle_timeout)
     # A request in flight holds one descriptor on each side.
     instances = Instances(loop, reactor, budgets.descriptors // 2, connect_timeout, idle_timeout, log)
-    listeners = (instances,) if add_front is None else (instances, add_front(loop))
+    listeners = (instances,) if add_frontend is None else (instances, add_frontend(loop))
 
     open_watch = partial(WatchStream, reactor=reactor, log=log, random=Random(seed))
     discovery = Discovery(
@@ -95,7 +95,7 @@
         settings.discovery == "push",
         partial(open_watch, address=host_port(configuration.discovery)),
         connect_timeout,
-        budgets.max_line,
+        budgets.max_message_bytes,
     )
     address = host_port(configuration.platform.address)
     platform = Platform(
@@ -105,13 +105,13 @@
         methods,
         connect_timeout,
         micros(settings.rollout.response_timeout),
-        budgets.max_line,
+        budgets.max_message_bytes,
         log,
         partial(open_watch, address=address),
     )
     loop.platform = platform
     loop.discovery = discovery
-    _begin(configuration, discovery, platform, loop)
+    _start_watches(configuration, discovery, platform, loop)
     clients = _clients(configuration, budgets, loop, reactor, instances, methods, log)
     return GatewayComponents(clients, instances, platform, discovery, loop)
 
@@ -131,14 +131,14 @@
         instances,
         methods,
         configuration.settings.max_deadline(),
-        budgets.max_line,
+        budgets.max_message_bytes,
         Descriptors(budgets.descriptors - budgets.descriptors // 2),
-        configuration.limits.sockets // CLIENT_POOL_SHARE,
+        configuration.limits.sockets // CLIENT_POOL_DIVISOR,
         log,
     )
 
 
-def _begin(
+def _start_watches(
     configuration: ProcessConfiguration, discovery: Discovery, platform: Platform, loop: DecisionLoop
 ) -> None:
     """Report the state that the configuration has, then watch for what changes."""
--- a/linenbridge/process/configuration.py
+++ b/linenbridge/process/configuration.py
@@ -16,7 +16,7 @@
 
 CONFIGURATION_PATH = "LB_CONFIG"
 # Fields that the environment gives where the configuration leaves them out.
-ENVIRONMENT = {"name": "LB_NAME", "listen": "LB_LISTEN", "discovery": "LB_DISCOVERY"}
+ENVIRONMENT_VARIABLES = {"name": "LB_NAME", "listen": "LB_LISTEN", "discovery": "LB_DISCOVERY"}
 
 
 class Limits(Struct):
@@ -61,10 +61,21 @@
     content = msgspec.json.decode(path.read_bytes())
     if not isinstance(content, dict):
         raise ValueError("it holds no object")
-    named = {field: environ[name] for field, name in ENVIRONMENT.items() if name in environ}
-    found = msgspec.json.decode(msgspec.json.encode({**named, **content}), type=ProcessConfiguration)
-    listed = [row.address for row in found.known.endpoints] if found.known is not None else []
-    for address in (found.listen, found.discovery, found.platform.address, *listed):
+    from_environment = {
+        field: environ[variable] for field, variable in ENVIRONMENT_VARIABLES.items() if variable in environ
+    }
+    configuration = msgspec.json.decode(
+        msgspec.json.encode({**from_environment, **content}), type=ProcessConfiguration
+    )
+    endpoint_addresses = (
+        [row.address for row in configuration.known.endpoints] if configuration.known is not None else []
+    )
+    for address in (
+        configuration.listen,
+        configuration.discovery,
+        configuration.platform.address,
+        *endpoint_addresses,
+    ):
         host_port(address)
-    int(found.seed, 16)
-    return found
+    int(configuration.seed, 16)
+    return configuration
--- a/linenbridge/process/lifecycle.py
+++ b/linenbridge/process/lifecycle.py
@@ -48,14 +48,14 @@
 
     SIGTERM and SIGINT call `stop`, SIGUSR1 `log_counters`, SIGHUP `reload`.
     """
-    calls = {
+    handlers = {
         signal.SIGTERM: stop,
         signal.SIGINT: stop,
         signal.SIGUSR1: log_counters,
         signal.SIGHUP: reload,
     }
-    for number, call in calls.items():
-        signal.signal(number, lambda *_, call=call: reactor.callFromThread(call))
+    for signal_number, handler in handlers.items():
+        signal.signal(signal_number, lambda *_, handler=handler: reactor.callFromThread(handler))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
     # Objects of the start are never freed: the collector does not traverse them while requests wait.
     gc.collect()
