--- a/linenbridge/process/components.py
+++ b/linenbridge/process/components.py
@@ -1,6 +1,6 @@
 """The components of one gateway: built from its configuration, and reloaded.
 
-Owns which component knows which. Decides nothing, and holds nothing once the components run.
+Owns the references between components. Makes no decisions, and keeps no state once the components run.
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
 from linenbridge.process.configuration import ProcessConfiguration, load
 from linenbridge.startup import micros, startup
 
-# Descriptors for the listener, both watches with their second connections, two votes, and the configuration
-# when it is read again.
+# Descriptors kept for the listener, both watches with their second connections, two votes, and the
+# configuration file on a reload.
 RESERVED_DESCRIPTORS = 8
 MEBIBYTE = 1 << 20
-MESSAGE_MEMORY_DIVISOR = 16  # a list, or half-read commands, may take one part in so many
-CLIENT_POOL_DIVISOR = 3  # LATER, Score: clients hold one descriptor in so many at most
+MESSAGE_MEMORY_DIVISOR = 16  # a message, or all incomplete commands, take at most 1/16 of the memory
+CLIENT_POOL_DIVISOR = 3  # LATER, Score: clients hold at most 1/3 of the descriptors
 
 
 def now() -> int:
-    """Return the gateway's clock, in microseconds."""
+    """Return the time on the gateway's monotonic clock, in microseconds."""
     return time.monotonic_ns() // 1000
 
 
 class GatewayComponents(NamedTuple):
-    """One gateway's components. `clients` and `instances` serve RESP2 once the former listen."""
+    """One gateway's components. `clients` and `instances` serve RESP2 once `clients` listens."""
 
     clients: Clients
     instances: Instances
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Budgets:
-    """What one gateway may use: descriptors for clients and instances together, and bytes of one message."""
+    """Limits of one gateway: descriptors of clients and instances together, and bytes of one message."""
 
     descriptors: int
     max_message_bytes: int
@@ -70,9 +70,11 @@
     add_frontend: Callable[[DecisionLoop], EndpointListener] | None = None,
     start: Startup | None = None,
 ) -> GatewayComponents:
-    """Build one gateway; the module has the list and the rollout's state before anyone can send a request.
+    """Build one gateway.
 
-    `add_front` adds another front to the same loop. `start` replaces what the settings give the module.
+    The decision module gets the endpoint list and the rollout's state of the configuration before any client
+    can connect. `add_frontend` adds another front end to the same loop and returns its endpoint listener.
+    `start` replaces the module's settings in the configuration.
     """
     settings = configuration.settings
     start = start or startup(settings)
@@ -83,7 +85,7 @@
 
     loop = DecisionLoop(DecisionModule(start, seed, now()), reactor, now, log)
     idle_timeout = micros(settings.allowances.idle_timeout)
-    # A request in flight holds one descriptor on each side.
+    # Half of the descriptors each: a request in flight holds one to its client and one to its instance.
     instances = Instances(loop, reactor, budgets.descriptors // 2, connect_timeout, idle_timeout, log)
     listeners = (instances,) if add_frontend is None else (instances, add_frontend(loop))
 
@@ -141,7 +143,7 @@
 def _start_watches(
     configuration: ProcessConfiguration, discovery: Discovery, platform: Platform, loop: DecisionLoop
 ) -> None:
-    """Report the state that the configuration has, then watch for what changes."""
+    """Apply the state in the configuration, then watch discovery and the platform for changes."""
     if configuration.known is not None:
         discovery.apply(configuration.known, is_poll_response=False)
     if configuration.platform.news is not None:
@@ -152,9 +154,10 @@
 
 
 def reload(components: GatewayComponents, log: Log, environ: dict[str, str]) -> None:
-    """Read the configuration again, and use discovery and the platform at the addresses in it.
+    """Read the configuration again, and move discovery and the platform to the addresses in it.
 
-    All else in it counts from the next start. One that can't be used changes nothing, and is logged.
+    All other settings in it apply from the next start. An unusable configuration is logged and changes
+    nothing.
     """
     try:
         configuration = load(environ)
--- a/linenbridge/process/configuration.py
+++ b/linenbridge/process/configuration.py
@@ -1,6 +1,6 @@
-"""What one gateway is given when it starts: the platform's configuration and environment.
+"""A gateway's configuration at its start: a JSON file and environment variables, both set by the platform.
 
-Owns the form of both. Holds no default that the platform's pages do not state.
+Owns the format of both. Contains no default that the platform's documentation does not state.
 """
 
 from __future__ import annotations
@@ -15,26 +15,26 @@
 from linenbridge.startup import SettingsObject
 
 CONFIGURATION_PATH = "LB_CONFIG"
-# Fields that the environment gives where the configuration leaves them out.
+# Environment variables that set a field which is missing from the file.
 ENVIRONMENT_VARIABLES = {"name": "LB_NAME", "listen": "LB_LISTEN", "discovery": "LB_DISCOVERY"}
 
 
 class Limits(Struct):
-    """What the process may use: open sockets, and memory in MB."""
+    """Limits of the process: open sockets, and memory in MB."""
 
     sockets: int
     memory_mb: float
 
 
 class PlatformConfiguration(Struct):
-    """The platform's part of the configuration; `news` is the rollout's state at the start."""
+    """The platform's address; `news` is the rollout's state at the start."""
 
     address: str
     news: RolloutStatus | None = None
 
 
 class ProcessConfiguration(Struct):
-    """All that one gateway is given when it starts; `known` is the endpoint list at that time."""
+    """The complete configuration of a gateway; `known` is the endpoint list at the start, `seed` is hex."""
 
     name: str
     listen: str
@@ -47,10 +47,15 @@
 
 
 def load(environ: dict[str, str]) -> ProcessConfiguration:
-    """Read the configuration, with the environment for what it leaves out; ValueError has one plain line."""
+    """Read the file that LB_CONFIG names; environment variables set the fields that are missing from it.
+
+    ValueError, with a message of one line, where the variable is not set, or the file can't be read or used.
+    """
     path = environ.get(CONFIGURATION_PATH)
     if not path:
-        raise ValueError(f"{CONFIGURATION_PATH} is not set")
+        raise ValueError(
+            f"{CONFIGURATION_PATH} is not set: set it to the path of the gateway's configuration file"
+        )
     try:
         return _read(Path(path), environ)
     except (OSError, ValueError) as error:
@@ -60,7 +65,7 @@
 def _read(path: Path, environ: dict[str, str]) -> ProcessConfiguration:
     content = msgspec.json.decode(path.read_bytes())
     if not isinstance(content, dict):
-        raise ValueError("it holds no object")
+        raise ValueError("the top level has to be a JSON object")
     from_environment = {
         field: environ[variable] for field, variable in ENVIRONMENT_VARIABLES.items() if variable in environ
     }
--- a/linenbridge/process/gateway.py
+++ b/linenbridge/process/gateway.py
@@ -1,6 +1,6 @@
-"""The platform's gateway: one process that serves RESP2, from its configuration to its end.
+"""The platform's gateway: one process that serves RESP2, from its configuration to its exit.
 
-Owns the order of its start. Imports nothing that other processes of the project serve beside it.
+Owns the order of the start. Imports no module that only other processes of the project need.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class GatewayProcess:
-    """One gateway and its listener; `exit_code` is set once it can't listen."""
+    """One gateway and its listener; `exit_code` is 0 unless the gateway can't listen on its address."""
 
     def __init__(self, configuration: ProcessConfiguration, log: Log, reactor: Any) -> None:
         self.configuration = configuration
@@ -33,7 +33,11 @@
         self.exit_code = 0
 
     def listen(self) -> None:
-        """Listen, once the endpoint list is known: what discovery has counts from the first moment on."""
+        """Start to listen, unless the gateway already listens or is stopping.
+
+        Called once discovery has delivered an endpoint list or has been silent for a keep-alive interval, so
+        that no request is sent by an outdated list while a newer one is on its way.
+        """
         clients = self.components.clients
         if clients.port is not None or clients.closing:
             return
@@ -47,12 +51,12 @@
         self.log.event("started", gateway=self.configuration.name, listen=self.configuration.listen)
 
     def stop(self) -> None:
-        """Serve what is open, then stop the reactor."""
+        """Finish the open requests, then stop the reactor."""
         self.log.event("stopping", open=self.components.loop.unanswered)
         self.components.clients.stop(self.reactor, self.reactor.stop)
 
     def log_counters(self) -> None:
-        """Write all counters, with what is open at present."""
+        """Log all counters, with the numbers of open requests, clients and connections to instances."""
         components = self.components
         self.log.counters(
             open=components.loop.unanswered,
@@ -64,7 +68,8 @@
 def main() -> int:
     """Run the gateway and return the exit code.
 
-    2 where the configuration can't be used, 1 where its address can't be listened on; a line names each.
+    The code is 2 where the configuration can't be used and 1 where the gateway can't listen on its address;
+    one line on standard error gives the reason.
     """
     environ = dict(os.environ)
     try:
--- a/linenbridge/process/lifecycle.py
+++ b/linenbridge/process/lifecycle.py
@@ -1,6 +1,6 @@
-"""From the end of a start to the end of the process: signals, the garbage collector, the reactor's run.
+"""A process between the end of its start and its exit: signals, the garbage collector and the reactor.
 
-Owns which signal calls what, and when SIGHUP is blocked. Does not know what the process serves.
+Owns the signal handlers, and when SIGHUP is blocked. Does not depend on what the process serves.
 """
 
 from __future__ import annotations
@@ -17,19 +17,20 @@
 from linenbridge.logging.event_log import Log
 from linenbridge.net.reactor import Reactor
 
-# Allocations before a collection, and collections before one of the next generation: a request leaves no
-# cycles, but every closed connection does (Twisted's connector and transport), most of them old by then.
+# Allocations before a collection, and collections before one of the next generation. A request leaves no
+# reference cycles, but every closed connection does (Twisted's connector and transport), and most of these
+# have reached an old generation when the connection closes.
 COLLECTION_THRESHOLDS = (2_000, 2, 2)
 
 
 def _log_unhandled(log: Log, event: dict[str, Any]) -> None:
-    """Log an error that Twisted has caught."""
+    """Log an exception that Twisted has caught."""
     if (failure := event.get("log_failure")) is not None:
         log.failed("twisted", failure.value)
 
 
 def begin(log: Log) -> Reactor:
-    """Install and return the process's reactor; Twisted's own messages go to the log."""
+    """Install and return the process's reactor; exceptions that Twisted catches go to the log."""
     observer: Any = partial(_log_unhandled, log)
     globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False, discardBuffer=True)
     reactor = Reactor()
@@ -57,7 +58,8 @@
     for signal_number, handler in handlers.items():
         signal.signal(signal_number, lambda *_, handler=handler: reactor.callFromThread(handler))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-    # Objects of the start are never freed: the collector does not traverse them while requests wait.
+    # Objects created at the start are never freed. Once they are frozen, the collector does not traverse them
+    # while requests wait.
     gc.collect()
     gc.freeze()
     gc.set_threshold(*COLLECTION_THRESHOLDS)
