--- a/linenbridge/policy/change_detection.py
+++ b/linenbridge/policy/change_detection.py
@@ -29,14 +29,14 @@
 # Response times: a sum over their ratio to the baseline's mean.
 LATENCY = "latency"
 LATENCY_STEP = 1.0  # of the ratio
-LATENCY_SPREAD = 2.0  # variance of the ratio
+LATENCY_VARIANCE = 2.0  # variance of the ratio
 MAX_LATENCY_RATIO = 4.0
 LATENCY_DIVERGENCE = 0.75  # nats
 # Levels.
 MIN_THRESHOLD = 5.0  # nats
 THRESHOLD_FACTOR = 10.0  # of the divergence
 CLEAR_FRACTION = 0.2  # of its threshold at which an alarm clears
-INSTANCE_SHARE = 1.2  # of the threshold, over the square root of the number of instances
+INSTANCE_CONTRIBUTION_FACTOR = 1.2  # of the threshold, over the square root of the number of instances
 RECORD_MEMORY = 60  # outcomes
 # When a vote to promote may be cast; also what counts as few outcomes.
 MIN_PROMOTE_OUTCOMES = 20
@@ -99,7 +99,7 @@
                 build, method_index, counts, instance_index, max_increment, baseline, has_baseline
             )
             if counts.timed and has_baseline and baseline and baseline.outcomes >= BASELINE_PRIOR:
-                self._add_times(method_index, counts, instance_index, max_increment, baseline)
+                self._add_response_times(method_index, counts, instance_index, max_increment, baseline)
         self.records.add(build, method_index, counts)
 
     def _add_failures(
@@ -126,14 +126,14 @@
         rate = min(max(MIN_BASELINE_RATE, rate), MAX_BASELINE_RATE)
         succeeded = counts.attempts - counts.failed
         for statistic, step in ((FAILURES, FAILURE_STEP), (FAILURE_BURST, FAILURE_BURST_STEP)):
-            for_failure = log((rate + step) / rate)
-            for_success = log((1 - rate - step) / (1 - rate))
-            increment = counts.failed * for_failure + succeeded * for_success
-            divergence = (rate + step) * for_failure + (1 - rate - step) * for_success
+            failure_increment = log((rate + step) / rate)
+            success_increment = log((1 - rate - step) / (1 - rate))
+            increment = counts.failed * failure_increment + succeeded * success_increment
+            divergence = (rate + step) * failure_increment + (1 - rate - step) * success_increment
             key = (method_index, statistic + suffix)
             self._add_to_sum(key, min(increment, max_increment), divergence, instance_index, rate)
 
-    def _add_times(
+    def _add_response_times(
         self,
         method_index: int,
         counts: Counts,
@@ -143,7 +143,7 @@
     ) -> None:
         """Add to the sum of response times, in units of the baseline's mean."""
         ratio = min(counts.total_time / counts.timed / (baseline.mean_time or inf), MAX_LATENCY_RATIO)
-        increment = counts.timed * (ratio - 1 - LATENCY_STEP / 2) * LATENCY_STEP / LATENCY_SPREAD
+        increment = counts.timed * (ratio - 1 - LATENCY_STEP / 2) * LATENCY_STEP / LATENCY_VARIANCE
         key = (method_index, LATENCY)
         self._add_to_sum(key, min(increment, max_increment), LATENCY_DIVERGENCE, instance_index, ratio)
 
@@ -164,10 +164,10 @@
         threshold = max(MIN_THRESHOLD, THRESHOLD_FACTOR * divergence)
         if self.shares_evidence:
             threshold += log(max(1, self.rollback_votes))
-        alike = 0
+        instance_count = 0
         if instance_index is not None:
-            alike = len(self.fleet.ready_by_build.get(self.fleet.build[instance_index], ()))
-        max_contribution = INSTANCE_SHARE * threshold / max(1, ceil(sqrt(alike)))
+            instance_count = len(self.fleet.ready_by_build.get(self.fleet.build[instance_index], ()))
+        max_contribution = INSTANCE_CONTRIBUTION_FACTOR * threshold / max(1, ceil(sqrt(instance_count)))
         value = self.sums.add(key, increment, instance_index, max_contribution)
         self._update_alarm(key, value, threshold, baseline)
 
--- a/linenbridge/policy/concurrency_limits.py
+++ b/linenbridge/policy/concurrency_limits.py
@@ -12,10 +12,10 @@
 INITIAL_LIMIT = 3.0  # attempts in flight at one instance
 MIN_LIMIT = 1.0  # attempts
 MAX_LIMIT = 64.0  # attempts
-USED_FRACTION = 0.7  # of a limit that is in use where it may grow
+MIN_UTILIZATION = 0.7  # of a limit that is in use where it may grow
 EARLY_FRACTION = 0.25  # of the latency objective: faster responses raise the limit
 LATE_FRACTION = 0.4  # of the latency objective: slower ones reduce it
-REDUCTION = 0.8  # factor
+REDUCTION_FACTOR = 0.8  # factor
 
 
 class ConcurrencyLimits:
@@ -24,7 +24,7 @@
     def __init__(self, startup: Startup, fleet: Fleet) -> None:
         self.fleet = fleet
         self.objective = min(method.latency_objective for method in startup.methods)  # microseconds
-        self.repeatable = [method.idempotency != Idempotency.NON_IDEMPOTENT for method in startup.methods]
+        self.is_idempotent = [method.idempotency != Idempotency.NON_IDEMPOTENT for method in startup.methods]
 
     def has_capacity(self, instance_index: int, method_index: int) -> bool:
         """Whether the instance takes one more attempt; one back from an ejection is tried with a single
@@ -32,7 +32,7 @@
         """
         fleet = self.fleet
         if fleet.consecutive_failures[instance_index]:
-            return self.repeatable[method_index] and not fleet.in_flight[instance_index]
+            return self.is_idempotent[method_index] and not fleet.in_flight[instance_index]
         return fleet.in_flight[instance_index] < fleet.concurrency_limit[instance_index]
 
     def on_attempt_finished(
@@ -44,10 +44,10 @@
         objective = self.objective * max(1.0, request.cost)
         limit = fleet.concurrency_limit[index]
         early = outcome == Outcome.OK and duration < EARLY_FRACTION * objective
-        if early and fleet.in_flight[index] + 1 >= USED_FRACTION * limit:
+        if early and fleet.in_flight[index] + 1 >= MIN_UTILIZATION * limit:
             fleet.concurrency_limit[index] = min(MAX_LIMIT, limit + 1 / limit)
             return
         late = outcome in (Outcome.OVERLOADED, Outcome.TIMED_OUT) or duration > LATE_FRACTION * objective
         if late and attempt.sent_at >= fleet.limit_reduced_at[index]:
-            fleet.concurrency_limit[index] = max(MIN_LIMIT, limit * REDUCTION)
+            fleet.concurrency_limit[index] = max(MIN_LIMIT, limit * REDUCTION_FACTOR)
             fleet.limit_reduced_at[index] = now
--- a/linenbridge/policy/decision_module.py
+++ b/linenbridge/policy/decision_module.py
@@ -21,7 +21,7 @@
 from linenbridge.policy.concurrency_limits import INITIAL_LIMIT, ConcurrencyLimits
 from linenbridge.policy.dispatch import Dispatcher
 from linenbridge.policy.endpoint_polling import EndpointPolling
-from linenbridge.policy.evidence import EvidenceIntake
+from linenbridge.policy.evidence import EvidenceCollector
 from linenbridge.policy.exposure import ExposureLimits
 from linenbridge.policy.gossip import GossipExchange
 from linenbridge.policy.hedging import Hedger
@@ -33,14 +33,19 @@
 from linenbridge.policy.rollout_freeze import RolloutFreeze
 from linenbridge.policy.rollout_votes import RolloutVoter
 from linenbridge.policy.safety_rules import SafetyRules
-from linenbridge.policy.slow_start import FLEET_MEMORY, SlowStart
-from linenbridge.policy.timing import INITIAL_RESPONSE_TIME, LAST_MOMENT, RESPONSE_WEIGHT, sweep_period
+from linenbridge.policy.slow_start import FLEET_SIZE_TIME_CONSTANT, SlowStart
+from linenbridge.policy.timing import (
+    FINAL_RESPONSE_MARGIN,
+    INITIAL_RESPONSE_TIME_FRACTION,
+    RESPONSE_WEIGHT,
+    sweep_period,
+)
 from linenbridge.state.fleet import Fleet
 from linenbridge.state.requests import OpenRequests, Request
 from linenbridge.state.rollout import KeyAffinity, RolloutState
 from linenbridge.state.traffic import ResponseTimes, Traffic
 
-IDLE_PERIOD = 250_000  # microseconds between two sweeps while no request is open
+IDLE_SWEEP_PERIOD = 250_000  # microseconds between two sweeps while no request is open
 
 
 class DecisionModule:
@@ -53,7 +58,7 @@
         self.methods = methods
         self.method_indices = {method.name: index for index, method in enumerate(methods)}
         self.sweep_period = sweep_period(methods)
-        self._sweep_at = now
+        self._next_sweep_at = now
         self._decisions: Iterator[Decision] | None = None
         # State that several components read.
         self.fleet = Fleet(allowances.gateway_number, now)
@@ -62,22 +67,22 @@
         self.affinity = KeyAffinity(self.rollout, startup.plan.forward_only)
         self.traffic = Traffic(len(methods), now)
         self.response_times = ResponseTimes(
-            [method.latency_objective * INITIAL_RESPONSE_TIME for method in methods], RESPONSE_WEIGHT
+            [method.latency_objective * INITIAL_RESPONSE_TIME_FRACTION for method in methods], RESPONSE_WEIGHT
         )
         self.log = LogMessages()
         self.polling = EndpointPolling(allowances.polls_endpoints, random, now)
-        self._compose_instance_components(startup, random)
-        self._compose_build_components(startup, random, now)
-        self._compose_request_components(startup, random)
+        self._create_instance_components(startup, random)
+        self._create_build_components(startup, random, now)
+        self._create_request_components(startup, random)
 
-    def _compose_instance_components(self, startup: Startup, random: Random) -> None:
+    def _create_instance_components(self, startup: Startup, random: Random) -> None:
         """What an instance may get, and whether it is healthy."""
         self.shedder = LoadShedder(startup, self.fleet, self.traffic, self.response_times, random)
         self.slow_start = SlowStart(startup, self.fleet, self.shedder, random)
         self.limits = ConcurrencyLimits(startup, self.fleet)
         self.outliers = OutlierDetector(self.fleet, self.sweep_period, self.log)
 
-    def _compose_build_components(self, startup: Startup, random: Random, now: int) -> None:
+    def _create_build_components(self, startup: Startup, random: Random, now: int) -> None:
         """Evidence on builds, votes, gossip, and the share of requests that a build may get."""
         self.freeze = RolloutFreeze(self.rollout, self.fleet, self.log)
         self.detector = ChangeDetector(startup, self.rollout, self.fleet, self.log)
@@ -85,12 +90,12 @@
             startup, self.rollout, self.fleet, self.freeze, self.detector, random, self.log, now
         )
         self.gossip = GossipExchange(startup, self.rollout, self.voter, random, now)
-        self.evidence = EvidenceIntake(
+        self.evidence = EvidenceCollector(
             startup, self.fleet, self.traffic, self.slow_start, self.detector, self.gossip
         )
         self.exposure = ExposureLimits(startup, self.rollout, self.freeze, self.traffic)
 
-    def _compose_request_components(self, startup: Startup, random: Random) -> None:
+    def _create_request_components(self, startup: Startup, random: Random) -> None:
         """The order of requests, and their first and further attempts."""
         self.priorities = RequestPriorities(startup, self.response_times)
         self.safety = SafetyRules(startup, self.requests, self.fleet, self.sweep_period)
@@ -142,11 +147,11 @@
         )
         if is_poll_response:
             self.polling.on_response()
-        self.fleet.update_ready_size(now, FLEET_MEMORY)
+        self.fleet.update_ready_size(now, FLEET_SIZE_TIME_CONSTANT)
         builds = self.fleet.ready_by_build
         if builds:
             self.rollout.on_listed(builds)
-            self._on_build(max(builds))
+            self._observe_build(max(builds))
 
     def on_endpoint_list_failed(self, now: int) -> None:
         """A call for the endpoint list has failed."""
@@ -163,7 +168,7 @@
         deadline = now + ttl
         objective = min(now + self.methods[method_index].latency_objective, deadline)
         request = Request(rpc_id, method_index, now, objective, deadline, cost, weight, key)
-        self.requests.add(request, max(now, deadline - LAST_MOMENT))
+        self.requests.add(request, max(now, deadline - FINAL_RESPONSE_MARGIN))
         self.dispatcher.enqueue(request)
 
     def on_client_disconnected(self, now: int, rpc_id: str) -> None:  # noqa: ARG002  # the contract's
@@ -235,7 +240,7 @@
         self.affinity.on_rollout_update()
         self.exposure.on_caps_changed()
         self.voter.on_rollout_update()
-        self._on_build(build)
+        self._observe_build(build)
 
     def on_tally(
         self, now: int, build: int, method: str, attempts: int, failed: int, duration: int, ended: int
@@ -256,7 +261,7 @@
         self.freeze.change(zones)
         self.exposure.on_caps_changed()
 
-    def _on_build(self, build: int) -> None:
+    def _observe_build(self, build: int) -> None:
         """A build is listed or reported: a later one than all before is the one under judgement."""
         if self.rollout.observe(build):
             self.detector.restart()
@@ -275,11 +280,11 @@
         vote is due.
         """
         due = self.requests.next_due()
-        if self.requests or self.polling.next_at is not None or not self._is_decided():
-            return self._sweep_at if due is None else min(due, self._sweep_at)
+        if self.requests or self.polling.next_at is not None or not self._is_rollout_settled():
+            return self._next_sweep_at if due is None else min(due, self._next_sweep_at)
         return due
 
-    def _is_decided(self) -> bool:
+    def _is_rollout_settled(self) -> bool:
         """Whether the latest build is reported, past its trial, and no vote is in effect."""
         rollout = self.rollout
         if rollout.build != rollout.latest_build or rollout.phase == RolloutPhase.ON_TRIAL:
@@ -291,12 +296,12 @@
         if self.polling.is_due(now):
             yield WatchEndpoints()
         for request in self.requests.overdue(now):
-            yield self.safety.final_answer(now, request)
-        if now >= self._sweep_at:
+            yield self.safety.final_response(now, request)
+        if now >= self._next_sweep_at:
             yield from self.hedger.decisions(now)
-            self._sweep_at = now + (self.sweep_period if self.requests else IDLE_PERIOD)
+            self._next_sweep_at = now + (self.sweep_period if self.requests else IDLE_SWEEP_PERIOD)
         elif self.requests:
-            self._sweep_at = min(self._sweep_at, now + self.sweep_period)
+            self._next_sweep_at = min(self._next_sweep_at, now + self.sweep_period)
         yield from self.dispatcher.decisions(now)
         vote = self.voter.due_vote(now)
         if vote is not None:
--- a/linenbridge/policy/dispatch.py
+++ b/linenbridge/policy/dispatch.py
@@ -15,15 +15,15 @@
 from linenbridge.policy.load_shedding import LoadShedder
 from linenbridge.policy.safety_rules import SafetyRules
 from linenbridge.policy.slow_start import SlowStart
-from linenbridge.policy.timing import LAST_MOMENT
+from linenbridge.policy.timing import FINAL_RESPONSE_MARGIN
 from linenbridge.state.fleet import Fleet
 from linenbridge.state.requests import Attempt, Request
 from linenbridge.state.traffic import ResponseTimes
 
-MAX_REJECTED_ATTEMPTS = 2  # as overloaded, after which a request is given up
+MAX_OVERLOADED_ATTEMPTS = 2  # as overloaded, after which a request is given up
 
 
-def precedence(request: Request) -> tuple[float, int]:
+def queue_sort_key(request: Request) -> tuple[float, int]:
     """The sort key of the queue: the highest weight first, then the first to arrive."""
     return -request.weight, request.arrived_at
 
@@ -59,7 +59,7 @@
     def decisions(self, now: int) -> Iterator[SendAttempt | Reject | Fail]:
         """What is decided on each waiting request, the highest weight first."""
         queue = [request for request in self._waiting if not request.ended]
-        queue.sort(key=precedence)
+        queue.sort(key=queue_sort_key)
         self._waiting = []
         saturated: set[int] = set()  # methods for which no instance has capacity
         for request in queue:
@@ -70,7 +70,7 @@
                 self._waiting.append(request)
                 continue
             if self._is_given_up(now, request, new):
-                yield self.safety.final_answer(now, request)
+                yield self.safety.final_response(now, request)
                 continue
             if new:
                 self.slow_start.admit(request.cost)
@@ -80,7 +80,7 @@
             if selected is not None:
                 yield self.send(now, request, selected)
             elif late:
-                yield self.safety.final_answer(now, request)
+                yield self.safety.final_response(now, request)
             else:
                 self._waiting.append(request)
                 if first:
@@ -88,9 +88,9 @@
 
     def _is_given_up(self, now: int, request: Request, new: bool) -> bool:
         """Whether the request gets no further attempt: it is spent, shed, or unsafe to repeat."""
-        if now >= request.deadline - LAST_MOMENT or len(request.attempts) >= self.max_attempts:
+        if now >= request.deadline - FINAL_RESPONSE_MARGIN or len(request.attempts) >= self.max_attempts:
             return True
-        if request.attempts and request.count(Outcome.OVERLOADED) >= MAX_REJECTED_ATTEMPTS:
+        if request.attempts and request.count(Outcome.OVERLOADED) >= MAX_OVERLOADED_ATTEMPTS:
             return True
         if new and self.shedder.sheds(now, request.weight):
             return True
--- a/linenbridge/policy/evidence.py
+++ b/linenbridge/policy/evidence.py
@@ -24,7 +24,7 @@
 NEVER = -(1 << 60)  # microseconds
 
 
-class EvidenceIntake:
+class EvidenceCollector:
     """Passes outcomes on to the change detector, and own ones to the gossip exchange."""
 
     def __init__(
@@ -66,7 +66,7 @@
             succeeded and self.slow_start.capacity_fraction(attempt.instance_index, attempt.sent_at) >= 1.0
         )
         counts = Counts(1, 0 if succeeded else 1, 1 if timed else 0, duration if timed else 0)
-        self.gossip.add_own(attempt.build, method_index, counts)
+        self.gossip.add_local(attempt.build, method_index, counts)
         # Without an earlier build tallies tell errors from the hour by the other methods alone: own outcomes
         # count beside them.
         if (
--- a/linenbridge/policy/exposure.py
+++ b/linenbridge/policy/exposure.py
@@ -53,7 +53,7 @@
         """Refill by the share that was in effect until now; from now on by the one that binds."""
         for (build, row), bucket in self._buckets.items():
             bucket.refill(self._admitted(row))
-            bucket.share = self._share(self._cap(build))
+            bucket.share = self._tokens_per_request(self._cap(build))
 
     def _cap(self, build: int) -> float:
         """The cap that binds attempts at a build, a freeze included."""
@@ -80,7 +80,7 @@
         reported = self.rollout.build
         return build > reported if reported >= 0 else build > self.rollout.lowest_build
 
-    def _share(self, cap: float) -> float:
+    def _tokens_per_request(self, cap: float) -> float:
         """What a request earns. At a full cap all of it is used: no earlier instance may be left for the
         rest.
         """
@@ -92,7 +92,7 @@
         admitted = self._admitted(row)
         bucket = self._buckets.get((build, row))
         if bucket is None:
-            bucket = TokenBucket(self.plan.burst_attempts, admitted, self._share(cap))
+            bucket = TokenBucket(self.plan.burst_attempts, admitted, self._tokens_per_request(cap))
             self._buckets[build, row] = bucket
         bucket.refill(admitted)
         return bucket
--- a/linenbridge/policy/gossip.py
+++ b/linenbridge/policy/gossip.py
@@ -34,24 +34,24 @@
     ) -> None:
         allowances = startup.allowances
         self.allowed = allowances.gossip_allowed
-        self.number = allowances.gateway_number
-        self.gateways = allowances.gateway_count
+        self.gateway_number = allowances.gateway_number
+        self.gateway_count = allowances.gateway_count
         self.shares = startup.plan.shares
         self.method_count = len(startup.methods)
         self.rollout = rollout
         self.voter = voter
         self.random = random
         self.token = random.randrange(1 << TOKEN_BITS)  # of this incarnation
-        self.own_counts: dict[tuple[int, int], Counts] = {}  # by build and method index
-        bounds = PeerBounds(max(MIN_PEERS, self.gateways), MAX_BUILDS, MAX_INCARNATIONS)
+        self.local_counts: dict[tuple[int, int], Counts] = {}  # by build and method index
+        bounds = PeerBounds(max(MIN_PEERS, self.gateway_count), MAX_BUILDS, MAX_INCARNATIONS)
         self.peer_counts = PeerCounts(self.method_count, bounds)
         self._has_new_counts = False
         self._next_at = now
 
-    def add_own(self, build: int, method_index: int, counts: Counts) -> None:
+    def add_local(self, build: int, method_index: int, counts: Counts) -> None:
         """Count own outcomes; those of the build under judgement are due to be sent."""
         key = (build, method_index)
-        self.own_counts[key] = self.own_counts.get(key, Counts()).plus(counts)
+        self.local_counts[key] = self.local_counts.get(key, Counts()).plus(counts)
         if build == self.rollout.latest_build:
             self._has_new_counts = True
 
@@ -69,9 +69,12 @@
             return []
         self._has_new_counts = False
         self._next_at = now + int(GOSSIP_PERIOD * self.random.uniform(0.5, 1.5))
-        builds = sorted({build for build, _ in self.own_counts})[-BUILDS_SENT:]
-        payload = pack(self.token, builds, self.method_count, self.own_counts)
+        builds = sorted({build for build, _ in self.local_counts})[-BUILDS_SENT:]
+        payload = pack(self.token, builds, self.method_count, self.local_counts)
         count = ceil(GOSSIP_FANOUT / self.shares[self.voter.visible_stage().stage])
-        if count >= self.gateways - 1:
+        if count >= self.gateway_count - 1:
             return [Gossip(None, payload)]
-        return [Gossip((self.number + offset) % self.gateways, payload) for offset in range(1, count + 1)]
+        return [
+            Gossip((self.gateway_number + offset) % self.gateway_count, payload)
+            for offset in range(1, count + 1)
+        ]
--- a/linenbridge/policy/hedging.py
+++ b/linenbridge/policy/hedging.py
@@ -43,7 +43,7 @@
         self.max_attempts = allowances.max_attempts
         self.hedging_allowed = allowances.hedging_allowed
         self.cancel_allowed = allowances.cancel_allowed
-        self.repeatable = [method.idempotency != Idempotency.NON_IDEMPOTENT for method in startup.methods]
+        self.is_idempotent = [method.idempotency != Idempotency.NON_IDEMPOTENT for method in startup.methods]
         self.fleet = fleet
         self.requests = requests
         self.traffic = traffic
@@ -98,7 +98,7 @@
 
     def _may_repeat(self, request: Request) -> bool:
         """Whether the request has attempts left and may be executed twice."""
-        return self.repeatable[request.method_index] and len(request.attempts) < self.max_attempts
+        return self.is_idempotent[request.method_index] and len(request.attempts) < self.max_attempts
 
     def _is_lost(self, request: Request, number: int) -> bool:
         """Whether the instance has answered others long after this attempt would have been."""
--- a/linenbridge/policy/load_balancing.py
+++ b/linenbridge/policy/load_balancing.py
@@ -20,10 +20,10 @@
 from linenbridge.state.requests import Request
 from linenbridge.state.rollout import KeyAffinity, RolloutState
 
-SUBSET_USES = 3.0  # of each instance of the subset, before its idle connection would close
+USES_PER_IDLE_TIMEOUT = 3.0  # of each instance of the subset, before its idle connection would close
 MIN_SUBSET = 3  # instances
-RATE_MEMORY = 3 * SECOND  # time constant of the rate of requests, in microseconds
-REPORT_MEMORY = 1 * SECOND  # time constant of load reports, in microseconds
+RATE_TIME_CONSTANT = 3 * SECOND  # time constant of the rate of requests, in microseconds
+LOAD_REPORT_TIME_CONSTANT = 1 * SECOND  # time constant of load reports, in microseconds
 MIN_SUCCESS_RATE = 0.05  # in the load score
 
 
@@ -43,7 +43,7 @@
         outliers: OutlierDetector,
         random: Random,
     ) -> None:
-        self.idle_close = startup.allowances.idle_timeout  # microseconds
+        self.idle_timeout = startup.allowances.idle_timeout  # microseconds
         self.slow_start_duration = startup.allowances.slow_start_duration  # microseconds
         self.fleet = fleet
         self.rollout = rollout
@@ -54,7 +54,7 @@
         self.limits = limits
         self.outliers = outliers
         self.random = random
-        self.request_rate = DecayingRate(RATE_MEMORY)
+        self.request_rate = DecayingRate(RATE_TIME_CONSTANT)
 
     def on_request(self, now: int) -> None:
         """Count a request: the subset grows with their rate."""
@@ -104,7 +104,7 @@
     def _subset_size(self, now: int, build: int) -> int:
         """As many instances as the traffic keeps connections open to."""
         fleet = self.fleet
-        uses = self.request_rate.per_second(now) * self.idle_close / SECOND / SUBSET_USES
+        uses = self.request_rate.per_second(now) * self.idle_timeout / SECOND / USES_PER_IDLE_TIMEOUT
         return ceil(max(MIN_SUBSET, uses * len(fleet.ready_by_build[build]) / len(fleet.ready)))
 
     def _select_from(self, now: int, request: Request, build: int, any_healthy: bool) -> int | None:
@@ -145,6 +145,6 @@
         fleet = self.fleet
         success_rate = max(MIN_SUCCESS_RATE, 1 - self.outliers.failure_rate(instance_index, now))
         load = fleet.in_flight[instance_index] + fleet.expected_external_load(
-            instance_index, now, REPORT_MEMORY
+            instance_index, now, LOAD_REPORT_TIME_CONSTANT
         )
         return (load + 1) / (fleet.size[instance_index] * success_rate * success_rate)
--- a/linenbridge/policy/load_shedding.py
+++ b/linenbridge/policy/load_shedding.py
@@ -18,11 +18,11 @@
 LEVEL_STEP_UP = 0.15  # of the level, for each late response
 LEVEL_STEP_DOWN = 0.015  # of the level, for each timely one, times their number in a row
 MAX_STREAK = 8  # timely responses in a row that count
-FREE_LEVEL = 0.3  # up to which nothing is shed
+MIN_SHEDDING_LEVEL = 0.3  # up to which nothing is shed
 MAX_SHARE = 0.95  # of the requests that is shed
 OBJECTIVE_FRACTION = 0.75  # of the latency objective within which responses are timely while it sheds
-WEIGHT_MEMORY = 30  # requests whose weights rank the next one
-EVEN_RANK = 1.5  # from which a request's rank is taken: the lowest weights are shed first
+WEIGHT_WINDOW = 30  # requests whose weights rank the next one
+RANK_OFFSET = 1.5  # from which a request's rank is taken: the lowest weights are shed first
 
 
 class LoadShedder:
@@ -36,25 +36,27 @@
         self, startup: Startup, fleet: Fleet, traffic: Traffic, response_times: ResponseTimes, random: Random
     ) -> None:
         self.objectives = [float(method.latency_objective) for method in startup.methods]
-        self.gateways = startup.allowances.gateway_count
+        self.gateway_count = startup.allowances.gateway_count
         self.fleet = fleet
         self.traffic = traffic
         self.response_times = response_times
         self.random = random
         self.level = 0.0
         self._streak = 0
-        self._weights: deque[float] = deque([0.0], maxlen=WEIGHT_MEMORY)
+        self._weights: deque[float] = deque([0.0], maxlen=WEIGHT_WINDOW)
 
     def sheds(self, now: int, weight: float) -> bool:
         """Whether a new request of that weight is rejected, by chance; low weights first."""
-        if not self._applies(now):
+        if not self._is_active(now):
             return False
-        lower = 0
+        lower_count = 0
         for other in self._weights:
-            lower += other < weight
-        rank = lower / len(self._weights)
+            lower_count += other < weight
+        rank = lower_count / len(self._weights)
         self._weights.append(weight)
-        share = min(MAX_SHARE, (self.level - FREE_LEVEL) / (1 - FREE_LEVEL) * (EVEN_RANK - rank))
+        share = min(
+            MAX_SHARE, (self.level - MIN_SHEDDING_LEVEL) / (1 - MIN_SHEDDING_LEVEL) * (RANK_OFFSET - rank)
+        )
         if share <= 0.0 or self.random.random() >= share:
             return False
         # What is kept from the instances lowers the level too: of few requests, nearly all of them shed, too
@@ -62,14 +64,14 @@
         self.level -= LEVEL_STEP_DOWN
         return True
 
-    def _applies(self, now: int) -> bool:
+    def _is_active(self, now: int) -> bool:
         """Whether concurrency limits alone do not keep the queues short."""
         if self.traffic.is_below(MIN_PROMOTE_OUTCOMES, PROMOTE_WAIT, now):
             return True
         queue = 0.0
         for method_index, objective in enumerate(self.objectives):
             queue = max(queue, self.response_times.lowest[method_index] / objective)
-        return self.gateways * MIN_LIMIT * queue > 1.0
+        return self.gateway_count * MIN_LIMIT * queue > 1.0
 
     def on_attempt_finished(self, now: int, attempt: Attempt, outcome: Outcome, request: Request) -> None:
         """Count the outcome of an attempt as timely, as late, or not at all.
@@ -81,7 +83,7 @@
         succeeded = outcome == Outcome.OK
         late = overloaded or outcome == Outcome.TIMED_OUT
         if succeeded:
-            fraction = OBJECTIVE_FRACTION if self.level > FREE_LEVEL else 1.0
+            fraction = OBJECTIVE_FRACTION if self.level > MIN_SHEDDING_LEVEL else 1.0
             late = now > request.arrived_at + self.objectives[request.method_index] * fraction
         if succeeded or overloaded or (late and not self._is_silent(attempt)):
             self.add_response(late=late)
--- a/linenbridge/policy/priorities.py
+++ b/linenbridge/policy/priorities.py
@@ -9,7 +9,7 @@
 from linenbridge.state.counters import QuotaUsage
 from linenbridge.state.traffic import ResponseTimes
 
-QUOTA_MEMORY = 5 * SECOND  # time constant of the tenants' rates, in microseconds
+QUOTA_TIME_CONSTANT = 5 * SECOND  # time constant of the tenants' rates, in microseconds
 MAX_TENANTS = 1 << 14  # with a rate
 QUOTA_TOLERANCE = 1.15  # times its quota, from which a tenant is over it
 
@@ -23,7 +23,7 @@
         self.over_quota_weight = startup.allowances.over_quota_weight
         self.quotas = startup.tenant_quotas
         self.response_times = response_times
-        self.usage = QuotaUsage(QUOTA_MEMORY, startup.tenant_quotas, MAX_TENANTS)
+        self.usage = QuotaUsage(QUOTA_TIME_CONSTANT, startup.tenant_quotas, MAX_TENANTS)
 
     def weight(self, now: int, method_index: int, tenant: str) -> float:
         """Count a request; its weight, for each request or for each microsecond that the method takes,
--- a/linenbridge/policy/rollout_freeze.py
+++ b/linenbridge/policy/rollout_freeze.py
@@ -18,12 +18,12 @@
         self.fleet = fleet
         self.log = log
         self.zones: frozenset[str] | None = None
-        self.caps_at_begin: dict[int, float] = {}
+        self.caps_at_start: dict[int, float] = {}
 
     def change(self, zones: frozenset[str] | None) -> None:
         """Releases are frozen in these zones from now on, everywhere where none is named; None: no longer."""
         if self.zones is None and zones is not None:
-            self.caps_at_begin = {self.rollout.build: self.rollout.cap}
+            self.caps_at_start = {self.rollout.build: self.rollout.cap}
         if zones != self.zones:
             self.log.rollout_freeze(zones, self.rollout)
         self.zones = zones
@@ -42,7 +42,7 @@
         """The cap of a covered build: no more than when the freeze began, none at a later build while an
         earlier one is ready.
         """
-        max_cap = self.caps_at_begin.get(build)
+        max_cap = self.caps_at_start.get(build)
         if max_cap is None:
             has_earlier = min(self.fleet.ready_by_build, default=build) < build
             max_cap = 0.0 if has_earlier else cap
--- a/linenbridge/policy/rollout_votes.py
+++ b/linenbridge/policy/rollout_votes.py
@@ -23,21 +23,21 @@
 from linenbridge.state.rollout import RolloutState
 
 MAX_PROMOTE_FRACTION = 0.5  # of the minimum threshold, of a sum at which a vote to promote is cast
-RENEWAL = 4 * SECOND  # microseconds after which a vote is renewed
-RENEWED_TTL = 6 * SECOND  # microseconds; votes that stand for less are renewed sooner in proportion
+RENEWAL_PERIOD = 4 * SECOND  # microseconds after which a vote is renewed
+FULL_RENEWAL_TTL = 6 * SECOND  # microseconds; votes that stand for less are renewed sooner in proportion
 VOTE_RETRY = 300_000  # microseconds after a vote that was not accepted, doubled with each
 MAX_VOTE_RETRY = 2 * SECOND  # microseconds
 NO_STAGE = -1
 
 
-class StageOfBuild(NamedTuple):
+class BuildStage(NamedTuple):
     """A stage of a build."""
 
     build: int
     stage: int
 
 
-NONE_YET = StageOfBuild(NO_STAGE, NO_STAGE)
+NO_BUILD_STAGE = BuildStage(NO_STAGE, NO_STAGE)
 
 
 class RolloutVoter:
@@ -62,15 +62,15 @@
         self.random = random
         self.log = log
         self.started_at = now
-        self.cast_stage = NONE_YET
+        self.cast_stage = NO_BUILD_STAGE
         self.cast_vote: int = Vote.NONE
         self.pending = False  # a vote awaits the platform's response
         self.next_at = now
         self.retry_wait = VOTE_RETRY
-        self.stale_stage = NONE_YET  # which the platform has answered as stale
+        self.stale_stage = NO_BUILD_STAGE  # which the platform has answered as stale
         # Whether renewals of all gateways would be more calls than the platform takes.
-        renewals = self.plan.calls_per_second * RENEWAL / SECOND
-        self.calls_are_scarce = 0.0 < renewals < startup.allowances.gateway_count
+        calls_per_renewal = self.plan.calls_per_second * RENEWAL_PERIOD / SECOND
+        self.is_call_rate_limited = 0.0 < calls_per_renewal < startup.allowances.gateway_count
 
     def on_response(self, now: int, *, is_valid: bool, is_stale: bool) -> None:
         """The platform has answered a vote; one that it has not accepted is cast again after a wait."""
@@ -81,18 +81,18 @@
         self.retry_wait = min(2 * self.retry_wait, MAX_VOTE_RETRY)
         if is_stale:
             self.stale_stage = self.cast_stage
-        self._clear()
+        self._clear_vote()
 
     def on_rollout_update(self) -> None:
         """The platform has reported a stage: retries begin anew."""
-        self.stale_stage = NONE_YET
+        self.stale_stage = NO_BUILD_STAGE
         self.retry_wait = VOTE_RETRY
 
-    def _clear(self) -> None:
-        self.cast_stage = NONE_YET
+    def _clear_vote(self) -> None:
+        self.cast_stage = NO_BUILD_STAGE
         self.cast_vote = Vote.NONE
 
-    def wanted(self, now: int) -> int:
+    def desired_vote(self, now: int) -> int:
         """The vote that the evidence asks for.
 
         A build without an earlier one known here is not judged: there is no baseline to compare it with.
@@ -114,7 +114,7 @@
             return Vote.NONE if by_timer else Vote.PROMOTE
         return Vote.HOLD if by_timer else Vote.NONE
 
-    def _may_promote(self, now: int, begun_at: int) -> bool:
+    def _may_promote(self, now: int, trial_started_at: int) -> bool:
         """Whether nothing is seen against the build, after enough outcomes or a wait.
 
         A sum on its way to the alarm is no reason to promote, nor is what this gateway has not observed.
@@ -124,9 +124,9 @@
         fraction = CLEAR_FRACTION if self.detector.shares_evidence else MAX_PROMOTE_FRACTION
         if self.detector.outcomes >= MIN_PROMOTE_OUTCOMES and highest <= fraction * MIN_THRESHOLD:
             return True
-        return now >= begun_at + PROMOTE_WAIT and highest <= 0.0
+        return now >= trial_started_at + PROMOTE_WAIT and highest <= 0.0
 
-    def visible_stage(self) -> StageOfBuild:
+    def visible_stage(self) -> BuildStage:
         """The latest build and its stage, as reported or, where updates are late, as its instances show.
 
         A vote for a stage that is not reached yet is answered as stale; the reported stage holds again then.
@@ -136,14 +136,14 @@
         reported = rollout.stage if rollout.build == latest else 0
         stage = reported
         shares = self.plan.shares
-        on_trial = len(self.fleet.ready_by_build.get(latest, ()))
-        slots = len(self.fleet.ready)
+        trial_count = len(self.fleet.ready_by_build.get(latest, ()))
+        base_count = len(self.fleet.ready)
         if not self.plan.in_place:
-            slots -= on_trial
-        while stage + 1 < len(shares) and on_trial > shares[stage] * slots + 1:
+            base_count -= trial_count
+        while stage + 1 < len(shares) and trial_count > shares[stage] * base_count + 1:
             stage += 1
-        visible = StageOfBuild(latest, stage)
-        return visible if visible != self.stale_stage else StageOfBuild(latest, reported)
+        visible = BuildStage(latest, stage)
+        return visible if visible != self.stale_stage else BuildStage(latest, reported)
 
     def due_vote(self, now: int) -> CastVote | None:
         """The vote to cast now: one in effect, renewed until the stage changes, and withdrawn when nothing
@@ -152,16 +152,16 @@
         if self.pending and now < self.next_at:
             return None
         visible = self.visible_stage()
-        vote = self.wanted(now)
+        vote = self.desired_vote(now)
         changed = vote != self.cast_vote or visible != self.cast_stage
         if now < self.next_at and (not changed or self.retry_wait > VOTE_RETRY):
             return None
         if vote == Vote.NONE:
             if self.cast_vote == Vote.NONE or visible != self.cast_stage:
                 return None
-            if self._may_lapse():
+            if self._may_expire():
                 if now >= self.next_at:
-                    self._clear()
+                    self._clear_vote()
                 return None
         if changed:
             self.log.vote(
@@ -175,24 +175,24 @@
         self.cast_stage = visible
         self.cast_vote = vote
         self.pending = True
-        self.next_at = now + self._renewal(vote)
+        self.next_at = now + self._renewal_period(vote)
         return CastVote(visible.build, visible.stage, Vote(vote))
 
-    def _renewal(self, vote: int) -> int:
+    def _renewal_period(self, vote: int) -> int:
         """Microseconds until the vote is renewed; at random for one to promote."""
         ttl = self.plan.vote_ttl
-        renewal = min(RENEWAL, int(ttl * RENEWAL / RENEWED_TTL))
+        renewal = min(RENEWAL_PERIOD, int(ttl * RENEWAL_PERIOD / FULL_RENEWAL_TTL))
         if vote == Vote.PROMOTE:
             renewal = int(renewal * self.random.uniform(0.5, 1.0))
-        return ttl if self.calls_are_scarce else renewal
+        return ttl if self.is_call_rate_limited else renewal
 
-    def _may_lapse(self) -> bool:
+    def _may_expire(self) -> bool:
         """Whether a vote to promote that nothing asks for any more is left to lapse.
 
         Where calls are scarce one to withdraw it is one less for a vote that is not in effect yet. A freeze,
         and a sum over half of the minimum threshold, are worth the call.
         """
-        if not self.calls_are_scarce or self.freeze.covers(self.rollout.latest_build):
+        if not self.is_call_rate_limited or self.freeze.covers(self.rollout.latest_build):
             return False
         if self.cast_vote != Vote.PROMOTE:
             return False
--- a/linenbridge/policy/safety_rules.py
+++ b/linenbridge/policy/safety_rules.py
@@ -37,9 +37,11 @@
         idempotency = self.methods[request.method_index].idempotency
         if idempotency == Idempotency.IDEMPOTENT:
             return True
-        return idempotency == Idempotency.IDEMPOTENT_BY_KEY and self._is_known_repeat(now, request)
+        return idempotency == Idempotency.IDEMPOTENT_BY_KEY and self._is_within_idempotency_window(
+            now, request
+        )
 
-    def _is_known_repeat(self, sent_at: int, request: Request) -> bool:
+    def _is_within_idempotency_window(self, sent_at: int, request: Request) -> bool:
         """Whether an attempt sent then is still recognized as a repeat on arrival: within the idempotency
         window of the first attempt that may have been executed.
         """
@@ -63,7 +65,7 @@
             return self.fleet.zone[instance_index] == self.fleet.zone[executed.instance_index]
         return self.fleet.cell[instance_index] == self.fleet.cell[executed.instance_index]
 
-    def final_answer(self, now: int, request: Request) -> Reject | Fail:
+    def final_response(self, now: int, request: Request) -> Reject | Fail:
         """End the request with its one final answer: a rejection only where a repeat is harmless."""
         self.requests.end(request)
         method = self.methods[request.method_index]
@@ -73,6 +75,6 @@
         recognized_everywhere = (
             method.idempotency == Idempotency.IDEMPOTENT_BY_KEY
             and method.group == "all"
-            and self._is_known_repeat(now + self.retry_after, request)
+            and self._is_within_idempotency_window(now + self.retry_after, request)
         )
         return Reject(request.id, self.retry_after) if recognized_everywhere else Fail(request.id)
--- a/linenbridge/policy/slow_start.py
+++ b/linenbridge/policy/slow_start.py
@@ -11,7 +11,7 @@
 from linenbridge.policy.load_shedding import LoadShedder
 from linenbridge.state.fleet import Fleet
 
-FLEET_MEMORY = 30 * SECOND  # time constant of the fleet's mean size, in microseconds
+FLEET_SIZE_TIME_CONSTANT = 30 * SECOND  # time constant of the fleet's mean size, in microseconds
 RESERVED_MULTIPLE = 0.9  # of the allowed multiple, set aside for chance and retries
 MIN_MULTIPLE = 0.3  # left of the allowed multiple at least
 MIN_SHED_FACTOR = 0.2  # of the allowance, however much is shed
--- a/linenbridge/policy/timing.py
+++ b/linenbridge/policy/timing.py
@@ -6,9 +6,9 @@
 
 SWEEP_PERIOD = 50_000  # microseconds at most between two looks at silent instances and overdue requests
 SWEEPS_PER_OBJECTIVE = 15  # in the strictest latency objective at least
-LAST_MOMENT = 12_000  # microseconds before its deadline by which a request gets its final answer
+FINAL_RESPONSE_MARGIN = 12_000  # microseconds before its deadline by which a request gets its final answer
 RESPONSE_WEIGHT = 0.05  # of a new value in the mean response times, loads and work
-INITIAL_RESPONSE_TIME = 0.25  # of a method's latency objective
+INITIAL_RESPONSE_TIME_FRACTION = 0.25  # of a method's latency objective
 
 
 def sweep_period(methods: tuple[Method, ...]) -> int:
