--- a/linenbridge/policy/gossip.py
+++ b/linenbridge/policy/gossip.py
@@ -34,8 +34,8 @@
     ) -> None:
         allowances = startup.allowances
         self.allowed = allowances.gossip_allowed
-        self.gateway_number = allowances.gateway_number
-        self.gateway_count = allowances.gateway_count
+        self.number = allowances.gateway_number
+        self.gateways = allowances.gateway_count
         self.shares = startup.plan.shares
         self.method_count = len(startup.methods)
         self.rollout = rollout
@@ -43,7 +43,7 @@
         self.random = random
         self.token = random.randrange(1 << TOKEN_BITS)  # of this incarnation
         self.local_counts: dict[tuple[int, int], Counts] = {}  # by build and method index
-        bounds = PeerBounds(max(MIN_PEERS, self.gateway_count), MAX_BUILDS, MAX_INCARNATIONS)
+        bounds = PeerBounds(max(MIN_PEERS, self.gateways), MAX_BUILDS, MAX_INCARNATIONS)
         self.peer_counts = PeerCounts(self.method_count, bounds)
         self._has_new_counts = False
         self._next_at = now
@@ -72,9 +72,6 @@
         builds = sorted({build for build, _ in self.local_counts})[-BUILDS_SENT:]
         payload = pack(self.token, builds, self.method_count, self.local_counts)
         count = ceil(GOSSIP_FANOUT / self.shares[self.voter.visible_stage().stage])
-        if count >= self.gateway_count - 1:
+        if count >= self.gateways - 1:
             return [Gossip(None, payload)]
-        return [
-            Gossip((self.gateway_number + offset) % self.gateway_count, payload)
-            for offset in range(1, count + 1)
-        ]
+        return [Gossip((self.number + offset) % self.gateways, payload) for offset in range(1, count + 1)]
--- a/linenbridge/policy/load_balancing.py
+++ b/linenbridge/policy/load_balancing.py
@@ -43,7 +43,7 @@
         outliers: OutlierDetector,
         random: Random,
     ) -> None:
-        self.idle_timeout = startup.allowances.idle_timeout  # microseconds
+        self.connection_idle_timeout = startup.allowances.idle_timeout  # microseconds
         self.slow_start_duration = startup.allowances.slow_start_duration  # microseconds
         self.fleet = fleet
         self.rollout = rollout
@@ -104,7 +104,9 @@
     def _subset_size(self, now: int, build: int) -> int:
         """As many instances as the traffic keeps connections open to."""
         fleet = self.fleet
-        uses = self.request_rate.per_second(now) * self.idle_timeout / SECOND / USES_PER_IDLE_TIMEOUT
+        uses = (
+            self.request_rate.per_second(now) * self.connection_idle_timeout / SECOND / USES_PER_IDLE_TIMEOUT
+        )
         return ceil(max(MIN_SUBSET, uses * len(fleet.ready_by_build[build]) / len(fleet.ready)))
 
     def _select_from(self, now: int, request: Request, build: int, any_healthy: bool) -> int | None:
--- a/linenbridge/policy/load_shedding.py
+++ b/linenbridge/policy/load_shedding.py
@@ -36,7 +36,7 @@
         self, startup: Startup, fleet: Fleet, traffic: Traffic, response_times: ResponseTimes, random: Random
     ) -> None:
         self.objectives = [float(method.latency_objective) for method in startup.methods]
-        self.gateway_count = startup.allowances.gateway_count
+        self.gateways = startup.allowances.gateway_count
         self.fleet = fleet
         self.traffic = traffic
         self.response_times = response_times
@@ -71,7 +71,7 @@
         queue = 0.0
         for method_index, objective in enumerate(self.objectives):
             queue = max(queue, self.response_times.lowest[method_index] / objective)
-        return self.gateway_count * MIN_LIMIT * queue > 1.0
+        return self.gateways * MIN_LIMIT * queue > 1.0
 
     def on_attempt_finished(self, now: int, attempt: Attempt, outcome: Outcome, request: Request) -> None:
         """Count the outcome of an attempt as timely, as late, or not at all.
