--- a/linenbridge/decisions.py
+++ b/linenbridge/decisions.py
@@ -1,7 +1,7 @@
-"""Decisions of the decision module, one type each.
+"""The types of decisions that the decision module returns.
 
-A host pulls them one at a time and executes each by its class (`match`). Times are whole microseconds;
-instances and requests are named by the ids that the host gave them.
+A host pulls one decision at a time and executes it according to its class (`match`). Times are whole
+microseconds. Instances and requests are identified by the ids that the host supplied.
 """
 
 from __future__ import annotations
@@ -22,21 +22,21 @@
 
 
 class CancelAttempt(Struct, frozen=True):
-    """Stop waiting for one attempt of a request; attempts are counted from zero."""
+    """Cancel one attempt of a request; attempts are numbered from zero."""
 
     rpc_id: str
     attempt: int
 
 
 class Reject(Struct, frozen=True):
-    """Final response: the request had no effect, and may be sent again after `retry_after` microseconds."""
+    """Reject a request as its final response: it is safe to repeat after `retry_after` microseconds."""
 
     rpc_id: str
     retry_after: int
 
 
 class Fail(Struct, frozen=True):
-    """Final response: the request may have been executed."""
+    """Fail a request as its final response: it may have been executed."""
 
     rpc_id: str
 
@@ -50,18 +50,18 @@
 
 
 class Gossip(Struct, frozen=True):
-    """Send a few bytes to one peer by its number, or to all peers where `peer` is None."""
+    """Send a payload to the peer with that gateway number, or to all peers if `peer` is None."""
 
     peer: int | None
     payload: bytes
 
 
 class WatchEndpoints(Struct, frozen=True):
-    """Request changes of the endpoint list."""
+    """Request the endpoint list or its next changes."""
 
 
 class LogMessage(Struct, frozen=True):
-    """One event for operators, with its named fields."""
+    """Log an event for operators with its named fields."""
 
     event: str
     fields: dict[str, Any]
--- a/linenbridge/interface.py
+++ b/linenbridge/interface.py
@@ -1,9 +1,9 @@
 """The contract between a host and the decision module (`linenbridge.policy`).
 
-A host builds one `DecisionModule` from a `Startup` and a seed, reports events through the `on_...` methods,
-then pulls `next_decision(now)` until it returns None and calls again at `wake_at()`. Every time is a whole
-number of microseconds on the host's clock. Ids are kept as the host gives them. Decisions are the types of
-`linenbridge.decisions`.
+A host creates one `DecisionModule` from a `Startup` and a seed, and reports events through the `on_...`
+methods. After each event, and at `wake_at()`, the host calls `next_decision(now)` until it returns None. All
+times are whole microseconds on the host's clock. Ids are passed back as the host supplied them. The decision
+types are in `linenbridge.decisions`.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from linenbridge.decisions import Decision
 
-Id = int | str  # of instances and keys: a number or a string, as the host's protocol has it
+Id = int | str  # of an instance, a cell or a key; the type depends on the host's protocol
 
 MILLISECOND: Final = 1_000  # microseconds
 SECOND: Final = 1_000_000  # microseconds
@@ -26,7 +26,7 @@
     """Whether a method may be executed more than once."""
 
     IDEMPOTENT = "idempotent"
-    IDEMPOTENT_BY_KEY = "idempotent_by_key"  # repeats within the method's window are dropped by instances
+    IDEMPOTENT_BY_KEY = "idempotent_by_key"  # instances drop repeats within the idempotency window
     NON_IDEMPOTENT = "non_idempotent"
 
 
@@ -48,7 +48,7 @@
 
 
 class InstanceState(IntEnum):
-    """State of an instance on the endpoint list."""
+    """The state of an instance on the endpoint list."""
 
     REMOVED = 0
     READY = 1
@@ -56,7 +56,7 @@
 
 
 class RolloutPhase(IntEnum):
-    """Phase of a build's rollout."""
+    """The phase of a build's rollout."""
 
     ON_TRIAL = 0
     ROLLING_BACK = 1
@@ -75,11 +75,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Method:
-    """One row of the method table. Times are microseconds."""
+    """A method of the service. Times are microseconds."""
 
     name: str
     idempotency: str  # a value of `Idempotency`
-    group: str  # instances among which repeats are dropped: "all", "zone" or "cell"
+    group: str  # the instances that recognize a repeat by its key: "all", or those of one "zone" or "cell"
     idempotency_window: int
     latency_objective: int
     priority_weight: float
@@ -87,46 +87,46 @@
 
 @dataclass(frozen=True, slots=True)
 class RolloutPlan:
-    """How the platform stages a build and counts votes. Times are microseconds, shares are 0 to 1."""
-
-    by_timer: bool  # stages advance on a timer, unless votes hold them
-    in_place: bool  # instances are replaced, not added
-    shares: tuple[float, ...]  # of the instances, by stage
-    caps: tuple[float, ...]  # of the requests, by stage
-    closed_stages: int  # first stages, which take idempotent methods only
-    per_method: bool  # caps bind each method by itself
+    """The stages of a rollout and how votes are counted. Times are microseconds, shares are 0 to 1."""
+
+    by_timer: bool  # stages advance on a timer unless votes hold them
+    in_place: bool  # instances of the new build replace existing ones instead of being added
+    shares: tuple[float, ...]  # share of the instances, by stage
+    caps: tuple[float, ...]  # maximum share of the requests, by stage
+    closed_stages: int  # number of first stages that accept idempotent methods only
+    per_method: bool  # caps apply to each method separately
     burst_attempts: float  # depth of the caps' token buckets
-    forward_only: bool  # a key stays at the newest build that has answered it
+    forward_only: bool  # requests with a key stay at the newest build that has responded to the key
     vote_ttl: int
     rollback_votes: int
     tally_period: int
-    calls_per_second: float
+    calls_per_second: float  # that the platform accepts from all gateways; 0.0 means no limit
 
 
 @dataclass(frozen=True, slots=True)
 class Allowances:
-    """What this gateway may do, and the figures of the rules it keeps. Times are microseconds."""
+    """What this gateway may do, and the parameters of its safety rules. Times are microseconds."""
 
     max_attempts: int
     hedging_allowed: bool
     cancel_allowed: bool
     max_retry_after: int
-    polls_endpoints: bool  # endpoint lists have to be requested
-    slow_start_floor: float  # share of its capacity that an instance has at its start
+    polls_endpoints: bool  # the host has to request endpoint lists
+    slow_start_floor: float  # share of its capacity that an instance has when it starts
     slow_start_duration: int
-    slow_start_multiple: float  # of the mean load at which an instance in slow start collapses
+    slow_start_multiple: float  # multiple of the mean load that overloads an instance in slow start
     weighted_by_work: bool  # priority weights count per unit of work, not per request
     over_quota_weight: float  # factor on the priority weight beyond a tenant's quota
     gateway_number: int
     gateway_count: int
     gossip_allowed: bool
-    idle_timeout: int  # after which instances close idle connections
+    idle_timeout: int  # time after which instances close idle connections
     connect_timeout: int
 
 
 @dataclass(frozen=True, slots=True)
 class Startup:
-    """All that a gateway is given when it starts."""
+    """The configuration of the decision module."""
 
     methods: tuple[Method, ...]
     tenant_quotas: Mapping[str, float]
@@ -135,7 +135,10 @@
 
 
 class EndpointEntry(NamedTuple):
-    """One instance on the endpoint list; `started_at` is in microseconds on the host's clock."""
+    """One instance on the endpoint list.
+
+    `size` is its capacity relative to other instances, `started_at` is in microseconds on the host's clock.
+    """
 
     instance: Id
     build: int
@@ -147,30 +150,33 @@
 
 
 class DecisionMaker(Protocol):
-    """The calls that a host makes. Inputs update state only; decisions are pulled."""
+    """The methods that a host calls. The `on_...` methods only update state; decisions are pulled."""
 
     def on_endpoint_list(
         self, now: int, entries: list[EndpointEntry], *, is_snapshot: bool, is_poll_response: bool
     ) -> None:
-        """Take in an endpoint list, or its changes where it is no snapshot."""
+        """Apply an endpoint list: a snapshot of all instances, or only its changes."""
         ...
 
     def on_endpoint_list_failed(self, now: int) -> None:
-        """Take in that a request for the endpoint list has failed."""
+        """Record that a request for the endpoint list has failed."""
         ...
 
     def on_request(
         self, now: int, rpc_id: str, method: str, ttl: int, work: int | None, tenant: str, key: Id | None
     ) -> None:
-        """Take in a request that has arrived; `work` is the client's estimate in microseconds."""
+        """Admit a request whose deadline is `ttl` microseconds away.
+
+        `work` is the client's estimate of the request's work in microseconds.
+        """
         ...
 
     def on_client_disconnected(self, now: int, rpc_id: str) -> None:
-        """Take in that the client of a request has disconnected; attempts in flight go on to their end."""
+        """Record that the client of a request has disconnected; attempts in flight are not cancelled."""
         ...
 
     def on_response_started(self, now: int, rpc_id: str, attempt: int) -> None:
-        """Take in that a response has begun to stream to the client."""
+        """Record that a response has started to stream to the client."""
         ...
 
     def on_attempt_finished(
@@ -183,7 +189,10 @@
         duration: int,
         load: Mapping[str, float],
     ) -> None:
-        """Take in how an attempt ended, and the load report that came with its response."""
+        """Record how an attempt ended, and the load report in its response.
+
+        `is_final` means that the client has its final response.
+        """
         ...
 
     def on_rollout_update(
@@ -198,31 +207,38 @@
         is_valid: bool,
         is_stale: bool,
     ) -> None:
-        """Take in the state of the newest build's rollout, or what became of a vote."""
+        """Apply the state of the latest build's rollout, or the response to a vote.
+
+        A vote response that is not valid contains no state; `is_stale` means that the vote was for a stage
+        other than the current one.
+        """
         ...
 
     def on_tally(
         self, now: int, build: int, method: str, attempts: int, failed: int, duration: int, ended: int
     ) -> None:
-        """Take in the platform's counts of a method at a build over a period that ended at `ended`."""
+        """Add the platform's tally of a method at a build over a period that ended at `ended`.
+
+        `duration` is the mean response time in microseconds.
+        """
         ...
 
     def on_gossip(self, now: int, peer: int, payload: bytes) -> None:
-        """Take in a peer's message."""
+        """Process a gossip message from the gateway with the number `peer`."""
         ...
 
     def on_flag(self, now: int, instance: Id, method: str, sent: int) -> None:
-        """Take in a client's report of a wrong response, to an attempt sent at `sent`."""
+        """Record a client's report of a wrong response to an attempt that was sent at `sent`."""
         ...
 
     def on_rollout_freeze(self, now: int, zones: frozenset[str] | None) -> None:
-        """Freeze rollouts in these zones, everywhere where the set is empty; None lifts the freeze."""
+        """Freeze rollouts in these zones, or everywhere if the set is empty; None lifts the freeze."""
         ...
 
     def next_decision(self, now: int) -> Decision | None:
-        """Return the next decision; None where there is none for now."""
+        """Return the next decision, or None if there is none at present."""
         ...
 
     def wake_at(self) -> int | None:
-        """Return when to pull decisions again at the latest; None where only an input can bring one."""
+        """Return the latest time to pull decisions again, or None if only an event can cause one."""
         ...
--- a/linenbridge/policy/__init__.py
+++ b/linenbridge/policy/__init__.py
@@ -1,18 +1,23 @@
-"""Every decision of a linenbridge gateway.
+"""The decision module: makes every decision of a linenbridge gateway.
 
-A host builds one `DecisionModule` per gateway, reports what happens through its `on_...` methods, then takes
-`next_decision(now)` until None and calls again at `wake_at()`. `linenbridge.interface` holds that contract,
-`linenbridge.decisions` the decisions; `linenbridge.state` holds records and counters without decisions.
+A host creates one `DecisionModule` per gateway, reports events through its `on_...` methods, and calls
+`next_decision(now)` until it returns None, after each event and at `wake_at()`. `linenbridge.interface`
+defines this contract and `linenbridge.decisions` the decision types. `linenbridge.state` stores records and
+counters and makes no decisions.
 
-Each component has one job and its own state, and gets the others that it needs from `DecisionModule`:
+No module of this package performs I/O or reads a clock: every time is passed in by the host.
 
-- `safety_rules` (rules 1 and 2), `slow_start` (rule 4), `exposure` and `rollout_freeze` (rule 5);
-- `evidence`, `change_detection`, `rollout_votes`, `gossip`: outcomes, the test on them, this gateway's vote,
-  and what it sends to its peers;
-- `priorities`, `load_shedding`, `concurrency_limits`, `outlier_detection`, `load_balancing`: which requests,
-  and which instances;
-- `dispatch`, `hedging`, `endpoint_polling`: first and further attempts, and the endpoint list;
-- `timing`, `log_messages`: shared periods, and the operators' log lines.
+Each component has one responsibility and its own state. `DecisionModule` creates the components and passes
+each the others that it depends on:
+
+- Rules: `safety_rules` (rules 1 and 2), `slow_start` (rule 4), `exposure` and `rollout_freeze` (rule 5).
+- Rollouts: `evidence` collects outcomes of builds, `change_detection` tests them, `rollout_votes` casts this
+  gateway's vote, and `gossip` exchanges outcome counts with peers.
+- Selection of requests: `priorities` and `load_shedding`.
+- Selection of instances: `concurrency_limits`, `outlier_detection` and `load_balancing`.
+- Actions: `dispatch` sends attempts, `hedging` sends or cancels them for silent instances, `endpoint_polling`
+  requests the endpoint list.
+- Shared: `timing` defines periods and weights, `log_messages` the log messages for operators.
 """
 
 from linenbridge.policy.decision_module import DecisionModule
--- a/linenbridge/policy/change_detection.py
+++ b/linenbridge/policy/change_detection.py
@@ -1,7 +1,7 @@
-"""Change detection: cumulative sums over outcomes at the build under judgement, and when they alarm.
+"""Change detection: raises alarms from cumulative sums over the outcomes of the latest build.
 
-Decides without I/O. Source: "Bandwidth-Constrained Distributed Quickest Change Detection in Heterogeneous
-Sensor Networks" (Li and Huang); docs/design.md lists what was chosen by measurement.
+Source: "Bandwidth-Constrained Distributed Quickest Change Detection in Heterogeneous Sensor Networks" (Li and
+Huang). docs/design.md describes the choice of the parameters.
 """
 
 from __future__ import annotations
@@ -15,36 +15,36 @@
 from linenbridge.state.fleet import Fleet
 from linenbridge.state.rollout import RolloutState
 
-# Failures: two sums, for failure rates p1 = p0 + step.
+# Failures: two sums test the baseline's failure rate p0 against p1 = p0 + step.
 FAILURES = "failures"
 FAILURE_BURST = "failure_burst"
-FAILURE_STEP = 0.05  # rate
-FAILURE_BURST_STEP = 0.15  # rate
+FAILURE_STEP = 0.05  # failure rate
+FAILURE_BURST_STEP = 0.15  # failure rate
 MIN_BASELINE_RATE = 0.01
 MAX_BASELINE_RATE = 0.8
-BASELINE_PRIOR = 20  # outcomes with which the baseline rate starts, at its minimum
-# Tallies without an earlier build: the build's other methods are the baseline, in sums of their own.
+BASELINE_PRIOR = 20  # outcomes at the minimum rate that a baseline starts with
+# Without a ready earlier build, tallies are tested against the build's other methods, in separate sums.
 OTHER_METHODS_SUFFIX = "_vs_other_methods"
 MIN_OTHER_METHODS_RATE = 0.1
-# Response times: a sum over their ratio to the baseline's mean.
+# Response times: one sum over the ratio of the response time to the baseline's mean.
 LATENCY = "latency"
-LATENCY_STEP = 1.0  # of the ratio
+LATENCY_STEP = 1.0  # increase of the ratio to detect
 LATENCY_VARIANCE = 2.0  # variance of the ratio
 MAX_LATENCY_RATIO = 4.0
 LATENCY_DIVERGENCE = 0.75  # nats
-# Levels.
+# Alarm thresholds.
 MIN_THRESHOLD = 5.0  # nats
-THRESHOLD_FACTOR = 10.0  # of the divergence
-CLEAR_FRACTION = 0.2  # of its threshold at which an alarm clears
-INSTANCE_CONTRIBUTION_FACTOR = 1.2  # of the threshold, over the square root of the number of instances
-RECORD_MEMORY = 60  # outcomes
-# When a vote to promote may be cast; also what counts as few outcomes.
+THRESHOLD_FACTOR = 10.0  # threshold per unit of divergence
+CLEAR_FRACTION = 0.2  # fraction of its threshold at which an alarm clears
+INSTANCE_CONTRIBUTION_FACTOR = 1.2  # of the threshold divided by the square root of the instance count
+RECORD_MEMORY = 60  # outcomes; decay constant of the records
+# Outcomes and time before a vote to promote; also the request rate below which a gateway has few outcomes.
 MIN_PROMOTE_OUTCOMES = 20
 PROMOTE_WAIT = 4 * SECOND  # microseconds
 
 
 class ChangeDetector:
-    """The sums of the build under judgement and the records of every build."""
+    """The cumulative sums of the latest build and the outcome records of every build."""
 
     def __init__(self, startup: Startup, rollout: RolloutState, fleet: Fleet, log: LogMessages) -> None:
         self.methods = startup.methods
@@ -54,24 +54,26 @@
         self.log = log
         self.sums = CumulativeSums()
         self.records = BuildRecords(RECORD_MEMORY)
-        self.outcomes = 0  # that the sums have taken
-        self.shares_evidence = False  # with other gateways: the sums hold their outcomes too
+        self.outcomes = 0  # added to the sums
+        self.shares_evidence = False  # whether the sums include outcomes of other gateways
 
     def restart(self) -> None:
-        """A later build begins with empty sums."""
+        """Clear the sums for a new latest build."""
         self.outcomes = 0
         self.shares_evidence = False
         self.sums = CumulativeSums()
 
     def has_baseline(self, build: int) -> bool:
-        """Whether an earlier instance is ready: only then do response times and time-outs tell the build's
-        faults from those of the hour.
+        """Return whether an earlier build has ready instances, or the build itself is an earlier one.
+
+        Without ready instances of an earlier build, response times and time-outs do not show whether the
+        latest build or a temporary condition of the whole service is the cause.
         """
         latest = self.rollout.latest_build
         return build < latest or min(self.fleet.ready_by_build, default=build) < latest
 
     def has_alarm(self) -> bool:
-        """Whether a sum is above its threshold, or has not cleared since."""
+        """Return whether an alarm of any sum is raised."""
         return bool(self.sums.alarms)
 
     def add(
@@ -82,10 +84,12 @@
         instance_index: int | None = None,
         max_increment: float = inf,
     ) -> None:
-        """Add outcomes: own ones one by one with their instance, those of other gateways in one.
+        """Add outcomes of a method at a build.
 
-        A tally limits the increment: one moment is no evidence against a build. Response times count beside
-        failures: a build that needs more work fails nothing.
+        Outcomes of a known instance are added one at a time with `instance_index`; totals from tallies and
+        peers have none. `max_increment` limits the effect of a tally, because a single period is not enough
+        evidence against a build. Response times are tested as well as failures, because a build that needs
+        more work per request may not fail any.
         """
         latest = self.rollout.latest_build
         if build != latest and build not in self.fleet.build:
@@ -112,14 +116,15 @@
         baseline: BuildRecord | None,
         has_baseline: bool,
     ) -> None:
-        """Add to the sums of failures: log(p1 / p0) for each, log((1 - p1) / (1 - p0)) for each success."""
+        """Add log(p1 / p0) per failure and log((1 - p1) / (1 - p0)) per success to the sums of failures."""
         rate = MIN_BASELINE_RATE
         if baseline is not None:
             prior = MIN_BASELINE_RATE * BASELINE_PRIOR
             rate = (baseline.failed + prior) / (baseline.outcomes + BASELINE_PRIOR)
         suffix = ""
         if instance_index is None and not has_baseline:
-            # Tallies count time-outs as errors: the build's best other method shows what hits all.
+            # Tallies count time-outs as errors. The lowest failure rate among the build's other methods shows
+            # how much of it affects all methods alike.
             suffix = OTHER_METHODS_SUFFIX
             others = self.records.other_failure_rates(build, method_index)
             rate = max(rate, MIN_OTHER_METHODS_RATE, min(others, default=MAX_BASELINE_RATE))
@@ -141,7 +146,7 @@
         max_increment: float,
         baseline: BuildRecord,
     ) -> None:
-        """Add to the sum of response times, in units of the baseline's mean."""
+        """Add response times to their sum, as a ratio to the baseline's mean."""
         ratio = min(counts.total_time / counts.timed / (baseline.mean_time or inf), MAX_LATENCY_RATIO)
         increment = counts.timed * (ratio - 1 - LATENCY_STEP / 2) * LATENCY_STEP / LATENCY_VARIANCE
         key = (method_index, LATENCY)
@@ -155,11 +160,12 @@
         instance_index: int | None,
         baseline: float,
     ) -> None:
-        """W = max(0, W) + Z, with an alarm above max(5, divergence x factor).
+        """Set W = max(0, W) + Z and raise an alarm if W exceeds max(5, divergence x factor).
 
-        Gateways that share evidence raise their alarms together: their level is that of all the votes needed
-        to roll back. One faulty instance is not the build: its contribution to W is limited, so that an alarm
-        needs about the square root of the number of the build's instances.
+        Gateways that share evidence raise their alarms at the same time, so a single gateway's threshold has
+        to be as strict as all the votes that a rollback requires: it grows by the logarithm of their number.
+        The contribution of each instance to W is limited, so that one faulty instance does not cause an
+        alarm: about the square root of the number of the build's instances have to contribute.
         """
         threshold = max(MIN_THRESHOLD, THRESHOLD_FACTOR * divergence)
         if self.shares_evidence:
@@ -172,7 +178,7 @@
         self._update_alarm(key, value, threshold, baseline)
 
     def _update_alarm(self, key: tuple[int, str], value: float, threshold: float, baseline: float) -> None:
-        """Raise the alarm above the threshold, clear it well below; both are logged."""
+        """Raise and log the alarm above the threshold, clear and log it well below the threshold."""
         alarms = self.sums.alarms
         if key not in alarms:
             if value <= threshold:
--- a/linenbridge/policy/concurrency_limits.py
+++ b/linenbridge/policy/concurrency_limits.py
@@ -1,6 +1,6 @@
-"""How much may be in flight at an instance: additive increase, multiplicative decrease.
+"""Concurrency limits: adjusts the limit of each instance by additive increase, multiplicative decrease.
 
-Decides without I/O. The limits move around the strictest method's latency objective.
+Durations are compared with the latency objective of the strictest method.
 """
 
 from __future__ import annotations
@@ -12,23 +12,26 @@
 INITIAL_LIMIT = 3.0  # attempts in flight at one instance
 MIN_LIMIT = 1.0  # attempts
 MAX_LIMIT = 64.0  # attempts
-MIN_UTILIZATION = 0.7  # of a limit that is in use where it may grow
-EARLY_FRACTION = 0.25  # of the latency objective: faster responses raise the limit
-LATE_FRACTION = 0.4  # of the latency objective: slower ones reduce it
-REDUCTION_FACTOR = 0.8  # factor
+MIN_UTILIZATION = 0.7  # fraction of the limit that has to be in use for the limit to grow
+EARLY_FRACTION = 0.25  # of the latency objective; faster responses raise the limit
+LATE_FRACTION = 0.4  # of the latency objective; slower responses reduce the limit
+REDUCTION_FACTOR = 0.8
 
 
 class ConcurrencyLimits:
-    """The limit of each instance on what this gateway has in flight there."""
+    """The limit on the attempts that this gateway has in flight at each instance."""
 
     def __init__(self, startup: Startup, fleet: Fleet) -> None:
         self.fleet = fleet
         self.objective = min(method.latency_objective for method in startup.methods)  # microseconds
+        # By method index; methods that are idempotent by key are included.
         self.is_idempotent = [method.idempotency != Idempotency.NON_IDEMPOTENT for method in startup.methods]
 
     def has_capacity(self, instance_index: int, method_index: int) -> bool:
-        """Whether the instance takes one more attempt; one back from an ejection is tried with a single
-        request that may be repeated.
+        """Return whether the instance may get one more attempt.
+
+        After an ejection, an instance gets a single attempt of a method that may be repeated until it
+        responds.
         """
         fleet = self.fleet
         if fleet.consecutive_failures[instance_index]:
@@ -38,7 +41,7 @@
     def on_attempt_finished(
         self, now: int, attempt: Attempt, outcome: Outcome, duration: int, request: Request
     ) -> None:
-        """Adjust the limit, once for all that was sent before the last reduction."""
+        """Adjust the instance's limit; attempts sent before its last reduction do not reduce it again."""
         fleet = self.fleet
         index = attempt.instance_index
         objective = self.objective * max(1.0, request.cost)
--- a/linenbridge/policy/decision_module.py
+++ b/linenbridge/policy/decision_module.py
@@ -1,6 +1,6 @@
-"""The decision module as a host sees it: inputs update the components, decisions are taken one by one.
+"""The decision module: passes the events of a host to its components and returns their decisions one by one.
 
-Decides without I/O. Times are whole microseconds on the host's clock.
+Times are whole microseconds on the host's clock.
 """
 
 from __future__ import annotations
@@ -49,18 +49,18 @@
 
 
 class DecisionModule:
-    """Every decision of one gateway."""
+    """All decisions of one gateway; implements `linenbridge.interface.DecisionMaker`."""
 
     def __init__(self, startup: Startup, seed: int, now: int) -> None:
         allowances = startup.allowances
         methods = startup.methods
-        random = Random(seed)  # the one source of chance: the order of draws is part of the behaviour
+        random = Random(seed)  # shared: the order of the draws is part of the behaviour
         self.methods = methods
         self.method_indices = {method.name: index for index, method in enumerate(methods)}
         self.sweep_period = sweep_period(methods)
         self._next_sweep_at = now
         self._decisions: Iterator[Decision] | None = None
-        # State that several components read.
+        # State that several components share.
         self.fleet = Fleet(allowances.gateway_number, now)
         self.requests = OpenRequests()
         self.rollout = RolloutState()
@@ -76,14 +76,14 @@
         self._create_request_components(startup, random)
 
     def _create_instance_components(self, startup: Startup, random: Random) -> None:
-        """What an instance may get, and whether it is healthy."""
+        """Create the components for the load and the health of instances."""
         self.shedder = LoadShedder(startup, self.fleet, self.traffic, self.response_times, random)
         self.slow_start = SlowStart(startup, self.fleet, self.shedder, random)
         self.limits = ConcurrencyLimits(startup, self.fleet)
         self.outliers = OutlierDetector(self.fleet, self.sweep_period, self.log)
 
     def _create_build_components(self, startup: Startup, random: Random, now: int) -> None:
-        """Evidence on builds, votes, gossip, and the share of requests that a build may get."""
+        """Create the components for rollouts: evidence on builds, votes, gossip and exposure."""
         self.freeze = RolloutFreeze(self.rollout, self.fleet, self.log)
         self.detector = ChangeDetector(startup, self.rollout, self.fleet, self.log)
         self.voter = RolloutVoter(
@@ -96,7 +96,7 @@
         self.exposure = ExposureLimits(startup, self.rollout, self.freeze, self.traffic)
 
     def _create_request_components(self, startup: Startup, random: Random) -> None:
-        """The order of requests, and their first and further attempts."""
+        """Create the components that order requests and send their attempts."""
         self.priorities = RequestPriorities(startup, self.response_times)
         self.safety = SafetyRules(startup, self.requests, self.fleet, self.sweep_period)
         self.balancer = LoadBalancer(
@@ -137,7 +137,7 @@
     def on_endpoint_list(
         self, now: int, entries: list[EndpointEntry], *, is_snapshot: bool, is_poll_response: bool
     ) -> None:
-        """An endpoint list: a snapshot of all instances, or changes."""
+        """Apply an endpoint list: a snapshot of all instances, or only its changes."""
         self.fleet.update(
             entries,
             is_snapshot=is_snapshot,
@@ -154,13 +154,13 @@
             self._observe_build(max(builds))
 
     def on_endpoint_list_failed(self, now: int) -> None:
-        """A call for the endpoint list has failed."""
+        """Schedule a retry after a request for the endpoint list has failed."""
         self.polling.on_failure(now)
 
     def on_request(
         self, now: int, rpc_id: str, method: str, ttl: int, work: int | None, tenant: str, key: Id | None
     ) -> None:
-        """A request arrives; its client waits for `ttl` microseconds. `work` is in microseconds too."""
+        """Admit a request whose deadline is `ttl` microseconds away; `work` is in microseconds too."""
         method_index = self.method_indices[method]
         cost = self.traffic.admit(method_index, work, RESPONSE_WEIGHT)
         weight = self.priorities.weight(now, method_index, tenant)
@@ -171,14 +171,14 @@
         self.requests.add(request, max(now, deadline - FINAL_RESPONSE_MARGIN))
         self.dispatcher.enqueue(request)
 
-    def on_client_disconnected(self, now: int, rpc_id: str) -> None:  # noqa: ARG002  # the contract's
-        """The client of a request has left; its attempts in flight go on to their end."""
+    def on_client_disconnected(self, now: int, rpc_id: str) -> None:  # noqa: ARG002  # required by the interface
+        """End a request whose client has disconnected; its attempts in flight are not cancelled."""
         request = self.requests.get(rpc_id)
         if request is not None:
             self.requests.end(request)
 
-    def on_response_started(self, now: int, rpc_id: str, attempt: int) -> None:  # noqa: ARG002  # the contract's
-        """The response of a request has begun to go to its client."""
+    def on_response_started(self, now: int, rpc_id: str, attempt: int) -> None:  # noqa: ARG002  # required by the interface
+        """Mark a request as streaming: its response is being sent to the client."""
         request = self.requests.get(rpc_id)
         if request is not None:
             request.streaming = True
@@ -193,8 +193,9 @@
         duration: int,
         load: Mapping[str, float],
     ) -> None:
-        """An attempt has ended; `is_final` where the client has its answer. `load` is the
-        instance's report.
+        """Record how an attempt ended, and the instance's load report.
+
+        `is_final` means that the client has its final response.
         """
         request = self.requests.get(rpc_id)
         if request is None or attempt >= len(request.attempts):
@@ -227,9 +228,10 @@
         is_valid: bool,
         is_stale: bool = False,
     ) -> None:
-        """The platform reports a build's stage, as an update or in response to a vote.
+        """Apply a build's stage, phase and cap from a rollout update or from the response to a vote.
 
-        A response that is not valid reports nothing; `is_stale` where the vote was for another stage.
+        A vote response that is not valid contains no state; `is_stale` means that the vote was for a stage
+        other than the current one.
         """
         if is_vote_response:
             self.voter.on_response(now, is_valid=is_valid, is_stale=is_stale)
@@ -245,29 +247,29 @@
     def on_tally(
         self, now: int, build: int, method: str, attempts: int, failed: int, duration: int, ended: int
     ) -> None:
-        """The platform's counts of all gateways' outcomes in a period."""
+        """Add the platform's tally of all gateways' outcomes in a period."""
         self.evidence.on_tally(now, build, method, attempts, failed, duration, ended)
 
     def on_gossip(self, now: int, peer: int, payload: bytes) -> None:
-        """A peer's payload."""
+        """Add the outcome counts in a peer's message."""
         self.evidence.on_gossip(now, peer, payload)
 
-    def on_flag(self, now: int, instance: Id, method: str, sent: int) -> None:  # noqa: ARG002  # the contract's
-        """The platform reports a failed attempt that was sent then."""
+    def on_flag(self, now: int, instance: Id, method: str, sent: int) -> None:  # noqa: ARG002  # required by the interface
+        """Count a reported wrong response to an attempt that was sent at `sent`."""
         self.evidence.on_flag(instance, method, sent)
 
-    def on_rollout_freeze(self, now: int, zones: frozenset[str] | None) -> None:  # noqa: ARG002  # the contract's
-        """Releases are frozen in these zones, everywhere where none is named; None: no longer."""
+    def on_rollout_freeze(self, now: int, zones: frozenset[str] | None) -> None:  # noqa: ARG002  # required by the interface
+        """Freeze rollouts in these zones, or everywhere if the set is empty; None lifts the freeze."""
         self.freeze.change(zones)
         self.exposure.on_caps_changed()
 
     def _observe_build(self, build: int) -> None:
-        """A build is listed or reported: a later one than all before is the one under judgement."""
+        """Note a listed or reported build; a new latest build restarts the change detection."""
         if self.rollout.observe(build):
             self.detector.restart()
 
     def next_decision(self, now: int) -> Decision | None:
-        """The next decision of this turn, None after the last one."""
+        """Return the next decision, or None if there is none at present."""
         if self._decisions is None:
             self._decisions = self._decide(now)
         decision = next(self._decisions, None)
@@ -276,23 +278,24 @@
         return decision
 
     def wake_at(self) -> int | None:
-        """When to call again: at the next deadline or sweep, never where nothing is open and no
-        vote is due.
+        """Return the time of the next deadline or sweep.
+
+        Return None if no request is open, no endpoint list has to be requested and the rollout is complete.
         """
         due = self.requests.next_due()
-        if self.requests or self.polling.next_at is not None or not self._is_rollout_settled():
+        if self.requests or self.polling.next_at is not None or not self._is_rollout_complete():
             return self._next_sweep_at if due is None else min(due, self._next_sweep_at)
         return due
 
-    def _is_rollout_settled(self) -> bool:
-        """Whether the latest build is reported, past its trial, and no vote is in effect."""
+    def _is_rollout_complete(self) -> bool:
+        """Return whether the latest build is reported and no longer on trial, and no vote is in effect."""
         rollout = self.rollout
         if rollout.build != rollout.latest_build or rollout.phase == RolloutPhase.ON_TRIAL:
             return False
         return self.voter.cast_vote == Vote.NONE
 
     def _decide(self, now: int) -> Iterator[Decision]:
-        """The decisions of one turn, in their order."""
+        """Yield all decisions that are due now."""
         if self.polling.is_due(now):
             yield WatchEndpoints()
         for request in self.requests.overdue(now):
--- a/linenbridge/policy/dispatch.py
+++ b/linenbridge/policy/dispatch.py
@@ -1,7 +1,7 @@
-"""Dispatch: the queue of requests that wait for an attempt, and what is decided on each of them.
+"""Dispatch: queues requests and sends, rejects or fails each of them.
 
-Decides without I/O. What finds no capacity waits until its latency objective is out of reach, no longer; it
-is answered by its deadline in any case.
+A request that finds no instance with capacity waits only until it can no longer meet its latency objective.
+Each request gets its final response by its deadline.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from linenbridge.state.requests import Attempt, Request
 from linenbridge.state.traffic import ResponseTimes
 
-MAX_OVERLOADED_ATTEMPTS = 2  # as overloaded, after which a request is given up
+MAX_OVERLOADED_ATTEMPTS = 2  # rejections by overloaded instances after which a request is given up
 
 
 def queue_sort_key(request: Request) -> tuple[float, int]:
-    """The sort key of the queue: the highest weight first, then the first to arrive."""
+    """Return the sort key of a queued request: the highest weight first, then the earliest arrival."""
     return -request.weight, request.arrived_at
 
 
 class Dispatcher:
-    """The waiting requests, and the one place where attempts are sent from."""
+    """The queue of waiting requests. Every attempt, including hedged requests, is sent by `send`."""
 
     def __init__(
         self,
@@ -53,15 +53,15 @@
         self._waiting: list[Request] = []
 
     def enqueue(self, request: Request) -> None:
-        """The request waits for an attempt."""
+        """Add a request that waits for its next attempt."""
         self._waiting.append(request)
 
     def decisions(self, now: int) -> Iterator[SendAttempt | Reject | Fail]:
-        """What is decided on each waiting request, the highest weight first."""
+        """Yield the decisions on the waiting requests, the highest weight first."""
         queue = [request for request in self._waiting if not request.ended]
         queue.sort(key=queue_sort_key)
         self._waiting = []
-        saturated: set[int] = set()  # methods for which no instance has capacity
+        saturated: set[int] = set()  # indices of methods for which no instance has capacity
         for request in queue:
             first = not request.attempts
             new = request.arrived_at == now
@@ -87,7 +87,10 @@
                     saturated.add(request.method_index)
 
     def _is_given_up(self, now: int, request: Request, new: bool) -> bool:
-        """Whether the request gets no further attempt: it is spent, shed, or unsafe to repeat."""
+        """Return whether the request gets no further attempt.
+
+        Its time or its attempts are used up, it is shed, or another attempt would not be safe.
+        """
         if now >= request.deadline - FINAL_RESPONSE_MARGIN or len(request.attempts) >= self.max_attempts:
             return True
         if request.attempts and request.count(Outcome.OVERLOADED) >= MAX_OVERLOADED_ATTEMPTS:
@@ -97,7 +100,7 @@
         return not self.safety.may_attempt(now, request)
 
     def send(self, now: int, request: Request, instance_index: int) -> SendAttempt:
-        """Send an attempt to the instance, and count it wherever that limits further ones."""
+        """Return the decision to send an attempt to the instance, counted against every limit on it."""
         fleet = self.fleet
         build = fleet.build[instance_index]
         request.attempts.append(Attempt(instance_index, build, now))
--- a/linenbridge/policy/endpoint_polling.py
+++ b/linenbridge/policy/endpoint_polling.py
@@ -1,7 +1,4 @@
-"""Endpoint polling: when the module asks the host to watch the endpoint list.
-
-Decides without I/O.
-"""
+"""Endpoint polling: determines when the host has to request the endpoint list."""
 
 from __future__ import annotations
 
@@ -9,12 +6,15 @@
 
 from linenbridge.interface import SECOND
 
-WATCH_RETRY = 300_000  # microseconds after a failed call, doubled with each
+WATCH_RETRY = 300_000  # microseconds after a failed request; doubled with each further failure
 MAX_WATCH_RETRY = 4 * SECOND  # microseconds
 
 
 class EndpointPolling:
-    """When to ask next, None while a call is open or lists come by themselves. Times are microseconds."""
+    """The time of the next request for the endpoint list. Times are microseconds.
+
+    `next_at` is None while a request is open, and always if polling is disabled.
+    """
 
     def __init__(self, enabled: bool, random: Random, now: int) -> None:
         self.random = random
@@ -22,16 +22,16 @@
         self.retry_wait = WATCH_RETRY
 
     def on_response(self) -> None:
-        """A call was answered: retries begin anew."""
+        """Reset the retry wait after a response."""
         self.retry_wait = WATCH_RETRY
 
     def on_failure(self, now: int) -> None:
-        """A call has failed: it is made again after a wait."""
+        """Schedule a retry after a failed request; the wait is randomized."""
         self.next_at = now + int(self.retry_wait * self.random.uniform(0.5, 1.5))
         self.retry_wait = min(2 * self.retry_wait, MAX_WATCH_RETRY)
 
     def is_due(self, now: int) -> bool:
-        """Whether to ask now; true once for each call."""
+        """Return whether to make a request now; True once for each request."""
         if self.next_at is None or now < self.next_at:
             return False
         self.next_at = None
--- a/linenbridge/policy/evidence.py
+++ b/linenbridge/policy/evidence.py
@@ -1,7 +1,7 @@
-"""Which outcomes are evidence on a build: own attempts, the platform's tallies and flags, and peers' counts.
+"""Evidence: selects the outcomes that count for or against a build.
 
-Decides without I/O. Other gateways' counts stand in where this one has too few outcomes of its own; no
-outcome counts twice.
+The sources are this gateway's attempts, the platform's tallies and flags, and the counts of peers. Outcomes
+of other gateways are used only if this gateway has too few of its own. No outcome is counted twice.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 from linenbridge.state.requests import Attempt
 from linenbridge.state.traffic import Traffic
 
-STALE_TALLY_PERIODS = 4  # without a tally, after which own outcomes count again
-NEVER = -(1 << 60)  # microseconds
+STALE_TALLY_PERIODS = 4  # without a tally, after which local outcomes count again
+NEVER = -(1 << 60)  # microseconds; before any time of a host's clock
 
 
 class EvidenceCollector:
-    """Passes outcomes on to the change detector, and own ones to the gossip exchange."""
+    """Passes outcomes to the change detector, and local outcomes also to the gossip exchange."""
 
     def __init__(
         self,
@@ -46,16 +46,17 @@
         self.last_tally_at = NEVER
 
     def has_few_outcomes(self, now: int) -> bool:
-        """Whether this gateway gets too few requests for the outcomes that a vote to promote needs."""
+        """Return whether this gateway gets too few requests for the outcomes that a vote to promote needs."""
         return self.traffic.is_below(MIN_PROMOTE_OUTCOMES, PROMOTE_WAIT, now)
 
     def on_attempt_finished(
         self, now: int, attempt: Attempt, outcome: Outcome, duration: int, method_index: int
     ) -> None:
-        """Count an own outcome, if it shows that the build executed the request.
+        """Count a local outcome if it shows that the build executed the request.
 
-        A lost connection, or a time-out of an instance that was silent throughout, indicates a fault of the
-        instance; response times of instances that warm up indicate their start.
+        A lost connection, or a time-out at an instance that sent no response since the attempt, indicates a
+        fault of the instance, not of the build. Response times of instances in slow start are not counted,
+        because they depend on the warm-up.
         """
         succeeded = outcome == Outcome.OK
         if not succeeded and outcome != Outcome.ERROR:
@@ -67,8 +68,8 @@
         )
         counts = Counts(1, 0 if succeeded else 1, 1 if timed else 0, duration if timed else 0)
         self.gossip.add_local(attempt.build, method_index, counts)
-        # Without an earlier build tallies tell errors from the hour by the other methods alone: own outcomes
-        # count beside them.
+        # Without a baseline build, tallies can only be compared with the build's other methods, so local
+        # outcomes are counted in addition to them.
         if (
             not self.has_few_outcomes(now)
             or now > self.last_tally_at + STALE_TALLY_PERIODS * self.tally_period
@@ -79,8 +80,10 @@
     def on_tally(
         self, now: int, build: int, method: str, attempts: int, failed: int, mean_time: int, ended_at: int
     ) -> None:
-        """The platform's counts of a period: all gateways' outcomes, own ones among them, in place of own
-        ones.
+        """Add the platform's counts of a period if this gateway has few outcomes of its own.
+
+        The counts include this gateway's outcomes and replace them. The mean response time is divided by the
+        expected slowdown of the build's instances that were in slow start.
         """
         method_index = self.method_indices.get(method)
         if method_index is None or not 0 <= failed <= attempts or not self.has_few_outcomes(now):
@@ -98,8 +101,9 @@
         self.detector.add(build, method_index, counts, None, MIN_THRESHOLD)
 
     def on_flag(self, instance: Id, method: str, sent_at: int) -> None:
-        """The platform reports a failure of an attempt sent then; an instance that has started since, with
-        another build, is not its cause.
+        """Count a reported failure of an attempt that was sent at `sent_at`.
+
+        An instance that has started since then may run another build, so the report is ignored.
         """
         instance_index = self.fleet.index.get(instance)
         if instance_index is not None and self.fleet.started_at[instance_index] <= sent_at:
@@ -107,7 +111,7 @@
             self.detector.add(build, self.method_indices[method], Counts(1, 1, 0, 0), instance_index)
 
     def on_gossip(self, now: int, peer: int, payload: bytes) -> None:
-        """A peer's counts of its own outcomes since its start."""
+        """Add the outcomes that a peer has counted, if this gateway has few outcomes of its own."""
         for build, method_index, counts in self.gossip.received(peer, payload):
             if self.has_few_outcomes(now):
                 self.detector.add(build, method_index, counts)
--- a/linenbridge/policy/exposure.py
+++ b/linenbridge/policy/exposure.py
@@ -1,6 +1,7 @@
 """Rule 5: the share of requests that a build on trial may get.
 
-Decides without I/O. A token bucket per build keeps every window within the cap; a freeze lowers it.
+A token bucket per build keeps the attempts in any time window within the cap. A rollout freeze lowers the
+cap.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 from linenbridge.state.rollout import RolloutState
 from linenbridge.state.traffic import Traffic
 
-CAP_FRACTION = 0.9  # of the cap that is used: the rest is set aside for retries and late updates
-NO_CAP = inf  # nothing binds
-ALL_METHODS = -1  # the row of a bucket that all methods share
+CAP_FRACTION = 0.9  # fraction of the cap that is used; the rest is reserved for retries and late updates
+NO_CAP = inf
+ALL_METHODS = -1  # in place of a method index, for a bucket that all methods share
 
 
 class ExposureLimits:
-    """The caps in effect and a token bucket for each build, and method where caps are per method."""
+    """The caps in effect, and a token bucket per build, or per build and method if caps are per method."""
 
     def __init__(
         self, startup: Startup, rollout: RolloutState, freeze: RolloutFreeze, traffic: Traffic
@@ -32,7 +33,7 @@
         self._buckets: dict[tuple[int, int], TokenBucket] = {}
 
     def allows(self, build: int, method_index: int) -> bool:
-        """Whether one more attempt of the method may go to the build now."""
+        """Return whether one more attempt of the method may be sent to the build now."""
         cap = self._cap(build)
         if cap == NO_CAP:
             return True
@@ -44,26 +45,26 @@
         return self._bucket(build, method_index, cap).tokens >= 1.0
 
     def on_attempt_sent(self, build: int, method_index: int) -> None:
-        """An attempt goes to the build."""
+        """Take one token from the build's bucket if the build has a cap."""
         cap = self._cap(build)
         if cap != NO_CAP:
             self._bucket(build, method_index, cap).tokens -= 1.0
 
     def on_caps_changed(self) -> None:
-        """Refill by the share that was in effect until now; from now on by the one that binds."""
+        """Refill each bucket at the rate in effect until now, then set the rate of its new cap."""
         for (build, row), bucket in self._buckets.items():
             bucket.refill(self._admitted(row))
             bucket.share = self._tokens_per_request(self._cap(build))
 
     def _cap(self, build: int) -> float:
-        """The cap that binds attempts at a build, a freeze included."""
+        """Return the cap of a build, lowered by a rollout freeze that covers the build."""
         cap = self._reported_cap(build)
         if cap == NO_CAP or not self.freeze.covers(build):
             return cap
         return self.freeze.limit(build, cap)
 
     def _reported_cap(self, build: int) -> float:
-        """The cap of the last rollout update; that of the first stage for a build that none has named yet."""
+        """Return the last reported cap of a build, or the first stage's cap for a build not reported yet."""
         if self._is_unreported(build):
             return self.plan.caps[0]
         rollout = self.rollout
@@ -72,22 +73,24 @@
         return rollout.cap
 
     def _stage(self, build: int) -> int:
-        """The stage of a build that has a cap."""
+        """Return the stage of a build that has a cap."""
         return 0 if self._is_unreported(build) else self.rollout.stage
 
     def _is_unreported(self, build: int) -> bool:
-        """Whether the endpoint list shows a later build than the updates name."""
+        """Return whether the endpoint list contains the build before any rollout update reports it."""
         reported = self.rollout.build
         return build > reported if reported >= 0 else build > self.rollout.lowest_build
 
     def _tokens_per_request(self, cap: float) -> float:
-        """What a request earns. At a full cap all of it is used: no earlier instance may be left for the
-        rest.
+        """Return the tokens that one request adds to a bucket.
+
+        A full cap is used without a reserve, because no instance of an earlier build may be left to take the
+        remaining requests.
         """
         return 1.0 if cap >= 1.0 else CAP_FRACTION * cap
 
     def _bucket(self, build: int, method_index: int, cap: float) -> TokenBucket:
-        """The bucket of a build with a cap, refilled up to now."""
+        """Return the bucket of a build with a cap, refilled up to now."""
         row = method_index if self.plan.per_method else ALL_METHODS
         admitted = self._admitted(row)
         bucket = self._buckets.get((build, row))
--- a/linenbridge/policy/gossip.py
+++ b/linenbridge/policy/gossip.py
@@ -1,7 +1,7 @@
-"""Gossip: own outcome counts for peers, and what is new in theirs.
+"""Gossip: sends this gateway's outcome counts to peers and extracts the new counts from their payloads.
 
-Decides without I/O. Counts are cumulative since a gateway's start, so that repeated, lost and late payloads
-count nothing twice.
+Counts are cumulative since a gateway's start, so that no outcome is counted twice if payloads are repeated,
+lost or late.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from linenbridge.state.peers import NewCounts, PeerBounds, PeerCounts, pack
 from linenbridge.state.rollout import RolloutState
 
-GOSSIP_PERIOD = 1 * SECOND  # microseconds, drawn between half and one and a half of it
-GOSSIP_FANOUT = 8  # peers of a payload, over the build's share
-MIN_PEERS = 8  # whose counts are stored at least
-MAX_BUILDS = 4  # whose counts are stored of each peer
-MAX_INCARNATIONS = 16  # earlier ones whose tokens are stored of each peer
-BUILDS_SENT = 2  # the highest builds with outcomes
+GOSSIP_PERIOD = 1 * SECOND  # microseconds; each interval is between half and one and a half periods
+GOSSIP_FANOUT = 8  # peers that get a payload, divided by the build's share of the instances
+MIN_PEERS = 8  # peers whose counts are stored, even if there are fewer gateways
+MAX_BUILDS = 4  # builds whose counts are stored for each peer
+MAX_INCARNATIONS = 16  # earlier incarnations whose tokens are stored for each peer
+BUILDS_SENT = 2  # latest builds with outcomes that a payload contains
 TOKEN_BITS = 16
 
 
 class GossipExchange:
-    """Own counts since the start, and those received from each peer."""
+    """The counts of this gateway since its start, and the counts received from each peer."""
 
     def __init__(
         self, startup: Startup, rollout: RolloutState, voter: RolloutVoter, random: Random, now: int
@@ -41,7 +41,7 @@
         self.rollout = rollout
         self.voter = voter
         self.random = random
-        self.token = random.randrange(1 << TOKEN_BITS)  # of this incarnation
+        self.token = random.randrange(1 << TOKEN_BITS)  # identifies this incarnation
         self.local_counts: dict[tuple[int, int], Counts] = {}  # by build and method index
         bounds = PeerBounds(max(MIN_PEERS, self.gateways), MAX_BUILDS, MAX_INCARNATIONS)
         self.peer_counts = PeerCounts(self.method_count, bounds)
@@ -49,19 +49,21 @@
         self._next_at = now
 
     def add_local(self, build: int, method_index: int, counts: Counts) -> None:
-        """Count own outcomes; those of the build under judgement are due to be sent."""
+        """Count local outcomes; those of the latest build have to be sent."""
         key = (build, method_index)
         self.local_counts[key] = self.local_counts.get(key, Counts()).plus(counts)
         if build == self.rollout.latest_build:
             self._has_new_counts = True
 
     def received(self, peer: int, payload: bytes) -> Iterator[NewCounts]:
-        """What a payload adds to the counts that the peer sent before it."""
+        """Yield the counts that a payload adds to the peer's earlier payloads."""
         return self.peer_counts.new_counts(peer, payload)
 
     def due_messages(self, now: int) -> list[Gossip]:
-        """Own counts for the next peers by number, to fewer of them the larger the build's share; to all
-        peers (None) where that is most of them.
+        """Return the messages with this gateway's counts that are due now.
+
+        They go to the peers with the next gateway numbers, to fewer of them the larger the build's share. A
+        single message to all peers replaces them if they would go to every peer.
         """
         if not (self.allowed and self._has_new_counts and now >= self._next_at):
             return []
--- a/linenbridge/policy/hedging.py
+++ b/linenbridge/policy/hedging.py
@@ -1,6 +1,6 @@
-"""Hedging: requests at suspected instances, and single lost responses, are attempted at another instance.
+"""Hedging: repeats requests at another instance if theirs is suspected or their response was lost.
 
-Decides without I/O, within a budget, and only for requests that may be repeated.
+Only requests that may be repeated are hedged. A budget limits the attempts for lost responses.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 from linenbridge.state.requests import OpenRequests, Request
 from linenbridge.state.traffic import ResponseTimes, Traffic
 
-LOST_AFTER = 4.0  # mean response times after which a response is lost, where the instance has answered others
-BUDGET_SHARE = 0.1  # of the requests
-MAX_BUDGET = 5.0  # attempts at once
+LOST_AFTER = 4.0  # mean response times after which a response is lost if the instance has responded to others
+BUDGET_SHARE = 0.1  # attempts that each admitted request adds to the budget
+MAX_BUDGET = 5.0  # attempts
 
 
 class Hedger:
-    """The budget of attempts for lost responses, and the hedges or cancellations of each sweep."""
+    """The budget of attempts for lost responses, and the hedged or cancelled attempts of each sweep."""
 
     def __init__(
         self,
@@ -43,6 +43,7 @@
         self.max_attempts = allowances.max_attempts
         self.hedging_allowed = allowances.hedging_allowed
         self.cancel_allowed = allowances.cancel_allowed
+        # By method index; methods that are idempotent by key are included.
         self.is_idempotent = [method.idempotency != Idempotency.NON_IDEMPOTENT for method in startup.methods]
         self.fleet = fleet
         self.requests = requests
@@ -56,9 +57,10 @@
         self.budget = TokenBucket(MAX_BUDGET, 0, BUDGET_SHARE)
 
     def decisions(self, now: int) -> Iterator[SendAttempt | CancelAttempt]:
-        """Eject silent instances; what they hold, and what has lost its response, is attempted elsewhere.
+        """Eject silent instances, and hedge their requests and those whose response was lost.
 
-        Where hedging is not allowed the attempt is cancelled, and the request waits for its next one.
+        If hedging is not allowed but cancelling is, the attempt is cancelled and the request waits for its
+        next one.
         """
         budget = self.budget.refill(self.traffic.total)
         suspected = self.outliers.eject_silent(now)
@@ -87,7 +89,7 @@
                 yield CancelAttempt(request.id, number)
 
     def _only_in_flight(self, request: Request) -> int | None:
-        """The number of the request's one attempt in flight; None where there is none, or several."""
+        """Return the number of the request's only attempt in flight; None if there are none or several."""
         found: int | None = None
         for number, attempt in enumerate(request.attempts):
             if attempt.outcome is None:
@@ -97,11 +99,11 @@
         return found
 
     def _may_repeat(self, request: Request) -> bool:
-        """Whether the request has attempts left and may be executed twice."""
+        """Return whether the request has attempts left and its method may be repeated."""
         return self.is_idempotent[request.method_index] and len(request.attempts) < self.max_attempts
 
     def _is_lost(self, request: Request, number: int) -> bool:
-        """Whether the instance has answered others long after this attempt would have been."""
+        """Return whether the instance has responded to others long after the expected response time."""
         attempt = request.attempts[number]
         expected = max(
             self.sweep_period, self.response_times.mean[request.method_index] * max(1.0, request.cost)
--- a/linenbridge/policy/load_balancing.py
+++ b/linenbridge/policy/load_balancing.py
@@ -1,7 +1,7 @@
-"""Load balancing: a build by the size of its instances, then the less loaded of two drawn from this gateway's
-subset of it.
+"""Load balancing: selects a build, then the less loaded of two random instances of the build.
 
-Decides without I/O, among what the safety rules, exposure limits and slow start allow.
+The build is drawn by the size of its instances. The two instances are drawn from this gateway's subset of
+them. Only instances that the safety rules, exposure limits and slow start allow are selected.
 """
 
 from __future__ import annotations
@@ -20,11 +20,13 @@
 from linenbridge.state.requests import Request
 from linenbridge.state.rollout import KeyAffinity, RolloutState
 
-USES_PER_IDLE_TIMEOUT = 3.0  # of each instance of the subset, before its idle connection would close
+USES_PER_IDLE_TIMEOUT = (
+    3.0  # requests to each instance of the subset within the idle timeout of its connection
+)
 MIN_SUBSET = 3  # instances
-RATE_TIME_CONSTANT = 3 * SECOND  # time constant of the rate of requests, in microseconds
-LOAD_REPORT_TIME_CONSTANT = 1 * SECOND  # time constant of load reports, in microseconds
-MIN_SUCCESS_RATE = 0.05  # in the load score
+RATE_TIME_CONSTANT = 3 * SECOND  # microseconds; of the request rate
+LOAD_REPORT_TIME_CONSTANT = 1 * SECOND  # microseconds; of the load that other gateways cause
+MIN_SUCCESS_RATE = 0.05  # lower bound in the load score
 
 
 class LoadBalancer:
@@ -57,15 +59,15 @@
         self.request_rate = DecayingRate(RATE_TIME_CONSTANT)
 
     def on_request(self, now: int) -> None:
-        """Count a request: the subset grows with their rate."""
+        """Count a request: the size of the subset depends on the request rate."""
         self.request_rate.add(now, 1.0)
 
     def select(self, now: int, request: Request) -> int | None:
-        """The index of the instance for the next attempt; None where none has capacity.
+        """Return the index of the instance for the next attempt, or None if no instance has capacity.
 
-        The build is that of an instance drawn by size. Where the instance drawn is warming up and has no
-        allowance, the other build comes first, not other instances of its own. Retries prefer the earlier
-        build.
+        The preferred build is that of an instance drawn by size. If this instance is in slow start and has no
+        allowance, the other build is preferred to other instances of the same build. Retries prefer the
+        earlier build.
         """
         fleet = self.fleet
         min_build = self.affinity.min_build(request.key)
@@ -102,7 +104,7 @@
         return False
 
     def _subset_size(self, now: int, build: int) -> int:
-        """As many instances as the traffic keeps connections open to."""
+        """Return how many instances of the build get enough requests to keep their connections open."""
         fleet = self.fleet
         uses = (
             self.request_rate.per_second(now) * self.connection_idle_timeout / SECOND / USES_PER_IDLE_TIMEOUT
@@ -110,8 +112,10 @@
         return ceil(max(MIN_SUBSET, uses * len(fleet.ready_by_build[build]) / len(fleet.ready)))
 
     def _select_from(self, now: int, request: Request, build: int, any_healthy: bool) -> int | None:
-        """Two random choices by size, the one with the lower load score, from the first instances of the
-        build in this gateway's own order: as many as its subset, others in place of unhealthy or full ones.
+        """Return the less loaded of two candidates drawn by size, or None if there is no candidate.
+
+        The candidates are the first instances of the build in this gateway's order, as many as its subset
+        has. Unhealthy and full instances are skipped, and the next ones take their places.
         """
         fleet = self.fleet
         subset_size = self._subset_size(now, build)
@@ -120,9 +124,8 @@
         warm_before = now - self.slow_start_duration
         is_retry = bool(request.attempts)
         candidates = list[int]()
-        for index in fleet.ready_by_build[
-            build
-        ]:  # The cheapest conditions first: many are checked per request.
+        # The cheapest conditions come first, because many instances are checked per request.
+        for index in fleet.ready_by_build[build]:
             healthy = ejected_until[index] <= now and failure_rate[index] < MAX_FAILURE_RATE
             if not healthy and any_healthy and not self.outliers.is_healthy(index, now):
                 continue
@@ -143,7 +146,10 @@
         return first if self._load_score(first, now) <= self._load_score(second, now) else second
 
     def _load_score(self, instance_index: int, now: int) -> float:
-        """What is in flight for the instance's size; one that fails quickly does not look empty."""
+        """Return the load per unit of size.
+
+        Failures raise the score, so that an instance that fails quickly does not appear to be idle.
+        """
         fleet = self.fleet
         success_rate = max(MIN_SUCCESS_RATE, 1 - self.outliers.failure_rate(instance_index, now))
         load = fleet.in_flight[instance_index] + fleet.expected_external_load(
--- a/linenbridge/policy/load_shedding.py
+++ b/linenbridge/policy/load_shedding.py
@@ -1,6 +1,6 @@
-"""Load shedding: a share of the new requests is rejected at once, more with each late response.
+"""Load shedding: rejects a share of the new requests immediately; the share grows with each late response.
 
-Decides without I/O. Once it acts, responses need to come well within the latency objective.
+While requests are shed, only responses well within the latency objective lower the share.
 """
 
 from __future__ import annotations
@@ -15,21 +15,22 @@
 from linenbridge.state.requests import Attempt, Request
 from linenbridge.state.traffic import ResponseTimes, Traffic
 
-LEVEL_STEP_UP = 0.15  # of the level, for each late response
-LEVEL_STEP_DOWN = 0.015  # of the level, for each timely one, times their number in a row
+LEVEL_STEP_UP = 0.15  # added to the level for each late response
+LEVEL_STEP_DOWN = 0.015  # subtracted from the level for each timely response, times their number in a row
 MAX_STREAK = 8  # timely responses in a row that count
-MIN_SHEDDING_LEVEL = 0.3  # up to which nothing is shed
-MAX_SHARE = 0.95  # of the requests that is shed
-OBJECTIVE_FRACTION = 0.75  # of the latency objective within which responses are timely while it sheds
-WEIGHT_WINDOW = 30  # requests whose weights rank the next one
-RANK_OFFSET = 1.5  # from which a request's rank is taken: the lowest weights are shed first
+MIN_SHEDDING_LEVEL = 0.3  # level up to which no request is shed
+MAX_SHARE = 0.95  # maximum share of the new requests that is shed
+OBJECTIVE_FRACTION = 0.75  # of the latency objective; responses within it are timely while requests are shed
+WEIGHT_WINDOW = 30  # latest requests, among which a new request is ranked by weight
+RANK_OFFSET = 1.5  # the share is multiplied by this minus the rank: the lowest weights are shed first
 
 
 class LoadShedder:
-    """The level of load shedding, from 0.0 to 1.0, and the draws by it.
+    """The level of load shedding, 0.0 to 1.0, and the random rejection of requests by this level.
 
-    It acts at gateways with few requests, where no concurrency limit binds, and where the lowest limits of
-    all gateways, one request each, queue past a latency objective.
+    Load shedding is active if concurrency limits alone do not keep queues short: at gateways with few
+    requests, which do not reach their limits, and where the minimum limits of all gateways, one request each,
+    already cause queues longer than a latency objective.
     """
 
     def __init__(
@@ -46,7 +47,7 @@
         self._weights: deque[float] = deque([0.0], maxlen=WEIGHT_WINDOW)
 
     def sheds(self, now: int, weight: float) -> bool:
-        """Whether a new request of that weight is rejected, by chance; low weights first."""
+        """Return whether to reject a new request, at random; requests of low weight are rejected first."""
         if not self._is_active(now):
             return False
         lower_count = 0
@@ -59,13 +60,13 @@
         )
         if share <= 0.0 or self.random.random() >= share:
             return False
-        # What is kept from the instances lowers the level too: of few requests, nearly all of them shed, too
-        # few responses would come to do so.
+        # A shed request lowers the level too: if nearly all of few requests are shed, there are too few
+        # responses to lower the level.
         self.level -= LEVEL_STEP_DOWN
         return True
 
     def _is_active(self, now: int) -> bool:
-        """Whether concurrency limits alone do not keep the queues short."""
+        """Return whether concurrency limits alone do not keep queues short."""
         if self.traffic.is_below(MIN_PROMOTE_OUTCOMES, PROMOTE_WAIT, now):
             return True
         queue = 0.0
@@ -76,8 +77,9 @@
     def on_attempt_finished(self, now: int, attempt: Attempt, outcome: Outcome, request: Request) -> None:
         """Count the outcome of an attempt as timely, as late, or not at all.
 
-        A time-out at an instance that was silent throughout indicates a fault of it and no load: pauses alone
-        would shed. Where a whole fleet falls silent at once, rejections and late responses alone are left.
+        A time-out at an instance that has sent no response since the attempt indicates a fault of the
+        instance rather than load, and is not counted: a pause of an instance would cause shedding otherwise.
+        If all instances are silent at once, only rejections and late responses raise the level.
         """
         overloaded = outcome == Outcome.OVERLOADED
         succeeded = outcome == Outcome.OK
@@ -92,8 +94,9 @@
         return self.fleet.is_silent_since(attempt.instance_index, attempt.sent_at)
 
     def add_response(self, *, late: bool) -> None:
-        """Adjust the level; timely responses in a row count ever more, so that it falls soon after
-        the load.
+        """Adjust the level by one response.
+
+        Each further timely response in a row counts more, so that the level falls soon after the load does.
         """
         if late:
             self._streak = 0
--- a/linenbridge/policy/log_messages.py
+++ b/linenbridge/policy/log_messages.py
@@ -1,6 +1,6 @@
-"""The lines that the decision module writes for operators: an event with named fields each.
+"""Log messages of the decision module for operators: events with named fields.
 
-Owns the events' names and fields (listed in docs/oncall.md). Hosts write the fields as they are.
+docs/oncall.md lists the events and their fields. Hosts write the fields unchanged.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 
 class LogMessages:
-    """The messages that no host has taken yet, the oldest first."""
+    """The messages that the host has not pulled yet, the oldest first."""
 
     def __init__(self) -> None:
         self.pending: deque[LogMessage] = deque()
 
     def rollout_freeze(self, zones: frozenset[str] | None, rollout: RolloutState) -> None:
-        """A freeze begins, changes or ends. An empty list of zones is everywhere; None is the end."""
+        """Log that a freeze starts, changes or ends: an empty set of zones means everywhere, None the end."""
         self._add(
             "rollout_freeze",
             {
@@ -31,7 +31,7 @@
         )
 
     def rollout(self, build: int, stage: int, phase: int, cap: float) -> None:
-        """The platform reports another build, stage or phase."""
+        """Log that the platform reports another build, stage or phase."""
         self._add(
             "rollout", {"build": build, "stage": stage, "phase": RolloutPhase(phase).name.lower(), "cap": cap}
         )
@@ -47,7 +47,7 @@
         threshold: float,
         baseline: float,
     ) -> None:
-        """A cumulative sum crosses its threshold, or falls back far enough to clear the alarm."""
+        """Log that a cumulative sum exceeds its threshold, or has fallen enough to clear the alarm."""
         self._add(
             "alarm" if raised else "alarm_cleared",
             {
@@ -63,7 +63,7 @@
     def vote(
         self, vote: int, build: int, stage: int, reported_stage: int, outcomes: int, highest: float
     ) -> None:
-        """The gateway casts another vote; `highest` is the largest cumulative sum."""
+        """Log that the gateway casts another vote; `highest` is the largest cumulative sum."""
         self._add(
             "vote",
             {
@@ -77,7 +77,7 @@
         )
 
     def eject(self, instance: int | str, mean_response_gap: float, in_flight: int) -> None:
-        """An instance is ejected for the third time in a row; the gap is given in microseconds."""
+        """Log the third ejection of an instance in a row; `mean_response_gap` is in microseconds."""
         self._add(
             "eject",
             {
--- a/linenbridge/policy/outlier_detection.py
+++ b/linenbridge/policy/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Outlier detection by accrual: an instance whose silence is out of proportion to its mean response gap is
-ejected for a time, longer with each failure in a row.
+"""Outlier detection by accrual: ejects instances whose silence far exceeds their mean response gap.
 
-Decides without I/O. Only the endpoint list removes an instance.
+The ejection time grows with each consecutive failure. Ejected instances stay in the fleet: only the endpoint
+list removes an instance.
 """
 
 from __future__ import annotations
@@ -14,20 +14,21 @@
 from linenbridge.state.fleet import Fleet
 
 SUSPICION_GAPS = 8.0  # mean response gaps of silence after which an instance is suspected
-INITIAL_GAP = 8  # sweep periods; of an instance without a response
-GAP_WEIGHT = 0.1  # of a new response gap in the mean
-BASE_EJECTION = 10  # sweep periods; the first ejection, doubled with each failure in a row
+INITIAL_GAP = 8  # sweep periods; mean response gap of an instance without a response yet
+GAP_WEIGHT = 0.1  # weight of a new response gap in the mean
+BASE_EJECTION = 10  # sweep periods; the first ejection, doubled with each consecutive failure
 MAX_EJECTION = 80  # sweep periods
-MAX_CONSECUTIVE_FAILURES = 8  # counted
+MAX_CONSECUTIVE_FAILURES = 8  # further ones are not counted
 LOGGED_FAILURES = 3  # consecutive failures at which an ejection is logged
-FAILURE_WEIGHT = 0.15  # of a new response in the failure rate
-FAILURE_RATE_TIME_CONSTANT = 5 * SECOND  # time constant of the failure rate, in microseconds
+FAILURE_WEIGHT = 0.15  # weight of a new response in the failure rate
+FAILURE_RATE_TIME_CONSTANT = 5 * SECOND  # microseconds
 MAX_FAILURE_RATE = 0.5  # of a healthy instance
 
 
 class OutlierDetector:
-    """Ejections and failure rates of the instances; `sweep_period` is the unit of its times
-    (microseconds).
+    """Ejections and failure rates of the instances.
+
+    `sweep_period` (microseconds) is the unit of the initial response gap and of ejection times.
     """
 
     def __init__(self, fleet: Fleet, sweep_period: int, log: LogMessages) -> None:
@@ -39,7 +40,7 @@
     def on_attempt_finished(
         self, now: int, instance_index: int, outcome: Outcome, load: Mapping[str, float]
     ) -> None:
-        """Count the end of an attempt and the instance's load report, if it sent one."""
+        """Record the outcome of an attempt, and the load report if the instance sent one."""
         fleet = self.fleet
         fleet.on_finished(instance_index)
         if load:
@@ -51,8 +52,8 @@
         elif outcome in (Outcome.CONNECT_FAILED, Outcome.CONNECTION_LOST, Outcome.TIMED_OUT):
             self._eject(now, instance_index)
         elif outcome in (Outcome.ERROR, Outcome.OVERLOADED, Outcome.MALFORMED_RESPONSE):
-            # Overloaded too: an instance that drains before the list says so rejects all at once and would
-            # look empty.
+            # Rejections count as failures: an instance that drains before the endpoint list shows it rejects
+            # every request immediately and would appear to be idle.
             self._on_response(now, instance_index, 1)
 
     def _on_response(self, now: int, instance_index: int, failed: int) -> None:
@@ -61,7 +62,7 @@
         fleet.failure_rate[instance_index] += (failed - fleet.failure_rate[instance_index]) * FAILURE_WEIGHT
 
     def _eject(self, now: int, instance_index: int) -> None:
-        """Eject an instance that is not ejected already."""
+        """Eject an instance unless it is ejected already."""
         fleet = self.fleet
         if now < fleet.ejected_until[instance_index]:
             return
@@ -76,8 +77,9 @@
             self.log.eject(fleet.ids[instance_index], gap, fleet.in_flight[instance_index])
 
     def eject_silent(self, now: int) -> set[int]:
-        """Eject the instances that are silent for too long for what is in flight there; returns their
-        indices.
+        """Eject the instances that have been silent too long for their attempts in flight.
+
+        Return the indices of the instances ejected.
         """
         fleet = self.fleet
         suspected = set[int]()
@@ -91,7 +93,7 @@
         return suspected
 
     def is_healthy(self, instance_index: int, now: int) -> bool:
-        """Whether the instance is not ejected and most of its last responses succeeded."""
+        """Return whether the instance is not ejected and most of its recent responses succeeded."""
         fleet = self.fleet
         return (
             fleet.ejected_until[instance_index] <= now
@@ -99,5 +101,5 @@
         )
 
     def failure_rate(self, instance_index: int, now: int) -> float:
-        """The share of the instance's last responses that failed, from 0.0 to 1.0."""
+        """Return the share of the instance's recent responses that failed, 0.0 to 1.0."""
         return self.fleet.recent_failure_rate(instance_index, now, FAILURE_RATE_TIME_CONSTANT)
--- a/linenbridge/policy/priorities.py
+++ b/linenbridge/policy/priorities.py
@@ -1,6 +1,6 @@
-"""Request weights: what a request is worth, for its method, its work and its tenant's quota.
+"""Request priorities: the weight of a request by its method, its work and its tenant's quota.
 
-Decides without I/O. Waiting and shed requests are ordered by weight.
+Waiting requests are dispatched by descending weight, and requests of low weight are shed first.
 """
 
 from __future__ import annotations
@@ -9,9 +9,9 @@
 from linenbridge.state.counters import QuotaUsage
 from linenbridge.state.traffic import ResponseTimes
 
-QUOTA_TIME_CONSTANT = 5 * SECOND  # time constant of the tenants' rates, in microseconds
-MAX_TENANTS = 1 << 14  # with a rate
-QUOTA_TOLERANCE = 1.15  # times its quota, from which a tenant is over it
+QUOTA_TIME_CONSTANT = 5 * SECOND  # microseconds; of the tenants' request rates
+MAX_TENANTS = 1 << 14  # tenants whose request rate is stored
+QUOTA_TOLERANCE = 1.15  # multiple of its quota above which a tenant is over its quota
 
 
 class RequestPriorities:
@@ -26,8 +26,10 @@
         self.usage = QuotaUsage(QUOTA_TIME_CONSTANT, startup.tenant_quotas, MAX_TENANTS)
 
     def weight(self, now: int, method_index: int, tenant: str) -> float:
-        """Count a request; its weight, for each request or for each microsecond that the method takes,
-        reduced where the tenant is over its quota.
+        """Count a request of the tenant and return the weight of the request.
+
+        A priority weight that counts per request is divided by the method's mean response time in
+        microseconds. The weight is reduced if the tenant is over its quota.
         """
         weight = self.methods[method_index].priority_weight
         if not self.by_work:
--- a/linenbridge/policy/rollout_freeze.py
+++ b/linenbridge/policy/rollout_freeze.py
@@ -1,6 +1,6 @@
-"""A freeze of releases, as operators declare it for zones or everywhere.
+"""Rollout freezes, which operators declare for zones or everywhere.
 
-Decides without I/O. It names the builds that a freeze covers and limits their share; rollbacks stay free.
+A freeze limits the share of requests of the builds that it covers. It does not prevent rollbacks.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class RolloutFreeze:
-    """The zones in which releases are frozen, and the caps when the freeze began."""
+    """The zones in which rollouts are frozen, and the cap of the reported build when the freeze started."""
 
     def __init__(self, rollout: RolloutState, fleet: Fleet, log: LogMessages) -> None:
         self.rollout = rollout
@@ -21,7 +21,7 @@
         self.caps_at_start: dict[int, float] = {}
 
     def change(self, zones: frozenset[str] | None) -> None:
-        """Releases are frozen in these zones from now on, everywhere where none is named; None: no longer."""
+        """Freeze rollouts in these zones, or everywhere if the set is empty; None lifts the freeze."""
         if self.zones is None and zones is not None:
             self.caps_at_start = {self.rollout.build: self.rollout.cap}
         if zones != self.zones:
@@ -29,7 +29,7 @@
         self.zones = zones
 
     def covers(self, build: int) -> bool:
-        """Whether the build has ready instances where releases are frozen."""
+        """Return whether rollouts are frozen everywhere or in a zone with ready instances of the build."""
         zones = self.zones
         if zones is None:
             return False
@@ -39,8 +39,10 @@
         return any(zone[index] in zones for index in self.fleet.ready_by_build.get(build, ()))
 
     def limit(self, build: int, cap: float) -> float:
-        """The cap of a covered build: no more than when the freeze began, none at a later build while an
-        earlier one is ready.
+        """Return the cap of a build that the freeze covers.
+
+        It does not exceed the cap that the build had when the freeze started. A build without a recorded cap
+        gets no requests while an earlier build has ready instances.
         """
         max_cap = self.caps_at_start.get(build)
         if max_cap is None:
--- a/linenbridge/policy/rollout_votes.py
+++ b/linenbridge/policy/rollout_votes.py
@@ -1,6 +1,7 @@
-"""Rollout votes: this gateway's one vote in effect, to promote, hold or roll back the build under judgement.
+"""Rollout votes: this gateway's vote to promote, hold or roll back the latest build.
 
-Decides without I/O, by the change detector's sums and the platform's updates.
+A gateway has at most one vote in effect. The vote depends on the change detector's sums and on the platform's
+rollout updates.
 """
 
 from __future__ import annotations
@@ -22,16 +23,16 @@
 from linenbridge.state.fleet import Fleet
 from linenbridge.state.rollout import RolloutState
 
-MAX_PROMOTE_FRACTION = 0.5  # of the minimum threshold, of a sum at which a vote to promote is cast
+MAX_PROMOTE_FRACTION = 0.5  # of the minimum threshold; maximum sum for a vote to promote
 RENEWAL_PERIOD = 4 * SECOND  # microseconds after which a vote is renewed
-FULL_RENEWAL_TTL = 6 * SECOND  # microseconds; votes that stand for less are renewed sooner in proportion
-VOTE_RETRY = 300_000  # microseconds after a vote that was not accepted, doubled with each
+FULL_RENEWAL_TTL = 6 * SECOND  # microseconds; votes that expire earlier are renewed sooner in proportion
+VOTE_RETRY = 300_000  # microseconds after a vote that was not accepted; doubled with each further one
 MAX_VOTE_RETRY = 2 * SECOND  # microseconds
 NO_STAGE = -1
 
 
 class BuildStage(NamedTuple):
-    """A stage of a build."""
+    """A build and the index of a stage of its rollout."""
 
     build: int
     stage: int
@@ -41,7 +42,7 @@
 
 
 class RolloutVoter:
-    """The vote in effect, and when it is to be cast or renewed. Times are microseconds."""
+    """The vote in effect and the time of its renewal. Times are microseconds."""
 
     def __init__(
         self,
@@ -64,16 +65,16 @@
         self.started_at = now
         self.cast_stage = NO_BUILD_STAGE
         self.cast_vote: int = Vote.NONE
-        self.pending = False  # a vote awaits the platform's response
+        self.pending = False  # whether a vote awaits the platform's response
         self.next_at = now
         self.retry_wait = VOTE_RETRY
-        self.stale_stage = NO_BUILD_STAGE  # which the platform has answered as stale
-        # Whether renewals of all gateways would be more calls than the platform takes.
+        self.stale_stage = NO_BUILD_STAGE  # the last one that the platform has reported as stale
+        # Renewals of all gateways may exceed the rate of calls that the platform accepts.
         calls_per_renewal = self.plan.calls_per_second * RENEWAL_PERIOD / SECOND
         self.is_call_rate_limited = 0.0 < calls_per_renewal < startup.allowances.gateway_count
 
     def on_response(self, now: int, *, is_valid: bool, is_stale: bool) -> None:
-        """The platform has answered a vote; one that it has not accepted is cast again after a wait."""
+        """Record the platform's response to a vote; one that was not accepted is cast again after a wait."""
         self.pending = False
         if is_valid:
             return
@@ -84,7 +85,7 @@
         self._clear_vote()
 
     def on_rollout_update(self) -> None:
-        """The platform has reported a stage: retries begin anew."""
+        """Reset the retry state after the platform has reported a stage."""
         self.stale_stage = NO_BUILD_STAGE
         self.retry_wait = VOTE_RETRY
 
@@ -93,9 +94,9 @@
         self.cast_vote = Vote.NONE
 
     def desired_vote(self, now: int) -> int:
-        """The vote that the evidence asks for.
+        """Return the vote that follows from the evidence on the latest build.
 
-        A build without an earlier one known here is not judged: there is no baseline to compare it with.
+        The first known build gets no vote, because there is no earlier build to compare it with.
         """
         rollout = self.rollout
         latest = rollout.latest_build
@@ -115,10 +116,11 @@
         return Vote.HOLD if by_timer else Vote.NONE
 
     def _may_promote(self, now: int, trial_started_at: int) -> bool:
-        """Whether nothing is seen against the build, after enough outcomes or a wait.
+        """Return whether there is no evidence against the build after enough outcomes or a wait.
 
-        A sum on its way to the alarm is no reason to promote, nor is what this gateway has not observed.
-        Gateways that share evidence cast the same vote: theirs needs a sum that would clear an alarm.
+        A sum that rises towards its alarm threshold prevents the vote, and so does a lack of outcomes until
+        the wait is over. After the wait, a vote with few outcomes requires that no sum is above 0.0. Gateways
+        that share evidence cast the same vote, so they require sums that are low enough to clear an alarm.
         """
         highest = self.detector.sums.highest()
         fraction = CLEAR_FRACTION if self.detector.shares_evidence else MAX_PROMOTE_FRACTION
@@ -127,9 +129,10 @@
         return now >= trial_started_at + PROMOTE_WAIT and highest <= 0.0
 
     def visible_stage(self) -> BuildStage:
-        """The latest build and its stage, as reported or, where updates are late, as its instances show.
+        """Return the latest build with its stage, as reported or as the number of its instances implies.
 
-        A vote for a stage that is not reached yet is answered as stale; the reported stage holds again then.
+        The number of instances shows a new stage before a late rollout update does. If the platform responds
+        that a vote for the implied stage is stale, the reported stage is used again.
         """
         rollout = self.rollout
         latest = rollout.latest_build
@@ -146,8 +149,10 @@
         return visible if visible != self.stale_stage else BuildStage(latest, reported)
 
     def due_vote(self, now: int) -> CastVote | None:
-        """The vote to cast now: one in effect, renewed until the stage changes, and withdrawn when nothing
-        asks for it any more.
+        """Return the vote to cast now, or None.
+
+        A vote in effect is renewed until the stage changes, and withdrawn when the evidence no longer
+        supports it.
         """
         if self.pending and now < self.next_at:
             return None
@@ -179,7 +184,7 @@
         return CastVote(visible.build, visible.stage, Vote(vote))
 
     def _renewal_period(self, vote: int) -> int:
-        """Microseconds until the vote is renewed; at random for one to promote."""
+        """Return the time until the vote is renewed in microseconds; randomized for a vote to promote."""
         ttl = self.plan.vote_ttl
         renewal = min(RENEWAL_PERIOD, int(ttl * RENEWAL_PERIOD / FULL_RENEWAL_TTL))
         if vote == Vote.PROMOTE:
@@ -187,10 +192,10 @@
         return ttl if self.is_call_rate_limited else renewal
 
     def _may_expire(self) -> bool:
-        """Whether a vote to promote that nothing asks for any more is left to lapse.
+        """Return whether a vote to promote that the evidence no longer supports is left to expire.
 
-        Where calls are scarce one to withdraw it is one less for a vote that is not in effect yet. A freeze,
-        and a sum over half of the minimum threshold, are worth the call.
+        If the rate of calls is limited, a call to withdraw a vote takes the place of a call for a vote that
+        is not in effect yet. A freeze, or a sum over half of the minimum threshold, justifies the call.
         """
         if not self.is_call_rate_limited or self.freeze.covers(self.rollout.latest_build):
             return False
--- a/linenbridge/policy/safety_rules.py
+++ b/linenbridge/policy/safety_rules.py
@@ -1,7 +1,7 @@
-"""Rules 1 and 2: whether a request may go out again, and the one final answer of a request that is given up.
+"""Rules 1 and 2: whether a request may be attempted again, and the final response to a request given up.
 
-Decides without I/O. Every attempt passes here: no effect happens twice, and a client is told to retry only
-where a repeat is harmless.
+Every attempt is checked here: no effect is executed twice, and a request is rejected, which allows the client
+to retry, only if a repeat is harmless.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from linenbridge.state.fleet import Fleet
 from linenbridge.state.requests import OpenRequests, Request
 
-RETRY_AFTER = 2 * SECOND  # microseconds until a rejected client comes again, where the settings allow it
+RETRY_AFTER = 2 * SECOND  # microseconds until a rejected client may retry, as far as the settings allow it
 
 
 class SafetyRules:
-    """What may go out again, and where; `sweep_period` is how late (microseconds) an attempt may leave."""
+    """Checks of repeated attempts; an attempt may be sent up to `sweep_period` microseconds late."""
 
     def __init__(self, startup: Startup, requests: OpenRequests, fleet: Fleet, sweep_period: int) -> None:
         self.methods = startup.methods
@@ -23,11 +23,11 @@
         self.retry_after = min(RETRY_AFTER, startup.allowances.max_retry_after)
         self.requests = requests
         self.fleet = fleet
-        # An attempt may wait for a connection before it leaves.
+        # An attempt may also wait for a connection before it is sent.
         self.repeat_margin = sweep_period + startup.allowances.connect_timeout  # microseconds
 
     def may_attempt(self, now: int, request: Request) -> bool:
-        """Whether the request may go out (again) at all; asked before every attempt."""
+        """Return whether the request may get a first or further attempt; checked before every attempt."""
         if not request.attempts:
             return True
         if request.streaming or (not self.hedging_allowed and request.in_flight()):
@@ -42,8 +42,9 @@
         )
 
     def _is_within_idempotency_window(self, sent_at: int, request: Request) -> bool:
-        """Whether an attempt sent then is still recognized as a repeat on arrival: within the idempotency
-        window of the first attempt that may have been executed.
+        """Return whether an attempt sent at `sent_at` arrives in time to be recognized as a repeat.
+
+        The idempotency window starts with the first attempt that may have been executed.
         """
         executed = request.first_possible_execution()
         if executed is None:
@@ -52,8 +53,10 @@
         return sent_at < executed.sent_at + window
 
     def is_repeat_safe_at(self, request: Request, instance_index: int) -> bool:
-        """Whether the instance recognizes a repeat of a request that is idempotent by key: it shares the zone
-        or the cell, as the method says, with the first one that may have executed it.
+        """Return whether the instance recognizes a repeat of a request that is idempotent by key.
+
+        Depending on the method, it has to be in the same zone or cell as the first instance that may have
+        executed the request.
         """
         method = self.methods[request.method_index]
         if method.idempotency != Idempotency.IDEMPOTENT_BY_KEY or method.group == "all":
@@ -66,12 +69,12 @@
         return self.fleet.cell[instance_index] == self.fleet.cell[executed.instance_index]
 
     def final_response(self, now: int, request: Request) -> Reject | Fail:
-        """End the request with its one final answer: a rejection only where a repeat is harmless."""
+        """End the request and return its final response: a rejection only if a repeat is harmless."""
         self.requests.end(request)
         method = self.methods[request.method_index]
         if request.first_possible_execution() is None or method.idempotency == Idempotency.IDEMPOTENT:
             return Reject(request.id, self.retry_after)
-        # The client's repeat needs to be recognized at any instance when it comes.
+        # A repeat by the client may reach any instance, which has to recognize it when it arrives.
         recognized_everywhere = (
             method.idempotency == Idempotency.IDEMPOTENT_BY_KEY
             and method.group == "all"
--- a/linenbridge/startup.py
+++ b/linenbridge/startup.py
@@ -1,8 +1,9 @@
-"""The settings object that both hosts are given, and the module's `Startup` made of it.
+"""The settings of a gateway and their conversion to the decision module's `Startup`.
 
-Owns the settings' fields and units, with `name=` where the users' pages name them otherwise, and what the
-names in load reports stand for. It only translates: it decides nothing, and holds no figure beyond the stated
-defaults. Times in the settings are seconds, in `Startup` microseconds.
+Both hosts decode their settings into a `SettingsObject`. `name=` gives the name of a field in the settings
+where it differs from the attribute. The module also maps the field names of load reports. It makes no
+decisions, and the only figures in it are default values. Times are seconds in the settings and microseconds
+in `Startup`.
 """
 
 from __future__ import annotations
@@ -27,12 +28,14 @@
     "queue": "waiting",
     "util": "busy",
     "latency_ms": "service_ms",
-}  # fields of load reports, by the names that instances use
-LONG_AGO: Final = -(10**12)  # microseconds: the start of an instance that was there before
+}  # internal names of the fields of load reports, by the names that instances use
+LONG_AGO: Final = -(
+    10**12
+)  # microseconds; start of an instance without a reported start: it was running before
 
 
 class SettingsObject(Struct):
-    """The settings object; what is malformed fails with the page's name of the field."""
+    """The settings; decoding a malformed value raises an error with the field's documented name."""
 
     discovery: Literal["push", "ask"]
     methods: list[MethodSettings] = field(name="profiles")
@@ -46,12 +49,12 @@
     gateway_count: int = field(name="balancers", default=1)
 
     def max_deadline(self) -> int:
-        """The longest deadline of a method, in microseconds."""
+        """Return the longest deadline of any method in microseconds."""
         return micros(max(method.max_deadline for method in self.methods))
 
 
 class MethodSettings(Struct):
-    """One method. Times are seconds."""
+    """The settings of a method. Times are seconds."""
 
     name: str
     latency_objective: float = field(name="aim")
@@ -63,14 +66,14 @@
 
 
 class TenantSettings(Struct):
-    """One tenant and its share of the gateway's requests, 0 to 1."""
+    """The settings of a tenant; its quota is a share of the gateway's requests, 0 to 1."""
 
     name: str
     quota: float = field(name="share")
 
 
 class RolloutSettings(Struct):
-    """How the platform stages a build and counts votes. Times are seconds, shares are 0 to 1."""
+    """The stages of a rollout and how votes are counted. Times are seconds, shares are 0 to 1."""
 
     gate: Literal["any", "share", "timer"] = field(name="gate_mode")
     style: Literal["beside", "in_place"]
@@ -101,7 +104,11 @@
 
 
 class SlowStartSettings(Struct):
-    """How instances warm up: from a share of their capacity, over seconds, and the load that they bear."""
+    """How instances warm up.
+
+    `floor` is the share of its capacity that an instance starts with, `duration` the time in seconds until it
+    has all of it, and `multiple` the multiple of the mean load that overloads it meanwhile.
+    """
 
     floor: float = field(name="cold_from")
     duration: float = field(name="cold")
@@ -109,12 +116,12 @@
 
 
 def micros(seconds: float) -> int:
-    """Seconds in whole microseconds."""
+    """Convert seconds to whole microseconds."""
     return round(seconds * SECOND)
 
 
 def startup(settings: SettingsObject) -> Startup:
-    """The settings as the decision module takes them."""
+    """Convert the settings to the configuration of the decision module."""
     return Startup(
         methods=tuple(_method(method) for method in settings.methods),
         tenant_quotas={tenant.name: tenant.quota for tenant in settings.tenants},
