--- a/linenbridge/policy/__init__.py
+++ b/linenbridge/policy/__init__.py
@@ -15,8 +15,8 @@
   gateway's vote, and `gossip` exchanges outcome counts with peers.
 - Selection of requests: `priorities` and `load_shedding`.
 - Selection of instances: `concurrency_limits`, `outlier_detection` and `load_balancing`.
-- Actions: `dispatch` sends attempts, `hedging` sends or cancels them for silent instances, `endpoint_polling`
-  requests the endpoint list.
+- Actions: `dispatch` sends attempts, `hedging` repeats or cancels attempts without a response,
+  `endpoint_polling` requests the endpoint list.
 - Shared: `timing` defines periods and weights, `log_messages` the log messages for operators.
 """
 
--- a/linenbridge/startup.py
+++ b/linenbridge/startup.py
@@ -29,9 +29,7 @@
     "util": "busy",
     "latency_ms": "service_ms",
 }  # internal names of the fields of load reports, by the names that instances use
-LONG_AGO: Final = -(
-    10**12
-)  # microseconds; start of an instance without a reported start: it was running before
+LONG_AGO: Final = -(10**12)  # microseconds; start time of an instance that was already running
 
 
 class SettingsObject(Struct):
