--- a/linenbridge/logging/__init__.py
+++ b/linenbridge/logging/__init__.py
@@ -1,1 +1,1 @@
-"""Logs as JSON lines: `event_log` is the gateway's lean one, `structured` adds levels."""
+"""Logs as JSON lines: `event_log` writes them without levels, `structured` adds levels."""
--- a/linenbridge/logging/structured.py
+++ b/linenbridge/logging/structured.py
@@ -1,8 +1,8 @@
-"""Structured logging for the parts beside the platform's gateway: `structlog` with orjson's lines.
+"""Structured logging with levels, by structlog and orjson, for the processes other than the gateway's `run`.
 
-Lines have the form that `event_log` writes: `at`, `event`, then fields. At level `debug` there is a line
-for each dispatched attempt and each report, with the request's id and the attempt. Nothing here raises into
-its callers.
+Lines have the form that `event_log` writes: `at`, `event`, then the fields. At level `debug` there is a line
+for each dispatched attempt and each report, with the request's id and the attempt. Failures to write a line
+are counted, not raised.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
         "set_aside",
         "settings_rejected",
     )
-)  # last parts of the names of events that are warnings
-NO_WARNINGS = frozenset(("distribution.malformed",))  # followers leave the relay and log that
+)  # an event is a warning if the last part of its name is one of these
+NO_WARNINGS = frozenset(("distribution.malformed",))  # the follower then leaves the relay and logs a warning
 
 
 def is_warning(event: str) -> bool:
-    """Whether an event reports harm, and so is written at the level `warning` too."""
+    """Return whether an event is logged at level `warning` rather than `info`."""
     return event.rpartition(".")[2] in WARNINGS and event not in NO_WARNINGS
 
 
@@ -44,13 +44,13 @@
 
 
 class _Stream:
-    """The stream that lines are written to; a line that can't be written is counted and dropped."""
+    """The stream that lines are written to; a line that cannot be written is counted and dropped."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
 
     def msg(self, line: bytes) -> None:
-        """Writes one line."""
+        """Write one line."""
         try:
             self.log.stream.write(line + b"\n")
             self.log.stream.flush()
@@ -61,7 +61,7 @@
 
 
 def structured_log(stream: BinaryIO, level: str = "info", **bound: object) -> Log:
-    """A log whose lines structlog writes: those under `level` are left out, `bound` fields are in each."""
+    """Return a log whose lines structlog writes, without those below `level` and with the `bound` fields."""
     log = Log(stream)
     logger = structlog.wrap_logger(
         _Stream(log),
--- a/linenbridge/state/__init__.py
+++ b/linenbridge/state/__init__.py
@@ -1,3 +1,4 @@
-"""State of the decision module: typed records and counters that the components of `linenbridge.policy` read
-and update. Nothing here decides; how fast a figure is forgotten is passed in by the caller.
+"""State of the decision module: typed records and counters that `linenbridge.policy` reads and updates.
+
+These modules make no decisions; callers pass in the time constants with which figures decay.
 """
--- a/linenbridge/state/counters.py
+++ b/linenbridge/state/counters.py
@@ -1,6 +1,6 @@
-"""Small counters: outcome counts, token buckets, decaying rates and the usage of tenant quotas.
+"""Counters: outcome counts, token buckets, decaying rates and the usage of tenant quotas.
 
-Keeps state without I/O. Time constants and depths are parameters: the tuned values belong to the callers.
+This module holds state and does no I/O. Callers pass in the time constants and bucket depths.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 from math import exp
 from typing import NamedTuple
 
-NEGLIGIBLE_RATE = 2.0**-54  # requests; a quarter of the last bit of 1.0: adding it leaves 1.0 unchanged
-MAX_EXPIRY_CHECKS = 2  # a lookup; more than the one rate that a lookup adds, so that the table shrinks
+NEGLIGIBLE_RATE = 2.0**-54  # requests; a quarter of the last bit of 1.0, so 1.0 plus this is still 1.0
+MAX_EXPIRY_CHECKS = 2  # per lookup; a lookup adds at most one rate, so two checks let the table shrink
 
 
 class Counts(NamedTuple):
     """Outcomes of one method at one build.
 
-    `attempts` is their number, `failed` how many failed, `timed` how many have a response time, `total_time`
-    the sum of those times in microseconds.
+    `attempts` is the number of outcomes, `failed` the number of failures among them, `timed` the number that
+    have a response time, and `total_time` the sum of those response times in microseconds.
     """
 
     attempts: int = 0
@@ -27,7 +27,7 @@
     total_time: int = 0
 
     def plus(self, other: Counts, times: int = 1) -> Counts:
-        """The sum with `times` the other counts; -1 gives the difference."""
+        """Return the sum of these counts and `times` the other counts; `times=-1` gives the difference."""
         return Counts(
             self.attempts + times * other.attempts,
             self.failed + times * other.failed,
@@ -37,10 +37,10 @@
 
 
 class TokenBucket:
-    """A bucket of `depth` tokens that earns `share` of a token for each admitted request.
+    """A bucket of at most `depth` tokens that gains `share` of a token for each admitted request.
 
-    Spending one token an attempt keeps the attempts of every window within `share` of its requests plus
-    `depth`.
+    If each attempt spends one token, the attempts in any window number at most `depth` plus `share` of the
+    requests admitted in that window.
     """
 
     def __init__(self, depth: float, admitted: int, share: float) -> None:
@@ -50,7 +50,10 @@
         self.admitted = admitted
 
     def refill(self, admitted: int) -> float:
-        """Earn tokens up to a total of admitted requests; returns the tokens there are."""
+        """Add the tokens earned since the last refill and return the tokens available.
+
+        `admitted` is the total number of requests admitted so far.
+        """
         self.tokens = min(self.depth, self.tokens + self.share * (admitted - self.admitted))
         self.admitted = admitted
         return self.tokens
@@ -65,26 +68,27 @@
         self.updated_at = 0
 
     def add(self, now: int, amount: float) -> None:
-        """Decay to `now`, then add."""
+        """Decay the stored amount to `now`, then add `amount` to it."""
         self.amount = self.amount * exp((self.updated_at - now) / self.time_constant) + amount
         self.updated_at = now
 
     def amount_at(self, now: int) -> float:
-        """The amount, decayed to `now`."""
+        """Return the amount decayed to `now`."""
         return self.amount * exp((self.updated_at - now) / self.time_constant)
 
     def per_second(self, now: int) -> float:
-        """The rate that would hold the amount steady."""
+        """Return the rate of additions, per second, that would hold the amount at `now` steady."""
         return self.amount_at(now) * 1e6 / self.time_constant
 
 
 class QuotaUsage:
-    """Each tenant's fraction of the recent requests; tenants not named at the start share one row.
+    """Each tenant's fraction of the recent requests; tenants that are not in `names` share one rate.
 
-    A rate is stored only for tenants seen recently; the one seen longest ago is evicted first. Once a rate is
-    so small that one request more makes it exactly 1.0, evicting it changes nothing. Where `max_rates` other
-    tenants have been seen since its last request, a rate is evicted before that, and the fraction at the next
-    request is too low by the rest of the rate over the rate of all.
+    Rates are stored only for recently seen tenants, and the rate of the tenant seen longest ago is evicted
+    first. Evicting a rate changes nothing once the rate is so small that adding one request makes it exactly
+    1.0. If `max_rates` other tenants have been seen since a tenant's last request, the tenant's rate is
+    evicted earlier, and its fraction at the next request is too low by the evicted rate divided by the rate
+    of all tenants.
     """
 
     def __init__(self, time_constant: int, names: Container[str], max_rates: int) -> None:
@@ -96,14 +100,14 @@
         self.rates: dict[str, DecayingRate] = {}  # the tenant seen longest ago first
 
     def usage(self, now: int, name: str) -> float:
-        """Count one request of the tenant; its fraction of all, this request included."""
+        """Count one request of the tenant and return its fraction of all requests, this one included."""
         rate = self._rate(now, name) if name in self.names else self.unnamed
         self.total.add(now, 1.0)
         rate.add(now, 1.0)
         return rate.amount / self.total.amount
 
     def _rate(self, now: int, name: str) -> DecayingRate:
-        """The tenant's rate, moved to the end of the table; evicts what has decayed at its beginning."""
+        """Return the tenant's rate, moved to the end of the table; evict decayed rates at its beginning."""
         rate = self.rates.pop(name, None)
         for eldest in list(islice(self.rates, MAX_EXPIRY_CHECKS)):
             if len(self.rates) >= self.max_rates or self.rates[eldest].amount_at(now) <= NEGLIGIBLE_RATE:
@@ -115,18 +119,19 @@
 
 
 class BuildRecord:
-    """Recent outcomes of one method at one build: decayed counts and the mean response time
-    (microseconds).
+    """Recent outcomes of one method at one build: decayed counts and the mean response time.
+
+    Times are in microseconds.
     """
 
     def __init__(self, memory: int) -> None:
-        self.memory = memory  # outcomes
+        self.memory = memory  # time constant of the decay, in outcomes
         self.outcomes = 0.0
         self.failed = 0.0
         self.mean_time = 0.0
 
     def add(self, counts: Counts) -> None:
-        """Count outcomes; the older ones decay with each."""
+        """Add outcomes; each one decays the earlier outcomes."""
         if counts.attempts:
             remaining = (1 - 1 / self.memory) ** counts.attempts
             weight = (1 - remaining) * self.memory / counts.attempts
--- a/linenbridge/state/cusum.py
+++ b/linenbridge/state/cusum.py
@@ -1,6 +1,6 @@
-"""Cumulative sums of a change detection test, and recent outcomes by build and method.
+"""Cumulative sums for change detection, and recent outcomes by build and method.
 
-Keeps state without I/O. Levels and bounds are parameters; `linenbridge.policy.change_detection` sets them.
+This module holds state and does no I/O. `linenbridge.policy.change_detection` sets the levels and bounds.
 """
 
 from __future__ import annotations
@@ -11,7 +11,10 @@
 
 
 class CumulativeSums:
-    """W = max(0, W) + Z for each key, with the contribution of each instance."""
+    """The cumulative sum W = max(0, W) + Z of each key, with the contribution of each instance.
+
+    Z is the increment that is passed to `add`.
+    """
 
     def __init__(self) -> None:
         self.sums: dict[Key, float] = {}
@@ -21,7 +24,9 @@
     def add(self, key: Key, increment: float, instance_index: int | None, max_contribution: float) -> float:
         """Add an increment and return the new sum.
 
-        What one instance adds is limited to `max_contribution` in all as long as the sum stays positive.
+        The total contribution of one instance is limited to `max_contribution` while the sum stays positive.
+        A negative increment scales all contributions down by the same factor as the sum, and clears them once
+        the sum is no longer positive.
         """
         contributions = self.contributions.setdefault(key, {})
         before = max(0.0, self.sums.get(key, 0.0))
@@ -40,7 +45,7 @@
         return total
 
     def highest(self) -> float:
-        """The largest sum; 0.0 where there is none."""
+        """Return the largest sum, or 0.0 if there are no sums."""
         return max(self.sums.values(), default=0.0)
 
 
@@ -48,15 +53,15 @@
     """Recent outcomes by build and method index."""
 
     def __init__(self, memory: int) -> None:
-        self.memory = memory  # outcomes
+        self.memory = memory  # time constant of the decay, in outcomes
         self.records: dict[tuple[int, int], BuildRecord] = {}
 
     def add(self, build: int, method_index: int, counts: Counts) -> None:
-        """Count outcomes of a method at a build."""
+        """Add outcomes of a method at a build."""
         self.records.setdefault((build, method_index), BuildRecord(self.memory)).add(counts)
 
     def baseline(self, method_index: int, build: int, withdrawn: set[int]) -> BuildRecord | None:
-        """The method's record at the latest earlier build that is not withdrawn."""
+        """Return the method's record at the latest earlier build that is not withdrawn, or None."""
         known = [
             earlier
             for earlier, recorded_method in self.records
@@ -65,7 +70,7 @@
         return self.records[max(known), method_index] if known else None
 
     def other_failure_rates(self, build: int, method_index: int) -> list[float]:
-        """The failure rate at the build of each other method with outcomes there."""
+        """Return the failure rate at the build of each other method that has outcomes there."""
         return [
             record.failed / record.outcomes
             for (recorded_build, recorded_method), record in self.records.items()
--- a/linenbridge/state/fleet.py
+++ b/linenbridge/state/fleet.py
@@ -1,6 +1,6 @@
 """The instances of the endpoint list as parallel columns under a dense index, and weighted random draws.
 
-Keeps state without I/O. Selection among instances belongs to `linenbridge.policy`, as do the time constants.
+This module holds state and does no I/O. `linenbridge.policy` selects instances and sets the time constants.
 """
 
 from __future__ import annotations
@@ -12,37 +12,37 @@
 from random import Random
 from zlib import crc32
 
-from linenbridge.interface import Id, InstanceState, EndpointEntry
+from linenbridge.interface import EndpointEntry, Id, InstanceState
 from linenbridge.state.free_indices import FreeIndices
 from linenbridge.state.ready_order import ReadyOrder
 
-MIN_SIZE = 1e-6  # of an instance; the list may say zero
+MIN_SIZE = 1e-6  # of an instance; a smaller size in the list, such as zero, is raised to this
 
 
 def draw(random: Random, items: list[int], cumulative_weights: Sequence[float]) -> int:
-    """One item by weight, given the cumulative weights: `random.choices` without its checks."""
+    """Return one random item by weight, given cumulative weights: `random.choices` without its checks."""
     point = random.random() * cumulative_weights[-1]
     return items[bisect(cumulative_weights, point, 0, len(cumulative_weights) - 1)]
 
 
 def draw_two(random: Random, items: list[int], weights: list[float]) -> tuple[int, int]:
-    """Two draws by weight; they may be the same item."""
+    """Return two independent draws by weight; both may be the same item."""
     cumulative_weights = list(accumulate(weights))
     return draw(random, items, cumulative_weights), draw(random, items, cumulative_weights)
 
 
 class Fleet:
-    """Figures of each instance; an instance keeps its index while it is listed or in use.
+    """The state of each instance; an instance keeps its index while it is listed or in use.
 
-    `ready_by_build` lists the ready instances of a build in an order of this gateway's own, by a checksum of
-    its number and their ids: it is the same after a restart and whatever else is listed. Times are
-    microseconds.
+    `ready_by_build` lists the ready instances of each build, ordered by a checksum of the gateway's number
+    and the instance's id. The order differs from gateway to gateway; for one gateway it is the same after a
+    restart and does not depend on the other instances that are listed. Times are in microseconds.
     """
 
     def __init__(self, gateway_number: int, now: int) -> None:
         self.gateway_number = gateway_number
         self.index: dict[Id, int] = {}
-        # As listed.
+        # From the endpoint list.
         self.ids: list[Id] = []
         self.build: list[int] = []
         self.zone: list[str] = []
@@ -55,13 +55,13 @@
         self.busy_since: list[int] = []
         self.last_response_at: list[int] = []
         self.mean_response_gap: list[float] = []
-        self.in_flight_at_response: list[int] = []  # after the last response, or none of them since idle
+        self.in_flight_at_response: list[int] = []  # after the last response; 0 after a send while idle
         self.failure_rate: list[float] = []
-        # Load that other gateways cause, as reported.
+        # Load from other gateways, according to the instances' load reports.
         self.external_load: list[float] = []
         self.external_load_at: list[int] = []
         self.mean_external_load = 0.0  # per unit of size
-        # Concurrency limits, ejections and slow start: written by the component of that name.
+        # Updated by `concurrency_limits`, `outlier_detection` and `slow_start` of `linenbridge.policy`.
         self.concurrency_limit: list[float] = []
         self.limit_reduced_at: list[int] = []
         self.consecutive_failures: list[int] = []
@@ -87,12 +87,11 @@
         concurrency_limit: float,
         used: set[int],
     ) -> None:
-        """Apply an endpoint list; an instance that a snapshot leaves out is removed.
+        """Apply an endpoint list; a snapshot removes the instances that it leaves out.
 
-        New and restarted instances begin with the given mean response gap and concurrency limit. A new
-        instance takes the index of a removed one, unless that is among those `used`, so that no sequence of
-        new ids makes the columns grow. Entries without a change cost a comparison; only changes update the
-        orders.
+        New and restarted instances start with the given mean response gap and concurrency limit. A new
+        instance takes the index of a removed instance that is not in `used`, so that new ids do not make the
+        columns grow. An unchanged entry costs only a comparison, since only changes update the orders.
         """
         listed = set[Id]()
         self.free.begin(len(self.ids))
@@ -140,7 +139,7 @@
             self.order.resize(instance_index)
 
     def _remove(self, instance_index: int) -> None:
-        """The instance is no longer listed; its index may be assigned to another one."""
+        """Mark the instance as removed; its index may be assigned to another instance."""
         if self.state[instance_index] == InstanceState.READY:
             self.order.remove(instance_index)
         if self.state[instance_index] != InstanceState.REMOVED:
@@ -148,7 +147,10 @@
         self.state[instance_index] = InstanceState.REMOVED
 
     def _add(self, instance: Id, free_index: int | None) -> int:
-        """Give an instance the free index, or one more at the end; its columns hold their initial values."""
+        """Assign the free index, or a new one at the end, to an instance and return the index.
+
+        The instance's columns get their initial values.
+        """
         instance_index = len(self.ids) if free_index is None else free_index
         if free_index is not None:
             del self.index[self.ids[instance_index]]
@@ -185,7 +187,7 @@
     def _reset(
         self, instance_index: int, entry: EndpointEntry, response_gap: float, concurrency_limit: float
     ) -> None:
-        """A process that has started inherits nothing from the one before it."""
+        """Reset the figures of an instance: a new process inherits none from the previous process."""
         self.build[instance_index] = entry.build
         self.started_at[instance_index] = entry.started_at
         self.size[instance_index] = max(entry.size, MIN_SIZE)
@@ -199,30 +201,30 @@
         self.slow_start_mark[instance_index] = -1.0
 
     def on_sent(self, instance_index: int, now: int) -> None:
-        """One attempt more is in flight at the instance."""
+        """Count one more attempt in flight at the instance."""
         if not self.in_flight[instance_index]:
             self.busy_since[instance_index] = now
             self.in_flight_at_response[instance_index] = 0
         self.in_flight[instance_index] += 1
 
     def on_finished(self, instance_index: int) -> None:
-        """One attempt less is in flight at the instance."""
+        """Count one fewer attempt in flight at the instance."""
         self.in_flight[instance_index] = max(0, self.in_flight[instance_index] - 1)
 
     def silence(self, instance_index: int, now: int) -> int:
-        """How long an instance with something in flight has not answered."""
+        """Return how long an instance with attempts in flight has not responded."""
         return now - max(self.last_response_at[instance_index], self.busy_since[instance_index])
 
     def is_silent_since(self, instance_index: int, sent_at: int) -> bool:
-        """Whether the instance has not answered this gateway since that time."""
+        """Return whether the instance has not responded to this gateway since `sent_at`."""
         return self.last_response_at[instance_index] < sent_at
 
     def on_response(self, instance_index: int, now: int, weight: float) -> None:
-        """The instance has answered; `weight` is that of the new gap in the mean.
+        """Record a response of the instance; `weight` is the weight of the new gap in the mean.
 
-        The mean gap is that of one request in flight: where several have been in flight since the response
-        before, the next one comes that much sooner, and a single one after an ejection is not judged by their
-        pace.
+        The mean gap is scaled to one request in flight. If several requests have been in flight since the
+        previous response, the next response arrives that much sooner; without the scaling, a single request
+        after an ejection would be judged by the shorter gap between the responses of several.
         """
         gap = self.silence(instance_index, now) * self.concurrency(
             instance_index, self.in_flight[instance_index] + 1
@@ -234,35 +236,36 @@
         self.ejected_until[instance_index] = 0
 
     def concurrency(self, instance_index: int, in_flight: int) -> int:
-        """How many of those in flight have been so throughout the present silence.
+        """Return how many of the requests in flight were already in flight at the last response, at least 1.
 
-        What was sent to an idle instance does not count: two sent together are both answered one service time
-        later, not half of one.
+        Requests sent while the instance was idle do not count: two requests sent together are both answered
+        after one service time, not after half of it.
         """
         return max(1, min(self.in_flight_at_response[instance_index], in_flight))
 
     def on_load_report(self, instance_index: int, now: int, in_flight: float, weight: float) -> None:
-        """A load report: the load of other gateways there, and the fleet's mean of it per unit of size."""
+        """Update the load of other gateways at the instance, and the fleet's mean of it per unit of size."""
         self.external_load[instance_index] = max(0.0, in_flight - self.in_flight[instance_index])
         self.external_load_at[instance_index] = now
         load = self.external_load[instance_index] / self.size[instance_index]
         self.mean_external_load += (load - self.mean_external_load) * weight
 
     def expected_external_load(self, instance_index: int, now: int, time_constant: int) -> float:
-        """The expected load of other gateways: the last report, decaying to the fleet's mean."""
+        """Return the expected load of other gateways: the last report, decaying to the fleet's mean."""
         mean = self.mean_external_load * self.size[instance_index]
         age = self.external_load_at[instance_index] - now
         return mean + (self.external_load[instance_index] - mean) * exp(age / time_constant)
 
     def recent_failure_rate(self, instance_index: int, now: int, time_constant: int) -> float:
-        """The share of an instance's last responses that were errors or rejections; decays while it is
-        unused.
+        """Return the share of the instance's last responses that were errors or rejections.
+
+        The share decays while the instance does not respond.
         """
         age = self.last_response_at[instance_index] - now
         return self.failure_rate[instance_index] * exp(age / time_constant)
 
     def update_ready_size(self, now: int, time_constant: int) -> None:
-        """After a list: the decaying mean of the size of all ready instances."""
+        """Update the decaying mean of the total size of the ready instances, after an endpoint list."""
         size = self.cumulative_sizes[-1] if self.cumulative_sizes else 0.0
         remaining = exp((self.listed_at - now) / time_constant) if self.mean_ready_size else 0.0
         self.mean_ready_size = self.mean_ready_size * remaining + size * (1 - remaining)
--- a/linenbridge/state/free_indices.py
+++ b/linenbridge/state/free_indices.py
@@ -10,9 +10,9 @@
 class FreeIndices:
     """The indices of removed instances, assigned in ascending order within one list update.
 
-    Within an update an index that is freed at or before the last one assigned waits for the next update, as
-    do the indices that the update has added and those in use. An index that was freed stays in the heap when
-    its instance comes back, and is dropped when it is reached; each is in the heap once at most.
+    Three kinds of freed indices wait for the next update: those at or before the last one assigned in this
+    update, those that this update has added to the table, and those in use. A freed index whose instance is
+    listed again stays in the heap and is dropped when it is reached. Each index is in the heap at most once.
     """
 
     def __init__(self) -> None:
@@ -23,12 +23,12 @@
         self.end = 0
 
     def begin(self, index_count: int) -> None:
-        """Begin an update of a table with that many indices."""
+        """Begin an update of a table with `index_count` indices."""
         self.last_assigned = -1
         self.end = index_count
 
     def assign(self, states: list[int], used: set[int]) -> int | None:
-        """The lowest free index after the last one assigned; None where there is none before the end."""
+        """Return the lowest free index after the last one assigned, or None if the table has none."""
         while self.heap:
             index = heapq.heappop(self.heap)
             if index in used and states[index] == InstanceState.REMOVED:
@@ -42,7 +42,7 @@
         return None
 
     def release(self, index: int) -> None:
-        """The instance with this index is removed."""
+        """Make the index of a removed instance available for assignment."""
         if index in self.known:
             return
         self.known.add(index)
@@ -52,7 +52,7 @@
             self.deferred.append(index)
 
     def finish(self) -> None:
-        """End the update: the deferred indices may be assigned from the next one on."""
+        """End the update: make the deferred indices available from the next update on."""
         for index in self.deferred:
             heapq.heappush(self.heap, index)
         self.deferred.clear()
--- a/linenbridge/state/peers.py
+++ b/linenbridge/state/peers.py
@@ -1,6 +1,7 @@
-"""The gossip payload: outcome counts of a gateway since its start, and what is stored of those of its peers.
+"""The gossip payload with a gateway's outcome counts since its start, and the stored counts of its peers.
 
-Keeps state without I/O. A payload is untrusted: sizes and sums are checked, and what is stored is bounded.
+This module holds state and does no I/O. Payloads are untrusted: sizes and sums are checked, and the stored
+state is bounded.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 
 
 class NewCounts(NamedTuple):
-    """What a payload adds to the counts received before it."""
+    """The counts of one method at one build that a payload adds to those received before."""
 
     build: int
     method_index: int
@@ -40,7 +41,10 @@
 def pack(
     token: int, builds: Sequence[int], method_count: int, counts: dict[tuple[int, int], Counts]
 ) -> bytes:
-    """The payload with a gateway's counts since its start, of these builds and all methods."""
+    """Return the payload with a gateway's counts since its start, for these builds and all methods.
+
+    `counts` is keyed by build and method index. Figures that exceed their field are capped at its maximum.
+    """
     payload = bytearray()
     for build in builds:
         payload += BUILD_HEADER.pack(token, build)
@@ -52,7 +56,7 @@
 
 
 def unpack(payload: bytes, method_count: int) -> Iterator[PeerRow]:
-    """The rows of a payload; truncated builds and rows that do not add up are skipped."""
+    """Yield the rows of the complete builds in a payload where `failed + timed` is at most `attempts`."""
     size = BUILD_HEADER.size + method_count * METHOD_ROW.size
     for start in range(0, len(payload) - size + 1, size):
         token, build = BUILD_HEADER.unpack_from(payload, start)
@@ -67,8 +71,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerBounds:
-    """How much is stored: of how many peers, how many builds of each one's present incarnation, and the
-    tokens of how many earlier incarnations.
+    """Bounds on the stored state.
+
+    `max_peers` bounds the peers, `max_builds` the builds of each peer's current incarnation, and
+    `max_incarnations` the stored tokens of each peer's earlier incarnations.
     """
 
     max_peers: int
@@ -77,11 +83,11 @@
 
 
 class PeerIncarnation:
-    """The counts of a peer's present incarnation, and the tokens of the earlier ones.
+    """The counts of a peer's current incarnation, and the tokens of its earlier incarnations.
 
-    The counts of an incarnation are dropped with the first outcome of the next one; what arrives of it later
-    counts nothing, as long as its token is stored. An incarnation keeps its highest builds: counts of a lower
-    build than those are late too, as gateways go from build to build upwards.
+    The first outcome of the next incarnation drops the counts of the current one. Later payloads of an
+    earlier incarnation are ignored as long as its token is stored. Only the highest builds are stored: counts
+    of a lower build are late too, since gateways move from lower to higher builds, and are ignored.
     """
 
     def __init__(self, token: int) -> None:
@@ -90,15 +96,16 @@
         self.earlier_tokens = array("H")
 
     def restart(self, token: int, max_earlier: int) -> None:
-        """Begin the next incarnation, storing at most that many earlier tokens."""
+        """Begin the incarnation with this token; at most `max_earlier` earlier tokens stay stored."""
         self.earlier_tokens.append(self.token)
         del self.earlier_tokens[: max(0, len(self.earlier_tokens) - max_earlier)]
         self.token = token
         self.counts_by_build = {}
 
     def counts(self, build: int, method_count: int, max_builds: int) -> list[Counts] | None:
-        """The counts of a build by method, storing at most that many builds; None for a build
-        dropped before.
+        """Return the counts of a build by method index, or None if the build is lower than all stored ones.
+
+        At most `max_builds` builds are stored; a further one replaces the lowest.
         """
         stored = self.counts_by_build.get(build)
         if stored is not None:
@@ -114,7 +121,7 @@
 
 
 class PeerCounts:
-    """The counts received from each peer, within the bounds; peers beyond their number count nothing."""
+    """The counts received from each peer, within `bounds`; peers beyond `max_peers` are ignored."""
 
     def __init__(self, method_count: int, bounds: PeerBounds) -> None:
         self.method_count = method_count
@@ -122,7 +129,7 @@
         self.peers: dict[int, PeerIncarnation] = {}
 
     def new_counts(self, peer: int, payload: bytes) -> Iterator[NewCounts]:
-        """What is new since the peer's last payload; nothing where this one is older."""
+        """Yield what the payload adds to the peer's counts; an older payload adds nothing."""
         for token, build, method_index, counts in unpack(payload, self.method_count):
             stored = self._stored(peer, token, build) if counts.attempts else None
             if stored is None:
@@ -133,8 +140,10 @@
                 yield NewCounts(build, method_index, added)
 
     def _stored(self, peer: int, token: int, build: int) -> list[Counts] | None:
-        """The counts of a build in this incarnation of the peer, by method; None where a row counts
-        nothing.
+        """Return the stored counts of a build in this incarnation of the peer, by method index.
+
+        Returns None if the counts are to be ignored: the peer exceeds `max_peers`, or the incarnation or
+        the build is an earlier one.
         """
         incarnation = self.peers.get(peer)
         if incarnation is None:
--- a/linenbridge/state/ready_order.py
+++ b/linenbridge/state/ready_order.py
@@ -1,6 +1,4 @@
-"""The ready instances in two orders: by index with the cumulative sums of their sizes, and by rank
-per build.
-"""
+"""The ready instances in two orders: by index with cumulative sums of their sizes, and by rank per build."""
 
 from __future__ import annotations
 
@@ -12,13 +10,13 @@
 
 
 class ReadyOrder:
-    """Both orders, updated change by change.
+    """Both orders of the ready instances, updated incrementally.
 
-    Each change costs two bisections and the moves of an insertion in a list. Where an update brings more
-    changes than a bisection has steps, all are applied in one pass at its end.
+    Each change costs two bisections and the moves of two list insertions or deletions. If an update brings
+    more changes than a bisection has steps, all of them are applied in one pass at the end of the update.
 
-    The cumulative sums are those of adding the sizes one by one in the order of `ready`, to the last bit:
-    they are recomputed from the first changed position on, once an update. `builds`, `sizes`, `states` and
+    The cumulative sums equal, to the last bit, those of adding the sizes one by one in the order of `ready`:
+    each update recomputes them once, from the first changed position on. `builds`, `sizes`, `states` and
     `ranks` are the columns of the fleet, by instance index; no two ranks are equal.
     """
 
@@ -32,18 +30,18 @@
         self.cumulative_sizes = array("d")
         self.by_build: dict[int, list[int]] = {}
         self.changed: set[int] = set()
-        self.max_changes = 0  # applied one by one; more of them are applied in one pass
+        self.max_changes = 0  # that are applied one by one; a larger number is applied in one pass
         self.first_changed = 0  # position in `ready`
 
     def begin(self) -> None:
-        """Begin an update."""
+        """Begin an update, with a new limit on the changes that are applied one by one."""
         self.max_changes = len(self.ready).bit_length()
         self.first_changed = len(self.ready)
 
     def remove(self, instance_index: int) -> None:
         """Remove an instance that is no longer ready at its build.
 
-        Requires that its build and rank still are what they were when it was added.
+        The instance's build and rank must still be those with which it was added.
         """
         self.changed.add(instance_index)
         if len(self.changed) > self.max_changes:
@@ -58,7 +56,7 @@
             del self.by_build[self.builds[instance_index]]
 
     def add(self, instance_index: int) -> None:
-        """Add an instance that is ready, with its build, size and rank in effect."""
+        """Add a ready instance, whose build, size and rank must already be set in the columns."""
         self.changed.add(instance_index)
         if len(self.changed) > self.max_changes:
             return
@@ -75,7 +73,7 @@
         ranked.insert(bisect_left(ranked, rank, key=self.ranks.__getitem__), instance_index)
 
     def resize(self, instance_index: int) -> None:
-        """An instance that was ready and stays ready has another size."""
+        """Apply the new size of an instance that was ready and stays ready."""
         if len(self.changed) > self.max_changes:
             return
         position = bisect_left(self.ready, instance_index)
@@ -83,7 +81,7 @@
         self.first_changed = min(self.first_changed, position)
 
     def finish(self) -> None:
-        """End the update."""
+        """End the update: apply the changes not yet applied and recompute the cumulative sums."""
         if len(self.changed) > self.max_changes:
             self._rebuild()
         first = self.first_changed
@@ -96,7 +94,7 @@
         self.changed = set()
 
     def _rebuild(self) -> None:
-        """Apply all changes of an update at once; unchanged instances are in their order already."""
+        """Apply all changes of an update in one pass; unchanged instances keep their relative order."""
         self.first_changed = 0
         self.ready[:] = [index for index, state in enumerate(self.states) if state == InstanceState.READY]
         self.ready_sizes[:] = array("d", map(self.sizes.__getitem__, self.ready))
--- a/linenbridge/state/rollout.py
+++ b/linenbridge/state/rollout.py
@@ -1,7 +1,6 @@
-"""What the platform and the endpoint list report of builds.
+"""The known builds, the stage of the last reported build, and the lowest build for each client's key.
 
-Keeps state without I/O: which builds there are, the stage of the last one reported, and the clients' keys
-that stay with a build.
+This module holds state and does no I/O. The platform and the endpoint list report the builds.
 """
 
 from __future__ import annotations
@@ -12,19 +11,19 @@
 
 
 class RolloutState:
-    """The last rollout update of the platform, and the builds known here."""
+    """The last rollout update from the platform, and the builds known to this gateway."""
 
     def __init__(self) -> None:
         self.build = NO_BUILD  # of the last update
         self.stage = 0
         self.phase: int = RolloutPhase.WITHDRAWN
-        self.cap = 0.0  # share of the requests that the build may get
-        self.latest_build = NO_BUILD  # the highest that was listed or reported: the one under judgement
-        self.lowest_build = NO_BUILD  # the lowest that was ever listed
+        self.cap = 0.0  # share of the requests that the build may receive
+        self.latest_build = NO_BUILD  # the highest that was ever listed or reported; votes are about it
+        self.lowest_build = NO_BUILD  # the lowest that was ever listed as ready
         self.withdrawn = set[int]()
 
     def update(self, build: int, stage: int, phase: int, cap: float) -> bool:
-        """Apply an update of the platform; returns whether it changes a stage that was reported before."""
+        """Apply a rollout update and return whether it changes a build, stage or phase reported before."""
         changed = self.build >= 0 and (build != self.build or stage != self.stage or phase != self.phase)
         self.build = build
         self.stage = stage
@@ -37,18 +36,18 @@
         return changed
 
     def is_latest_in_use(self) -> bool:
-        """Whether the latest build is on trial or released, as reported, or not reported yet."""
+        """Return whether the latest build is reported as on trial or released, or not reported yet."""
         if self.build < self.latest_build:
             return True
         return self.phase in (RolloutPhase.ON_TRIAL, RolloutPhase.RELEASED)
 
     def on_listed(self, builds: dict[int, list[int]]) -> None:
-        """Note the lowest of the builds listed as ready, given in ascending order."""
+        """Update the lowest build from the ready instances by build, which must not be empty."""
         lowest = min(builds)
         self.lowest_build = lowest if self.lowest_build < 0 else min(self.lowest_build, lowest)
 
     def observe(self, build: int) -> bool:
-        """Note a build that was listed or reported; returns whether it is later than all before."""
+        """Record a build that was listed or reported; return whether it is higher than all earlier ones."""
         if build <= self.latest_build:
             return False
         self.latest_build = build
@@ -56,7 +55,7 @@
 
 
 class KeyAffinity:
-    """Which build a key's requests stay with, where releases only go forward."""
+    """The lowest build that each key's requests may go to, if `forward_only` rules out earlier builds."""
 
     def __init__(self, rollout: RolloutState, forward_only: bool) -> None:
         self.rollout = rollout
@@ -64,14 +63,14 @@
         self.min_builds: dict[Id, int] = {}
 
     def on_response(self, key: Id | None, build: int) -> None:
-        """A build has answered a request with that key."""
+        """Record that a build has answered a request with this key."""
         if not self.forward_only or key is None:
             return
         if build >= self.rollout.build and build not in self.rollout.withdrawn:
             self.min_builds[key] = max(build, self.min_builds.get(key, 0))
 
     def on_rollout_update(self) -> None:
-        """Forget the keys of builds before the reported one and of withdrawn ones."""
+        """Forget the keys whose build is withdrawn or lower than the reported one."""
         self.min_builds = {
             key: build
             for key, build in self.min_builds.items()
@@ -79,7 +78,7 @@
         }
 
     def min_build(self, key: Id | None) -> int:
-        """The lowest build that a request with that key may go to."""
+        """Return the lowest build that a request with this key may go to; 0 allows all builds."""
         if not self.forward_only or key is None:
             return 0
         return self.min_builds.get(key, 0)
