--- a/linenbridge/logging/structured.py
+++ b/linenbridge/logging/structured.py
@@ -17,7 +17,7 @@
 from linenbridge.logging.event_log import Log
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30}
-WARNINGS = frozenset(
+WARNING_SUFFIXES = frozenset(
     (
         "disconnected",
         "end",
@@ -30,20 +30,20 @@
         "settings_rejected",
     )
 )  # an event is a warning if the last part of its name is one of these
-NO_WARNINGS = frozenset(("distribution.malformed",))  # the follower then leaves the relay and logs a warning
+NON_WARNINGS = frozenset(("distribution.malformed",))  # a follower then leaves the relay and logs a warning
 
 
 def is_warning(event: str) -> bool:
     """Return whether an event is logged at level `warning` rather than `info`."""
-    return event.rpartition(".")[2] in WARNINGS and event not in NO_WARNINGS
+    return event.rpartition(".")[2] in WARNING_SUFFIXES and event not in NON_WARNINGS
 
 
-def _line(_logger: Any, _method: str, fields: MutableMapping[str, Any]) -> bytes:
+def _encode_line(_logger: Any, _method: str, fields: MutableMapping[str, Any]) -> bytes:
     event = fields.pop("event")
     return orjson.dumps({"at": round(time.time(), 3), "event": event, **fields}, default=str)
 
 
-class _Stream:
+class _LineWriter:
     """The stream that lines are written to; a line that cannot be written is counted and dropped."""
 
     def __init__(self, log: Log) -> None:
@@ -64,8 +64,8 @@
     """Return a log whose lines structlog writes, without those below `level` and with the `bound` fields."""
     log = Log(stream)
     logger = structlog.wrap_logger(
-        _Stream(log),
-        processors=[structlog.contextvars.merge_contextvars, _line],
+        _LineWriter(log),
+        processors=[structlog.contextvars.merge_contextvars, _encode_line],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
     ).bind(**bound)
 
--- a/linenbridge/state/counters.py
+++ b/linenbridge/state/counters.py
@@ -82,7 +82,7 @@
 
 
 class QuotaUsage:
-    """Each tenant's fraction of the recent requests; tenants that are not in `names` share one rate.
+    """Each tenant's fraction of the recent requests; tenants that are not in `named_tenants` share one rate.
 
     Rates are stored only for recently seen tenants, and the rate of the tenant seen longest ago is evicted
     first. Evicting a rate changes nothing once the rate is so small that adding one request makes it exactly
@@ -91,30 +91,30 @@
     of all tenants.
     """
 
-    def __init__(self, time_constant: int, names: Container[str], max_rates: int) -> None:
+    def __init__(self, time_constant: int, named_tenants: Container[str], max_rates: int) -> None:
         self.time_constant = time_constant
-        self.names = names
+        self.named_tenants = named_tenants
         self.max_rates = max_rates
-        self.total = DecayingRate(time_constant)
-        self.unnamed = DecayingRate(time_constant)
+        self.total_rate = DecayingRate(time_constant)
+        self.unnamed_rate = DecayingRate(time_constant)
         self.rates: dict[str, DecayingRate] = {}  # the tenant seen longest ago first
 
-    def usage(self, now: int, name: str) -> float:
+    def usage(self, now: int, tenant: str) -> float:
         """Count one request of the tenant and return its fraction of all requests, this one included."""
-        rate = self._rate(now, name) if name in self.names else self.unnamed
-        self.total.add(now, 1.0)
+        rate = self._rate(now, tenant) if tenant in self.named_tenants else self.unnamed_rate
+        self.total_rate.add(now, 1.0)
         rate.add(now, 1.0)
-        return rate.amount / self.total.amount
+        return rate.amount / self.total_rate.amount
 
-    def _rate(self, now: int, name: str) -> DecayingRate:
+    def _rate(self, now: int, tenant: str) -> DecayingRate:
         """Return the tenant's rate, moved to the end of the table; evict decayed rates at its beginning."""
-        rate = self.rates.pop(name, None)
-        for eldest in list(islice(self.rates, MAX_EXPIRY_CHECKS)):
-            if len(self.rates) >= self.max_rates or self.rates[eldest].amount_at(now) <= NEGLIGIBLE_RATE:
-                del self.rates[eldest]
+        rate = self.rates.pop(tenant, None)
+        for oldest in list(islice(self.rates, MAX_EXPIRY_CHECKS)):
+            if len(self.rates) >= self.max_rates or self.rates[oldest].amount_at(now) <= NEGLIGIBLE_RATE:
+                del self.rates[oldest]
         if rate is None:
             rate = DecayingRate(self.time_constant)
-        self.rates[name] = rate
+        self.rates[tenant] = rate
         return rate
 
 
--- a/linenbridge/state/cusum.py
+++ b/linenbridge/state/cusum.py
@@ -29,16 +29,16 @@
         the sum is no longer positive.
         """
         contributions = self.contributions.setdefault(key, {})
-        before = max(0.0, self.sums.get(key, 0.0))
+        previous = max(0.0, self.sums.get(key, 0.0))
         if instance_index is not None and increment > 0.0:
             contributed = contributions.get(instance_index, 0.0)
             increment = max(0.0, min(increment, max_contribution - contributed))
             contributions[instance_index] = contributed + increment
-        total = before + increment
+        total = previous + increment
         self.sums[key] = total
         if increment < 0.0:
             self.contributions[key] = (
-                {index: amount * total / before for index, amount in contributions.items()}
+                {index: amount * total / previous for index, amount in contributions.items()}
                 if total > 0.0
                 else {}
             )
@@ -62,12 +62,12 @@
 
     def baseline(self, method_index: int, build: int, withdrawn: set[int]) -> BuildRecord | None:
         """Return the method's record at the latest earlier build that is not withdrawn, or None."""
-        known = [
+        earlier_builds = [
             earlier
             for earlier, recorded_method in self.records
             if recorded_method == method_index and earlier < build and earlier not in withdrawn
         ]
-        return self.records[max(known), method_index] if known else None
+        return self.records[max(earlier_builds), method_index] if earlier_builds else None
 
     def other_failure_rates(self, build: int, method_index: int) -> list[float]:
         """Return the failure rate at the build of each other method that has outcomes there."""
--- a/linenbridge/state/fleet.py
+++ b/linenbridge/state/fleet.py
@@ -99,13 +99,13 @@
         for entry in entries:
             if is_snapshot:
                 listed.add(entry.instance)
-            known = self.index.get(entry.instance)
-            if known is not None:
-                self._change(known, entry, response_gap, concurrency_limit)
+            known_index = self.index.get(entry.instance)
+            if known_index is not None:
+                self._change(known_index, entry, response_gap, concurrency_limit)
             elif entry.state != InstanceState.REMOVED:
-                added = self._add(entry.instance, self.free.assign(self.state, used))
-                self._reset(added, entry, response_gap, concurrency_limit)
-                self._change(added, entry, response_gap, concurrency_limit)
+                added_index = self._add(entry.instance, self.free.assign(self.state, used))
+                self._reset(added_index, entry, response_gap, concurrency_limit)
+                self._change(added_index, entry, response_gap, concurrency_limit)
         if is_snapshot:
             for instance, instance_index in self.index.items():
                 if instance not in listed:
@@ -253,16 +253,16 @@
     def expected_external_load(self, instance_index: int, now: int, time_constant: int) -> float:
         """Return the expected load of other gateways: the last report, decaying to the fleet's mean."""
         mean = self.mean_external_load * self.size[instance_index]
-        age = self.external_load_at[instance_index] - now
-        return mean + (self.external_load[instance_index] - mean) * exp(age / time_constant)
+        negative_age = self.external_load_at[instance_index] - now
+        return mean + (self.external_load[instance_index] - mean) * exp(negative_age / time_constant)
 
     def recent_failure_rate(self, instance_index: int, now: int, time_constant: int) -> float:
         """Return the share of the instance's last responses that were errors or rejections.
 
         The share decays while the instance does not respond.
         """
-        age = self.last_response_at[instance_index] - now
-        return self.failure_rate[instance_index] * exp(age / time_constant)
+        negative_age = self.last_response_at[instance_index] - now
+        return self.failure_rate[instance_index] * exp(negative_age / time_constant)
 
     def update_ready_size(self, now: int, time_constant: int) -> None:
         """Update the decaying mean of the total size of the ready instances, after an endpoint list."""
--- a/linenbridge/state/free_indices.py
+++ b/linenbridge/state/free_indices.py
@@ -17,15 +17,15 @@
 
     def __init__(self) -> None:
         self.heap: list[int] = []
-        self.known: set[int] = set()  # in the heap or deferred
+        self.queued: set[int] = set()  # in the heap or deferred
         self.deferred: list[int] = []
         self.last_assigned = -1
-        self.end = 0
+        self.index_count = 0
 
     def begin(self, index_count: int) -> None:
         """Begin an update of a table with `index_count` indices."""
         self.last_assigned = -1
-        self.end = index_count
+        self.index_count = index_count
 
     def assign(self, states: list[int], used: set[int]) -> int | None:
         """Return the lowest free index after the last one assigned, or None if the table has none."""
@@ -34,19 +34,19 @@
             if index in used and states[index] == InstanceState.REMOVED:
                 self.deferred.append(index)
                 continue
-            self.known.discard(index)
+            self.queued.discard(index)
             if states[index] == InstanceState.REMOVED:
                 self.last_assigned = index
                 return index
-        self.last_assigned = self.end
+        self.last_assigned = self.index_count
         return None
 
     def release(self, index: int) -> None:
         """Make the index of a removed instance available for assignment."""
-        if index in self.known:
+        if index in self.queued:
             return
-        self.known.add(index)
-        if self.last_assigned < index < self.end:
+        self.queued.add(index)
+        if self.last_assigned < index < self.index_count:
             heapq.heappush(self.heap, index)
         else:
             self.deferred.append(index)
--- a/linenbridge/state/peers.py
+++ b/linenbridge/state/peers.py
@@ -17,8 +17,8 @@
 BUILD_HEADER = Struct("<HH")  # token, build
 METHOD_ROW = Struct("<HHHI")  # attempts, failed, timed, total time in milliseconds
 MAX_COUNT = 0xFFFF
-MAX_TIME = 0xFFFFFFFF  # milliseconds
-MICROSECONDS = 1_000  # in a millisecond
+MAX_TOTAL_TIME = 0xFFFFFFFF  # milliseconds
+MICROSECONDS_PER_MILLISECOND = 1_000
 
 
 class PeerRow(NamedTuple):
@@ -51,7 +51,9 @@
         for method_index in range(method_count):
             row = counts.get((build, method_index), Counts())
             attempts, failed, timed = (min(figure, MAX_COUNT) for figure in row[:3])
-            payload += METHOD_ROW.pack(attempts, failed, timed, min(row.total_time // MICROSECONDS, MAX_TIME))
+            payload += METHOD_ROW.pack(
+                attempts, failed, timed, min(row.total_time // MICROSECONDS_PER_MILLISECOND, MAX_TOTAL_TIME)
+            )
     return bytes(payload)
 
 
@@ -62,10 +64,13 @@
         token, build = BUILD_HEADER.unpack_from(payload, start)
         for method_index in range(method_count):
             offset = start + BUILD_HEADER.size + method_index * METHOD_ROW.size
-            attempts, failed, timed, time = METHOD_ROW.unpack_from(payload, offset)
+            attempts, failed, timed, total_time = METHOD_ROW.unpack_from(payload, offset)
             if failed + timed <= attempts:
                 yield PeerRow(
-                    token, build, method_index, Counts(attempts, failed, timed, time * MICROSECONDS)
+                    token,
+                    build,
+                    method_index,
+                    Counts(attempts, failed, timed, total_time * MICROSECONDS_PER_MILLISECOND),
                 )
 
 
