--- a/linenbridge/state/free_indices.py
+++ b/linenbridge/state/free_indices.py
@@ -20,12 +20,12 @@
         self.queued: set[int] = set()  # in the heap or deferred
         self.deferred: list[int] = []
         self.last_assigned = -1
-        self.index_count = 0
+        self.initial_index_count = 0
 
     def begin(self, index_count: int) -> None:
         """Begin an update of a table with `index_count` indices."""
         self.last_assigned = -1
-        self.index_count = index_count
+        self.initial_index_count = index_count
 
     def assign(self, states: list[int], used: set[int]) -> int | None:
         """Return the lowest free index after the last one assigned, or None if the table has none."""
@@ -38,7 +38,7 @@
             if states[index] == InstanceState.REMOVED:
                 self.last_assigned = index
                 return index
-        self.last_assigned = self.index_count
+        self.last_assigned = self.initial_index_count
         return None
 
     def release(self, index: int) -> None:
@@ -46,7 +46,7 @@
         if index in self.queued:
             return
         self.queued.add(index)
-        if self.last_assigned < index < self.index_count:
+        if self.last_assigned < index < self.initial_index_count:
             heapq.heappush(self.heap, index)
         else:
             self.deferred.append(index)
