--- a/linenbridge/net/client_connection.py
+++ b/linenbridge/net/client_connection.py
@@ -17,10 +17,10 @@
 from linenbridge.logging.event_log import Log
 from linenbridge.net import resp
 from linenbridge.net.commands import InvalidCommandError
-from linenbridge.net.decision_loop import REJECTED, ActiveRequest, watch_end, write_out
+from linenbridge.net.decision_loop import REJECTED, ActiveRequest, watch_for_close, write_immediately
 
 Buffers = Sequence[bytes | memoryview]
-MICROSECONDS = 1_000  # of a millisecond
+MICROSECONDS_PER_MILLISECOND = 1_000
 
 
 class ConnectionState(IntEnum):
@@ -44,8 +44,8 @@
         if outcome == Outcome.OK:
             self.send(value)
         elif outcome == REJECTED:
-            wait = -(-retry_after // MICROSECONDS)
-            self.send((b"-BUSY %d\r\n" % wait if wait else b"-BUSY\r\n",))
+            wait_ms = -(-retry_after // MICROSECONDS_PER_MILLISECOND)
+            self.send((b"-BUSY %d\r\n" % wait_ms if wait_ms else b"-BUSY\r\n",))
         else:
             self.send((b"-ERR aborted\r\n",))
 
@@ -95,7 +95,7 @@
         self.has_sent_command = False
         self.is_reading = False
         self.buffered = 0
-        self.since = 0
+        self.waiting_since = 0
 
     def connectionMade(self) -> None:
         """Register with the owner. A client that does not read its responses is not read from either."""
@@ -155,12 +155,12 @@
         self.state = ConnectionState.DRAINING
         self.reader = resp.Reader(commands=True)
         self.owner.set_buffered(self, 0)
-        watch_end(self.transport)
+        watch_for_close(self.transport)
 
     def flush(self) -> None:
         """Send the responses that are due, in the order of the commands."""
         while self.pending and self.pending[0].data is not None:
-            write_out(self.transport, b"".join(self.pending.popleft().data or ()))
+            write_immediately(self.transport, b"".join(self.pending.popleft().data or ()))
         if self.pending or self.is_reading or self.state == ConnectionState.LINGERING:
             return
         if self.state == ConnectionState.DRAINING:
--- a/linenbridge/net/commands.py
+++ b/linenbridge/net/commands.py
@@ -17,7 +17,7 @@
 SUBMIT = b"SVC.SUBMIT"  # takes all others
 MIN_ARGUMENTS = 4  # name, key, id, fields
 MAX_ARGUMENTS = 5  # and a body
-MICROSECONDS = 1_000  # of a millisecond
+MICROSECONDS_PER_MILLISECOND = 1_000
 
 
 class InvalidCommandError(ValueError):
@@ -61,33 +61,33 @@
     key = bytes(arguments[1])
     rpc_id = bytes(arguments[2]).decode("latin-1")
     fields = bytes(arguments[3]).split(b",")
-    named = _named(fields)
-    method = methods.get(named.get(b"c", b""))
+    values = _parse_fields(fields)
+    method = methods.get(values.get(b"c", b""))
     if method is None:
-        raise InvalidCommandError("no such method" if b"c" in named else "the field c is missing")
+        raise InvalidCommandError("no such method" if b"c" in values else "the field c is missing")
     if (name == QUERY) != (method.idempotency == Idempotency.IDEMPOTENT):
         raise InvalidCommandError("this method goes by the other command")
-    time_left = named.get(b"d", b"")
+    time_left = values.get(b"d", b"")
     if not _is_number(time_left):
         raise InvalidCommandError("the field d is missing or no number")
     if rpc_id in open_ids or not rpc_id:
         raise InvalidCommandError("this id is in use" if rpc_id else "the id is empty")
-    work = named.get(b"h", b"")
+    work = values.get(b"h", b"")
     if work and not _is_number(work):
         raise InvalidCommandError("the field h is no number")
     return RequestCommand(
         rpc_id,
         method,
         key.decode("latin-1"),
-        named.get(b"t", b"").decode("utf-8", "replace"),
+        values.get(b"t", b"").decode("utf-8", "replace"),
         # Nobody waits longer than the settings allow; a longer time would only keep ended requests open.
-        min(int(time_left) * MICROSECONDS, max_ttl),
+        min(int(time_left) * MICROSECONDS_PER_MILLISECOND, max_ttl),
         int(work) if work else None,
-        _forwarded(name, key, rpc_id, fields, arguments[MIN_ARGUMENTS:]),
+        _forwarded_command(name, key, rpc_id, fields, arguments[MIN_ARGUMENTS:]),
     )
 
 
-def _named(fields: list[bytes]) -> dict[bytes, bytes]:
+def _parse_fields(fields: list[bytes]) -> dict[bytes, bytes]:
     try:
         return dict([field.split(b"=", 1) for field in fields])
     except ValueError:
@@ -98,7 +98,7 @@
     return text.isdigit() and len(text) <= resp.MAX_DIGITS
 
 
-def _forwarded(
+def _forwarded_command(
     name: bytes, key: bytes, rpc_id: str, fields: list[bytes], body: Sequence[bytes | memoryview]
 ) -> resp.ForwardedCommand:
     """Return the command as it goes to instances: all its fields but the time left."""
--- a/linenbridge/net/decision_loop.py
+++ b/linenbridge/net/decision_loop.py
@@ -95,18 +95,18 @@
         self.open: dict[str, ActiveRequest] = {}
         self.unanswered = 0
         self.next_turn: Any = None
-        self.polled = False  # The reactor itself runs the turn, after each round of reading.
-        self.wake: Any = None
-        self.wake_at = 0
+        self.runs_after_poll = False  # The reactor itself runs the turn, after each round of reading.
+        self.wake_timer: Any = None
+        self.wake_due = 0
         self.on_turn_end: list[Callable[[], None]] = []
 
     def enqueue(self, call: Callable[[int], None]) -> None:
         """Report an input in the next turn, which runs once all that is ready has been read."""
         self.pending_inputs.append(call)
-        if self.next_turn is None and not self.polled:
-            self.next_turn = self.reactor.callLater(0, self._ready)
+        if self.next_turn is None and not self.runs_after_poll:
+            self.next_turn = self.reactor.callLater(0, self._run_scheduled_turn)
 
-    def _ready(self) -> None:
+    def _run_scheduled_turn(self) -> None:
         self.next_turn = None
         self.turn()
 
@@ -129,21 +129,21 @@
                 call_at_end()
             except Exception as error:
                 self.log.failed("a turn's end", error)
-        self._arm()
+        self._schedule_wake()
 
-    def _arm(self) -> None:
+    def _schedule_wake(self) -> None:
         """Set one timer for the module's next wake-up. One due sooner stays: an early turn is harmless."""
         due = self.decision_module.wake_at()
-        if due is None or (self.wake is not None and self.wake_at <= due):
+        if due is None or (self.wake_timer is not None and self.wake_due <= due):
             return
-        if self.wake is not None:
-            self.wake.cancel()
-        self.wake_at = due
-        self.wake = self.reactor.callLater(max(0, due - self.now()) / 1e6, self._woken)
-
-    def _woken(self) -> None:
-        self.wake = None
-        if self.next_turn is None and not (self.polled and self.pending_inputs):
+        if self.wake_timer is not None:
+            self.wake_timer.cancel()
+        self.wake_due = due
+        self.wake_timer = self.reactor.callLater(max(0, due - self.now()) / 1e6, self._on_wake)
+
+    def _on_wake(self) -> None:
+        self.wake_timer = None
+        if self.next_turn is None and not (self.runs_after_poll and self.pending_inputs):
             self.turn()
 
     def _decision(self, now: int) -> Decision | None:
@@ -236,7 +236,7 @@
         self,
         request: ActiveRequest,
         attempt: int,
-        sent: int,
+        sent_at: int,
         outcome: Outcome,
         load: dict[str, float],
         value: Any = (),
@@ -252,12 +252,12 @@
             self.open.pop(request.id, None)
         self.enqueue(
             lambda now: self.decision_module.on_attempt_finished(
-                now, request.id, attempt, outcome, final, now - sent, load
+                now, request.id, attempt, outcome, final, now - sent_at, load
             )
         )
 
 
-def untouched(transport: Any) -> bool:
+def has_nothing_unread(transport: Any) -> bool:
     """Whether nothing lies unread on a connection, neither bytes nor its end."""
     try:
         transport.socket.recv(1, MSG_PEEK)
@@ -268,11 +268,11 @@
     return False
 
 
-def watch_end(transport: Any) -> None:
+def watch_for_close(transport: Any) -> None:
     """From now on nothing is read from a connection, but its end is noticed, unless something unread lies
     before it: that is left where it is, and who waits for the end has to bound the wait."""
 
-    def look() -> Any:
+    def check_for_close() -> Any:
         try:
             if not transport.socket.recv(1, MSG_PEEK):
                 return CONNECTION_DONE
@@ -283,22 +283,22 @@
         transport.stopReading()
         return None
 
-    transport.doRead = look
+    transport.doRead = check_for_close
 
 
-def end_sending(transport: Any) -> None:
+def shut_down_sending(transport: Any) -> None:
     """At once, without waiting for the reactor's next round."""
     with suppress(OSError):
         transport.socket.shutdown(SHUT_WR)
 
 
-def read_out(transport: Any) -> None:
+def read_remaining(transport: Any) -> None:
     """What lies unread on a connection that is about to be let go is read first."""
     if transport.connected:
         transport.doRead()
 
 
-def write_out(transport: Any, data: bytes) -> bool:
+def write_immediately(transport: Any, data: bytes) -> bool:
     """Hand it to the system at once where nothing is queued before it, the rest to the reactor: a wait for
     the next turn and two calls to the system saved for each message. True where its last byte has left."""
     if transport.dataBuffer or transport._tempDataBuffer or not transport.connected:  # noqa: SLF001  # Twisted has no public name for it
--- a/linenbridge/net/descriptors.py
+++ b/linenbridge/net/descriptors.py
@@ -17,17 +17,17 @@
         self.evict = evict
         self.open = 0
 
-    def take(self) -> bool:
+    def acquire(self) -> bool:
         """Take one; False where none is left and none can be evicted."""
         if self.open >= self.limit and not self.evict():
             return False
         self.open += 1
         return True
 
-    def left(self) -> int:
+    def available(self) -> int:
         """Return how many are left."""
         return self.limit - self.open
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Give one back."""
         self.open -= 1
--- a/linenbridge/net/discovery.py
+++ b/linenbridge/net/discovery.py
@@ -137,7 +137,7 @@
         """
         if not update.snapshot and update.index < self.index:
             return
-        listed = [(self._entry(row), host_port(row.address)) for row in update.endpoints]
+        listed = [(self._entry(endpoint), host_port(endpoint.address)) for endpoint in update.endpoints]
         self.index = update.index
         is_snapshot = update.snapshot
         for listener in self.listeners:
@@ -149,9 +149,11 @@
             )
         )
 
-    def _entry(self, row: Endpoint) -> EndpointEntry:
+    def _entry(self, endpoint: Endpoint) -> EndpointEntry:
         """Convert an entry; the same Unix milliseconds always give the same microseconds."""
-        started_at = round(row.since_ms * 1000) + self.unix_offset if row.since_ms else LONG_AGO
-        size = 1.0 if row.weight is None else row.weight
-        state = STATES[row.status]
-        return EndpointEntry(row.name, row.release, row.zone or "", row.group or 0, state, size, started_at)
+        started_at = round(endpoint.since_ms * 1000) + self.unix_offset if endpoint.since_ms else LONG_AGO
+        size = 1.0 if endpoint.weight is None else endpoint.weight
+        state = STATES[endpoint.status]
+        return EndpointEntry(
+            endpoint.name, endpoint.release, endpoint.zone or "", endpoint.group or 0, state, size, started_at
+        )
--- a/linenbridge/net/downstream.py
+++ b/linenbridge/net/downstream.py
@@ -20,8 +20,8 @@
     ActiveRequest,
     AttemptTransport,
     DecisionLoop,
-    read_out,
-    untouched,
+    has_nothing_unread,
+    read_remaining,
 )
 from linenbridge.net.descriptors import Descriptors
 
@@ -29,7 +29,7 @@
 LAST_COMMANDS = 0.7  # seconds after SIGTERM after which SIGKILL may come; PROTOCOL, Figures
 IDLE_TIMEOUT = 2_000_000  # microseconds without an open request; LATER, The long day
 BATCH = 21  # Twisted's Port, doRead: after a batch of one it accepts up to twenty more in the next
-MICROSECONDS = 1e6  # of a second
+MICROSECONDS_PER_SECOND = 1e6
 
 
 class Clients(Factory):
@@ -79,7 +79,7 @@
 
     def buildProtocol(self, addr: Any) -> Client | None:  # Twisted's signature  # noqa: ARG002  # Twisted's signature
         """Accept a connection, and make room for the next ones."""
-        if not self.descriptors.take():
+        if not self.descriptors.acquire():
             self.log.count("client.rejected")
             return None
         self.log.count("client.connected")
@@ -114,10 +114,10 @@
         self.open.pop(client, None)
         self._remove_waiting(client)
         self.set_buffered(client, 0)
-        self.descriptors.give_back()
+        self.descriptors.release()
         if self.paused:
             self._evict_idle()
-        self._stop_if_last()
+        self._finish_stop_if_closed()
 
     # ---- connections without an open request -------------------------------------------------------
 
@@ -132,7 +132,7 @@
             return
         self._remove_waiting(client)
         waiting[client] = None
-        client.since = self.loop.now()
+        client.waiting_since = self.loop.now()
         if waiting is self.idle and self.paused:
             self._evict_idle()
         elif waiting is not self.idle and self.timer is None:
@@ -143,29 +143,31 @@
             waiting.pop(client, None)
 
     def _arm_timer(self, delay: int) -> None:
-        self.timer = self.reactor.callLater(max(0, delay) / MICROSECONDS, self._on_timer)
+        self.timer = self.reactor.callLater(max(0, delay) / MICROSECONDS_PER_SECOND, self._on_timer)
 
     def _on_timer(self) -> None:
         """Close connections that have sent no command for the whole time, and reset those that don't close.
 
         Idle ones go only where room is short.
         """
-        before = self.loop.now() - IDLE_TIMEOUT
-        for client in [client for client in self.silent if client.since <= before]:
-            if not client.reader.size and not untouched(client.transport):
+        cutoff = self.loop.now() - IDLE_TIMEOUT
+        for client in [client for client in self.silent if client.waiting_since <= cutoff]:
+            if not client.reader.size and not has_nothing_unread(client.transport):
                 continue  # After a stall: its command has come and is read next.
             self.log.count("client.silent")
             client.reject("nothing was asked in time")
-        for client in [client for client in self.closing_clients if client.since <= before]:
+        for client in [client for client in self.closing_clients if client.waiting_since <= cutoff]:
             self.log.count("client.reset")
             client.transport.abortConnection()
         if self.paused:
             self._evict_idle()
-        first = [next(iter(waiting)).since for waiting in (self.silent, self.closing_clients) if waiting]
+        oldest = [
+            next(iter(waiting)).waiting_since for waiting in (self.silent, self.closing_clients) if waiting
+        ]
         self.timer = None  # Not before: what was done above would have set one too.
-        if first or self.paused:
+        if oldest or self.paused:
             now = self.loop.now()
-            self._arm_timer(min(first, default=now) + IDLE_TIMEOUT - now)
+            self._arm_timer(min(oldest, default=now) + IDLE_TIMEOUT - now)
 
     def set_buffered(self, client: Client, size: int) -> None:
         """Count the bytes of incomplete commands; where they are too many, the largest ones are rejected."""
@@ -181,7 +183,7 @@
     # ---- room for new connections ------------------------------------------------------------------
 
     def _is_short_of_descriptors(self, more: int = 0) -> bool:
-        return self.descriptors.left() + more <= BATCH
+        return self.descriptors.available() + more <= BATCH
 
     def _is_saturated(self) -> bool:
         staying = len(self.open) - len(self.closing_clients)
@@ -193,11 +195,11 @@
         Those idle for the time, then silent ones, then those that have just had a response, and those slow
         with a command, the oldest of each first.
         """
-        before = self.loop.now() - IDLE_TIMEOUT
+        cutoff = self.loop.now() - IDLE_TIMEOUT
         return [
-            *(client for client in self.idle if client.since <= before),
+            *(client for client in self.idle if client.waiting_since <= cutoff),
             *(client for client in self.silent if not client.reader.size),
-            *(client for client in self.idle if client.since > before),
+            *(client for client in self.idle if client.waiting_since > cutoff),
             *(client for client in self.silent if client.reader.size),
         ]
 
@@ -208,12 +210,12 @@
         close between requests, and many clients that stay after one request would keep all others out. Where
         these are too few, new ones wait in the system's queue.
         """
-        for client in list(self.closing_clients)[: max(0, BATCH + 1 - self.descriptors.left())]:
+        for client in list(self.closing_clients)[: max(0, BATCH + 1 - self.descriptors.available())]:
             client.transport.abortConnection()
         for client in self._evictable():
             if not self._is_saturated():
                 break
-            if untouched(client.transport):
+            if has_nothing_unread(client.transport):
                 self.log.count("client.evicted")
                 if client in self.idle:
                     client.leave()  # An error line would pass as the response to its next command.
@@ -241,7 +243,7 @@
         self.on_stopped = on_stopped
         if self.port is None:
             self.closing = True
-            self._stop_if_last()
+            self._finish_stop_if_closed()
         else:
             reactor.callLater(LAST_CONNECTIONS, self._close_port)
 
@@ -251,25 +253,25 @@
         A connection that has sent no command yet, or half of one, has a command on the way: it stays open
         while that can still be answered.
         """
-        self.port.numberAccepts = self.descriptors.left()
+        self.port.numberAccepts = self.descriptors.available()
         self.port.doRead()
         self.port.stopListening()
         self.closing = True
         self.paused = False
         for client in list(self.open):
-            if not client.pending and not untouched(client.transport):
-                read_out(client.transport)
+            if not client.pending and not has_nothing_unread(client.transport):
+                read_remaining(client.transport)
             if client.has_sent_command and not client.reader.size:
                 client.leave()
         self.reactor.callLater(LAST_COMMANDS - LAST_CONNECTIONS, self._close_all)
-        self._stop_if_last()
+        self._finish_stop_if_closed()
 
     def _close_all(self) -> None:
         for client in list(self.open):
             client.leave()
-        self._stop_if_last()
+        self._finish_stop_if_closed()
 
-    def _stop_if_last(self) -> None:
+    def _finish_stop_if_closed(self) -> None:
         if self.on_stopped is not None and self.closing and not self.open:
             if self.timer is not None and self.timer.active():
                 self.timer.cancel()
--- a/linenbridge/net/load_reports.py
+++ b/linenbridge/net/load_reports.py
@@ -7,16 +7,16 @@
 from linenbridge.startup import LOAD_REPORT_FIELDS
 
 # PROTOCOL, Gateways to instances.
-REPORT = re.compile(rb"[a-z_]+=\d{1,9}(\.\d{1,9})?(,[a-z_]+=\d{1,9}(\.\d{1,9})?)*")
+LOAD_REPORT = re.compile(rb"[a-z_]+=\d{1,9}(\.\d{1,9})?(,[a-z_]+=\d{1,9}(\.\d{1,9})?)*")
 
 
 def load_report(text: bytes | memoryview | None) -> dict[str, float]:
     """Return a report's figures by the decision module's names; empty where it can't be read as a whole."""
     load: dict[str, float] = {}
-    if text is None or not REPORT.fullmatch(text):
+    if text is None or not LOAD_REPORT.fullmatch(text):
         return load
     for part in bytes(text).split(b","):
-        name, _, figure = part.partition(b"=")
-        if (known := LOAD_REPORT_FIELDS.get(name.decode())) is not None:
-            load[known] = float(figure)
+        name, _, value = part.partition(b"=")
+        if (field_name := LOAD_REPORT_FIELDS.get(name.decode())) is not None:
+            load[field_name] = float(value)
     return load
--- a/linenbridge/net/platform.py
+++ b/linenbridge/net/platform.py
@@ -24,7 +24,7 @@
 
 KEEPALIVE_INTERVAL = 1.0  # seconds; PROTOCOL, The platform
 HTTP_CONFLICT = 409
-MICROSECONDS = 1e6  # of a second
+MICROSECONDS_PER_SECOND = 1e6
 PHASES = {
     "testing": RolloutPhase.ON_TRIAL,
     "recalling": RolloutPhase.ROLLING_BACK,
@@ -82,7 +82,7 @@
     body: bytes
 
 
-class Call(Protocol):
+class VoteCall(Protocol):
     """One request on a connection of its own; `response` fires with its response, or fails."""
 
     transport: Any  # ITCPTransport, whose methods mypy can't read
@@ -141,8 +141,8 @@
         self.address = address
         self.methods = methods
         self.log = log
-        self.connect_timeout = connect_timeout / MICROSECONDS
-        self.response_timeout = response_timeout / MICROSECONDS
+        self.connect_timeout = connect_timeout / MICROSECONDS_PER_SECOND
+        self.response_timeout = response_timeout / MICROSECONDS_PER_SECOND
         self.status: RolloutStatus | None = None
         settings = WatchSettings("rollout_feed", KEEPALIVE_INTERVAL, connect_timeout, max_length)
         self.feed = open_watch(settings, path=lambda: "/api/feed", on_message=self.on_message)
@@ -217,13 +217,13 @@
         body = orjson.dumps({"version": build, "step": stage, "vote": VOTES[vote]})
         host, port = self.address
         request = http.request("POST", "/api/ballots", f"{host}:{port}", body)
-        called = ClientCreator(self.reactor, Call, request).connectTCP(
+        response = ClientCreator(self.reactor, VoteCall, request).connectTCP(
             *self.address, timeout=self.connect_timeout
         )
-        called.addCallback(lambda call: call.response)
-        called.addTimeout(self.response_timeout, self.reactor)
-        called.addCallbacks(self._on_response, self._on_no_response)
-        called.addErrback(lambda failure: self.log.failed("vote", failure.value))
+        response.addCallback(lambda call: call.response)
+        response.addTimeout(self.response_timeout, self.reactor)
+        response.addCallbacks(self._on_response, self._on_no_response)
+        response.addErrback(lambda failure: self.log.failed("vote", failure.value))
 
     def _on_response(self, response: Response) -> None:
         try:
--- a/linenbridge/net/reactor.py
+++ b/linenbridge/net/reactor.py
@@ -22,7 +22,7 @@
 
     def serve(self, loop: DecisionLoop) -> None:
         """Run the loop's turns after each round of reading."""
-        self.loop, loop.polled = loop, True
+        self.loop, loop.runs_after_poll = loop, True
 
     def timeout(self) -> float | None:
         """Return how long to wait for an event: not at all while inputs are pending."""
@@ -46,9 +46,9 @@
 
     def _read(self, selectable: Any) -> None:
         try:
-            why = selectable.doRead()
+            reason = selectable.doRead()
         except Exception as error:
-            why = error
+            reason = error
             log.err()
-        if why:
-            self._disconnectSelectable(selectable, why, True)
+        if reason:
+            self._disconnectSelectable(selectable, reason, True)
--- a/linenbridge/net/resp.py
+++ b/linenbridge/net/resp.py
@@ -15,8 +15,8 @@
     5  # PROTOCOL: the arguments of its longest command, a submit with a body; an answer has three
 )
 MAX_DIGITS = 9
-END = b"\r\n"
-ARRAY, BULK = b"*$"
+CRLF = b"\r\n"
+ARRAY_MARK, BULK_MARK = b"*$"
 
 
 class MalformedError(ValueError):
@@ -33,11 +33,11 @@
 Value = memoryview | Line | list | None
 
 
-class _ShortError(Exception):
+class _IncompleteError(Exception):
     """The message goes on beyond the buffer, to this length at least."""
 
-    def __init__(self, need: int) -> None:
-        self.need = need
+    def __init__(self, min_size: int) -> None:
+        self.min_size = min_size
 
 
 class Reader:
@@ -46,93 +46,97 @@
     def __init__(self, commands: bool) -> None:
         self.commands = commands
         self.chunks: list[bytes] = []
-        self.size, self.need = 0, 1
+        self.size, self.min_size = 0, 1
 
     def feed(self, data: bytes) -> Iterator[Value]:
         """All messages whose last byte has come, in their order; MalformedError where the framing is lost."""
         self.chunks.append(data)
         self.size += len(data)
-        if self.size < self.need:
+        if self.size < self.min_size:
             return
         buffer = data if len(self.chunks) == 1 else b"".join(self.chunks)
-        view, at = memoryview(buffer), 0
-        self.chunks, self.size, self.need = [], 0, 1
-        while at < len(buffer):
+        view, offset = memoryview(buffer), 0
+        self.chunks, self.size, self.min_size = [], 0, 1
+        while offset < len(buffer):
             try:
-                value, after = self._message(buffer, view, at)
-            except _ShortError as short:
-                self.chunks, self.size, self.need = [buffer[at:]], len(buffer) - at, short.need - at
+                value, next_offset = self._parse_message(buffer, view, offset)
+            except _IncompleteError as incomplete:
+                self.chunks, self.size, self.min_size = (
+                    [buffer[offset:]],
+                    len(buffer) - offset,
+                    incomplete.min_size - offset,
+                )
                 return
-            at = after
+            offset = next_offset
             yield value
 
-    def _message(self, buffer: bytes, view: memoryview, at: int) -> tuple[Value, int]:
-        if buffer[at] != ARRAY:
+    def _parse_message(self, buffer: bytes, view: memoryview, offset: int) -> tuple[Value, int]:
+        if buffer[offset] != ARRAY_MARK:
             if self.commands:
                 raise MalformedError("a command is an array of bulk strings")
-            return self._single(buffer, view, at)
-        count, at = self._number(buffer, at, MAX_ARRAY_LENGTH, "an array")
+            return self._parse_element(buffer, view, offset)
+        count, offset = self._parse_length(buffer, offset, MAX_ARRAY_LENGTH, "an array")
         if count < 0:
-            return None, at
+            return None, offset
         arguments: list[Value] = []
         for _ in range(count):
             # The arguments of a command and maximum of an answer's: a value that has wholly come.
-            line = buffer.find(END, at, at + MAX_DIGITS + 3)
-            if line > at and buffer[at] == BULK and buffer[at + 1 : line].isdigit():
-                start, length = line + 2, int(buffer[at + 1 : line])
+            line_end = buffer.find(CRLF, offset, offset + MAX_DIGITS + 3)
+            if line_end > offset and buffer[offset] == BULK_MARK and buffer[offset + 1 : line_end].isdigit():
+                start, length = line_end + 2, int(buffer[offset + 1 : line_end])
                 end = start + length
-                if length <= MAX_VALUE_BYTES and buffer[end : end + 2] == END:
+                if length <= MAX_VALUE_BYTES and buffer[end : end + 2] == CRLF:
                     arguments.append(view[start:end])
-                    at = end + 2
+                    offset = end + 2
                     continue
-            if self.commands and buffer[at : at + 1] not in (b"", b"$"):
+            if self.commands and buffer[offset : offset + 1] not in (b"", b"$"):
                 raise MalformedError("a command is an array of bulk strings")
-            argument, at = self._single(buffer, view, at)
+            argument, offset = self._parse_element(buffer, view, offset)
             if self.commands and argument is None:
                 raise MalformedError("a argument of a command is null")
             arguments.append(argument)
-        return arguments, at
+        return arguments, offset
 
-    def _single(self, buffer: bytes, view: memoryview, at: int) -> tuple[Value, int]:
-        mark = buffer[at : at + 1]
+    def _parse_element(self, buffer: bytes, view: memoryview, offset: int) -> tuple[Value, int]:
+        mark = buffer[offset : offset + 1]
         if mark == b"$":
-            length, start = self._number(buffer, at, MAX_VALUE_BYTES, "a value")
+            length, start = self._parse_length(buffer, offset, MAX_VALUE_BYTES, "a value")
             if length < 0:
                 return None, start
             end = start + length
             if len(buffer) < end + 2:
-                raise _ShortError(end + 2)
-            if buffer[end : end + 2] != END:
+                raise _IncompleteError(end + 2)
+            if buffer[end : end + 2] != CRLF:
                 raise MalformedError("a value does not end where its length says")
             return view[start:end], end + 2
         if mark and mark not in b"+-:":
             raise MalformedError(f"no message begins with {mark!r}")
-        end = self._line(buffer, at, MAX_VALUE_BYTES)
-        return Line(mark, buffer[at + 1 : end]), end + 2
+        end = self._find_line_end(buffer, offset, MAX_VALUE_BYTES)
+        return Line(mark, buffer[offset + 1 : end]), end + 2
 
-    def _number(self, buffer: bytes, at: int, maximum: int, what: str) -> tuple[int, int]:
-        end = self._line(buffer, at, MAX_DIGITS)
-        digits = buffer[at + 1 : end]
+    def _parse_length(self, buffer: bytes, offset: int, maximum: int, subject: str) -> tuple[int, int]:
+        end = self._find_line_end(buffer, offset, MAX_DIGITS)
+        digits = buffer[offset + 1 : end]
         if digits == b"-1":
             return -1, end + 2
         if not digits.isdigit():
-            raise MalformedError(f"the length of {what} is no number")
+            raise MalformedError(f"the length of {subject} is no number")
         if (number := int(digits)) > maximum:
-            raise MalformedError(f"{what} of {number} is over {maximum}")
+            raise MalformedError(f"{subject} of {number} is over {maximum}")
         return number, end + 2
 
-    def _line(self, buffer: bytes, at: int, maximum: int) -> int:
-        end = buffer.find(END, at, at + maximum + 3)
+    def _find_line_end(self, buffer: bytes, offset: int, maximum: int) -> int:
+        end = buffer.find(CRLF, offset, offset + maximum + 3)
         if end < 0:
-            if len(buffer) >= at + maximum + 3:
+            if len(buffer) >= offset + maximum + 3:
                 raise MalformedError("a line is too long")
-            raise _ShortError(len(buffer) + 1)
+            raise _IncompleteError(len(buffer) + 1)
         return end
 
 
 def bulk(value: bytes | memoryview) -> tuple[bytes | memoryview, ...]:
     """A value as it goes out: the slice itself between its length and its end."""
-    return b"$%d\r\n" % len(value), value, END
+    return b"$%d\r\n" % len(value), value, CRLF
 
 
 class ForwardedCommand:
--- a/linenbridge/net/upstream.py
+++ b/linenbridge/net/upstream.py
@@ -19,21 +19,27 @@
 from linenbridge.interface import EndpointEntry, Id, InstanceState, Outcome
 from linenbridge.logging.event_log import Log
 from linenbridge.net import resp
-from linenbridge.net.decision_loop import ActiveRequest, DecisionLoop, end_sending, untouched, write_out
+from linenbridge.net.decision_loop import (
+    ActiveRequest,
+    DecisionLoop,
+    has_nothing_unread,
+    shut_down_sending,
+    write_immediately,
+)
 from linenbridge.net.descriptors import Descriptors
 from linenbridge.net.load_reports import load_report
 from linenbridge.net.upstream_connection import Attempt, Connection, ConnectionPool
 
 ERROR_LINE = re.compile(rb"(BUSY|ERR|SYNTAX|NOPERM)( [ -~]*)?")  # PROTOCOL, Gateways to instances
 REST_AFTER_RESPONSE = 20_000  # microseconds; STANDING, join+mass: a second response may come that late
-MICROSECONDS = 1e6  # of a second
+MICROSECONDS_PER_SECOND = 1e6
 RESPONDED = (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED)  # after which a connection can be used again
 
 
 class _Timeout(NamedTuple):
     """An attempt's place among the timeouts; `serial` keeps the order of equal ones."""
 
-    until: int
+    times_out_at: int
     serial: int
     attempt: Attempt
 
@@ -53,7 +59,7 @@
         self.loop = loop
         self.reactor = reactor
         self.log = log
-        self.connect_timeout = connect_timeout / MICROSECONDS
+        self.connect_timeout = connect_timeout / MICROSECONDS_PER_SECOND
         # Instances close connections at this idle time at the latest: none is used well before it.
         self.idle_timeout = idle_timeout // 2
         self.descriptors = Descriptors(max_descriptors, self._evict_idle)
@@ -69,21 +75,21 @@
 
     def listed(self, listed: Iterable[tuple[EndpointEntry, tuple[str, int]]], is_snapshot: bool) -> None:
         """Take in the list: nothing more goes to what drains, is removed, or was another process."""
-        named = set()
+        listed_names = set()
         for entry, address in listed:
-            named.add(entry.instance)
+            listed_names.add(entry.instance)
             pool = self.pools.get(entry.instance)
             if pool is None:
                 if entry.state != InstanceState.REMOVED:
                     self.pools[entry.instance] = ConnectionPool(entry, address)
                 continue
-            before = pool.process()
+            before = pool.process_identity()
             pool.entry = entry
             pool.address = address
-            if entry.state != InstanceState.READY or before != pool.process():
+            if entry.state != InstanceState.READY or before != pool.process_identity():
                 self._retire(pool)
         for name, pool in list(self.pools.items()):
-            if pool.entry.state == InstanceState.REMOVED or (is_snapshot and name not in named):
+            if pool.entry.state == InstanceState.REMOVED or (is_snapshot and name not in listed_names):
                 # Busy connections keep the pool until they close, as nothing is ready in it.
                 pool.entry = pool.entry._replace(state=InstanceState.REMOVED)
                 del self.pools[name]
@@ -107,11 +113,11 @@
         attempt = Attempt(request, number, pool, now, now + timeout)
         self.attempts[request.id, number] = attempt
         self._add_timeout(now, attempt)
-        if (connection := self._take_rested(pool, now)) is not None:
+        if (connection := self._take_reusable(pool, now)) is not None:
             self._write(connection, attempt)
             return
         pool.waiting.append(attempt)
-        self._await_rested(pool, now)
+        self._arm_reuse_timer(pool, now)
         if pool.connecting < len(pool.waiting):
             self._connect(pool)
 
@@ -131,13 +137,13 @@
         connection.attempt = attempt
         connection.is_used = True
         attempt.connection = connection
-        time_left = attempt.until - self.loop.now()
-        write_out(connection.transport, attempt.request.payload.command(time_left))
+        time_left = attempt.times_out_at - self.loop.now()
+        write_immediately(connection.transport, attempt.request.payload.command(time_left))
 
     def _add_timeout(self, now: int, attempt: Attempt) -> None:
         self._drop_ended_timeouts()
-        heappush(self.timeouts, _Timeout(attempt.until, next(self.serial), attempt))
-        if self.timer is None or attempt.until < self.timer_at:
+        heappush(self.timeouts, _Timeout(attempt.times_out_at, next(self.serial), attempt))
+        if self.timer is None or attempt.times_out_at < self.timer_at:
             self._arm_timer(now)
 
     def _drop_ended_timeouts(self) -> None:
@@ -151,14 +157,14 @@
             self.timer = None
         self._drop_ended_timeouts()
         if self.timeouts:
-            self.timer_at = self.timeouts[0].until
-            delay = max(0, self.timer_at - now) / MICROSECONDS
+            self.timer_at = self.timeouts[0].times_out_at
+            delay = max(0, self.timer_at - now) / MICROSECONDS_PER_SECOND
             self.timer = self.reactor.callLater(delay, self._on_timeout)
 
     def _on_timeout(self) -> None:
         self.timer = None
         now = self.loop.now()
-        while self.timeouts and (self.timeouts[0].until <= now or self.timeouts[0].attempt.ended):
+        while self.timeouts and (self.timeouts[0].times_out_at <= now or self.timeouts[0].attempt.ended):
             attempt = heappop(self.timeouts).attempt
             self._end(attempt, Outcome.TIMED_OUT if attempt.connection else Outcome.CONNECT_FAILED)
         self._arm_timer(now)
@@ -208,11 +214,13 @@
             connection.attempt = None
             if outcome not in RESPONDED:
                 self._close(connection)
-        self.loop.attempt_finished(attempt.request, attempt.number, attempt.sent, outcome, load or {}, value)
+        self.loop.attempt_finished(
+            attempt.request, attempt.number, attempt.sent_at, outcome, load or {}, value
+        )
 
     # ---- connections -----------------------------------------------------------------------------
 
-    def _take_rested(self, pool: ConnectionPool, now: int) -> Connection | None:
+    def _take_reusable(self, pool: ConnectionPool, now: int) -> Connection | None:
         """Return the connection idle longest, once it has rested.
 
         What its instance sends late would pass as the next attempt's response, and has come by then. One
@@ -220,28 +228,28 @@
         """
         while pool.idle and pool.idle[0].idle_since + REST_AFTER_RESPONSE <= now:
             connection = pool.idle.popleft()
-            if untouched(connection.transport):
+            if has_nothing_unread(connection.transport):
                 return connection
             self.log.count("upstream.unusable")
             self._close(connection)
         return None
 
-    def _await_rested(self, pool: ConnectionPool, now: int) -> None:
+    def _arm_reuse_timer(self, pool: ConnectionPool, now: int) -> None:
         """Set the pool's timer: a waiting attempt takes what is first, a new connection or a rested one."""
         if pool.idle and pool.waiting and pool.timer is None:
             delay = max(0, pool.idle[0].idle_since + REST_AFTER_RESPONSE - now)
-            pool.timer = self.reactor.callLater(delay / MICROSECONDS, self._on_rested, pool)
+            pool.timer = self.reactor.callLater(delay / MICROSECONDS_PER_SECOND, self._on_reusable, pool)
 
-    def _on_rested(self, pool: ConnectionPool) -> None:
+    def _on_reusable(self, pool: ConnectionPool) -> None:
         pool.timer = None
         now = self.loop.now()
-        while pool.waiting and (connection := self._take_rested(pool, now)) is not None:
+        while pool.waiting and (connection := self._take_reusable(pool, now)) is not None:
             self._write(connection, pool.waiting.popleft())
-        self._await_rested(pool, now)
+        self._arm_reuse_timer(pool, now)
 
     def _connect(self, pool: ConnectionPool) -> None:
         """Open one more connection; it takes the attempt that waits longest when it is up."""
-        if not self.descriptors.take():
+        if not self.descriptors.acquire():
             self.log.count("upstream.no_descriptor")
             self._end(pool.waiting[-1], Outcome.CONNECT_FAILED)
             return
@@ -263,7 +271,7 @@
 
     def _on_connect_failed(self, pool: ConnectionPool) -> None:
         pool.connecting -= 1
-        self.descriptors.give_back()
+        self.descriptors.release()
         self.log.count("upstream.failed")
         self._fail_unserved(pool)
 
@@ -278,8 +286,10 @@
         A used one rests first. One whose instance has moved, drains or is another process is closed.
         """
         pool = connection.pool
-        is_current = connection.process == pool.process() and pool.entry.state == InstanceState.READY
-        if not is_current or not (connection.is_used or untouched(connection.transport)):
+        is_current = (
+            connection.process_identity == pool.process_identity() and pool.entry.state == InstanceState.READY
+        )
+        if not is_current or not (connection.is_used or has_nothing_unread(connection.transport)):
             self._close(connection)
             self._fail_unserved(pool)
         elif pool.waiting and not connection.is_used:
@@ -296,12 +306,14 @@
         else:
             connection.idle_since = now - REST_AFTER_RESPONSE
             pool.idle.appendleft(connection)
-        self._await_rested(pool, now)
+        self._arm_reuse_timer(pool, now)
         if self.idle_timer is None:
             self._arm_idle_timer()
 
     def _arm_idle_timer(self) -> None:
-        self.idle_timer = self.reactor.callLater(self.idle_timeout / (2 * MICROSECONDS), self._close_idle)
+        self.idle_timer = self.reactor.callLater(
+            self.idle_timeout / (2 * MICROSECONDS_PER_SECOND), self._close_idle
+        )
 
     def _close_idle(self) -> None:
         """Close connections idle for half the time, or that will be before the next look."""
@@ -332,13 +344,13 @@
         if connection in connection.pool.idle:
             connection.pool.idle.remove(connection)
         if not connection.is_lost:
-            end_sending(connection.transport)
+            shut_down_sending(connection.transport)
             connection.transport.abortConnection()
 
     def on_lost(self, connection: Connection) -> None:
         """Give back a connection's descriptor; the attempt in flight may have been executed."""
         connection.is_lost = True
-        self.descriptors.give_back()
+        self.descriptors.release()
         self._close(connection)
         if connection.attempt is not None:
             self._end(connection.attempt, Outcome.CONNECTION_LOST)
--- a/linenbridge/net/upstream_connection.py
+++ b/linenbridge/net/upstream_connection.py
@@ -18,16 +18,16 @@
 class Attempt:
     """One attempt: waiting for a connection, in flight on one, or ended. Times are microseconds."""
 
-    __slots__ = ("connection", "ended", "number", "pool", "request", "sent", "until")
+    __slots__ = ("connection", "ended", "number", "pool", "request", "sent_at", "times_out_at")
 
     def __init__(
-        self, request: ActiveRequest, number: int, pool: ConnectionPool, sent: int, until: int
+        self, request: ActiveRequest, number: int, pool: ConnectionPool, sent_at: int, times_out_at: int
     ) -> None:
         self.request = request
         self.number = number
         self.pool = pool
-        self.sent = sent
-        self.until = until
+        self.sent_at = sent_at
+        self.times_out_at = times_out_at
         self.connection: Connection | None = None
         self.ended = False
 
@@ -43,7 +43,7 @@
         self.connecting = 0
         self.timer: Any = None  # when the first idle connection has rested, while an attempt waits for that
 
-    def process(self) -> tuple[tuple[str, int], int, int]:
+    def process_identity(self) -> tuple[tuple[str, int], int, int]:
         """Return what tells the instance's process from another one under its id."""
         return self.address, self.entry.started_at, self.entry.build
 
@@ -73,7 +73,7 @@
         self.owner = owner
         self.pool = pool
         self.reader = resp.Reader(commands=False)
-        self.process = pool.process()
+        self.process_identity = pool.process_identity()
         self.attempt: Attempt | None = None
         self.idle_since = 0
         self.is_lost = False
--- a/linenbridge/net/watch_stream.py
+++ b/linenbridge/net/watch_stream.py
@@ -17,16 +17,16 @@
 
 from linenbridge.logging.event_log import Log
 from linenbridge.net import http
-from linenbridge.net.decision_loop import read_out
+from linenbridge.net.decision_loop import read_remaining
 from linenbridge.net.resp import MalformedError
 
 HTTP_OK = 200
 MAX_MISSED_KEEPALIVES = 3  # before a silent connection is suspected
 MAX_RETRY_FACTOR = 16  # of the wait after rejections in a row, in connect timeouts
-MICROSECONDS = 1e6  # of a second
+MICROSECONDS_PER_SECOND = 1e6
 
 
-def _nothing() -> None:
+def _do_nothing() -> None:
     """Do nothing: the callback of a watch that nobody waits for."""
 
 
@@ -40,7 +40,7 @@
         self.address = watch.address
         self.responses = http.ResponseParser()
         self.messages = watch.settings.splitter(watch.settings.max_length)
-        self.over = False
+        self.ended = False
         self.has_delivered = False
 
     def connectionMade(self) -> None:
@@ -56,7 +56,7 @@
                 if part.status != HTTP_OK:
                     raise MalformedError(f"answered with status {part.status}")
                 for message in self.messages.feed(part.body):
-                    if not self.over:
+                    if not self.ended:
                         self.watch.on_received(self, message)
                 if part.last:
                     self.transport.abortConnection()
@@ -92,8 +92,8 @@
         to spare; none is opened before one and a half intervals have passed.
         """
         interval = self.keepalive_interval
-        early = self.missed_update_deadline - interval / 2 - self.connect_timeout / MICROSECONDS
-        return min(MAX_MISSED_KEEPALIVES * interval, max(1.5 * interval, early))
+        latest = self.missed_update_deadline - interval / 2 - self.connect_timeout / MICROSECONDS_PER_SECOND
+        return min(MAX_MISSED_KEEPALIVES * interval, max(1.5 * interval, latest))
 
 
 class WatchStream:
@@ -116,7 +116,7 @@
         self.on_message = on_message
         self.log = log
         self.random = random or Random(0)
-        self.connect_timeout = settings.connect_timeout / MICROSECONDS
+        self.connect_timeout = settings.connect_timeout / MICROSECONDS_PER_SECOND
         self.max_silence = settings.max_silence()
         self.rejections = 0
         self.streams: list[Stream] = []
@@ -124,12 +124,12 @@
         self.timer: Any = None
         self.healthy: bool | None = None
         self.is_started = False
-        self.on_first_message: Callable[[], object] = _nothing  # called once
+        self.on_first_message: Callable[[], object] = _do_nothing  # called once
 
     def start(self) -> None:
         """Open one more connection, unless one is being opened; it may be silent for `max_silence`."""
         self.is_started = True
-        self._arm(self.max_silence)
+        self._arm_silence_timer(self.max_silence)
         if self.connecting is None:
             self.log.count(self.settings.name, "opened")
             self.connecting = ClientCreator(self.reactor, Stream, self).connectTCP(
@@ -150,22 +150,22 @@
             if self.is_started:
                 self.start()
 
-    def _arm(self, delay: float) -> None:
+    def _arm_silence_timer(self, delay: float) -> None:
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = self.reactor.callLater(delay, self._on_silence)
 
     def _on_connected(self, stream: Stream) -> None:
         self.connecting = None
-        if not stream.over:
+        if not stream.ended:
             self.streams.append(stream)
         elif not self.streams:
-            self._arm(self.connect_timeout)
+            self._arm_silence_timer(self.connect_timeout)
 
     def _on_connect_failed(self, failure: Any) -> None:
         self.connecting = None
         self._set_healthy(False, failure.getErrorMessage())
-        self._arm(self.connect_timeout)
+        self._arm_silence_timer(self.connect_timeout)
 
     def _on_silence(self) -> None:
         """Open another connection beside the newest, and drop those older than that."""
@@ -180,30 +180,30 @@
         A message from an address left behind ends nothing at the present one, and is read out before what
         comes after it.
         """
-        is_present = stream.address == self.address
-        served = [
+        is_current_address = stream.address == self.address
+        superseded = [
             other
             for other in self.streams
-            if other is not stream and (is_present or other.address != self.address)
+            if other is not stream and (is_current_address or other.address != self.address)
         ]
-        for other in served:
-            if is_present and other.address != self.address:
-                read_out(other.transport)
+        for other in superseded:
+            if is_current_address and other.address != self.address:
+                read_remaining(other.transport)
         if bytes(message).strip():
             self.on_message(message)
         stream.has_delivered = True
         self.rejections = 0
-        first, self.on_first_message = self.on_first_message, _nothing
-        first()
-        if is_present:
+        callback, self.on_first_message = self.on_first_message, _do_nothing
+        callback()
+        if is_current_address:
             self._set_healthy(True, "")
-            self._arm(self.max_silence)
-        for other in served:
-            if not other.over:
+            self._arm_silence_timer(self.max_silence)
+        for other in superseded:
+            if not other.ended:
                 self._drop(other)
 
     def _drop(self, stream: Stream) -> None:
-        stream.over = True
+        stream.ended = True
         self.streams.remove(stream)
         stream.transport.abortConnection()
 
@@ -212,13 +212,13 @@
 
         At once after one that has delivered, so that what it could not is soon delivered; else after a delay.
         """
-        was_dropped = stream.over
-        stream.over = True
+        was_dropped = stream.ended
+        stream.ended = True
         if stream in self.streams:
             self.streams.remove(stream)
         if not was_dropped and not self.streams and self.connecting is None:
             self._set_healthy(False, "ended")
-            self._arm(0 if stream.has_delivered else self._retry_delay())
+            self._arm_silence_timer(0 if stream.has_delivered else self._retry_delay())
 
     def _retry_delay(self) -> float:
         """Return seconds to wait after a response that ended without a message.
@@ -226,9 +226,9 @@
         The longest delay doubles each time and its length is random: a server that a whole fleet asks again
         at once would go on rejecting.
         """
-        longest = min(2**self.rejections, MAX_RETRY_FACTOR)
+        max_factor = min(2**self.rejections, MAX_RETRY_FACTOR)
         self.rejections += 1
-        return self.connect_timeout * self.random.uniform(1, longest)
+        return self.connect_timeout * self.random.uniform(1, max_factor)
 
     def _set_healthy(self, healthy: bool, why: str) -> None:
         if healthy != self.healthy:
