--- a/linenbridge/net/__init__.py
+++ b/linenbridge/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real gateway: sockets before the decisions of `linenbridge.policy`."""
+"""The gateway's networking: connects the decision module of `linenbridge.policy` to real sockets."""
--- a/linenbridge/net/client_connection.py
+++ b/linenbridge/net/client_connection.py
@@ -1,7 +1,8 @@
-"""One client's connection: commands in, responses out in the same order.
+"""One client's connection: reads commands and sends their responses in the same order.
 
-Owns the connection's state, the responses pending on it, and the bytes of an incomplete command. What its
-commands mean and when it closes for want of room is its owner's.
+This module owns the state of the connection, the responses pending on it, and the bytes of an incomplete
+command. The owner of the connection interprets the commands and decides when to close connections to free
+descriptors.
 """
 
 from __future__ import annotations
@@ -24,15 +25,15 @@
 
 
 class ConnectionState(IntEnum):
-    """A connection's states, which follow each other one way only."""
+    """State of a client's connection; it only ever advances to a higher value."""
 
-    OPEN = 0  # commands are read
-    DRAINING = 1  # pending responses go out; nothing more is read
-    LINGERING = 2  # our sending has ended; the client's end is awaited
+    OPEN = 0  # reads commands
+    DRAINING = 1  # sends the pending responses, and reads nothing more
+    LINGERING = 2  # has shut down its sending side, and waits for the client to close
 
 
 class PendingResponse:
-    """The place of one command in the order of responses."""
+    """The response to one command, at its place in the order of the commands."""
 
     def __init__(self, client: Client) -> None:
         self.client = client
@@ -40,7 +41,7 @@
         self.request: ActiveRequest | None = None
 
     def respond(self, outcome: str, retry_after: int, value: Buffers) -> None:
-        """Send a request's final response, in PROTOCOL's form; `retry_after` is in microseconds."""
+        """Send a request's final response as PROTOCOL defines it; `retry_after` is in microseconds."""
         if outcome == Outcome.OK:
             self.send(value)
         elif outcome == REJECTED:
@@ -50,42 +51,42 @@
             self.send((b"-ERR aborted\r\n",))
 
     def send_error(self, error: str) -> None:
-        """Send an error line."""
+        """Send `error` as a RESP error."""
         self.send((f"-ERR {error}\r\n".encode(),))
 
     def send(self, data: Buffers) -> None:
-        """Send the response, once all before it have been sent."""
+        """Send the response once all earlier responses have been sent."""
         self.data = data
         self.request = None
         self.client.flush()
 
 
 class ClientOwner(Protocol):
-    """Takes what a client's connection reports."""
+    """Receives the events of clients' connections."""
 
     log: Log
     closing: bool
 
     def on_command(self, response: PendingResponse, arguments: Buffers) -> None:
-        """Take in a command; InvalidCommandError where it is no request."""
+        """Handle a complete command; raises InvalidCommandError if it is not a valid request."""
 
     def on_waiting(self, client: Client) -> None:
-        """Take in that nothing is pending on a connection."""
+        """Note that no response is pending on a connection."""
 
     def set_buffered(self, client: Client, size: int) -> None:
-        """Take in how many bytes of an incomplete command a connection has."""
+        """Note how many bytes of an incomplete command a connection holds."""
 
     def on_client_disconnected(self, request: ActiveRequest) -> None:
-        """Take in that the client of an open request has disconnected."""
+        """Handle the disconnection of an open request's client."""
 
     def on_closed(self, client: Client) -> None:
-        """Take in that a connection has closed."""
+        """Handle the close of a connection."""
 
 
 class Client(protocol.Protocol):
-    """One client's connection. `since`: when nothing has been pending on it any more, in microseconds."""
+    """One client's connection; nothing has been pending on it since `waiting_since`, in microseconds."""
 
-    transport: Any  # ITCPTransport, whose methods mypy can't read
+    transport: Any  # an ITCPTransport; mypy can't read its methods
 
     def __init__(self, owner: ClientOwner) -> None:
         self.owner = owner
@@ -98,16 +99,20 @@
         self.waiting_since = 0
 
     def connectionMade(self) -> None:
-        """Register with the owner. A client that does not read its responses is not read from either."""
+        """Register with the owner.
+
+        The transport is registered as its own producer, so that it stops reading from a client that does not
+        read its responses.
+        """
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self.transport, True)
         self.owner.on_waiting(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Take in all commands that are complete; one that is malformed closes the connection."""
+        """Handle all complete commands; a malformed one gets an error response and closes the connection."""
         if self.state != ConnectionState.OPEN:
             return
-        self.is_reading = True  # The connection must not close while commands are left in what was read.
+        self.is_reading = True  # Keeps the connection from closing before all commands in `data` are handled.
         try:
             for arguments in self.reader.feed(data):
                 self._on_command(arguments)
@@ -134,9 +139,9 @@
             response.send_error(str(error))
 
     def reject(self, error: str) -> None:
-        """Send one error line after all pending responses, and close.
+        """Send one error after all pending responses, and close the connection.
 
-        What still arrives is not read: it can't be, or is too late.
+        Bytes that arrive later are not read: they can't be parsed, or they arrive too late.
         """
         if self.state == ConnectionState.OPEN:
             self._drain()
@@ -145,34 +150,34 @@
             response.send_error(error)
 
     def leave(self) -> None:
-        """Close as soon as no response is pending."""
+        """Close the connection as soon as no response is pending."""
         if self.state == ConnectionState.OPEN:
             self._drain()
             self.flush()
 
     def _drain(self) -> None:
-        """Stop reading: what arrives was not accepted, and its client sends it elsewhere."""
+        """Stop reading. Commands that arrive later are not accepted, and the client sends them elsewhere."""
         self.state = ConnectionState.DRAINING
         self.reader = resp.Reader(commands=True)
         self.owner.set_buffered(self, 0)
         watch_for_close(self.transport)
 
     def flush(self) -> None:
-        """Send the responses that are due, in the order of the commands."""
+        """Send all responses whose predecessors have been sent, in the order of the commands."""
         while self.pending and self.pending[0].data is not None:
             write_immediately(self.transport, b"".join(self.pending.popleft().data or ()))
         if self.pending or self.is_reading or self.state == ConnectionState.LINGERING:
             return
         if self.state == ConnectionState.DRAINING:
-            # Only our sending ends. A close with something unread would be a reset, and that destroys what
-            # the client has not read yet: the responses just written.
+            # Only the sending side is shut down. Closing a socket with unread bytes resets it, and a reset
+            # discards the responses that the client has not read yet.
             self.state = ConnectionState.LINGERING
             self.transport.unregisterProducer()
             self.transport.loseWriteConnection()
         self.owner.on_waiting(self)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: ARG002  # Twisted's signature
-        """Give back all that was pending, in the one place for that."""
+        """Report the pending requests and the close to the owner; only this method releases them."""
         for response in self.pending:
             if response.request is not None:
                 request = response.request
--- a/linenbridge/net/commands.py
+++ b/linenbridge/net/commands.py
@@ -1,7 +1,7 @@
-"""Clients' commands: checked, and turned into requests.
+"""Checks clients' commands and converts them to requests.
 
-Owns what PROTOCOL asks of a command. It answers nothing and holds nothing: what is no request raises
-InvalidCommandError with the text for the client.
+This module owns the rules that PROTOCOL sets for a command. It keeps no state and sends no response: for a
+command that is not a valid request it raises InvalidCommandError with the text for the client.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 from linenbridge.net import resp
 
 PING = b"PING"
-QUERY = b"SVC.QUERY"  # takes idempotent methods alone
-SUBMIT = b"SVC.SUBMIT"  # takes all others
-MIN_ARGUMENTS = 4  # name, key, id, fields
-MAX_ARGUMENTS = 5  # and a body
+QUERY = b"SVC.QUERY"  # for idempotent methods only
+SUBMIT = b"SVC.SUBMIT"  # for all other methods
+MIN_ARGUMENTS = 4  # command name, key, id, fields
+MAX_ARGUMENTS = 5  # the same and a body
 MICROSECONDS_PER_MILLISECOND = 1_000
 
 
 class InvalidCommandError(ValueError):
-    """A command that is no request; its text goes to the client."""
+    """A command is not a valid request; the text of the error is sent to the client."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCommand:
-    """A client's command that is a request; `ttl` is in microseconds, `work` the client's estimate."""
+    """A valid request; `ttl` and `work`, the client's estimate of the service time, are in microseconds."""
 
     rpc_id: str
     method: Method
@@ -38,7 +38,7 @@
 
 
 def command_name(arguments: Sequence[bytes | memoryview]) -> bytes:
-    """Return a command's name in upper case; empty where it has none."""
+    """Return a command's name in upper case, or an empty value for an empty command."""
     return bytes(arguments[0]).upper() if arguments else b""
 
 
@@ -48,16 +48,17 @@
     open_ids: Container[str],
     max_ttl: int,
 ) -> RequestCommand:
-    """Check a command and return the request in it; InvalidCommandError where it is none.
+    """Check a command and return its request.
 
-    `methods` are known by their names as bytes. A `ttl` beyond `max_ttl` microseconds counts as that.
+    `methods` maps names as bytes to methods. A longer time left than `max_ttl` microseconds is cut to that.
+    Raises InvalidCommandError if the command is not a valid request.
     """
     name = command_name(arguments)
     if name not in (QUERY, SUBMIT):
         raise InvalidCommandError("unknown command")
     if not MIN_ARGUMENTS <= len(arguments) <= MAX_ARGUMENTS:
         raise InvalidCommandError("a command holds a key, an id, fields and at most one body")
-    # Copied, as they outlive the buffer: further attempts need them.
+    # Copies, as later attempts use these values when the buffer is gone.
     key = bytes(arguments[1])
     rpc_id = bytes(arguments[2]).decode("latin-1")
     fields = bytes(arguments[3]).split(b",")
@@ -80,7 +81,7 @@
         method,
         key.decode("latin-1"),
         values.get(b"t", b"").decode("utf-8", "replace"),
-        # Nobody waits longer than the settings allow; a longer time would only keep ended requests open.
+        # No client waits longer than the settings allow; a longer time would only keep ended requests open.
         min(int(time_left) * MICROSECONDS_PER_MILLISECOND, max_ttl),
         int(work) if work else None,
         _forwarded_command(name, key, rpc_id, fields, arguments[MIN_ARGUMENTS:]),
@@ -101,6 +102,6 @@
 def _forwarded_command(
     name: bytes, key: bytes, rpc_id: str, fields: list[bytes], body: Sequence[bytes | memoryview]
 ) -> resp.ForwardedCommand:
-    """Return the command as it goes to instances: all its fields but the time left."""
+    """Return the command that is sent to instances: all fields except `d`, the time left."""
     forwarded_fields = b"".join([field + b"," for field in fields if field[:2] != b"d="])
     return resp.ForwardedCommand((name, key, rpc_id.encode("latin-1"), *map(bytes, body)), forwarded_fields)
--- a/linenbridge/net/decision_loop.py
+++ b/linenbridge/net/decision_loop.py
@@ -1,8 +1,8 @@
-"""The decision loop: batches inputs, reports them to the decision module in one turn, executes its decisions.
+"""The decision loop: reports batches of inputs to the decision module, and executes the module's decisions.
 
-Owns the open requests, from the last byte of a command to its final response and the end of its last attempt,
-the turn, and the timer that wakes the module. It decides nothing: it sends, responds and votes as the module
-decides. A request gets the first response that ends it and no other.
+This module owns the turn, the timer for the decision module's next wake-up, and the open requests: each from
+the last byte of its command to its final response and the end of its last attempt. It makes no decisions
+itself. Each request gets exactly one final response: the first that ends it.
 """
 
 from __future__ import annotations
@@ -28,16 +28,16 @@
 from linenbridge.interface import DecisionMaker, Id, Outcome, Vote
 from linenbridge.logging.event_log import Log
 
-# Final responses, beside `Outcome.OK`.
+# Final responses other than `Outcome.OK`.
 REJECTED = "rejected"
 FAILED = "failed"
 
 
 class AttemptTransport(Protocol):
-    """Sends attempts to instances, and reports their ends by `DecisionLoop.attempt_finished`."""
+    """Sends attempts to instances, and reports their outcomes with `DecisionLoop.attempt_finished`."""
 
     def send(self, now: int, request: ActiveRequest, attempt: int, instance: Id, timeout: int) -> None:
-        """Send an attempt; it fails after `timeout` microseconds without a response."""
+        """Send an attempt, which fails if no response arrives within `timeout` microseconds."""
 
     def cancel(self, request: ActiveRequest, attempt: int) -> None:
         """Cancel an attempt, unless it has ended."""
@@ -50,8 +50,9 @@
 class ActiveRequest:
     """A request from its acceptance to the end of its last attempt.
 
-    `payload` is what the transport needs to send it. `respond` takes the final response: its outcome, the
-    time in microseconds after which to retry, and the value.
+    `payload` is what the transport needs to send the request. `respond` sends the final response to the
+    client; its arguments are the outcome, the microseconds after which to retry, and the value. `attempts`
+    counts the attempts begun, `in_flight` those without an outcome.
     """
 
     id: str
@@ -65,21 +66,21 @@
 
 
 class Platform(Protocol):
-    """Takes this gateway's votes."""
+    """Receives this gateway's votes."""
 
     def vote(self, build: int, stage: int, vote: Vote) -> None:
         """Cast or withdraw a vote."""
 
 
 class Discovery(Protocol):
-    """Serves the endpoint list."""
+    """Provides the endpoint list."""
 
     def watch(self) -> None:
-        """Request the list's changes."""
+        """Request updates of the endpoint list."""
 
 
 class DecisionLoop:
-    """The turns of one gateway."""
+    """Runs the turns of one gateway, and keeps its open requests."""
 
     platform: Platform
     discovery: Discovery
@@ -95,13 +96,13 @@
         self.open: dict[str, ActiveRequest] = {}
         self.unanswered = 0
         self.next_turn: Any = None
-        self.runs_after_poll = False  # The reactor itself runs the turn, after each round of reading.
+        self.runs_after_poll = False  # The reactor itself runs the turn after each poll.
         self.wake_timer: Any = None
         self.wake_due = 0
         self.on_turn_end: list[Callable[[], None]] = []
 
     def enqueue(self, call: Callable[[int], None]) -> None:
-        """Report an input in the next turn, which runs once all that is ready has been read."""
+        """Report an input in the next turn, which runs when all sockets that are ready have been read."""
         self.pending_inputs.append(call)
         if self.next_turn is None and not self.runs_after_poll:
             self.next_turn = self.reactor.callLater(0, self._run_scheduled_turn)
@@ -111,18 +112,18 @@
         self.turn()
 
     def turn(self) -> None:
-        """Report all pending inputs at one time, then execute all that is decided on them."""
+        """Report all pending inputs with the same time, then execute the decisions that follow."""
         now = self.now()
         calls, self.pending_inputs = self.pending_inputs, []
         for call in calls:
             try:
                 call(now)
-            except Exception as error:  # One input's fault must not cost the others their turn.
+            except Exception as error:  # One failing input must not keep the others from being reported.
                 self.log.failed("input", error)
         while (decision := self._decision(now)) is not None:
             try:
                 self.execute(now, decision)
-            except Exception as error:  # Nor one decision's.
+            except Exception as error:  # The same holds for decisions.
                 self.log.failed(f"executing {type(decision).__name__}", error)
         for call_at_end in self.on_turn_end:
             try:
@@ -132,7 +133,7 @@
         self._schedule_wake()
 
     def _schedule_wake(self) -> None:
-        """Set one timer for the module's next wake-up. One due sooner stays: an early turn is harmless."""
+        """Set the timer for the module's next wake-up; an earlier one stays, as an early turn is harmless."""
         due = self.decision_module.wake_at()
         if due is None or (self.wake_timer is not None and self.wake_due <= due):
             return
@@ -147,7 +148,7 @@
             self.turn()
 
     def _decision(self, now: int) -> Decision | None:
-        """Return the next decision; one that fails ends the turn's pulling, not the process."""
+        """Return the next decision; None if there is none, or if the module failed, which is logged."""
         try:
             return self.decision_module.next_decision(now)
         except Exception as error:
@@ -155,7 +156,7 @@
             return None
 
     def execute(self, now: int, decision: Decision) -> None:
-        """Execute one decision; KeyError where it names a request that is not open."""
+        """Execute one decision; raises KeyError if an attempt is decided for a request that is not open."""
         match decision:
             case SendAttempt():
                 self._send(now, self.open[decision.rpc_id], decision.instance, decision.timeout)
@@ -174,12 +175,12 @@
             case LogMessage():
                 self.log.event("decision", kind=decision.event, **decision.fields)
             case _:
-                raise TypeError(f"this host can't execute {decision!r}")
+                raise TypeError(f"this host has no handler for the decision {decision!r}")
 
     # ---- the lifecycle of a request --------------------------------------------------------------
 
     def accept(self, request: ActiveRequest, ttl: int, work: int | None, tenant: str, key: str) -> None:
-        """Accept a request that has been read whole: from here on exactly one response is due."""
+        """Accept a request that has been read completely; from now on it must get exactly one response."""
         self.open[request.id] = request
         self.unanswered += 1
         self.log.count("accepted", request.method)
@@ -190,8 +191,10 @@
         )
 
     def client_disconnected(self, request: ActiveRequest) -> None:
-        """End a request whose client has disconnected. An attempt in flight reports its outcome at its own
-        end, at the client's deadline at the latest."""
+        """End a request whose client has disconnected.
+
+        Attempts in flight report their outcomes when they end, at the client's deadline at the latest.
+        """
         if not request.ended:
             self.log.count("client_disconnected", request.method)
             self._end(request)
@@ -211,8 +214,10 @@
             request.respond(outcome, retry_after, value)
 
     def _end(self, request: ActiveRequest) -> None:
-        """End a request in the one place for that. It is forgotten once its last attempt has ended too; an
-        attempt that has not been sent by now never is."""
+        """End a request, and withdraw its attempts that have not been sent; only this method ends requests.
+
+        The request is removed when its last attempt has ended too.
+        """
         request.ended = True
         self.unanswered -= 1
         request.transport.withdraw_unsent(request)
@@ -220,8 +225,10 @@
             self.open.pop(request.id, None)
 
     def reschedule_unsent(self) -> None:
-        """Withdraw the attempts not sent yet, as what they were decided on has changed: the module decides
-        on them once more."""
+        """Withdraw all attempts that have not been sent, so that the module decides on them again.
+
+        Called when the state on which they were decided has changed.
+        """
         for request in [request for request in self.open.values() if request.in_flight]:
             request.transport.withdraw_unsent(request)
 
@@ -241,8 +248,11 @@
         load: dict[str, float],
         value: Any = (),
     ) -> None:
-        """Take the end of an attempt, once for each. The first success answers the client at once; that of a
-        later hedge is dropped."""
+        """Handle the outcome of an attempt; called exactly once for each attempt.
+
+        The first successful response is sent to the client at once; a later one, of a hedged request, is
+        dropped. `sent_at` is when the attempt was passed to the transport, in microseconds.
+        """
         request.in_flight -= 1
         self.log.count("ended", request.method, outcome)
         if outcome == Outcome.OK:
@@ -258,7 +268,7 @@
 
 
 def has_nothing_unread(transport: Any) -> bool:
-    """Whether nothing lies unread on a connection, neither bytes nor its end."""
+    """Return whether a connection has nothing to read: neither bytes nor the end of the stream."""
     try:
         transport.socket.recv(1, MSG_PEEK)
     except BlockingIOError:
@@ -269,8 +279,11 @@
 
 
 def watch_for_close(transport: Any) -> None:
-    """From now on nothing is read from a connection, but its end is noticed, unless something unread lies
-    before it: that is left where it is, and who waits for the end has to bound the wait."""
+    """Stop reading from a connection, but detect when the other side closes it.
+
+    Unread bytes stay in the socket and hide the end of the stream behind them, so a caller that waits for the
+    close has to limit that wait.
+    """
 
     def check_for_close() -> Any:
         try:
@@ -287,21 +300,24 @@
 
 
 def shut_down_sending(transport: Any) -> None:
-    """At once, without waiting for the reactor's next round."""
+    """Shut down the sending side at once, without waiting for the reactor's next iteration."""
     with suppress(OSError):
         transport.socket.shutdown(SHUT_WR)
 
 
 def read_remaining(transport: Any) -> None:
-    """What lies unread on a connection that is about to be let go is read first."""
+    """Read the unread bytes of a connection that is about to be closed."""
     if transport.connected:
         transport.doRead()
 
 
 def write_immediately(transport: Any, data: bytes) -> bool:
-    """Hand it to the system at once where nothing is queued before it, the rest to the reactor: a wait for
-    the next turn and two calls to the system saved for each message. True where its last byte has left."""
-    if transport.dataBuffer or transport._tempDataBuffer or not transport.connected:  # noqa: SLF001  # Twisted has no public name for it
+    """Write to the socket at once if no earlier data is queued, and leave the rest to the reactor.
+
+    This saves each message the wait for the next iteration and two system calls. Returns True if all bytes
+    have been written.
+    """
+    if transport.dataBuffer or transport._tempDataBuffer or not transport.connected:  # noqa: SLF001  # Twisted has no public name for these
         transport.write(data)
         return False
     sent = transport.writeSomeData(data)
--- a/linenbridge/net/descriptors.py
+++ b/linenbridge/net/descriptors.py
@@ -1,4 +1,7 @@
-"""A budget of open sockets. Owns the count; whoever takes a descriptor gives it back."""
+"""A limit on open sockets.
+
+This module owns the count of descriptors in use. The caller that acquires a descriptor has to release it.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,10 @@
 
 
 class Descriptors:
-    """How many sockets may be open; where none is left, `evict` may close one and return True."""
+    """Counts descriptors in use, up to `limit`.
+
+    At the limit, `evict` is called; it may close one socket and then returns True.
+    """
 
     def __init__(self, limit: int, evict: Callable[[], bool] = _evict_nothing) -> None:
         self.limit = limit
@@ -18,16 +24,16 @@
         self.open = 0
 
     def acquire(self) -> bool:
-        """Take one; False where none is left and none can be evicted."""
+        """Acquire a descriptor; return False if none is available and none can be evicted."""
         if self.open >= self.limit and not self.evict():
             return False
         self.open += 1
         return True
 
     def available(self) -> int:
-        """Return how many are left."""
+        """Return the number of descriptors that are available."""
         return self.limit - self.open
 
     def release(self) -> None:
-        """Give one back."""
+        """Release a descriptor."""
         self.open -= 1
--- a/linenbridge/net/downstream.py
+++ b/linenbridge/net/downstream.py
@@ -1,8 +1,9 @@
 """Downstream: the listener and all clients' connections.
 
-Owns the listening port, every client's connection, and the bytes of incomplete commands over all of them. It
-does not respond to a request by itself: what is no request gets its error or `+PONG` here, a request's
-response comes from the decision loop. One client's silence, noise or haste costs no other its connection.
+This module owns the listening port, every client's connection, and the total size of incomplete commands. It
+responds only to commands that are not requests, with an error or `+PONG`; the decision loop responds to
+requests. A client that is silent, sends malformed commands or sends too fast does not cost another client its
+connection.
 """
 
 from __future__ import annotations
@@ -25,18 +26,19 @@
 )
 from linenbridge.net.descriptors import Descriptors
 
-LAST_CONNECTIONS = 0.4 + 0.05  # seconds after SIGTERM for which new ones come; PROTOCOL, Figures and rules
-LAST_COMMANDS = 0.7  # seconds after SIGTERM after which SIGKILL may come; PROTOCOL, Figures
+LAST_CONNECTIONS = 0.4 + 0.05  # seconds from SIGTERM to the last new connections; PROTOCOL, Figures and rules
+LAST_COMMANDS = 0.7  # seconds after SIGTERM, when SIGKILL may follow; PROTOCOL, Figures
 IDLE_TIMEOUT = 2_000_000  # microseconds without an open request; LATER, The long day
-BATCH = 21  # Twisted's Port, doRead: after a batch of one it accepts up to twenty more in the next
+BATCH = 21  # connections; after accepting one, Twisted's Port.doRead accepts up to twenty more at once
 MICROSECONDS_PER_SECOND = 1e6
 
 
 class Clients(Factory):
-    """All clients of one gateway.
+    """All clients' connections of one gateway.
 
-    `max_ttl` is the longest deadline in microseconds, `max_buffered` the bytes of incomplete commands over
-    all connections. The usual clients hold `pool` of them at most: an idle one may keep a request out.
+    `max_ttl` is the longest deadline in microseconds. `max_buffered` limits the bytes of incomplete commands
+    over all connections. `pool` is how many connections the usual clients hold at most in total, so that an
+    idle connection may keep out a client that has a request.
     """
 
     def __init__(
@@ -62,8 +64,9 @@
         self.pool = pool
         self.log = log
         self.open: dict[Client, None] = {}
-        # Connections without an open request, each kind in the order in which they became so: those that have
-        # sent no command yet or half of one, those that have sent one before, and those that are closing.
+        # Connections without an open request, each group in the order of `waiting_since`: `silent` ones have
+        # sent no command yet or hold an incomplete one, `idle` ones have sent a command before, and
+        # `closing_clients` are about to close.
         self.silent: dict[Client, None] = {}
         self.idle: dict[Client, None] = {}
         self.closing_clients: dict[Client, None] = {}
@@ -74,11 +77,11 @@
         self.on_stopped: Callable[[], None] | None = None
 
     def listen(self, reactor: Any, host: str, port: int) -> None:
-        """Listen; CannotListenError where the address can't be used."""
+        """Start to listen; raises Twisted's CannotListenError if the address can't be used."""
         self.port = reactor.listenTCP(port, self, backlog=self.descriptors.limit, interface=host)
 
-    def buildProtocol(self, addr: Any) -> Client | None:  # Twisted's signature  # noqa: ARG002  # Twisted's signature
-        """Accept a connection, and make room for the next ones."""
+    def buildProtocol(self, addr: Any) -> Client | None:  # noqa: ARG002  # Twisted's signature
+        """Accept a connection, and evict idle ones if there is too little room for the next."""
         if not self.descriptors.acquire():
             self.log.count("client.rejected")
             return None
@@ -93,7 +96,7 @@
     # ---- requests --------------------------------------------------------------------------------
 
     def on_command(self, response: PendingResponse, arguments: Buffers) -> None:
-        """Accept a request; respond to PING. InvalidCommandError where it is neither."""
+        """Accept a request or respond to PING; raises InvalidCommandError for any other command."""
         self._remove_waiting(response.client)
         if command_name(arguments) == PING:
             response.send((b"+PONG\r\n",))
@@ -110,7 +113,7 @@
         self.loop.client_disconnected(request)
 
     def on_closed(self, client: Client) -> None:
-        """Release a connection's descriptor and its place, in the one place for that."""
+        """Release all that a closed connection held; only this method does so."""
         self.open.pop(client, None)
         self._remove_waiting(client)
         self.set_buffered(client, 0)
@@ -122,7 +125,10 @@
     # ---- connections without an open request -------------------------------------------------------
 
     def on_waiting(self, client: Client) -> None:
-        """Take in that nothing is pending; one that goes on with an incomplete command keeps its place."""
+        """Add a connection without a pending response to its group.
+
+        A silent connection that sends more of an incomplete command keeps its place, and so its time.
+        """
         if client not in self.open:
             return
         waiting = self.silent if client.state == ConnectionState.OPEN else self.closing_clients
@@ -146,14 +152,14 @@
         self.timer = self.reactor.callLater(max(0, delay) / MICROSECONDS_PER_SECOND, self._on_timer)
 
     def _on_timer(self) -> None:
-        """Close connections that have sent no command for the whole time, and reset those that don't close.
+        """Close connections silent for IDLE_TIMEOUT, and reset those that have not closed within that time.
 
-        Idle ones go only where room is short.
+        Idle connections are closed only to make room for new ones.
         """
         cutoff = self.loop.now() - IDLE_TIMEOUT
         for client in [client for client in self.silent if client.waiting_since <= cutoff]:
             if not client.reader.size and not has_nothing_unread(client.transport):
-                continue  # After a stall: its command has come and is read next.
+                continue  # A command has arrived while this process was stalled, and is read next.
             self.log.count("client.silent")
             client.reject("nothing was asked in time")
         for client in [client for client in self.closing_clients if client.waiting_since <= cutoff]:
@@ -164,13 +170,13 @@
         oldest = [
             next(iter(waiting)).waiting_since for waiting in (self.silent, self.closing_clients) if waiting
         ]
-        self.timer = None  # Not before: what was done above would have set one too.
+        self.timer = None  # Reset only here, so that the calls above do not set a second timer.
         if oldest or self.paused:
             now = self.loop.now()
             self._arm_timer(min(oldest, default=now) + IDLE_TIMEOUT - now)
 
     def set_buffered(self, client: Client, size: int) -> None:
-        """Count the bytes of incomplete commands; where they are too many, the largest ones are rejected."""
+        """Update the size of all incomplete commands; while it exceeds `max_buffered`, reject the largest."""
         self.buffered += size - client.buffered
         client.buffered = size
         while self.buffered > self.max_buffered:
@@ -190,10 +196,10 @@
         return staying >= self.pool - BATCH or self._is_short_of_descriptors(len(self.closing_clients))
 
     def _evictable(self) -> list[Client]:
-        """Return the connections that may be closed, in that order.
+        """Return the connections that may be closed, in the order in which to close them.
 
-        Those idle for the time, then silent ones, then those that have just had a response, and those slow
-        with a command, the oldest of each first.
+        First come those idle for IDLE_TIMEOUT, then silent ones, then those idle for a shorter time, and last
+        those with an incomplete command; the oldest of each group comes first.
         """
         cutoff = self.loop.now() - IDLE_TIMEOUT
         return [
@@ -204,11 +210,12 @@
         ]
 
     def _evict_idle(self) -> None:
-        """Close connections without an open request until there is room; none with something unread.
+        """Close connections without an open request until there is room for a whole batch of new ones.
 
-        Every accepted connection gets a response, and a whole batch may come at once. PROTOCOL lets a gateway
-        close between requests, and many clients that stay after one request would keep all others out. Where
-        these are too few, new ones wait in the system's queue.
+        Every accepted connection gets a response, and a whole batch may arrive at once. PROTOCOL lets a
+        gateway close a connection between requests; otherwise clients that keep their connection after one
+        request would keep all others out. A connection with unread bytes is not closed. If too few can be
+        closed, accepting pauses, and new connections wait in the system's queue.
         """
         for client in list(self.closing_clients)[: max(0, BATCH + 1 - self.descriptors.available())]:
             client.transport.abortConnection()
@@ -218,7 +225,7 @@
             if has_nothing_unread(client.transport):
                 self.log.count("client.evicted")
                 if client in self.idle:
-                    client.leave()  # An error line would pass as the response to its next command.
+                    client.leave()  # The client would take an error for the response to its next command.
                 else:
                     client.reject("room is short, nothing was asked")
         if not self.closing and self.paused != self._is_short_of_descriptors():
@@ -234,10 +241,14 @@
             self.port.startReading()
         self.log.event_sampled("accept", "paused" if self.paused else "resumed", clients=len(self.open))
 
-    # ---- the stop --------------------------------------------------------------------------------
+    # ---- shutdown --------------------------------------------------------------------------------
 
     def stop(self, reactor: Any, on_stopped: Callable[[], None]) -> None:
-        """Serve on while new connections may come, then close each as soon as nothing is pending on it."""
+        """Stop gracefully, then call `on_stopped`.
+
+        Requests are served while new connections may arrive (LAST_CONNECTIONS); after that, each connection
+        is closed as soon as no response is pending on it.
+        """
         if self.on_stopped is not None:
             return
         self.on_stopped = on_stopped
@@ -248,10 +259,10 @@
             reactor.callLater(LAST_CONNECTIONS, self._close_port)
 
     def _close_port(self) -> None:
-        """Accept whoever waits, read what is unread, and close the listener.
+        """Accept the connections in the queue, read what is unread, and close the listener.
 
-        A connection that has sent no command yet, or half of one, has a command on the way: it stays open
-        while that can still be answered.
+        A connection that has sent no command yet, or holds an incomplete one, has a command on the way. It
+        stays open until LAST_COMMANDS, while a command can still be answered.
         """
         self.port.numberAccepts = self.descriptors.available()
         self.port.doRead()
--- a/linenbridge/net/load_reports.py
+++ b/linenbridge/net/load_reports.py
@@ -1,4 +1,4 @@
-"""Load reports of instances, which come last in their responses."""
+"""Parses the load reports that instances append to their responses."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 from linenbridge.startup import LOAD_REPORT_FIELDS
 
-# PROTOCOL, Gateways to instances.
+# The format is defined in PROTOCOL, Gateways to instances.
 LOAD_REPORT = re.compile(rb"[a-z_]+=\d{1,9}(\.\d{1,9})?(,[a-z_]+=\d{1,9}(\.\d{1,9})?)*")
 
 
 def load_report(text: bytes | memoryview | None) -> dict[str, float]:
-    """Return a report's figures by the decision module's names; empty where it can't be read as a whole."""
+    """Return the values of a load report by the decision module's names; empty if the report is malformed."""
     load: dict[str, float] = {}
     if text is None or not LOAD_REPORT.fullmatch(text):
         return load
--- a/linenbridge/net/reactor.py
+++ b/linenbridge/net/reactor.py
@@ -1,7 +1,7 @@
-"""Twisted's epoll reactor with a shorter path to the protocols.
+"""Twisted's epoll reactor with less overhead per event.
 
-Owns the round of reading: what is ready is read without a logging context for each event, and the loop's turn
-runs right after the round, without a timer in between. Anything but a plain read is left to Twisted.
+Sockets that are ready to be read are read without a logging context for each event, and the decision loop's
+turn runs right after each poll, without a timer in between. All other events are left to Twisted.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 
 
 class Reactor(EPollReactor):
-    """Serves one loop."""
+    """An epoll reactor that runs the turns of one decision loop."""
 
     loop: DecisionLoop | None = None
 
     def serve(self, loop: DecisionLoop) -> None:
-        """Run the loop's turns after each round of reading."""
+        """Run the turns of `loop` after each poll."""
         self.loop, loop.runs_after_poll = loop, True
 
     def timeout(self) -> float | None:
-        """Return how long to wait for an event: not at all while inputs are pending."""
+        """Return how many seconds to wait for an event: 0 while inputs are pending, None for no limit."""
         return 0 if self.loop is not None and self.loop.pending_inputs else super().timeout()
 
     def doPoll(self, timeout: float | None) -> None:
-        """Read all that is ready, then run the loop's turn."""
+        """Read from all sockets that are ready, then run the loop's turn if inputs are pending."""
         ready = self._poller.poll(-1 if timeout is None else timeout, len(self._selectables))
         for fd, event in ready:
             selectable = self._selectables.get(fd)
--- a/linenbridge/net/resp.py
+++ b/linenbridge/net/resp.py
@@ -1,7 +1,7 @@
-"""RESP2: cuts what was read into messages, and arguments messages to be written.
+"""RESP2: parses received bytes into messages, and encodes messages to be sent.
 
-Owns the form of commands and answers and the bytes of a message that has not wholly come. Messages are
-slices of the buffer that they were read into. It must never touch a socket, a clock or the meaning of a
+This module owns the format of commands and responses, and the bytes of an incomplete message. Values are
+slices of the buffer that they were read into. The module must not use a socket or a clock, nor interpret a
 message.
 """
 
@@ -10,21 +10,20 @@
 from collections.abc import Iterator, Sequence
 from typing import NamedTuple
 
-MAX_VALUE_BYTES = 64 * 1024  # PROTOCOL, first paragraph: a value holds 64 KiB at maximum
-MAX_ARRAY_LENGTH = (
-    5  # PROTOCOL: the arguments of its longest command, a submit with a body; an answer has three
-)
+MAX_VALUE_BYTES = 64 * 1024  # PROTOCOL, first paragraph: a value has at most 64 KiB
+# PROTOCOL: the longest command, a submit with a body, has 5 elements; a response has three.
+MAX_ARRAY_LENGTH = 5
 MAX_DIGITS = 9
 CRLF = b"\r\n"
 ARRAY_MARK, BULK_MARK = b"*$"
 
 
 class MalformedError(ValueError):
-    """What came is not the protocol; the connection cannot be read any further."""
+    """The received bytes violate the protocol; the rest of the connection can't be parsed."""
 
 
 class Line(NamedTuple):
-    """A simple string `+`, an error `-` or a number `:`."""
+    """A message of one line; `mark` is `+` for a simple string, `-` for an error, `:` for an integer."""
 
     mark: bytes
     text: bytes
@@ -34,14 +33,14 @@
 
 
 class _IncompleteError(Exception):
-    """The message goes on beyond the buffer, to this length at least."""
+    """A message is incomplete: at least `min_size` bytes of buffer are needed to parse it."""
 
     def __init__(self, min_size: int) -> None:
         self.min_size = min_size
 
 
 class Reader:
-    """Cuts one connection's bytes into messages; `commands` asks for arrays of bulk strings alone."""
+    """Parses one connection's bytes into messages; `commands` allows only arrays of bulk strings."""
 
     def __init__(self, commands: bool) -> None:
         self.commands = commands
@@ -49,7 +48,7 @@
         self.size, self.min_size = 0, 1
 
     def feed(self, data: bytes) -> Iterator[Value]:
-        """All messages whose last byte has come, in their order; MalformedError where the framing is lost."""
+        """Yield the messages that `data` completes, in order; raises MalformedError for malformed bytes."""
         self.chunks.append(data)
         self.size += len(data)
         if self.size < self.min_size:
@@ -80,7 +79,7 @@
             return None, offset
         arguments: list[Value] = []
         for _ in range(count):
-            # The arguments of a command and maximum of an answer's: a value that has wholly come.
+            # Fast path for a complete bulk string: all elements of a command and most of a response.
             line_end = buffer.find(CRLF, offset, offset + MAX_DIGITS + 3)
             if line_end > offset and buffer[offset] == BULK_MARK and buffer[offset + 1 : line_end].isdigit():
                 start, length = line_end + 2, int(buffer[offset + 1 : line_end])
@@ -135,12 +134,12 @@
 
 
 def bulk(value: bytes | memoryview) -> tuple[bytes | memoryview, ...]:
-    """A value as it goes out: the slice itself between its length and its end."""
+    """Return a bulk string as buffers: its length, the value without a copy, and the line end."""
     return b"$%d\r\n" % len(value), value, CRLF
 
 
 class ForwardedCommand:
-    """A client's command as it passes on to instances: its arguments, and its fields but for the time."""
+    """A client's command to be forwarded: its arguments, and its fields without the time left."""
 
     __slots__ = ("arguments", "fields")
 
@@ -148,13 +147,13 @@
         self.arguments, self.fields = arguments, fields
 
     def command(self, wait: int) -> bytes:
-        """As the client sent it, but for the time in milliseconds that this gateway will wait."""
+        """Return the encoded command; its time left is `wait`, in microseconds, converted to milliseconds."""
         fields = b"%bd=%d" % (self.fields, max(1, wait // 1000))
         return command((*self.arguments[:3], fields, *self.arguments[3:]))
 
 
 def command(arguments: Sequence[bytes]) -> bytes:
-    """A command as it goes out."""
+    """Return the encoded command."""
     return b"".join(
         [
             b"*%d\r\n" % len(arguments),
