--- a/linenbridge/net/discovery.py
+++ b/linenbridge/net/discovery.py
@@ -1,8 +1,9 @@
-"""Discovery: the endpoint list, watched for the life of the process.
+"""Discovery: watches the endpoint list for the lifetime of the process.
 
-Owns the version last received and the watch. Converts entries to the decision module's, with Unix times moved
-to the gateway's clock in one place. It does not judge an instance, nor apply a list or its changes in part:
-one that can't be read as a whole ends its stream, and the next requests changes since the version applied.
+This module owns the watch and the version of the list last received. It converts entries to those of the
+decision module, including Unix times to the gateway's clock. It does not judge instances, and never applies a
+list or an update in part: a message that can't be parsed completely ends its stream, and the next stream
+requests the changes since the version last applied.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from linenbridge.startup import LONG_AGO
 
 KEEPALIVE_INTERVAL = 2.0  # seconds; PROTOCOL, Discovery
-MISSED_UPDATE_DEADLINE = 6.0  # seconds; STANDING: what a silent watch misses counts as delivered then
+MISSED_UPDATE_DEADLINE = 6.0  # seconds; STANDING: updates that a silent watch misses count as delivered then
 MAX_PORT = (1 << 16) - 1
 STATES = {
     "active": InstanceState.READY,
@@ -29,14 +30,14 @@
     "left": InstanceState.REMOVED,
 }
 
-ListedEndpoint = tuple[EndpointEntry, tuple[str, int]]  # with its host and port
+ListedEndpoint = tuple[EndpointEntry, tuple[str, int]]  # an entry with its host and port
 
 
 class EndpointListener(Protocol):
-    """Anyone who has to know where instances are."""
+    """Receives the addresses of instances from discovery."""
 
     def listed(self, listed: Sequence[ListedEndpoint], is_snapshot: bool) -> None:
-        """Take in the endpoints as discovery has them now; all of them where it is a snapshot."""
+        """Apply the listed endpoints: the whole list if `is_snapshot`, otherwise only those that changed."""
         ...
 
 
@@ -54,7 +55,7 @@
 
 
 class EndpointList(Struct):
-    """A version of the list: all of it, or what has changed."""
+    """A version of the list: the whole list if `snapshot`, otherwise the changed entries."""
 
     index: int
     snapshot: bool
@@ -62,18 +63,22 @@
 
 
 def host_port(address: str) -> tuple[str, int]:
-    """Split `host:port`; ValueError where it is no such address."""
+    """Return host and port of an address `host:port`; raises ValueError for any other text."""
     host, _, port = address.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"{address!r} is no address")
+        raise ValueError(
+            f"{address!r} is not an address of the form host:port with a port from 1 to {MAX_PORT}"
+        )
     return host, int(port)
 
 
 class Discovery:
     """Passes the endpoint list on to its listeners and to the decision module.
 
-    `unix_offset` is added to Unix times in microseconds to give the gateway's clock. `is_pushed` says that
-    changes come without a request of the module's. `open_watch` makes the watch of given settings.
+    `unix_offset` is added to a Unix time in microseconds to get the time of the gateway's clock. If
+    `is_pushed` is true, discovery sends changes without a request of the decision module. `open_watch`
+    creates a watch from its settings. `connect_timeout` is in microseconds, `max_length` in bytes of one
+    message.
     """
 
     def __init__(
@@ -105,25 +110,29 @@
         return f"/catalog/members?follow=1&since={self.index}"
 
     def start(self) -> None:
-        """Open the watch where changes are pushed; elsewhere the module requests it."""
+        """Open the watch if changes are pushed; otherwise the decision module requests it."""
         if self.is_pushed:
             self.stream.start()
 
     def on_first_update(self, call: Callable[[], object]) -> None:
-        """Call when discovery has first delivered, or has been silent for a keep-alive interval."""
+        """Call `call` when the first message arrives.
+
+        It is also called after one keep-alive interval, in case discovery is silent, and so may be called
+        twice.
+        """
         self.stream.on_first_message = call
         self.stream.reactor.callLater(KEEPALIVE_INTERVAL, call)
 
     def watch(self) -> None:
-        """Open the watch, as the module requests it."""
+        """Open the watch at the request of the decision module."""
         self.stream.start()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Watch at another address, from the version last received on."""
+        """Continue the watch at another address, from the version last received."""
         self.stream.move(address)
 
     def on_message(self, line: memoryview) -> None:
-        """Apply one message of the watch; MalformedError where it can't be read as a whole."""
+        """Apply one message of the watch; raises MalformedError if any part of it can't be parsed."""
         try:
             update = msgspec.json.decode(line, type=EndpointList)
             self.apply(update, is_poll_response=True)
@@ -131,9 +140,9 @@
             raise MalformedError(str(error)) from None
 
     def apply(self, update: EndpointList, *, is_poll_response: bool) -> None:
-        """Pass a list or its changes to the listeners now, and to the module in the next turn.
+        """Pass a list or its changes to the listeners now, and to the decision module in the next turn.
 
-        Changes older than the known version were received at an address now left, and are ignored.
+        Changes older than the version last received come from a former address, and are ignored.
         """
         if not update.snapshot and update.index < self.index:
             return
@@ -150,7 +159,7 @@
         )
 
     def _entry(self, endpoint: Endpoint) -> EndpointEntry:
-        """Convert an entry; the same Unix milliseconds always give the same microseconds."""
+        """Convert an entry; equal Unix times in milliseconds always give equal times in microseconds."""
         started_at = round(endpoint.since_ms * 1000) + self.unix_offset if endpoint.since_ms else LONG_AGO
         size = 1.0 if endpoint.weight is None else endpoint.weight
         state = STATES[endpoint.status]
--- a/linenbridge/net/http.py
+++ b/linenbridge/net/http.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 as a client: parses responses, splits their bodies into messages, and writes requests.
+"""HTTP/1.1 client protocol: parses responses, splits their bodies into messages, and encodes requests.
 
-Owns the bytes of a head, a chunk's length or a line that has not wholly come. Pieces of bodies are slices
-of the buffer that they were read into. It must never touch a socket, a clock or the meaning of a body.
+This module owns the bytes of an incomplete head, chunk size or line. Parts of bodies are slices of the buffer
+that they were read into. The module must not use a socket or a clock, nor interpret a body.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 
 from linenbridge.net.resp import CRLF, MalformedError
 
-MAX_HEAD_BYTES = 64 * 1024  # of a status line with its fields: what RESP allows a value
+MAX_HEAD_BYTES = 64 * 1024  # limit of a status line with its header fields, as for a value in RESP
 HEX_DIGITS = b"0123456789abcdefABCDEF"
 NEWLINE = re.compile(rb"\n")
 JSON_STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
 
 
 class BodyPart(NamedTuple):
-    """Part of an answer's body; `last` where the answer ends with it."""
+    """A part of a response's body; `last` is true if the response ends with it."""
 
     status: int
     body: memoryview
@@ -27,7 +27,7 @@
 
 
 class ResponseParser:
-    """Cuts one connection's bytes into answers, each with a stated length or in chunks."""
+    """Parses the bytes of one connection into responses with a Content-Length or in chunks."""
 
     def __init__(self) -> None:
         self.unparsed = b""
@@ -35,7 +35,7 @@
         self.parse_next = self._parse_head
 
     def feed(self, data: bytes) -> Iterator[BodyPart]:
-        """What has come of the answers; MalformedError where the framing is lost."""
+        """Yield the parts of bodies in `data`; raises MalformedError if a response can't be parsed."""
         buffer = self.unparsed + data if self.unparsed else data
         view, start = memoryview(buffer), 0
         while True:
@@ -50,7 +50,7 @@
     def _find_line_end(self, buffer: bytes, start: int, terminator: bytes) -> int:
         end = buffer.find(terminator, start, start + MAX_HEAD_BYTES)
         if end < 0 and len(buffer) - start >= MAX_HEAD_BYTES:
-            raise MalformedError("a head or line is too long")
+            raise MalformedError(f"a response head or a line has more than {MAX_HEAD_BYTES} bytes")
         return end
 
     def _parse_head(self, buffer: bytes, view: memoryview, start: int) -> tuple[BodyPart | None, int]:
@@ -60,7 +60,7 @@
         status_line, *fields = buffer[start:end].split(CRLF)
         version, _, remainder = status_line.partition(b" ")
         if not version.startswith(b"HTTP/1.") or not remainder[:3].isdigit():
-            raise MalformedError(f"no status line: {status_line[:40]!r}")
+            raise MalformedError(f"expected a status line of HTTP/1.x, received {status_line[:40]!r}")
         self.status = int(remainder[:3])
         headers = {}
         for field in fields:
@@ -74,7 +74,9 @@
             return None, after
         length = b"0" if self.status in (204, 304) else headers.get(b"content-length", b"")
         if not length.isdigit() or len(length) > 9:
-            raise MalformedError("an answer has neither a length nor chunks")
+            raise MalformedError(
+                f"expected chunks or a Content-Length of 1 to 9 digits, received {length[:40]!r}"
+            )
         self.bytes_left = int(length)
         if not self.bytes_left:
             return BodyPart(self.status, view[after:after], True), after
@@ -96,7 +98,9 @@
             return None, start
         digits = buffer[start:end].partition(b";")[0].strip()
         if not digits or len(digits) > 8 or digits.strip(HEX_DIGITS):
-            raise MalformedError("a chunk's length is no number")
+            raise MalformedError(
+                f"expected a chunk size of 1 to 8 hexadecimal digits, received {digits[:40]!r}"
+            )
         self.bytes_left = int(digits, 16)
         self.parse_next = self._parse_chunk_data if self.bytes_left else self._parse_trailer
         return None, end + 2
@@ -114,7 +118,7 @@
         if len(buffer) < start + 2:
             return None, start
         if buffer[start : start + 2] != CRLF:
-            raise MalformedError("a chunk does not end where its length says")
+            raise MalformedError(f"expected CRLF after a chunk, received {buffer[start : start + 2]!r}")
         self.parse_next = self._parse_chunk_size
         return None, start + 2
 
@@ -129,21 +133,25 @@
 
 
 class Splitter(Protocol):
-    """Splits a body that never ends into messages."""
+    """Splits an endless body into messages."""
 
     def feed(self, part: memoryview) -> Iterator[memoryview]:
-        """Return the messages that a further piece completes."""
+        """Yield the messages that a further part of the body completes."""
         ...
 
 
 class LineSplitter:
-    """Splits into lines of at most `max_length` bytes; one within a piece is a slice, others are copied."""
+    """Splits a body into lines.
+
+    At most `max_length` bytes of an incomplete line are kept. A line within one part is a slice of that part;
+    other lines are copied.
+    """
 
     def __init__(self, max_length: int) -> None:
         self.max_length, self.partial = max_length, bytearray()
 
     def feed(self, part: memoryview) -> Iterator[memoryview]:
-        """Return the lines that a further piece completes; MalformedError for one that is too long."""
+        """Yield the lines that a further part completes; raises MalformedError for one that is too long."""
         start = 0
         for newline in NEWLINE.finditer(part):
             line, start = part[start : newline.start()], newline.end()
@@ -153,13 +161,16 @@
             yield line
         self.partial += part[start:]
         if len(self.partial) > self.max_length:
-            raise MalformedError("a line is too long")
+            raise MalformedError(f"a line has more than {self.max_length} bytes")
 
 
 class ObjectSplitter:
-    """Cuts pieces into JSON objects, on one line each or indented over many: one ends where its brackets
-    close, with the line or without. An empty line outside of any is passed on as it came; within one it is
-    white space. One that breaks off holds what comes after it, up to `most`: nothing is heard from then."""
+    """Splits a body into JSON objects of at most `max_length` bytes, on one line each or on several.
+
+    An object ends where its brackets close, with or without a line end. An empty line between objects is
+    passed on as a message; within an object it is white space. After an object that breaks off, all that
+    follows counts as a part of it, up to `max_length`, so that no further message is delivered.
+    """
 
     def __init__(self, max_length: int) -> None:
         self.lines, self.max_length = LineSplitter(max_length), max_length
@@ -167,7 +178,7 @@
         self.size = self.open_brackets = 0
 
     def feed(self, part: memoryview) -> Iterator[memoryview]:
-        """Return the objects that a further piece completes; MalformedError for one that can't be read."""
+        """Yield the objects that a further part completes; raises MalformedError for a malformed one."""
         for line in self.lines.feed(part):
             if (complete := self._add_line(bytes(line) + b"\n")) is not None:
                 yield complete
@@ -181,11 +192,11 @@
     def _add_line(self, line: bytes) -> memoryview | None:
         opened = _count_open_brackets(line)
         if opened is None:
-            raise MalformedError("a string does not end on its line")
+            raise MalformedError(f"a JSON string does not end on its line: {line[:40]!r}")
         self.parts.append(line)
         self.size, self.open_brackets = self.size + len(line), self.open_brackets + opened
         if self.size > self.max_length:
-            raise MalformedError("an object is too long")
+            raise MalformedError(f"a JSON object has {self.size} bytes, of at most {self.max_length}")
         if self.open_brackets > 0:
             return None
         complete, self.parts, self.size, self.open_brackets = b"".join(self.parts), [], 0, 0
@@ -193,7 +204,7 @@
 
 
 def _count_open_brackets(text: bytes | bytearray) -> int | None:
-    """How many brackets a text opens and does not close; None where a string has not ended."""
+    """Return how many more brackets a text opens than it closes; None if it ends within a string."""
     without_strings = JSON_STRING.sub(b"", text)
     if b'"' in without_strings:
         return None
@@ -206,6 +217,6 @@
 
 
 def request(method: str, path: str, host: str, body: bytes = b"") -> bytes:
-    """A request as it goes out."""
+    """Return an encoded request; a body is sent as JSON."""
     fields = f"Content-Type: application/json\r\nContent-Length: {len(body)}\r\n" if body else ""
     return f"{method} {path} HTTP/1.1\r\nHost: {host}\r\n{fields}\r\n".encode() + body
--- a/linenbridge/net/platform.py
+++ b/linenbridge/net/platform.py
@@ -1,7 +1,8 @@
-"""The platform: the rollout feed as it comes in, and this gateway's votes.
+"""The platform: receives the rollout feed, and sends this gateway's votes.
 
-Owns the feed's watch and one connection for each vote, so that no vote meets a connection that the platform
-has closed. It neither makes nor repeats a vote: the decision module learns what became of each, and decides.
+This module owns the watch of the feed and one connection for each vote, so that no vote is sent on a
+connection that the platform has closed. It neither creates nor retries votes: the result of each vote is
+reported to the decision module, which decides.
 """
 
 from __future__ import annotations
@@ -35,7 +36,7 @@
 
 
 class RolloutStatus(Struct, rename="camel"):
-    """The state of the newest build's rollout."""
+    """State of the newest build's rollout."""
 
     version: int
     step: int
@@ -44,7 +45,7 @@
 
 
 class Tally(Struct, rename="camel"):
-    """The platform's counts of one method at one build."""
+    """The platform's counts for one method and one build."""
 
     version: int
     kind: str
@@ -55,7 +56,7 @@
 
 
 class Flag(Struct, rename="camel"):
-    """A client's report of a wrong response."""
+    """A client's report of a wrong response by an instance."""
 
     pod: str
     kind: str
@@ -63,29 +64,29 @@
 
 
 class FeedMessage(Struct):
-    """One line of the feed; a keep-alive is empty."""
+    """One message of the feed; a keep-alive has an empty type."""
 
     type: Literal["", "stage", "tally", "flag"] = ""
     object: msgspec.Raw = msgspec.Raw(b"{}")
 
 
 class VoteError(Struct):
-    """Why a vote was rejected."""
+    """The platform's reason for rejecting a vote."""
 
     error: Literal["limit", "moot", "error", "malformed"]
 
 
 class Response(NamedTuple):
-    """A complete response to a vote."""
+    """The complete response to a vote."""
 
     status: int
     body: bytes
 
 
 class VoteCall(Protocol):
-    """One request on a connection of its own; `response` fires with its response, or fails."""
+    """One request on a separate connection; the Deferred `response` fires with the response or a failure."""
 
-    transport: Any  # ITCPTransport, whose methods mypy can't read
+    transport: Any  # an ITCPTransport; mypy can't read its methods
 
     def __init__(self, request: bytes) -> None:
         self.request = request
@@ -98,12 +99,12 @@
         self.transport.write(self.request)
 
     def dataReceived(self, data: bytes) -> None:
-        """Read the response; one that is malformed or too long fails the call."""
+        """Read the response; the call fails if the response is malformed or too long."""
         try:
             for part in self.parser.feed(data):
                 self.body += part.body
                 if len(self.body) > http.MAX_HEAD_BYTES:
-                    raise MalformedError("a response to a vote is too long")
+                    raise MalformedError(f"the response to a vote has more than {http.MAX_HEAD_BYTES} bytes")
                 if part.last and not self.response.called:
                     self.response.callback(Response(part.status, self.body))
                     self.transport.loseConnection()
@@ -113,7 +114,7 @@
             self.transport.abortConnection()
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Fail the call, unless it has its response."""
+        """Fail the call if the response is not complete."""
         if not self.response.called:
             self.response.errback(reason)
 
@@ -121,7 +122,8 @@
 class Platform:
     """Reports the rollout feed to the decision module, and the module's votes to the platform.
 
-    `connect_timeout` and `response_timeout` are microseconds; `open_watch` makes the watch of given settings.
+    `connect_timeout` and `response_timeout` are in microseconds, `max_length` in bytes of one message of the
+    feed. `open_watch` creates a watch from its settings.
     """
 
     def __init__(
@@ -152,14 +154,14 @@
         self.feed.start()
 
     def move(self, address: tuple[str, int]) -> None:
-        """Use another address for the feed and for votes; a vote in flight ends where it was sent."""
+        """Use another address for the feed and later votes; a vote in flight stays at the former address."""
         self.address = address
         self.feed.move(address)
 
     # ---- the feed --------------------------------------------------------------------------------
 
     def on_message(self, line: memoryview) -> None:
-        """Report one message; MalformedError where it can't be read, which ends the stream."""
+        """Report one message; raises MalformedError, which ends the stream, if it can't be parsed."""
         try:
             message = msgspec.json.decode(line, type=FeedMessage)
             match message.type:
@@ -174,10 +176,10 @@
             raise MalformedError(str(error)) from None
 
     def on_rollout_status(self, status: RolloutStatus, *, is_vote_response: bool) -> None:
-        """Report the rollout's state.
+        """Report the state of the rollout.
 
-        Attempts that were decided on in another state and are not sent yet are rescheduled: their connections
-        may come up only after a lower cap binds.
+        If the state has changed, attempts that are not sent yet are decided again: their connections may come
+        up only after a lower cap has taken effect.
         """
         phase = PHASES[status.status]
         if status != self.status:
@@ -213,7 +215,7 @@
     # ---- votes -----------------------------------------------------------------------------------
 
     def vote(self, build: int, stage: int, vote: Vote) -> None:
-        """Send one vote; the module learns once what became of it."""
+        """Send one vote; its result is reported to the decision module exactly once."""
         body = orjson.dumps({"version": build, "step": stage, "vote": VOTES[vote]})
         host, port = self.address
         request = http.request("POST", "/api/ballots", f"{host}:{port}", body)
@@ -235,7 +237,7 @@
             msgspec.json.decode(response.body, type=VoteError)
         except msgspec.DecodeError as error:
             self.log.event_sampled("malformed", "vote", error=str(error))
-            self._on_not_counted("vote.unanswered", is_stale=False)  # It may have counted.
+            self._on_not_counted("vote.unanswered", is_stale=False)  # The platform may have counted the vote.
             return
         is_stale = response.status == HTTP_CONFLICT
         self._on_not_counted(
--- a/linenbridge/net/upstream.py
+++ b/linenbridge/net/upstream.py
@@ -1,9 +1,9 @@
 """Upstream: connections to instances, and the attempts in flight on them.
 
-Owns every connection to an instance, every attempt from its decision to its one outcome, and its timeout. It
-does not select instances. An attempt is written once at most, and never to a connection that has closed, that
-belongs to a process now replaced, or on which more than a response has been received: that would pass as the
-next attempt's response.
+This module owns every connection to an instance, and every attempt with its timeout, from its decision to its
+only outcome. It does not select instances. An attempt is written at most once, and never to a connection that
+has closed, that belongs to a replaced process, or that has received more than one response: the surplus would
+be taken for the response to the next attempt.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 from linenbridge.net.upstream_connection import Attempt, Connection, ConnectionPool
 
 ERROR_LINE = re.compile(rb"(BUSY|ERR|SYNTAX|NOPERM)( [ -~]*)?")  # PROTOCOL, Gateways to instances
-REST_AFTER_RESPONSE = 20_000  # microseconds; STANDING, join+mass: a second response may come that late
+REST_AFTER_RESPONSE = 20_000  # microseconds; a duplicate response may arrive that late (STANDING, join+mass)
 MICROSECONDS_PER_SECOND = 1e6
-RESPONDED = (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED)  # after which a connection can be used again
+RESPONDED = (Outcome.OK, Outcome.ERROR, Outcome.OVERLOADED)  # outcomes after which a connection can be reused
 
 
 class _Timeout(NamedTuple):
-    """An attempt's place among the timeouts; `serial` keeps the order of equal ones."""
+    """An entry in the heap of timeouts; `times_out_at` is in microseconds, `serial` orders equal times."""
 
     times_out_at: int
     serial: int
@@ -45,7 +45,10 @@
 
 
 class Instances:
-    """All connections of one gateway to instances. `connect_timeout`, `idle_timeout`: microseconds."""
+    """All connections of one gateway to instances.
+
+    `connect_timeout` and `idle_timeout`, after which instances close idle connections, are in microseconds.
+    """
 
     def __init__(
         self,
@@ -60,7 +63,7 @@
         self.reactor = reactor
         self.log = log
         self.connect_timeout = connect_timeout / MICROSECONDS_PER_SECOND
-        # Instances close connections at this idle time at the latest: none is used well before it.
+        # Instances close connections idle for `idle_timeout`; this gateway does so in half the time.
         self.idle_timeout = idle_timeout // 2
         self.descriptors = Descriptors(max_descriptors, self._evict_idle)
         self.pools: dict[Id, ConnectionPool] = {}
@@ -74,7 +77,11 @@
     # ---- the endpoint list -----------------------------------------------------------------------
 
     def listed(self, listed: Iterable[tuple[EndpointEntry, tuple[str, int]]], is_snapshot: bool) -> None:
-        """Take in the list: nothing more goes to what drains, is removed, or was another process."""
+        """Apply the endpoint list.
+
+        Nothing more is sent to an instance that drains or is removed, or to the former process of an instance
+        that has moved or restarted.
+        """
         listed_names = set()
         for entry, address in listed:
             listed_names.add(entry.instance)
@@ -90,13 +97,13 @@
                 self._retire(pool)
         for name, pool in list(self.pools.items()):
             if pool.entry.state == InstanceState.REMOVED or (is_snapshot and name not in listed_names):
-                # Busy connections keep the pool until they close, as nothing is ready in it.
+                # Busy connections refer to the pool until they close; its state keeps them from being reused.
                 pool.entry = pool.entry._replace(state=InstanceState.REMOVED)
                 del self.pools[name]
                 self._retire(pool)
 
     def _retire(self, pool: ConnectionPool) -> None:
-        """Close idle connections, and end attempts that were not sent: the module decides on them again."""
+        """Close idle connections, and end unsent attempts, so that the module decides on them again."""
         for connection in list(pool.idle):
             self._close(connection)
         for attempt in list(pool.waiting):
@@ -105,9 +112,9 @@
     # ---- attempts --------------------------------------------------------------------------------
 
     def send(self, now: int, request: ActiveRequest, number: int, instance: Id, timeout: int) -> None:
-        """Send an attempt on an idle connection, or on the first that is free or has come up."""
+        """Send an attempt on an idle connection, or on the first that is established or reusable."""
         pool = self.pools.get(instance)
-        if pool is None:  # It was removed since the module last received the list.
+        if pool is None:  # The instance was removed after the module last received the list.
             self.loop.attempt_finished(request, number, now, Outcome.NOT_SENT, {})
             return
         attempt = Attempt(request, number, pool, now, now + timeout)
@@ -122,12 +129,12 @@
             self._connect(pool)
 
     def cancel(self, request: ActiveRequest, number: int) -> None:
-        """Cancel an attempt, unless it has ended."""
+        """Cancel an attempt unless it has ended."""
         if (attempt := self.attempts.get((request.id, number))) is not None:
             self._end(attempt, Outcome.CANCELLED if attempt.connection else Outcome.NOT_SENT)
 
     def withdraw_unsent(self, request: ActiveRequest) -> None:
-        """End the attempts of a request that wait for a connection."""
+        """End the attempts of a request that still wait for a connection."""
         for number in range(request.attempts):
             attempt = self.attempts.get((request.id, number))
             if attempt is not None and attempt.connection is None:
@@ -151,7 +158,7 @@
             heappop(self.timeouts)
 
     def _arm_timer(self, now: int) -> None:
-        """Set the one timer for the attempt that times out first."""
+        """Set the timer for the attempt that times out first."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
@@ -170,9 +177,9 @@
         self._arm_timer(now)
 
     def on_response(self, connection: Connection, attempt: Attempt, message: resp.Value) -> None:
-        """End an attempt by PROTOCOL's table; MalformedError for any other message.
+        """End an attempt with the outcome that PROTOCOL's table gives for its response.
 
-        Only `-BUSY` says that the attempt was not executed.
+        Only `-BUSY` means that the attempt was not executed. Raises MalformedError for any other message.
         """
         match message:
             case [memoryview() as value, None, (None | memoryview()) as report]:
@@ -184,10 +191,12 @@
                 outcome = Outcome.OVERLOADED if kind == b"BUSY" else Outcome.ERROR
                 self._end(attempt, outcome, load_report(rest.split(b" ")[-1]))
             case _:
-                raise resp.MalformedError("a response that is neither a value nor an error")
+                raise resp.MalformedError(
+                    "the response is neither a value and a load report nor BUSY, ERR, SYNTAX or NOPERM"
+                )
 
     def on_malformed(self, connection: Connection, error: resp.MalformedError) -> None:
-        """Close a connection; the attempt in flight on it may have been executed."""
+        """Close a connection with a malformed response; its attempt may have been executed."""
         self.log.event_sampled(
             "malformed", "instance", error=str(error), instance=connection.pool.entry.instance
         )
@@ -202,7 +211,7 @@
         load: dict[str, float] | None = None,
         value: tuple[bytes | memoryview, ...] = (),
     ) -> None:
-        """End an attempt, in the one place for that; its connection stays only if the response has come."""
+        """End an attempt; only this method does so. Its connection stays open only after a response."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -221,10 +230,10 @@
     # ---- connections -----------------------------------------------------------------------------
 
     def _take_reusable(self, pool: ConnectionPool, now: int) -> Connection | None:
-        """Return the connection idle longest, once it has rested.
+        """Return the connection idle longest if it has been idle for REST_AFTER_RESPONSE, otherwise None.
 
-        What its instance sends late would pass as the next attempt's response, and has come by then. One
-        that has received anything is closed.
+        A duplicate response would be taken for the response to the next attempt. It has arrived by then, and
+        a connection that has received anything is closed.
         """
         while pool.idle and pool.idle[0].idle_since + REST_AFTER_RESPONSE <= now:
             connection = pool.idle.popleft()
@@ -235,7 +244,10 @@
         return None
 
     def _arm_reuse_timer(self, pool: ConnectionPool, now: int) -> None:
-        """Set the pool's timer: a waiting attempt takes what is first, a new connection or a rested one."""
+        """Set the timer for the pool's first reusable connection, if an attempt waits.
+
+        The attempt takes whichever is available first: that connection or a new one.
+        """
         if pool.idle and pool.waiting and pool.timer is None:
             delay = max(0, pool.idle[0].idle_since + REST_AFTER_RESPONSE - now)
             pool.timer = self.reactor.callLater(delay / MICROSECONDS_PER_SECOND, self._on_reusable, pool)
@@ -248,7 +260,7 @@
         self._arm_reuse_timer(pool, now)
 
     def _connect(self, pool: ConnectionPool) -> None:
-        """Open one more connection; it takes the attempt that waits longest when it is up."""
+        """Open one more connection; once established, it takes the attempt that has waited longest."""
         if not self.descriptors.acquire():
             self.log.count("upstream.no_descriptor")
             self._end(pool.waiting[-1], Outcome.CONNECT_FAILED)
@@ -276,14 +288,15 @@
         self._fail_unserved(pool)
 
     def _fail_unserved(self, pool: ConnectionPool) -> None:
-        """End waiting attempts for which no connection will come up; they were never sent."""
+        """End the waiting attempts for which no connection is being opened; they were never sent."""
         while len(pool.waiting) > pool.connecting:
             self._end(pool.waiting[0], Outcome.CONNECT_FAILED)
 
     def release(self, connection: Connection) -> None:
-        """Give a connection to the attempt that waits longest, or keep it idle.
+        """Give a connection to the attempt that has waited longest, or keep it idle.
 
-        A used one rests first. One whose instance has moved, drains or is another process is closed.
+        A used connection stays idle for REST_AFTER_RESPONSE first. A connection whose instance has another
+        address, drains or was restarted is closed.
         """
         pool = connection.pool
         is_current = (
@@ -316,7 +329,7 @@
         )
 
     def _close_idle(self) -> None:
-        """Close connections idle for half the time, or that will be before the next look."""
+        """Close connections that would be idle for `idle_timeout` before the next check."""
         self.idle_timer = None
         idle_since = self.loop.now() - self.idle_timeout // 2
         for pool in self.pools.values():
@@ -327,7 +340,7 @@
             self._arm_idle_timer()
 
     def _evict_idle(self) -> bool:
-        """Close the connection idle longest; False where none is idle."""
+        """Close the connection that has been idle longest; return False if none is idle."""
         idle = [pool.idle[0] for pool in self.pools.values() if pool.idle]
         if not idle:
             return False
@@ -336,10 +349,10 @@
         return True
 
     def _close(self, connection: Connection) -> None:
-        """Close a connection; the transport reports its end a moment later.
+        """Close a connection; the transport reports the close in a later iteration.
 
-        Sending ends at once: that cancels the attempt in flight (PROTOCOL), and where one attempt may be in
-        flight at a time the next may be sent before the transport closes.
+        The sending side is shut down at once, which cancels the attempt in flight (PROTOCOL): if only one
+        attempt may be in flight at a time, the next one may be sent before the transport closes.
         """
         if connection in connection.pool.idle:
             connection.pool.idle.remove(connection)
@@ -348,7 +361,7 @@
             connection.transport.abortConnection()
 
     def on_lost(self, connection: Connection) -> None:
-        """Give back a connection's descriptor; the attempt in flight may have been executed."""
+        """Release the descriptor of a closed connection; its attempt in flight may have been executed."""
         connection.is_lost = True
         self.descriptors.release()
         self._close(connection)
--- a/linenbridge/net/upstream_connection.py
+++ b/linenbridge/net/upstream_connection.py
@@ -1,6 +1,7 @@
-"""Upstream connections: one instance's pool, its connections, and the attempts that wait for one.
+"""Upstream connections: the connection pool of one instance, its connections, and its attempts.
 
-Owns the state of one connection. It decides nothing: a connection reports what it receives to its owner.
+This module owns the state of each connection. A connection reports what it receives to its owner, which
+handles it.
 """
 
 from __future__ import annotations
@@ -16,7 +17,10 @@
 
 
 class Attempt:
-    """One attempt: waiting for a connection, in flight on one, or ended. Times are microseconds."""
+    """One attempt, which waits for a connection, is in flight on one, or has ended.
+
+    `sent_at` is when the attempt was passed to the transport; times are in microseconds.
+    """
 
     __slots__ = ("connection", "ended", "number", "pool", "request", "sent_at", "times_out_at")
 
@@ -33,7 +37,7 @@
 
 
 class ConnectionPool:
-    """One listed instance: its address, its idle connections, and the attempts that wait for one."""
+    """One listed instance: its address, its idle connections, and the attempts that wait for a connection."""
 
     def __init__(self, entry: EndpointEntry, address: tuple[str, int]) -> None:
         self.entry = entry
@@ -41,33 +45,33 @@
         self.idle: deque[Connection] = deque()
         self.waiting: deque[Attempt] = deque()
         self.connecting = 0
-        self.timer: Any = None  # when the first idle connection has rested, while an attempt waits for that
+        self.timer: Any = None  # for the first reusable connection, while attempts wait
 
     def process_identity(self) -> tuple[tuple[str, int], int, int]:
-        """Return what tells the instance's process from another one under its id."""
+        """Return what distinguishes the instance's process from others with the same id."""
         return self.address, self.entry.started_at, self.entry.build
 
 
 class ConnectionOwner(Protocol):
-    """Takes what a connection reports."""
+    """Receives the events of connections."""
 
     def on_response(self, connection: Connection, attempt: Attempt, message: resp.Value) -> None:
-        """End an attempt by its response; MalformedError where it is none."""
+        """End an attempt with its response; raises MalformedError if `message` is not a valid response."""
 
     def on_malformed(self, connection: Connection, error: resp.MalformedError) -> None:
-        """Close a connection that can't be read any further."""
+        """Close a connection that received malformed bytes."""
 
     def release(self, connection: Connection) -> None:
-        """Take back a connection without an attempt in flight."""
+        """Reuse or close a connection that has no attempt in flight."""
 
     def on_lost(self, connection: Connection) -> None:
-        """Take in that a connection has closed."""
+        """Handle the close of a connection."""
 
 
 class Connection(protocol.Protocol):
-    """One connection to an instance; it has one attempt at a time, as responses come in order."""
+    """One connection to an instance, with at most one attempt in flight, as responses arrive in order."""
 
-    transport: Any  # ITCPTransport, whose methods mypy can't read
+    transport: Any  # an ITCPTransport; mypy can't read its methods
 
     def __init__(self, owner: ConnectionOwner, pool: ConnectionPool) -> None:
         self.owner = owner
@@ -80,14 +84,14 @@
         self.is_used = False
 
     def connectionMade(self) -> None:
-        """Send without delay."""
+        """Disable the delay of small writes."""
         self.transport.setTcpNoDelay(True)
 
     def dataReceived(self, data: bytes) -> None:
-        """Take the response of the attempt in flight.
+        """Handle the response to the attempt in flight.
 
-        More than the response costs the connection, not the response; the connection is released only once
-        all that was read is known to be the response.
+        Bytes beyond the response close the connection, but the response stays valid. The connection is
+        released only if all bytes read belong to the response.
         """
         try:
             for message in self.reader.feed(data):
@@ -103,5 +107,5 @@
             self.owner.release(self)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: ARG002  # Twisted's signature
-        """Report the end."""
+        """Report the close to the owner."""
         self.owner.on_lost(self)
--- a/linenbridge/net/watch_stream.py
+++ b/linenbridge/net/watch_stream.py
@@ -1,8 +1,8 @@
-"""A watch: one HTTP response without end, JSON messages one after another, reopened for the process's life.
+"""A watch: an endless HTTP response with JSON messages, reopened for the lifetime of the process.
 
-Owns the connections that it is read from: one, and a second while the first is silent, as a dead connection
-reports nothing, or while the watch moves to another address. It does not interpret messages: its owner gets
-each in order, and raises MalformedError for one that can't be read, which ends that connection.
+This module owns the connections of the watch: one, and a second while the first is silent, as the loss of a
+connection may not be reported, or while the watch moves to another address. It does not interpret messages:
+its owner receives them in order, and raises MalformedError for a malformed one, which ends that connection.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 from linenbridge.net.resp import MalformedError
 
 HTTP_OK = 200
-MAX_MISSED_KEEPALIVES = 3  # before a silent connection is suspected
-MAX_RETRY_FACTOR = 16  # of the wait after rejections in a row, in connect timeouts
+MAX_MISSED_KEEPALIVES = 3  # in a row, before another connection is opened
+MAX_RETRY_FACTOR = 16  # connect timeouts: limit of the delay after consecutive rejections
 MICROSECONDS_PER_SECOND = 1e6
 
 
 def _do_nothing() -> None:
-    """Do nothing: the callback of a watch that nobody waits for."""
+    """Do nothing; the default callback for the first message."""
 
 
 class Stream(Protocol):
-    """One connection of a watch; its response is split into messages."""
+    """One connection of a watch, which splits its response into messages."""
 
-    transport: Any  # ITCPTransport, whose methods mypy can't read
+    transport: Any  # an ITCPTransport; mypy can't read its methods
 
     def __init__(self, watch: WatchStream) -> None:
         self.watch = watch
@@ -50,11 +50,11 @@
         self.transport.write(http.request("GET", self.watch.path(), f"{host}:{port}"))
 
     def dataReceived(self, data: bytes) -> None:
-        """Deliver the messages that are complete; one that is malformed ends the connection."""
+        """Deliver all complete messages; a malformed one ends the connection."""
         try:
             for part in self.responses.feed(data):
                 if part.status != HTTP_OK:
-                    raise MalformedError(f"answered with status {part.status}")
+                    raise MalformedError(f"expected status 200, received {part.status}")
                 for message in self.messages.feed(part.body):
                     if not self.ended:
                         self.watch.on_received(self, message)
@@ -64,18 +64,18 @@
             self.watch.log.event_sampled("malformed", self.watch.settings.name, error=str(error))
             self.transport.abortConnection()
 
-    def connectionLost(self, reason: Any = None) -> None:  # Twisted's signature  # noqa: ARG002  # Twisted's signature
+    def connectionLost(self, reason: Any = None) -> None:  # noqa: ARG002  # Twisted's signature
         """Report the end to the watch."""
         self.watch.on_stream_ended(self)
 
 
 @dataclass(frozen=True, slots=True)
 class WatchSettings:
-    """What one watch is, and its times.
+    """The settings of one watch.
 
-    `name` begins its events and counters. The server sends a keep-alive each `keepalive_interval` seconds;
-    what a silent watch misses counts as delivered after `missed_update_deadline` seconds. `connect_timeout`
-    is in microseconds, `max_length` in bytes of one message.
+    `name` is the prefix of its events and counters. The server sends a keep-alive every `keepalive_interval`
+    seconds; updates that a silent watch misses count as delivered after `missed_update_deadline` seconds.
+    `connect_timeout` is in microseconds, `max_length` in bytes of one message.
     """
 
     name: str
@@ -86,10 +86,10 @@
     missed_update_deadline: float = inf
 
     def max_silence(self) -> float:
-        """Seconds of silence before another connection is opened.
+        """Return the seconds of silence after which another connection is opened.
 
-        Another one has come up and delivered before missed updates count as delivered, with half an interval
-        to spare; none is opened before one and a half intervals have passed.
+        That connection is established and has delivered half an interval before missed updates count as
+        delivered; but none is opened before one and a half intervals of silence.
         """
         interval = self.keepalive_interval
         latest = self.missed_update_deadline - interval / 2 - self.connect_timeout / MICROSECONDS_PER_SECOND
@@ -97,7 +97,10 @@
 
 
 class WatchStream:
-    """Keeps one stream open from `address`; `path` gives the request's path each time one is opened."""
+    """Keeps one stream from `address` open, and passes its messages to `on_message`.
+
+    `path` returns the path of the request for each new connection.
+    """
 
     def __init__(
         self,
@@ -124,10 +127,10 @@
         self.timer: Any = None
         self.healthy: bool | None = None
         self.is_started = False
-        self.on_first_message: Callable[[], object] = _do_nothing  # called once
+        self.on_first_message: Callable[[], object] = _do_nothing  # called for the first message only
 
     def start(self) -> None:
-        """Open one more connection, unless one is being opened; it may be silent for `max_silence`."""
+        """Open one more connection unless one is being opened, and restart the silence timer."""
         self.is_started = True
         self._arm_silence_timer(self.max_silence)
         if self.connecting is None:
@@ -140,8 +143,8 @@
     def move(self, address: tuple[str, int]) -> None:
         """Continue at another address.
 
-        What is open at the old one is read until the new one delivers, so that no update in between is
-        missed, whichever closes or comes up first.
+        Open streams from the former address are read until a stream from the new address delivers, so that no
+        update in between is missed, whichever of them ends or starts first.
         """
         if address != self.address:
             self.address = address
@@ -168,17 +171,18 @@
         self._arm_silence_timer(self.connect_timeout)
 
     def _on_silence(self) -> None:
-        """Open another connection beside the newest, and drop those older than that."""
+        """Open another connection beside the newest, and drop all older ones."""
         self._set_healthy(False, "silent")
         for stream in self.streams[:-1]:
             self._drop(stream)
         self.start()
 
     def on_received(self, stream: Stream, message: memoryview) -> None:
-        """Deliver a message of any stream: that stream stays, the others have served.
+        """Deliver a message of any stream, and drop the streams that it supersedes.
 
-        A message from an address left behind ends nothing at the present one, and is read out before what
-        comes after it.
+        A stream from the current address supersedes all others; unread messages on those from a former
+        address are delivered first, to keep the order. A stream from a former address supersedes only others
+        from former addresses.
         """
         is_current_address = stream.address == self.address
         superseded = [
@@ -208,9 +212,10 @@
         stream.transport.abortConnection()
 
     def on_stream_ended(self, stream: Stream) -> None:
-        """Release a connection, the one place for that, and reopen the watch if none is left.
+        """Handle the end of a connection; if no other is left, open a new one.
 
-        At once after one that has delivered, so that what it could not is soon delivered; else after a delay.
+        The new one is opened at once if the ended one had delivered a message, so that missed updates arrive
+        soon; otherwise after a delay.
         """
         was_dropped = stream.ended
         stream.ended = True
@@ -221,10 +226,10 @@
             self._arm_silence_timer(0 if stream.has_delivered else self._retry_delay())
 
     def _retry_delay(self) -> float:
-        """Return seconds to wait after a response that ended without a message.
+        """Return the seconds to wait after a response that ended without a message.
 
-        The longest delay doubles each time and its length is random: a server that a whole fleet asks again
-        at once would go on rejecting.
+        The delay is random and its limit doubles each time: a server to which a whole fleet reconnects at
+        once would go on rejecting.
         """
         max_factor = min(2**self.rejections, MAX_RETRY_FACTOR)
         self.rejections += 1
