--- a/linenbridge/net/http.py
+++ b/linenbridge/net/http.py
@@ -47,14 +47,14 @@
             start = after
         self.unparsed = buffer[start:]
 
-    def _find_line_end(self, buffer: bytes, start: int, terminator: bytes) -> int:
+    def _find_terminator(self, buffer: bytes, start: int, terminator: bytes) -> int:
         end = buffer.find(terminator, start, start + MAX_HEAD_BYTES)
         if end < 0 and len(buffer) - start >= MAX_HEAD_BYTES:
             raise MalformedError(f"a response head or a line has more than {MAX_HEAD_BYTES} bytes")
         return end
 
     def _parse_head(self, buffer: bytes, view: memoryview, start: int) -> tuple[BodyPart | None, int]:
-        end = self._find_line_end(buffer, start, CRLF + CRLF)
+        end = self._find_terminator(buffer, start, CRLF + CRLF)
         if end < 0:
             return None, start
         status_line, *fields = buffer[start:end].split(CRLF)
@@ -93,7 +93,7 @@
         return BodyPart(self.status, view[start:end], not self.bytes_left), end
 
     def _parse_chunk_size(self, buffer: bytes, view: memoryview, start: int) -> tuple[BodyPart | None, int]:
-        end = self._find_line_end(buffer, start, CRLF)
+        end = self._find_terminator(buffer, start, CRLF)
         if end < 0:
             return None, start
         digits = buffer[start:end].partition(b";")[0].strip()
@@ -123,7 +123,7 @@
         return None, start + 2
 
     def _parse_trailer(self, buffer: bytes, view: memoryview, start: int) -> tuple[BodyPart | None, int]:
-        end = self._find_line_end(buffer, start, CRLF)
+        end = self._find_terminator(buffer, start, CRLF)
         if end < 0:
             return None, start
         if end > start:
