--- a/linenbridge/net/commands.py
+++ b/linenbridge/net/commands.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCommand:
-    """A valid request; `ttl` and `work`, the client's estimate of the service time, are in microseconds."""
+    """A valid request; `ttl` and `work`, the client's estimate of the work, are in microseconds."""
 
     rpc_id: str
     method: Method
@@ -50,7 +50,7 @@
 ) -> RequestCommand:
     """Check a command and return its request.
 
-    `methods` maps names as bytes to methods. A longer time left than `max_ttl` microseconds is cut to that.
+    `methods` maps names as bytes to methods. The time left is limited to `max_ttl` microseconds.
     Raises InvalidCommandError if the command is not a valid request.
     """
     name = command_name(arguments)
@@ -58,7 +58,7 @@
         raise InvalidCommandError("unknown command")
     if not MIN_ARGUMENTS <= len(arguments) <= MAX_ARGUMENTS:
         raise InvalidCommandError("a command holds a key, an id, fields and at most one body")
-    # Copies, as later attempts use these values when the buffer is gone.
+    # Copied, as later attempts use these values after the buffer is gone.
     key = bytes(arguments[1])
     rpc_id = bytes(arguments[2]).decode("latin-1")
     fields = bytes(arguments[3]).split(b",")
--- a/linenbridge/net/downstream.py
+++ b/linenbridge/net/downstream.py
@@ -27,7 +27,7 @@
 from linenbridge.net.descriptors import Descriptors
 
 LAST_CONNECTIONS = 0.4 + 0.05  # seconds from SIGTERM to the last new connections; PROTOCOL, Figures and rules
-LAST_COMMANDS = 0.7  # seconds after SIGTERM, when SIGKILL may follow; PROTOCOL, Figures
+LAST_COMMANDS = 0.7  # seconds from SIGTERM to the earliest SIGKILL; PROTOCOL, Figures
 IDLE_TIMEOUT = 2_000_000  # microseconds without an open request; LATER, The long day
 BATCH = 21  # connections; after accepting one, Twisted's Port.doRead accepts up to twenty more at once
 MICROSECONDS_PER_SECOND = 1e6
@@ -127,7 +127,7 @@
     def on_waiting(self, client: Client) -> None:
         """Add a connection without a pending response to its group.
 
-        A silent connection that sends more of an incomplete command keeps its place, and so its time.
+        A silent connection that sends more of an incomplete command keeps its place and its `waiting_since`.
         """
         if client not in self.open:
             return
--- a/linenbridge/net/upstream.py
+++ b/linenbridge/net/upstream.py
@@ -63,7 +63,7 @@
         self.reactor = reactor
         self.log = log
         self.connect_timeout = connect_timeout / MICROSECONDS_PER_SECOND
-        # Instances close connections idle for `idle_timeout`; this gateway does so in half the time.
+        # Instances close connections idle for `idle_timeout`; this gateway closes them at half of it.
         self.idle_timeout = idle_timeout // 2
         self.descriptors = Descriptors(max_descriptors, self._evict_idle)
         self.pools: dict[Id, ConnectionPool] = {}
--- a/linenbridge/net/watch_stream.py
+++ b/linenbridge/net/watch_stream.py
@@ -21,7 +21,7 @@
 from linenbridge.net.resp import MalformedError
 
 HTTP_OK = 200
-MAX_MISSED_KEEPALIVES = 3  # in a row, before another connection is opened
+MAX_MISSED_KEEPALIVES = 3  # keep-alives in a row, before another connection is opened
 MAX_RETRY_FACTOR = 16  # connect timeouts: limit of the delay after consecutive rejections
 MICROSECONDS_PER_SECOND = 1e6
 
