--- a/linenbridge/fleet/configuration.py
+++ b/linenbridge/fleet/configuration.py
@@ -1,7 +1,7 @@
-"""The element `fleet` of the settings, from the checked XML to typed objects.
+"""Convert the element `fleet` of the settings from validated XML to typed objects.
 
 Checks what the schema can't express, such as values that exclude each other. Each fault is one line,
-`file:line:column: what; what to do`. Defaults are in the schema, not here.
+`file:line:column: fault; advice`. Defaults are in the schema, not here.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from linenbridge.fleet.leases.timing import LeaseTiming
 from linenbridge.net.discovery import host_port
 
-RESTARTS_TASK = "restarts"  # the task whose slots are the turns of planned restarts
+RESTARTS_TASK = "restarts"  # each slot of this task lets one member restart
 MIN_ACCEPTORS = 3
 MAX_ACCEPTORS = 7
-MAX_SLOTS = 64  # of one task
+MAX_SLOTS = 64  # per task
 MIN_BEATS_PER_LEASE = 3
 MILLIONTHS_PER_PERCENT = 10_000
 MAX_DRIFT = 500_000  # millionths, exclusive
@@ -37,9 +37,9 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskSettings:
-    """One task: how many members hold it at once, and where its holder sends each action, if anywhere.
+    """One task: how many members hold it at once, and where each holder sends its actions.
 
-    `action_interval` is in microseconds.
+    `action_address` is None for a task without actions. `action_interval` is in microseconds.
     """
 
     task: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """The element `fleet`. Times are in microseconds."""
+    """The values of the element `fleet`. Times are in microseconds; `members` has the other members."""
 
     member: str
     listen: Address
@@ -65,12 +65,15 @@
     windows: tuple[Window, ...] = ()
 
     def is_acceptor(self) -> bool:
-        """Whether this member is one of the acceptors."""
+        """Return whether this member is one of the acceptors."""
         return self.member in self.quorum.all_acceptors()
 
 
 def fleet_settings(configuration: Configuration) -> FleetSettings | None:
-    """The element, or None if there is none. ConfigurationError names every fault, one a line."""
+    """Return the values of the element `fleet`, or None if the file has no such element.
+
+    Raise ConfigurationError with one line for each fault.
+    """
     element = configuration.part("fleet")
     if element is None:
         return None
@@ -104,18 +107,28 @@
     beat = duration(values["beat"])
     drift = round(float(values["clocks-apart"].rstrip("%")) * MILLIONTHS_PER_PERCENT)
     if longest < lease:
-        faults.add(element, "the lease is longer than `longest`", "raise `longest` at all members first")
+        faults.add(
+            element,
+            f"`lease` is {values['lease']}, longer than `longest` ({values['longest']})",
+            "lower `lease`, or raise `longest` at all members first",
+        )
     if beat * MIN_BEATS_PER_LEASE > lease:
-        faults.add(element, "a lease has to last three beats", "shorten `beat` or lengthen `lease`")
+        faults.add(
+            element,
+            f"`lease` is {values['lease']}, shorter than three times `beat`",
+            "shorten `beat` or lengthen `lease`",
+        )
     if drift >= MAX_DRIFT:
         faults.add(
-            element, "clocks may not run apart by half", "name the bound that the machines' clocks keep"
+            element,
+            f"`clocks-apart` is {values['clocks-apart']}, but has to be below 50%",
+            "set it to the upper bound of the clock drift between the machines",
         )
     return LeaseTiming(lease, longest, drift, beat)
 
 
 def _members(element: etree._Element, own_name: str, faults: SettingsFaults) -> dict[str, Address]:
-    """The addresses of the other members by name."""
+    """Return the addresses of the other members by name."""
     members: dict[str, Address] = {}
     for row in element.iterchildren(f"{SPACE}member"):
         name = row.get("name")
@@ -131,16 +144,20 @@
         values = attributes(row, "task")
         slots = int(values["places"])
         if values["name"] in (RESTARTS_TASK, *(task.task for task in tasks)):
-            faults.add(row, f"the task {values['name']} is there already", "name it once")
+            faults.add(
+                row,
+                f"the task name {values['name']} is already in use",
+                "give each task its own name, other than `restarts`",
+            )
         if slots > MAX_SLOTS:
-            faults.add(row, f"a task has {MAX_SLOTS} places at most", "lower `places`")
+            faults.add(row, f"`places` is {slots}, above the maximum of {MAX_SLOTS}", "lower `places`")
         address = host_port(values["act"]) if "act" in values else None
         tasks.append(TaskSettings(values["name"], slots, address, duration(values["every"])))
     return tasks
 
 
 def _restarts(element: etree._Element) -> tuple[list[TaskSettings], int]:
-    """The task of planned restarts, if the settings have it, and how long a member waits for its turn."""
+    """Return the task of planned restarts, if configured, and a member's maximum wait in microseconds."""
     row = element.find(f"{SPACE}restarts")
     if row is None:
         return [], 0
@@ -149,7 +166,7 @@
 
 
 def _quorum_element(element: etree._Element) -> etree._Element:
-    """The element `quorum`, or `council`, its earlier name; the schema allows exactly one of the two."""
+    """Return the element `quorum`, or `council`, its earlier name; the schema requires one of the two."""
     found = element.find(f"{SPACE}quorum")
     return found if found is not None else element.find(f"{SPACE}council")
 
@@ -157,7 +174,7 @@
 def _quorum(
     element: etree._Element, own_name: str, members: dict[str, Address], faults: SettingsFaults
 ) -> Quorum:
-    """The acceptors now and before the change that one of them is marked for."""
+    """Return the acceptors before and after the change that `joins` or `leaves` at one of them announces."""
     now: list[str] = []
     before: list[str] = []
     changes = 0
@@ -167,11 +184,13 @@
         leaves = flag(row.get("leaves"))
         changes += joins or leaves
         if name != own_name and name not in members:
-            faults.add(row, f"nobody is named {name}", "add the member with its address, or mend the name")
+            faults.add(
+                row, f"no member is named {name}", "add the member with its address, or correct the name"
+            )
         if name in now or name in before:
             faults.add(row, f"{name} is an acceptor already", "name each acceptor once")
         if joins and leaves:
-            faults.add(row, f"{name} can't join and leave", "say one of the two")
+            faults.add(row, f"{name} has both `joins` and `leaves`", "set one of the two")
         if not leaves:
             now.append(name)
         if not joins:
@@ -184,8 +203,8 @@
     if changes > 1:
         faults.add(
             element,
-            "two acceptors change at once",
-            "change one acceptor, wait until all acceptors say `acceptor.recovered`",
+            "more than one acceptor joins or leaves",
+            "change one acceptor, then wait until all acceptors have logged `acceptor.recovered`",
         )
     if not MIN_ACCEPTORS <= acceptors <= MAX_ACCEPTORS:
         faults.add(
--- a/linenbridge/fleet/freezes/configuration.py
+++ b/linenbridge/fleet/freezes/configuration.py
@@ -1,4 +1,4 @@
-"""The file of freezes: windows as operators write them, from the checked XML to typed objects.
+"""Convert the file of freezes from validated XML to typed windows.
 
 Checks what the schema can't express. A file with a fault is rejected as a whole. Defaults are in the schema.
 """
@@ -21,7 +21,7 @@
 from linenbridge.errors import FileFaultError
 from linenbridge.fleet.freezes.windows import Window
 
-DEFAULT_ADVICE = "mend it"
+DEFAULT_ADVICE = "correct the date in `from`, `until` or `last`"
 
 
 class FreezesFileError(FileFaultError):
@@ -31,14 +31,18 @@
 
 
 def windows(path: str) -> tuple[Window, ...]:
-    """The windows of the file at `path`, none if it is empty. ConfigurationError names every fault, one a
-    line."""
+    """Return the windows of the file at `path`; none if `path` is empty.
+
+    Raise ConfigurationError with one line for each fault.
+    """
     return _windows(read(path)) if path else ()
 
 
 def _windows(file: Configuration) -> tuple[Window, ...]:
     if file.root.tag != f"{SPACE}freezes":
-        raise ConfigurationError(f"{file.place(file.root)}: it holds no freezes; begin it with <freezes>")
+        raise ConfigurationError(
+            f"{file.place(file.root)}: the root element is not `freezes`; start the file with <freezes>"
+        )
     faults = SettingsFaults(file, FreezesFileError)
     found: dict[str, Window] = {}
     for element in file.root.iterchildren(f"{SPACE}window"):
@@ -57,14 +61,17 @@
 
 
 def _window(values: dict[str, str]) -> Window:
-    """One window; ValueError says `what; what to do`, or what the library says of a date."""
+    """Return one window. Raise ValueError with `fault; advice`, or with the library's text about a date."""
     zone = _time_zone(values["in"])
     begin = datetime.fromisoformat(values["from"])
     end = _end(values, begin)
     count, _, unit = values["every"].partition(" ")
     last = datetime.fromisoformat(values["last"]) if "last" in values else None
     if last is not None and (not count or last < begin):
-        raise ValueError("`last` is for windows that come again, and not before `from`; mend it")
+        raise ValueError(
+            f"`last` ({values['last']}) requires `every` and must not be before `from`; "
+            "correct `last`, or leave it out"
+        )
     return Window(
         name=values["name"],
         kind=values["kind"],
@@ -83,17 +90,20 @@
     try:
         return ZoneInfo(name)
     except (ZoneInfoNotFoundError, ValueError, OSError) as error:
-        raise ValueError(f"no time zone {name!r}; write one such as Asia/Seoul") from error
+        raise ValueError(f"unknown time zone {name!r}; set `in` to a name such as Asia/Seoul") from error
 
 
 def _end(values: dict[str, str], begin: datetime) -> datetime:
-    """The end of the first occurrence, by `until` or by `for`."""
+    """Return the end of the first occurrence, given by `until` or by `for`."""
     if ("until" in values) == ("for" in values):
-        raise ValueError("it ends by `until` or lasts `for`, one of the two; write one")
+        raise ValueError("a window requires either `until` or `for`; write exactly one of the two")
     if "until" in values:
         end = datetime.fromisoformat(values["until"])
     else:
         end = begin + timedelta(microseconds=duration(values["for"]))
     if end <= begin:
-        raise ValueError("it ends before it begins; mend `from` or `until`")
+        raise ValueError(
+            f"the window ends at {end.isoformat()}, which is not after `from` ({values['from']}); "
+            "correct one of the two"
+        )
     return end
--- a/linenbridge/fleet/freezes/schedule.py
+++ b/linenbridge/fleet/freezes/schedule.py
@@ -1,7 +1,7 @@
-"""Which rollouts are frozen at this moment: no release moves on where a window of kind `hold` is open.
+"""Decide which rollouts are frozen now: no rollout advances where a window of kind `hold` is open.
 
-Decides without I/O. Each member goes by its own copy of the windows and its own wall clock, so a freeze needs
-no other member to begin or to go on. It ends only when its window is over, shortened or cancelled.
+Decides without I/O. Each member uses its own copy of the windows and its own wall clock, so a freeze begins
+and continues without any other member. A freeze ends only when its window is over, shortened or cancelled.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 
 from linenbridge.fleet.freezes.windows import Occurrence, Window, occurrences
 
-ROLLOUT_FREEZE_KIND = "hold"  # in the settings
+ROLLOUT_FREEZE_KIND = "hold"  # the value of `kind` in the file
 SECOND = 1_000_000  # microseconds
 
 
 @dataclass(frozen=True, slots=True)
 class SetFreeze:
-    """Releases are frozen in these zones from now on: everywhere if the set is empty, nowhere if None."""
+    """Rollouts are frozen in these zones from now on: everywhere if the set is empty, nowhere if None."""
 
     zones: frozenset[str] | None
 
 
 @dataclass(frozen=True, slots=True)
 class LogFreeze:
-    """One line of the log, for each step of a window's life."""
+    """Write one line of the log: a window has opened or ended."""
 
     event: str
     fields: dict[str, object]
@@ -34,10 +34,10 @@
 
 
 class FreezeSchedule:
-    """The open windows among those that were announced. Times are Unix microseconds."""
+    """Tracks which of the announced windows are open. Times are in Unix microseconds."""
 
     def __init__(self, windows: tuple[Window, ...], now: int) -> None:
-        """Begin with these windows; the first decisions are due at once."""
+        """Start with these windows; the first decisions are due at once."""
         self.windows = windows
         self.decisions: deque[Decision] = deque()
         self.open_until: dict[str, int] = {}  # by the window's name
@@ -50,13 +50,13 @@
         self.next_change_at = now
 
     def next_decision(self, now: int) -> Decision | None:
-        """The next decision that is due, or None."""
+        """Return the next decision that is due, or None."""
         if self.next_change_at is not None and now >= self.next_change_at:
             self._update(now)
         return self.decisions.popleft() if self.decisions else None
 
     def wake_at(self) -> int | None:
-        """When the next window begins or ends; None if none does."""
+        """Return when the next window begins or ends; None if there is none."""
         return self.next_change_at
 
     def _update(self, now: int) -> None:
@@ -74,7 +74,7 @@
             self.decisions.append(SetFreeze(zones))
 
     def _current_occurrences(self, now: int) -> dict[str, Occurrence]:
-        """The occurrence of each rollout freeze that is open or comes next, by the window's name."""
+        """Return, by window name, the occurrence of each rollout freeze that is open or comes next."""
         found = {
             window.name: next(occurrences(window, now), None)
             for window in self.windows
@@ -88,7 +88,7 @@
 
     @staticmethod
     def _zones(open_windows: list[Window]) -> frozenset[str] | None:
-        """The zones of all open windows; the empty set for everywhere, None for nowhere."""
+        """Return the zones of all open windows; the empty set for everywhere, None for nowhere."""
         if not open_windows:
             return None
         if any(not window.zones for window in open_windows):
--- a/linenbridge/fleet/freezes/windows.py
+++ b/linenbridge/fleet/freezes/windows.py
@@ -1,8 +1,8 @@
-"""Windows of time as operators write them: local dates, lengths, recurrence, time zones.
+"""Time windows as operators write them: local dates, lengths, recurrence, time zones.
 
-Decides without I/O. A window is never shorter than it reads: where the clocks repeat or skip the hour that
-it begins or ends in, it begins by the earlier reading and ends by the later one. Only the time zone of the
-window counts, not that of the machine.
+Decides without I/O. A window is never shorter than written: if a clock change repeats or skips the hour in
+which the window begins or ends, the window begins at the earlier of the two possible times and ends at the
+later one. Only the time zone of the window matters, not that of the machine.
 """
 
 from __future__ import annotations
@@ -15,16 +15,18 @@
 
 from dateutil.relativedelta import relativedelta
 
-MAX_OCCURRENCES = 100_000  # of one window that are looked through
+MAX_OCCURRENCES = 100_000  # examined per window
 CALENDAR_ARGUMENTS = {"day": "days", "week": "weeks", "month": "months", "year": "years"}
 
 
 @dataclass(frozen=True, slots=True)
 class Window:
-    """`begin` and `end` are local and naive, of the first occurrence, in `time_zone`.
+    """One window of the file.
 
-    `every` is how many of `unit` (day, week, month, year) are between two occurrences, 0 if there is only
-    one; none begins after `last`. `zones` are the deployment's zones that it concerns, all if empty.
+    `begin` and `end` are naive local times in `time_zone`, of the first occurrence. `every` is the number of
+    units (`unit`: day, week, month or year) from one occurrence to the next, 0 if there is only one. No
+    occurrence begins after `last`. `zones` are the deployment's zones that the window applies to, all if
+    empty.
     """
 
     name: str
@@ -47,8 +49,11 @@
 
 
 def unix_microseconds(local: datetime, time_zone: ZoneInfo, *, late: bool) -> int:
-    """Unix time of a local time. Where the clocks repeat or skip it there are two readings: `late` takes the
-    later one, else the earlier counts."""
+    """Return the Unix time of a local time, in microseconds.
+
+    A local time that a clock change repeats or skips has two readings: the later one is returned if `late` is
+    true, else the earlier one.
+    """
     readings = [_unix(local.replace(tzinfo=time_zone, fold=fold)) for fold in (0, 1)]
     return max(readings) if late else min(readings)
 
@@ -58,10 +63,10 @@
 
 
 def occurrences(window: Window, after: int) -> Iterator[Occurrence]:
-    """All occurrences that end after that Unix time in microseconds, in order.
+    """Yield all occurrences that end later than `after`, in order; `after` is in Unix microseconds.
 
-    Each is reckoned from the first one by the calendar: the 31st of a month that has none is its last day,
-    and the next is the 31st again.
+    Each occurrence is computed from the first one by the calendar: one on the 31st falls on the last day of a
+    shorter month, and on the 31st again in the next long one.
     """
     if window.cancelled:
         return
