--- a/linenbridge/fleet/store/__init__.py
+++ b/linenbridge/fleet/store/__init__.py
@@ -1,1 +1,1 @@
-"""The durable state of an acceptor: one file a member, written before the acceptor replies."""
+"""The durable state of an acceptor: one file per member, written before the acceptor replies."""
--- a/linenbridge/fleet/store/acceptor_records.py
+++ b/linenbridge/fleet/store/acceptor_records.py
@@ -1,9 +1,8 @@
-"""An acceptor's records on disk, in one file of an embedded store (SQLite by `apsw`), written before it
-replies.
+"""Store an acceptor's records in one SQLite file (by `apsw`), written before the acceptor replies.
 
-Owns the file and every transaction on it; each row carries a checksum. Nothing is repaired or guessed: what
-can't be read is reported, and the acceptor recovers as one without records, or does not start granting.
-Tables, columns and names of facts are those of earlier versions.
+Owns the file and every transaction on it; each row has a checksum. A file that can't be read is reported and
+never repaired: its acceptor grants nothing. After a restart without the file the acceptor recovers as one
+without records. The names of tables, columns and facts are those of earlier versions.
 """
 
 from __future__ import annotations
@@ -29,9 +28,9 @@
 """
 WRITE_RECORD = "insert or replace into place values (?, ?, ?, ?, ?, ?)"
 WRITE_FACT = "insert or replace into fact values (?, ?, ?)"
-FACT_NAMES = ("remembers", "settled", "stamp", "longest")  # of the fields of AcceptorFacts, in their order
-OPENED = "opened"  # a fact that is written at each start, so that a disk that can't be written is noticed
-# Errors of the disk, the file system and other processes; any other error of SQLite is a damaged file.
+FACT_NAMES = ("remembers", "settled", "stamp", "longest")  # stored names of AcceptorFacts' fields, in order
+OPENED = "opened"  # a fact that is written at each start, to detect a disk that can't be written
+# Errors caused by the disk, the file system or another process; any other SQLite error means a damaged file.
 UNUSABLE_ERRORS = (
     apsw.BusyError,
     apsw.LockedError,
@@ -46,10 +45,10 @@
 
 
 class RecordStore(Protocol):
-    """Where an acceptor's records are stored."""
+    """A store of an acceptor's records."""
 
     def read(self) -> StoredState:
-        """Return the content."""
+        """Return the stored records and facts."""
         ...
 
     def write(self, records: Iterable[SlotRecord], facts: AcceptorFacts) -> None:
@@ -62,13 +61,13 @@
 
 
 class AcceptorRecords:
-    """One acceptor's file.
+    """The SQLite file of one acceptor.
 
-    Every call may raise StoreUnusable; opening and reading may raise StoreTorn too.
+    Every method may raise StoreUnusable; opening and reading may raise StoreTorn too.
     """
 
     def __init__(self, path: str) -> None:
-        """Open the file for this process alone, or make it."""
+        """Open the file under an exclusive lock; create it if it does not exist."""
         self.path = path
         with self._errors():
             self.connection = apsw.Connection(path)
@@ -80,15 +79,15 @@
     def read(self) -> StoredState:
         """Return the content of the file.
 
-        The file is written to first, so that a disk that can't be written is noticed before anything is
+        The file is written to first, so that a disk that can't be written is detected before anything is
         granted.
         """
         with self._errors():
             ((version,),) = self._execute("pragma user_version")
             if version not in (0, SCHEMA_VERSION):
-                raise StoreTorn(f"form {version} instead of {SCHEMA_VERSION}", self.path)
+                raise StoreTorn(f"the schema version is {version}, supported is {SCHEMA_VERSION}", self.path)
             if self._execute("pragma integrity_check") != [("ok",)]:
-                raise StoreTorn("its pages don't fit together", self.path)
+                raise StoreTorn("SQLite's integrity check has failed", self.path)
             with self.connection:
                 self._execute(f"pragma user_version={SCHEMA_VERSION}")
                 self.connection.execute(TABLES)
@@ -113,7 +112,7 @@
 
     @contextmanager
     def _errors(self) -> Iterator[None]:
-        """Turn SQLite's errors into this module's."""
+        """Convert SQLite's errors to StoreUnusable or StoreTorn."""
         try:
             yield
         except UNUSABLE_ERRORS as error:
@@ -146,11 +145,11 @@
 
     def _verify(self, checksum: int, *fields: object) -> None:
         if checksum != _checksum(*fields):
-            raise StoreTorn(f"the row of {fields[0]} is not as it was written", self.path)
+            raise StoreTorn(f"the row of {fields[0]} does not match its checksum", self.path)
 
 
 class NoRecords:
-    """For an acceptor without a disk: it recovers after each start as one without records."""
+    """The store of an acceptor without a disk, which recovers after each start as one without records."""
 
     def read(self) -> StoredState:
         """Return no records."""
@@ -160,7 +159,7 @@
         """Store nothing."""
 
     def close(self) -> None:
-        """Release nothing."""
+        """Do nothing: there is no file to close."""
 
 
 def open_records(path: str) -> RecordStore:
@@ -169,10 +168,10 @@
         return NoRecords()
     folder = os.path.dirname(path)
     if folder and not os.path.isdir(folder):
-        raise StoreUnusable(f"no folder {folder}", path)
+        raise StoreUnusable(f"the directory {folder} does not exist", path)
     return AcceptorRecords(path)
 
 
 def _checksum(*fields: object) -> int:
-    """Return the sum over a row's values as text; records of earlier versions are read by it."""
+    """Return the CRC-32 of a row's values as text, as earlier versions computed it."""
     return crc32("\0".join(str(value) for value in fields).encode())
