--- a/linenbridge/fleet/leases/acceptor.py
+++ b/linenbridge/fleet/leases/acceptor.py
@@ -1,10 +1,9 @@
-"""One acceptor of the quorum: it grants the slots of tasks, each to one member at a time, and records what it
-granted.
+"""One acceptor of the quorum: it grants each slot of a task to one member at a time, and records the grants.
 
-Decides without I/O. A grant is sent only after its record is durable. An acceptor decides by its own tables
-alone; counting a majority is up to the proposer, and any two majorities share an acceptor, which has granted
-the slot to one of the two only. It never grants a slot that it has granted to another member, nor a term that
-is not above every term it knows of the slot.
+Decides without I/O. A grant is sent only after its record is durable. An acceptor decides by its own records
+alone; the proposer counts the majority. Any two majorities share an acceptor, which has granted the slot to
+one of the two proposers only. An acceptor never grants a slot that is leased to another member, nor a new
+term that is not above every term that is recorded for the slot.
 """
 
 from __future__ import annotations
@@ -46,12 +45,12 @@
 
 @dataclass(slots=True)
 class _Outcome:
-    """What one request changed, for its reply."""
+    """The results of one request, for its reply."""
 
     granted: list[Granted] = field(default_factory=list)
     rejected: list[Rejected] = field(default_factory=list)
     statuses: list[TaskStatus] = field(default_factory=list)
-    changed: list[SlotKey] = field(default_factory=list)  # whose records must be stored before the reply
+    changed: list[SlotKey] = field(default_factory=list)  # their records must be stored before the reply
 
 
 class Acceptor:
@@ -69,10 +68,11 @@
         trusted: bool = False,
         incarnation: int = 1,
     ) -> None:
-        """Take over what the store holds, and recover if records may have been lost.
+        """Load the stored state, and start a recovery if records may have been lost.
 
-        A `trusted` store can't have been restored from an older copy, so that nothing is waited for after a
-        restart. No term below `first_term` is granted. `incarnation` differs for each start of the process.
+        A `trusted` store can't have been restored from an older copy, so that its acceptor does not wait
+        after a restart. No term below `first_term` is granted. `incarnation` differs for each start of the
+        process.
         """
         self.name = name
         self.quorum = quorum
@@ -82,7 +82,7 @@
         self.queues = Queues()
         self.revision = stored.facts.revision
         self.store_error = ""
-        self.revisions: dict[str, int] = {}  # the newest of each other acceptor
+        self.revisions: dict[str, int] = {}  # the newest of each other acceptor, by name
         self._decisions = deque[AcceptorDecision]()
         for record in stored.records:
             self.granted_leases.merge(record, now)
@@ -94,7 +94,7 @@
     # ---- inputs ----------------------------------------------------------------------------------------
 
     def on_request(self, now: int, message: LeaseRequest) -> None:
-        """Answer a proposer's request as a whole, after the changes that it makes are stored."""
+        """Apply a proposer's request, and reply once its changes are stored; drop one above the limits."""
         if not is_within_limits(message, self.queues.by_task.keys()):
             return
         if message.revision > self.revision:
@@ -120,10 +120,10 @@
             self._decisions.append(send)
 
     def on_recovery_request(self, now: int, message: RecoveryRequest) -> None:
-        """Send this acceptor's records to one that recovers, even while this one recovers itself.
+        """Send this acceptor's records to a recovering acceptor, even during a recovery of its own.
 
-        If this one's store was restored from an older copy it does not reply, as its records would pass for
-        complete.
+        There is no reply if the store has failed, or was restored from an older copy: its records would be
+        taken as complete.
         """
         recovery = self.recovery
         recovery.on_recovery_request(message.acceptor, message.generation)
@@ -144,9 +144,9 @@
         self._decisions.append(Send(message.acceptor, reply))
 
     def on_recovery_reply(self, now: int, message: RecoveryReply) -> None:
-        """Merge another acceptor's records while this one recovers.
+        """Merge another acceptor's records during a recovery.
 
-        A newer revision of this acceptor's own store is noticed at any time.
+        A reply with a newer revision of this acceptor's store starts a new recovery at any time.
         """
         if message.revision > self.revision:
             self._on_store_restored(now, message.acceptor, message.revision)
@@ -163,11 +163,11 @@
             self._persist(changed, None)
 
     def on_revision(self, acceptor: str, revision: int) -> None:
-        """Record how many records another acceptor has stored, as it says itself."""
+        """Record the revision of another acceptor's store."""
         self.revisions[acceptor] = max(revision, self.revisions.get(acceptor, 0))
 
     def on_quorum(self, now: int, quorum: Quorum) -> None:
-        """Take over a newer quorum. Nothing is granted until majorities of both lists have it."""
+        """Apply a newer quorum. Nothing is granted until majorities of both lists have it."""
         if quorum.generation <= self.quorum.generation:
             return
         self.quorum = quorum
@@ -176,7 +176,7 @@
         self._decisions.append(LogEvent("quorum.changing", fields))
 
     def on_store_failed(self, why: str) -> None:
-        """A write failed: this acceptor grants nothing until the process is restarted."""
+        """Grant nothing until the process is restarted, because the store can't be read or written."""
         if not self.store_error:
             self.store_error = why
             self._log("store.failed", StoreUnusable(why, self.name))
@@ -190,7 +190,7 @@
         return self._decisions.popleft() if self._decisions else None
 
     def wake_at(self) -> int | None:
-        """Return when this acceptor has something to do without an input; only while it recovers."""
+        """Return when the next step of the recovery is due; None if there is none."""
         return None if self.store_error else self.recovery.wake_at()
 
     def grants(self) -> bool:
@@ -198,7 +198,7 @@
         return not self.store_error and self.recovery.done
 
     def facts(self) -> AcceptorFacts:
-        """Return what is stored beside the records."""
+        """Return the facts that are stored beside the records."""
         recovery = self.recovery
         return AcceptorFacts(
             recovery.has_records, recovery.confirmed_generation, self.revision, recovery.timing.max_lease
@@ -222,7 +222,7 @@
             self._log("acceptor.recovering", error)
 
     def _on_store_restored(self, now: int, reporter: str, revision: int) -> None:
-        """Another member has seen a newer revision than this store's: it was restored from an older copy."""
+        """Recover, because `reporter` has seen a newer revision than this acceptor's store has."""
         self.recovery.on_store_restored(now, StoreRestored(reporter, self.revision, revision))
         self.revision = revision
 
@@ -265,7 +265,7 @@
         outcome.granted.append(Granted(acquire.task, acquire.slot, acquire.term))
 
     def _rejection(self, now: int, proposer: str, acquire: Acquire) -> type[Rejection] | None:
-        """Return why a slot is not granted, or None where it is: the rule by which slots are granted."""
+        """Apply the rule by which slots are granted: return why the slot is not granted, or None if it is."""
         if not 0 < acquire.duration <= self.timing.max_lease:
             return LeaseTooLong
         key = SlotKey(acquire.task, acquire.slot)
@@ -288,7 +288,7 @@
         return max(self.granted_leases.lease(key).newest_term(), self.first_term - 1)
 
     def _free_slots(self, now: int, acquire: Acquire) -> int:
-        """Return how many slots of the task that are known here are free, counting the requested one."""
+        """Return how many of the task's recorded slots are free, including the requested one."""
         known = self.granted_leases.slots_of(acquire.task) | {acquire.slot}
         return sum(not self.granted_leases.remaining(SlotKey(acquire.task, slot), now) for slot in known)
 
@@ -309,7 +309,7 @@
     # ---- outputs ---------------------------------------------------------------------------------------
 
     def _persist(self, changed: list[SlotKey], then: Send | None) -> None:
-        """Store the present records of slots, then send a message. The revision counts the stored records."""
+        """Store the present records of slots, then send `then`. The revision counts the stored records."""
         self.revision += len(changed)
         self._decisions.append(Persist(self.granted_leases.stored_records(changed), then))
 
--- a/linenbridge/fleet/leases/decisions.py
+++ b/linenbridge/fleet/leases/decisions.py
@@ -1,4 +1,4 @@
-"""What proposers and acceptors decide; the host carries it out in the order given."""
+"""The decisions of proposers and acceptors, which the host carries out in the order given."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Persist(Struct, frozen=True):
-    """Store the records and the acceptor's present facts durably, then carry out `then`, if there is any.
+    """Store the records and the acceptor's present facts durably, then carry out `then`, if it is given.
 
     If the store fails, `then` is dropped and the acceptor's `on_store_failed` is called.
     """
--- a/linenbridge/fleet/leases/errors.py
+++ b/linenbridge/fleet/leases/errors.py
@@ -1,6 +1,6 @@
 """Errors of leases, and the reasons for which acceptors reject a request.
 
-Types only; the cores decide when one of them applies.
+Types only; the proposer and the acceptor decide when one of them applies.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class LeaseError(ControlPlaneError):
-    """The base of all errors of leases."""
+    """The base class of the errors of leases."""
 
 
 class HeldByAnother(Rejection):
@@ -66,7 +66,7 @@
 
 
 class MemoryLost(LeaseError):
-    """An acceptor without records can't reach enough others that have theirs."""
+    """An acceptor without records can't reach enough other acceptors that have records."""
 
     advice = (
         "start the other acceptors with their stores; if all stores are gone, set `first-term` above every "
@@ -75,7 +75,7 @@
 
 
 class DiskWentBack(LeaseError):
-    """An acceptor's store is older than what others have seen of it: it was restored from a copy."""
+    """An acceptor's store is older than what other members have seen of it: it was restored from a copy."""
 
     advice = (
         "the acceptor stands aside and learns anew; find out who restored its store, and never restore one"
--- a/linenbridge/fleet/leases/granted_leases.py
+++ b/linenbridge/fleet/leases/granted_leases.py
@@ -1,6 +1,6 @@
-"""What one acceptor has granted: for each slot the newest term, its holder, and when the lease ends.
+"""The leases that one acceptor has granted: for each slot the newest term, its holder and the end.
 
-Keeps state without I/O. A term is never forgotten, and a lease is never shortened unless its holder gives it
+Keeps state without I/O. A term is never removed, and a lease is never shortened unless its holder gives it
 back.
 """
 
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True)
 class GrantedLease:
-    """What an acceptor knows of one slot; `expires_at` is in microseconds of the acceptor's clock."""
+    """An acceptor's record of one slot; `expires_at` is in microseconds of the acceptor's clock."""
 
     term: int = 0
     holder: str = ""
@@ -30,7 +30,7 @@
     expires_at: int = 0
 
     def newest_term(self) -> int:
-        """Return the newest term that is known of the slot, 0 if none."""
+        """Return the newest term that was granted or given back; 0 if there is none."""
         return max(self.term, self.relinquished_term)
 
     def is_open(self) -> bool:
@@ -42,14 +42,14 @@
 
 
 class GrantedLeases:
-    """The leases by slot."""
+    """The granted leases of one acceptor, by slot."""
 
     def __init__(self) -> None:
         """Start without leases."""
         self._by_slot: dict[SlotKey, GrantedLease] = {}
 
     def lease(self, key: SlotKey) -> GrantedLease:
-        """Return what is known of a slot; the caller does not change it."""
+        """Return the record of a slot; the caller must not change it."""
         return self._by_slot.get(key, UNKNOWN_SLOT)
 
     def slots_of(self, task: str) -> set[int]:
@@ -77,7 +77,7 @@
         return True
 
     def relinquish(self, key: SlotKey, term: int, holder: str) -> bool:
-        """End the lease of a holder that gives it back; its term is closed for good.
+        """End the lease of a holder that gives it back; its term can't be granted again.
 
         Nothing changes if another member holds the slot, or if the holder has a newer term than `term`.
         Return whether the change must be stored.
@@ -91,7 +91,7 @@
     def merge(self, record: SlotRecord, expires_at: int) -> bool:
         """Merge another acceptor's record, or a stored one.
 
-        The newer term counts, for equal terms the later end. Return whether the change must be stored.
+        The newer term is kept; of equal terms, the later end. Return whether the change must be stored.
         """
         lease = self._by_slot.setdefault(SlotKey(record.task, record.slot), GrantedLease())
         changed = record.relinquished_term > lease.relinquished_term
--- a/linenbridge/fleet/leases/lease_state.py
+++ b/linenbridge/fleet/leases/lease_state.py
@@ -1,6 +1,6 @@
 """The state of one task's lease at one member: waiting, acquiring, held or releasing.
 
-Decides without I/O. A reply to an earlier request does not count for a later one.
+Decides without I/O. A reply to an earlier request is ignored by a later one.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class LeasePhase(StrEnum):
-    """What a member does about a task."""
+    """The phase of a member's lease of a task."""
 
     WAITING = "waiting"  # in the queue for a free slot
     ACQUIRING = "acquiring"  # has requested a free slot
@@ -37,11 +37,11 @@
     """One task's lease at one member.
 
     `term` is the term held and `requested_term` the one requested; `newest_term` is the newest that a
-    rejection has named. Times are microseconds of the member's clock.
+    rejection has reported. Times are microseconds of the member's clock.
     """
 
     def __init__(self, task: str, slots: int, now: int) -> None:
-        """Wait for one of the task's slots."""
+        """Start to wait for one of the task's slots."""
         self.task = task
         self.slots = slots  # how many the task has
         self.queue_position = 0  # 0: none yet
@@ -56,7 +56,7 @@
         self.rejected_by: set[str] = set()
         self.carryover_until = 0  # until when the acceptors of the previous quorum keep the slot
         self._grants: dict[str, Grant] = {}  # by acceptor
-        self.pending_relinquish: Relinquish | None = None  # slot and term that are not wanted any more
+        self.pending_relinquish: Relinquish | None = None  # added to each request while it is set
 
     def on_granted(self, acceptor: str, term: int, sent_at: int) -> None:
         """Record that an acceptor has granted the term in reply to a request sent at `sent_at`."""
@@ -74,8 +74,8 @@
     def expires_at(self, quorum: Quorum, timing: LeaseTiming, term: int | None = None) -> int | None:
         """Return when the lease ends under `term`, by default the term held; None if no majority grants it.
 
-        An acceptor that has granted this member a newer term counts as well, as it keeps the slot just the
-        same.
+        A grant of a newer term to this member counts as well, because its acceptor keeps the slot for this
+        member too.
         """
         min_term = self.term if term is None else term
         sent_at = {name: grant.sent_at for name, grant in self._grants.items() if grant.term >= min_term}
@@ -94,13 +94,13 @@
         return status.task == self.task and len(status.terms) == len(status.remaining) == self.slots
 
     def next_term(self) -> int:
-        """Return the term of the next renewal: a newer one if an acceptor knows a newer term of the slot."""
+        """Return the term of the next renewal: a newer one if an acceptor has a newer term of the slot."""
         return self.requested_term if self.newest_term <= self.requested_term else self.newest_term + 1
 
     def choose_slot(self, statuses: list[TaskStatus], free: list[int], abandon_at: int) -> bool:
-        """Request the free slot that falls to this member by its place in the queue, until `abandon_at`.
+        """Request the free slot at this member's position in the queue, until `abandon_at`.
 
-        Return whether there is one.
+        Return False if there are fewer free slots.
         """
         members_ahead = max(status.members_ahead for status in statuses)
         if members_ahead >= len(free):
@@ -125,7 +125,7 @@
         return min((end for end in ends if end > 0), default=None)
 
     def restart_waiting(self, at: int) -> None:
-        """Wait again until `at` or later, and give back grants that acceptors may have made meanwhile."""
+        """Wait again until `at` or later, and give back grants that acceptors may have made so far."""
         self.pending_relinquish = Relinquish(self.task, self.slot, max(self.term, self.requested_term))
         self.phase = LeasePhase.WAITING
         self.next_phase_at = at
--- a/linenbridge/fleet/leases/messages.py
+++ b/linenbridge/fleet/leases/messages.py
@@ -1,7 +1,7 @@
 """The messages between proposers and acceptors, and among acceptors, as typed arrays.
 
 Types only; the receiver checks values against bounds. Field order and tags are the wire format. The tags are
-those of earlier versions, so that members of two versions understand each other. Durations are in
+those of earlier versions, so that members of different versions can exchange messages. Durations are in
 microseconds.
 """
 
@@ -20,7 +20,7 @@
 
 
 class Relinquish(Struct, array_like=True, frozen=True):
-    """The sender gives up a slot, and every request for it, up to and including a term."""
+    """Notice that the sender gives up a slot, and every request for it, up to and including a term."""
 
     task: str
     slot: int
@@ -39,7 +39,7 @@
 
 
 class LeaseRequest(Struct, array_like=True, frozen=True, tag="round"):
-    """One proposer's request for all of its tasks, the same to every acceptor but for `revision`.
+    """One proposer's request for all of its tasks, the same to every acceptor except for `revision`.
 
     `revision` is the newest revision that the proposer has seen of the acceptor that receives the request.
     """
@@ -64,7 +64,8 @@
 class Rejected(Struct, array_like=True, frozen=True):
     """A lease that an acceptor has rejected.
 
-    `code` is the reason (see `errors`), `newest_term` the newest term that the acceptor knows of the slot.
+    `code` is the reason (see `errors`), `newest_term` the newest term that the acceptor has recorded for the
+    slot.
     """
 
     task: str
@@ -78,8 +79,8 @@
     """The status of a task at an acceptor.
 
     `newest_queue_position` is the highest number in the queue so far, `members_ahead` how many members wait
-    before the sender of the query. The lists have one entry a slot: the newest term, the time left of another
-    member's lease (0: free), and the holder of that lease.
+    before the sender of the query. The lists have one entry per slot: the newest term, the time left of
+    another member's lease (0: free), and the holder of that lease.
     """
 
     task: str
@@ -108,7 +109,7 @@
 
 
 class RecoveryRequest(Struct, array_like=True, frozen=True, tag="recall"):
-    """An acceptor that recovers requests the records of another one."""
+    """A recovering acceptor's request for the records of another one."""
 
     number: int
     acceptor: str
@@ -131,11 +132,11 @@
 
 
 class RecoveryReply(Struct, array_like=True, frozen=True, tag="table"):
-    """All records of an acceptor.
+    """All records of an acceptor, for a recovering one.
 
-    `recovery` is the number of the sender's own recovery. `founding_recovery` is the number of the requesting
-    acceptor's recovery in which the sender saw it without records when the sender founded the quorum; 0 if it
-    did not. `revision` is the newest revision that the sender has seen of the requesting acceptor.
+    `recovery` is the number of the sender's own recovery. `founding_recovery` is the number that the
+    requesting acceptor's recovery had when the sender founded the quorum with it, both without records; 0 if
+    the sender did not. `revision` is the newest revision that the sender has seen of the requesting acceptor.
     """
 
     number: int
--- a/linenbridge/fleet/leases/proposer.py
+++ b/linenbridge/fleet/leases/proposer.py
@@ -1,8 +1,8 @@
-"""One member's side of leases: it requests leases for its tasks and knows until when each one is held.
+"""The proposer of one member: it requests leases for the member's tasks and tracks when each lease ends.
 
-Decides without I/O. Whether the member may act is answered at each act, by the clock as it is then
-(`may_act`), so a process that was paused finds out before it acts. A lease is counted from the moment at
-which the request was sent, and only by a majority of both lists of acceptors.
+Decides without I/O. `may_act` checks the lease against the current clock before each action, so a process
+that was paused past the end of a lease does not act. A lease starts at the moment at which the request was
+sent, and is held only if majorities of both lists of acceptors have granted it.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 from linenbridge.fleet.leases.quorum import Quorum, has_majority, majority_impossible
 from linenbridge.fleet.leases.timing import LeaseTiming
 
-QUORUM_LOST_HEARTBEATS = 3  # without a majority's reply before the log says so
-MIN_RETRY_PARTS = 20  # a request that has failed is repeated after this part of a heartbeat or more
-MIN_HEARTBEAT_PART = 0.9  # of a heartbeat, by chance, so that members don't send at the same time
-MAX_OPEN_REQUESTS = 64  # whose replies still count
+QUORUM_LOST_HEARTBEATS = 3  # without a majority's reply, before the loss is logged
+MIN_RETRY_PARTS = 20  # the shortest retry delay is a heartbeat divided by this
+MIN_HEARTBEAT_PART = 0.9  # the shortest random interval of requests, so that members don't all send at once
+MAX_OPEN_REQUESTS = 64  # replies to older requests are ignored
 
 
 class Proposer:
@@ -42,8 +42,8 @@
     def __init__(self, name: str, quorum: Quorum, timing: LeaseTiming, seed: int, now: int) -> None:
         """Start without tasks.
 
-        `name` differs for each start of the process: a restarted process does not hold what the earlier one
-        held. `seed` is that of the chance by which requests are spread.
+        `name` differs for each start of the process: a restarted process does not hold the leases of the
+        earlier one. `seed` is for the random intervals between requests.
         """
         self.name = name
         self.quorum = quorum
@@ -55,7 +55,7 @@
         self._next_request_at = now
         self._sent_at: dict[int, int] = {}  # by number, when each recent request was sent
         self._replies: dict[int, dict[str, LeaseReply]] = {}  # to those requests, by acceptor
-        # The last reply of a majority; acceptors may still recover for the longest lease after a start.
+        # When a majority last replied. Initially in the future: acceptors may recover for the longest lease.
         self._majority_at = now + timing.max_lease
         self._quorum_loss_reported = False
         self._revisions: dict[str, int] = {}  # the newest of each acceptor
@@ -80,7 +80,7 @@
         self._next_request_at = now
 
     def on_quorum(self, now: int, quorum: Quorum) -> None:
-        """Take over a newer quorum. A lease stays held for as long as the previous acceptors granted it."""
+        """Apply a newer quorum. A lease stays held for as long as the previous acceptors granted it."""
         if quorum.generation <= self.quorum.generation:
             return
         for lease in self.leases.values():
@@ -90,7 +90,7 @@
         self._next_request_at = now
 
     def on_reply(self, now: int, message: LeaseReply) -> None:
-        """Take in an acceptor's reply; one that is late or repeated changes nothing."""
+        """Process an acceptor's reply; a late or repeated reply changes nothing."""
         sent_at = self._sent_at.get(message.number)
         if sent_at is None or message.acceptor not in self.quorum.all_acceptors():
             return
@@ -117,7 +117,7 @@
             if message.number == self._request_number:
                 self._on_statuses(now, list(accepted.values()))
 
-    # ---- what the host reads at each act ---------------------------------------------------------------
+    # ---- queries before each action --------------------------------------------------------------------
 
     def may_act(self, now: int, task: str) -> int | None:
         """Return the term under which this member may act on the task at this moment; None if it may not."""
@@ -145,16 +145,16 @@
         return self._decisions.popleft() if self._decisions else None
 
     def wake_at(self) -> int | None:
-        """Return when this member has something to do without an input; None without tasks."""
+        """Return when the next request is due or a lease ends; None without tasks."""
         if not self.leases:
             return None
         ends = [ends_at for task in self.leases if (ends_at := self.lease_expires_at(task)) is not None]
         return min([self._next_request_at, *ends])
 
-    # ---- from replies to leases ------------------------------------------------------------------------
+    # ---- replies ---------------------------------------------------------------------------------------
 
     def _on_granted(self, now: int, lease: LeaseState, acceptor: str, sent_at: int) -> None:
-        """An acceptor has granted the requested term: the lease is held if a majority has."""
+        """Record an acceptor's grant of the requested term; the lease is held once a majority has."""
         if lease.phase not in (LeasePhase.ACQUIRING, LeasePhase.HELD):
             return
         term = lease.requested_term
@@ -171,7 +171,7 @@
         self._decisions.append(LogEvent("lease.held", fields))
 
     def _on_statuses(self, now: int, replies: list[LeaseReply]) -> None:
-        """A majority has sent the status of tasks: take a position in the queue, or request a free slot."""
+        """Take a position in the queue or request a free slot, by the statuses that a majority has sent."""
         acquires = list[Acquire]()
         for task, statuses in self._waiting_statuses(replies).items():
             lease = self.leases[task]
@@ -213,10 +213,10 @@
         return free
 
     def _on_other_generation(self, message: LeaseReply) -> None:
-        """An acceptor has another generation of the quorum; a newer one is logged once."""
+        """Log once that an acceptor has a newer generation of the quorum."""
         if message.generation > max(self.quorum.generation, self._reported_generation):
             self._reported_generation = message.generation
-            what = f"the acceptor is at {message.generation}, this member at {self.quorum.generation}"
+            what = f"the acceptor has generation {message.generation}, this member {self.quorum.generation}"
             self._log("quorum.newer_generation", OtherGeneration(what, message.acceptor))
 
     # ---- time ------------------------------------------------------------------------------------------
@@ -252,11 +252,11 @@
         self._quorum_loss_reported = True
         replies = self._replies.get(self._request_number, {})
         granting = sorted(acceptor for acceptor, reply in replies.items() if not reply.code)
-        what = f"of {list(self.quorum.acceptors)} only {granting} grant"
+        what = f"of the acceptors {list(self.quorum.acceptors)} only {granting} grant leases"
         self._log("quorum.lost", QuorumLost(what, self.name))
 
     def _has_quorum(self, now: int) -> bool:
-        """Return whether a majority has replied lately."""
+        """Return whether a majority has replied recently."""
         return now - self._majority_at <= QUORUM_LOST_HEARTBEATS * self.timing.heartbeat
 
     # ---- requests --------------------------------------------------------------------------------------
--- a/linenbridge/fleet/leases/queues.py
+++ b/linenbridge/fleet/leases/queues.py
@@ -1,7 +1,7 @@
 """The queue of members that wait for a task at one acceptor, in the order of their positions.
 
 Keeps state without I/O. A member's position is a number, one above the newest that a majority knew at its
-first request, so every later position is behind it at one acceptor of each majority or more. A member that
+first request, so every later position is behind it at one or more acceptors of every majority. A member that
 keeps sending requests never loses its position.
 """
 
@@ -40,13 +40,13 @@
             del self._last_request_at[member]
 
     def members_ahead(self, now: int, member: str, timeout: int) -> int:
-        """Return how many members are before that one; all of them if it has no position."""
+        """Return how many members are ahead of a member; all of them if it has no position."""
         self._expire(now, timeout)
         position = self._positions.get(member)
         return len(self._order) if position is None else bisect_left(self._order, (position, member))
 
     def _expire(self, now: int, timeout: int) -> None:
-        """Remove members that have sent nothing for `timeout`; looked at only when the first may be due."""
+        """Remove members that have sent nothing for `timeout`; skipped until the first of them may be due."""
         if now < self._next_expiry_at:
             return
         for member in [member for member, at in self._last_request_at.items() if at + timeout < now]:
@@ -62,7 +62,7 @@
         self.by_task: dict[str, Queue] = {}
 
     def for_task(self, task: str) -> Queue:
-        """Return the task's queue, made on first use."""
+        """Return the task's queue, created on first use."""
         if task not in self.by_task:
             self.by_task[task] = Queue()
         return self.by_task[task]
@@ -73,7 +73,7 @@
             self.by_task[task].remove(member)
 
     def on_newest_position(self, task: str, position: int) -> None:
-        """Record the newest position of a task that another acceptor knows."""
+        """Record the newest position of a task that another acceptor has reported."""
         queue = self.for_task(task)
         queue.newest_position = max(position, queue.newest_position)
 
--- a/linenbridge/fleet/leases/quorum.py
+++ b/linenbridge/fleet/leases/quorum.py
@@ -1,7 +1,7 @@
-"""The acceptors that grant leases, and what is a majority of them.
+"""The acceptors that grant leases, and the rules for a majority of them.
 
-Decides without I/O. While the quorum changes by one acceptor, a majority of the previous list and one of the
-present list are needed.
+Decides without I/O. While the quorum changes by one acceptor, majorities of both the previous and the present
+list are required.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Quorum(NamedTuple):
-    """The acceptors by name, in order.
+    """The names of the acceptors, in order.
 
     `previous` is the list of the previous generation; it differs from `acceptors` by one name at most.
     """
@@ -30,7 +30,7 @@
 
 
 def majority(acceptors: Collection[str]) -> int:
-    """Return how many of the acceptors are a majority."""
+    """Return the smallest number of the acceptors that is a majority."""
     return len(acceptors) // 2 + 1
 
 
@@ -43,7 +43,7 @@
 
 
 def majority_impossible(quorum: Quorum, rejected_by: Collection[str]) -> bool:
-    """Return whether the acceptors that have not rejected a request are no majority."""
+    """Return whether so many acceptors have rejected a request that no majority can grant it."""
     return not has_majority(quorum, [name for name in quorum.all_acceptors() if name not in rejected_by])
 
 
@@ -59,8 +59,8 @@
 def majority_sent_at(quorum: Quorum, sent_at: Mapping[str, int]) -> int | None:
     """Return the latest time such that a majority has granted a request sent then or later.
 
-    `sent_at` has, for each acceptor that has granted a request, when the latest of these was sent. Without a
-    majority the result is None.
+    `sent_at` has, for each acceptor that has granted a request, when the latest of these requests was
+    sent. Return None without a majority.
     """
     found = []
     for acceptors in (quorum.acceptors, quorum.previous):
--- a/linenbridge/fleet/leases/recovery.py
+++ b/linenbridge/fleet/leases/recovery.py
@@ -1,10 +1,10 @@
-"""When an acceptor may grant again: after a restart, after its store was restored from an older copy, after a
-change of the quorum.
+"""Decide when an acceptor may grant again after a restart, a restored store or a change of the quorum.
 
 Decides without I/O. An acceptor that may have lost records first waits for the longest lease, then collects
-the records of enough others that every majority it was part of has a member among them. When the quorum
-changes it waits for majorities of both lists, all with the new settings. An acceptor without records does not
-count as one with records, unless all acceptors report that they have none: then the quorum is founded anew.
+the records of enough other acceptors that every majority of which it was part includes one of them. After a
+change of the quorum, an acceptor waits until majorities of both lists have the new settings. An acceptor
+without records does not count as one with records; if all acceptors report that they have none, the quorum is
+founded anew.
 """
 
 from __future__ import annotations
@@ -19,13 +19,13 @@
 from linenbridge.fleet.leases.stored_state import AcceptorFacts
 from linenbridge.fleet.leases.timing import LeaseTiming, restart_wait
 
-REPORT_AFTER_HEARTBEATS = 3  # without enough replies before the log says what is missing
-REPORT_AGAIN_HEARTBEATS = 30  # between two such lines
-MAX_MISSED_GENERATIONS = 2  # a record of an older one may lack what the last change settled
+REPORT_AFTER_HEARTBEATS = 3  # without enough replies, before the missing ones are logged
+REPORT_AGAIN_HEARTBEATS = 30  # between two of these log lines
+MAX_MISSED_GENERATIONS = 2  # older records may lack what the last change of the quorum settled
 
 
 class RecoveryGrounds(StrEnum):
-    """Why an acceptor may grant again; the values stand in the log."""
+    """Why an acceptor may grant again; the values are written to the log."""
 
     FOUNDED = "founded"  # no acceptor has records
     RECOVERED = "recovered"  # enough others have sent their records
@@ -35,7 +35,7 @@
 class StoreRestored(NamedTuple):
     """The evidence that a store was restored from an older copy."""
 
-    reporter: str  # who has seen a newer revision
+    reporter: str  # the member that has seen a newer revision
     own_revision: int
     reported_revision: int
 
@@ -44,7 +44,7 @@
     """The recovery of one acceptor.
 
     `done` is true while the acceptor may grant, and `confirmed_generation` is the newest generation of the
-    quorum in which it could. `store_restored` is true while the acceptor recovers from a store that was
+    quorum in which it could grant. `store_restored` is true while the acceptor recovers from a store that was
     restored from an older copy. Times are microseconds of the acceptor's clock.
     """
 
@@ -68,13 +68,13 @@
         self.acceptor = acceptor
         self.quorum = quorum
         self.timing = timing
-        self.number = incarnation  # of this recovery; replies to another one do not count
+        self.number = incarnation  # of this recovery; replies to another one are ignored
         self.has_records = facts.has_records
         self.confirmed_generation = facts.confirmed_generation
         self.store_restored = False
-        # The recovery in which each other acceptor reported no records when this one founded the quorum.
+        # By acceptor, the number of its recovery without records when this acceptor founded the quorum.
         self.founded_with: dict[str, int] = {}
-        self._restored: StoreRestored | None = None  # evidence that is still to be logged
+        self._restored: StoreRestored | None = None  # evidence that is not logged yet
         trusts_store = trusted and facts.has_records
         self._begin(now, records_lost=not trusts_store)
         if trusts_store and facts.confirmed_generation == quorum.generation:
@@ -92,26 +92,26 @@
     # ---- inputs ----------------------------------------------------------------------------------------
 
     def on_quorum(self, now: int, quorum: Quorum) -> None:
-        """Take over a changed quorum. A recovery that is under way goes on."""
+        """Apply a changed quorum. A recovery in progress continues."""
         self.quorum = quorum
         if self.done:
             self._begin(now, records_lost=False)
         self._replies = {}
 
     def on_store_restored(self, now: int, evidence: StoreRestored) -> None:
-        """Recover as an acceptor without records, as the store was restored from an older copy."""
+        """Recover as an acceptor without records, because the store was restored from an older copy."""
         self._restored = None if self.store_restored else evidence
         self.store_restored = True
         self._begin(now, records_lost=True)
 
     def on_recovery_request(self, acceptor: str, generation: int) -> None:
-        """Drop the reply of an acceptor whose request shows that it has changed its generation since."""
+        """Drop the reply of an acceptor if its request shows that its generation has changed since."""
         reply = self._replies.get(acceptor)
         if reply is not None and reply.generation != generation:
             del self._replies[acceptor]
 
     def accept_reply(self, message: RecoveryReply) -> bool:
-        """Store a reply to this recovery, under the same generation; return whether it is one."""
+        """Store a reply to this recovery that has the same generation; return whether it was stored."""
         matches = message.number == self.number and message.generation == self.quorum.generation
         if self.done or not matches or message.acceptor not in self.quorum.all_acceptors():
             return False
@@ -121,7 +121,7 @@
     # ---- outputs ---------------------------------------------------------------------------------------
 
     def requests(self, now: int) -> Iterator[tuple[str, RecoveryRequest]]:
-        """Yield requests to the other acceptors, once each heartbeat after the waiting time."""
+        """Yield requests to the other acceptors, once per heartbeat after the waiting time."""
         if self.done or now < self._next_request_at:
             return
         self._next_request_at = now + self.timing.heartbeat
@@ -142,16 +142,16 @@
         return grounds
 
     def wake_at(self) -> int | None:
-        """Return when there is something to do without an input; None when done."""
+        """Return when the next request or report is due; None when done."""
         return None if self.done else min(self._next_request_at, self._report_at)
 
     def errors_to_report(self, now: int) -> Iterator[LeaseError]:
-        """Yield errors for the log: a restored store once, missing replies at intervals."""
+        """Yield errors to log: a restored store once, missing replies at intervals."""
         if self._restored is not None:
             reporter, own, reported = self._restored
             self._restored = None
             yield DiskWentBack(
-                f"{reporter} has seen revision {reported}, the store is at {own}", self.acceptor
+                f"{reporter} has seen revision {reported}, the store is at revision {own}", self.acceptor
             )
         if not self.done and now >= self._report_at:
             self._report_at = now + REPORT_AGAIN_HEARTBEATS * self.timing.heartbeat
@@ -190,7 +190,7 @@
         return everyone and not any(reply.has_records for reply in self._replies.values())
 
     def _majorities_have_settings(self, with_records: set[str]) -> bool:
-        """Return whether a majority of each list has the new settings, and the previous one's has records."""
+        """Return whether a majority of each list has the new settings, the previous one's also records."""
         knowing = set(with_records)
         if self.has_records and not self.store_restored and self._is_recent(self.confirmed_generation):
             knowing.add(self.acceptor)
@@ -204,5 +204,5 @@
         return reply.has_records and self._is_recent(reply.confirmed_generation)
 
     def _is_recent(self, generation: int) -> bool:
-        """An acceptor that missed more changes of the quorum does not know what the last one settled."""
+        """Return whether a generation is recent: older records may lack what the last change settled."""
         return generation >= self.quorum.generation - MAX_MISSED_GENERATIONS
--- a/linenbridge/fleet/leases/stored_state.py
+++ b/linenbridge/fleet/leases/stored_state.py
@@ -1,4 +1,4 @@
-"""What an acceptor stores durably."""
+"""The types of an acceptor's durable state."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class AcceptorFacts(NamedTuple):
-    """What an acceptor stores beside the records of slots."""
+    """The facts that an acceptor stores beside the records of slots."""
 
-    has_records: bool = False  # whether the store goes back to the founding of the quorum
+    has_records: bool = False  # whether the records are complete since the quorum was founded
     confirmed_generation: int = 0  # the newest generation of the quorum in which the acceptor could grant
-    revision: int = 0  # counts all records that were ever stored
+    revision: int = 0  # the number of records that were ever stored
     max_lease: int = 0  # microseconds; the longest lease that any settings have allowed
 
 
--- a/linenbridge/fleet/leases/timing.py
+++ b/linenbridge/fleet/leases/timing.py
@@ -1,6 +1,6 @@
 """Durations of leases: how long a holder may act, how long an acceptor keeps a slot from other members.
 
-Decides without I/O. Readings of two clocks are never compared: only durations are, corrected by the bound on
+Decides without I/O. Readings of two clocks are never compared; only durations are, corrected by the bound on
 clock drift. The rule is that of Gray and Cheriton, "Leases" (1989), section 2.
 """
 
@@ -17,7 +17,7 @@
 
     lease: int  # length of a lease on the acceptor's clock, from the moment of the grant
     max_lease: int  # upper bound of every member's `lease`
-    clock_drift_ppm: int  # the most that two members' clocks drift apart, in millionths
+    clock_drift_ppm: int  # upper bound of the drift between two members' clocks
     heartbeat: int  # between two requests of a proposer
 
 
