--- a/linenbridge/fleet/hosting/acceptor_host.py
+++ b/linenbridge/fleet/hosting/acceptor_host.py
@@ -1,7 +1,7 @@
-"""The acceptor of a member on its reactor: its records on disk, written by one thread in their order.
+"""Run a member's acceptor on the reactor; one thread writes its records to disk, in order.
 
-Owns the store and the thread. A message that waits for a record is passed on after the write; if the store
-fails, the acceptor grants nothing more.
+Owns the store and the thread. A message that depends on a record is passed on after the record is written; if
+the store fails, the acceptor grants nothing more.
 """
 
 from __future__ import annotations
@@ -26,8 +26,11 @@
 
 
 class AcceptorHost:
-    """An acceptor with its store. `on_persisted(send)` is called in the reactor's thread with each message
-    whose record is on disk, `on_store_failed()` after a write has failed."""
+    """An acceptor with its store.
+
+    In the reactor's thread, `on_persisted(send)` is called with each message whose records are on disk, and
+    `on_store_failed()` after a write has failed.
+    """
 
     def __init__(
         self,
@@ -39,7 +42,7 @@
         on_persisted: Callable[[Send], None],
         on_store_failed: Callable[[], None],
     ) -> None:
-        """Read the store, then start the acceptor, which grants nothing if the store can't be used."""
+        """Read the store, then start the acceptor; it grants nothing if the store can't be used."""
         self.reactor = reactor
         self.log = log
         self.on_persisted = on_persisted
@@ -62,7 +65,7 @@
         self.pool.start()
 
     def _read(self, path: str) -> tuple[str, StoredState]:
-        """What failed, empty if nothing did, and the state to begin with: none if the store can't be read."""
+        """Return the error's text, empty without one, and the stored state, without records on an error."""
         without_records = self.store.read()
         try:
             self.store = open_records(path)
@@ -72,7 +75,7 @@
             return str(error), without_records
 
     def persist(self, decision: Persist) -> None:
-        """Write the records, then pass on the message that waits for them."""
+        """Write the records, then pass on the message that depends on them."""
         done = deferToThreadPool(
             self.reactor, self.pool, self.store.write, decision.records, self.acceptor.facts()
         )
--- a/linenbridge/fleet/hosting/freezes.py
+++ b/linenbridge/fleet/hosting/freezes.py
@@ -1,7 +1,7 @@
-"""The rollout freezes of one process: the wall clock and one timer around `FreezeSchedule`.
+"""Run the schedule of rollout freezes in one process, by the wall clock and one timer.
 
-Owns the timer. The schedule decides; its decisions go to the decision module, where this process has one, and
-to the log.
+Owns the timer. The decisions of `FreezeSchedule` go to the log and, if this process has one, to the decision
+module.
 """
 
 from __future__ import annotations
@@ -14,18 +14,21 @@
 from linenbridge.fleet.freezes.windows import Window
 from linenbridge.logging.event_log import Log
 
-MAX_WAIT = 30.0  # seconds: the wall clock may be set meanwhile
+MAX_WAIT = 30.0  # seconds; bounded because the wall clock may be set during the wait
 MIN_WAIT = 0.001  # seconds
 
 
 def wall_clock() -> int:
-    """Unix time in microseconds."""
+    """Return the Unix time in microseconds."""
     return time.time_ns() // 1000
 
 
 class RolloutFreezes:
-    """Calls `on_change(zones)` with each change: the zones where rollouts are frozen, the empty set for
-    everywhere, None for nowhere."""
+    """Runs the schedule of rollout freezes.
+
+    `on_change(zones)` is called at each change with the zones in which rollouts are frozen: the empty set for
+    everywhere, None for nowhere.
+    """
 
     def __init__(
         self,
@@ -34,7 +37,7 @@
         log: Log,
         on_change: Callable[[frozenset[str] | None], None],
     ) -> None:
-        """Begin at once: windows that are open now are reported before this returns."""
+        """Start; windows that are open now are reported to `on_change` before this returns."""
         self.reactor = reactor
         self.log = log
         self.on_change = on_change
--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -1,7 +1,6 @@
 """One member of the fleet on a reactor: proposer, acceptor if it is one, connections and task actions.
 
-Connects these, and keeps one timer for both state machines. It carries out what they decide, and decides
-nothing itself.
+Connects these parts, keeps one timer for both state machines, and carries out their decisions.
 """
 
 from __future__ import annotations
@@ -38,25 +37,25 @@
 from linenbridge.peering.connections import PeerConnections, call_soon
 
 MESSAGE_DECODER = msgspec.msgpack.Decoder(Message)
-CLOSE_DELAY = 0.25  # seconds in which the last messages of a member that leaves are sent
+CLOSE_DELAY = 0.25  # seconds for sending the last messages of a leaving member
 MIN_WAIT = 0.001  # seconds
-REPLY_PEERS_PER_CONNECTION = 4  # of the bound on remembered proposers: a peer restarts under another name
-SPARE_REPLY_PEERS = 64
+REPLY_PEERS_PER_CONNECTION = 4  # more than 1, because a restarted peer has a new proposer name
+SPARE_REPLY_PEERS = 64  # added to the bound by connections
 
 
 def ignore_rollout_freeze(zones: frozenset[str] | None) -> None:
-    """Do nothing: for a member without a decision module."""
+    """Do nothing; for a member without a decision module."""
 
 
 def ignore_task_change(task: str) -> None:
-    """Do nothing: for a member of whose tasks nobody else takes notice."""
+    """Do nothing; for a member whose leases are used by task actions only."""
 
 
 class Member:
     """A member from its start until it leaves.
 
     `incarnation` differs for each start of the process. `on_rollout_freeze` is called with the zones in which
-    releases are frozen: the empty set for everywhere, None for nowhere. `on_task_changed` is called with a
+    rollouts are frozen: the empty set for everywhere, None for nowhere. `on_task_changed` is called with a
     task whose lease this member has acquired or lost.
     """
 
@@ -106,7 +105,7 @@
         )
 
     def _request_leases(self, now: int) -> None:
-        """Request the leases of all tasks; a turn to restart is requested by `leave` alone."""
+        """Request the leases of all tasks except `restarts`, which only `leave` requests."""
         for task in self.settings.tasks:
             if task.task != RESTARTS_TASK:
                 self.proposer.request_lease(now, task.task, task.slots)
@@ -143,7 +142,7 @@
     # ---- messages ------------------------------------------------------------------------------------------
 
     def _on_message(self, peer: str, message: Message) -> None:
-        """A message counts only if its sender is the member at the other end of the connection."""
+        """Process a message; drop it if its sender is not the member at the other end of the connection."""
         now = clock.now()
         if isinstance(message, LeaseReply):
             if message.acceptor == peer:
@@ -166,7 +165,7 @@
                 acceptor.on_recovery_reply(now, message)
 
     def _remember_reply_peer(self, proposer: str, peer: str) -> None:
-        """Remember whom to send the reply to; entries of lost connections are dropped beyond a bound."""
+        """Record the peer to which replies are sent; beyond a bound, drop entries of lost connections."""
         connected = self.connections.by_peer
         if len(self.reply_peers) > REPLY_PEERS_PER_CONNECTION * len(connected) + SPARE_REPLY_PEERS:
             self.reply_peers = {name: peer for name, peer in self.reply_peers.items() if peer in connected}
@@ -213,15 +212,15 @@
                 self.log.event("task.lost", task=task, slot=slot, term=term)
                 call_soon(self.reactor, self.on_task_changed, task)
 
-    # ---- the process ---------------------------------------------------------------------------------------
+    # ---- called by the process -----------------------------------------------------------------------------
 
     def active_lease(self, task: str) -> ActiveLease | None:
-        """The lease under which this member may act on the task at this moment, or None."""
+        """Return the lease under which this member may act on the task at this moment, or None."""
         term = self.proposer.may_act(clock.now(), task)
         return None if term is None else ActiveLease(term, self.proposer.leases[task].slot)
 
     def update_settings(self, settings: FleetSettings) -> None:
-        """Take new settings: quorum, addresses and windows count at once, all else from the next start."""
+        """Apply new settings: quorum, addresses and windows at once, all else at the next start."""
         now = clock.now()
         self.settings = settings
         self.proposer.on_quorum(now, settings.quorum)
@@ -238,9 +237,9 @@
         self.turn()
 
     def leave(self, on_left: Callable[[], None]) -> None:
-        """Leave in order: wait for a turn to restart if the settings have turns, then give all leases back.
+        """Wait for a slot of the task `restarts`, if configured, then give all leases back and close.
 
-        `on_left()` is called once all is closed.
+        The wait is bounded by `restart_timeout`. `on_left()` is called once all is closed.
         """
         if self.on_left is not None:
             return
@@ -254,7 +253,7 @@
         self.turn()
 
     def _release_leases(self) -> None:
-        """Give all leases back but the turn to restart, which ends by itself, and close a little later."""
+        """Give back all leases except that of `restarts`, which expires, and close after `CLOSE_DELAY`."""
         if self.has_left:
             return
         self.has_left = True
@@ -276,7 +275,7 @@
             self.on_left()
 
     def facts(self) -> dict[str, int]:
-        """Figures for the line of counters."""
+        """Return the fields of this member for the log line of counters."""
         active = sum(self.active_lease(task) is not None for task in self.proposer.leases)
         return {
             "connected_peers": len(self.connections.by_peer),
--- a/linenbridge/fleet/hosting/quorum_member.py
+++ b/linenbridge/fleet/hosting/quorum_member.py
@@ -1,6 +1,6 @@
-"""A process that is a member of the fleet and serves no RPCs, such as one that only votes in the quorum.
+"""A process that is a member of the fleet and serves no RPCs, such as one that is an acceptor only.
 
-Owns its start and end. It imports nothing that serves RPCs.
+Owns the start and the end of the process. Imports no module that serves RPCs.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def run(configuration: Configuration, settings: FleetSettings) -> int:
-    """Run one process from start to end; returns the exit code."""
+    """Run one process from start to end; return the exit code."""
     log = structured_log(sys.stderr.buffer, configuration.log_level)
     reactor = lifecycle.begin(log)
     member = Member(settings, reactor, log, secrets.randbits(INCARNATION_BITS))
@@ -40,11 +40,14 @@
 
 
 def reload_settings(path: str, member: Member, log: Log) -> None:
-    """Read the settings again. They take effect as a whole, or not at all if anything is wrong."""
+    """Read the settings again; they take effect as a whole, or not at all if they have a fault."""
     try:
         settings = fleet_settings(read(path))
         if settings is None or settings.member != member.settings.member:
-            raise ConfigurationError(f"{path}: element 'fleet': it names another member, or is gone")
+            raise ConfigurationError(
+                f"{path}: element 'fleet' is missing, or its `member` is not {member.settings.member}; "
+                "restart the process to change its member"
+            )
     except ConfigurationError as error:
         log.event("fleet.settings_rejected", error=str(error))
         return
--- a/linenbridge/fleet/hosting/task_actions.py
+++ b/linenbridge/fleet/hosting/task_actions.py
@@ -1,8 +1,8 @@
 """Task actions: fenced requests that the holder of a task's lease sends to the resource it works on.
 
 Owns the requests. The lease is checked right before each one is sent, and each carries the lease's term, so
-that the resource can reject an older one. A request that was rejected or failed is not repeated: the next is
-due after the task's interval.
+that the resource can reject an older term. A request that was rejected or failed is not repeated: the next
+one is due after the task's interval.
 """
 
 from __future__ import annotations
@@ -37,10 +37,10 @@
 
 @implementer(IBodyProducer)
 class RequestBody:
-    """A short body, written at once."""
+    """A short request body that is written at once."""
 
     def __init__(self, data: bytes) -> None:
-        """Produce these bytes."""
+        """Store the bytes of the body."""
         self.data = data
         self.length = len(data)
 
@@ -62,16 +62,16 @@
 
 
 class DiscardedBody(Protocol):
-    """A response's body, which nobody reads; one longer than `MAX_RESPONSE_BYTES` ends its connection."""
+    """Discards a response's body; closes the connection if the body exceeds `MAX_RESPONSE_BYTES`."""
 
     transport: Any  # a TCP transport: Twisted declares the general type
 
     def __init__(self) -> None:
-        """Nothing is received yet."""
+        """Start with no bytes received."""
         self.received_bytes = 0
 
     def dataReceived(self, data: bytes) -> None:
-        """Twisted: count what is received."""
+        """Twisted: count the received bytes."""
         self.received_bytes += len(data)
         if self.received_bytes > MAX_RESPONSE_BYTES:
             self.transport.loseConnection()
@@ -91,7 +91,7 @@
         log: Log,
         active_lease: Callable[[str], ActiveLease | None],
     ) -> None:
-        """Set a timer for each task."""
+        """Set a timer for each task that has an address."""
         self.member = member
         self.reactor = reactor
         self.log = log
@@ -115,7 +115,7 @@
             return
         action = {"task": task.task, "place": lease.slot, "term": lease.term, "by": self.member}
         host, port = address
-        body: Any = RequestBody(msgspec.json.encode(action))  # mypy reads no interfaces of zope
+        body: Any = RequestBody(msgspec.json.encode(action))  # mypy does not support zope's interfaces
         response = self.agent.request(b"POST", f"http://{host}:{port}/act".encode(), HEADERS, body)
         self.in_flight.add(task.task)
         response.addTimeout(RESPONSE_TIMEOUT, self.reactor)
@@ -141,7 +141,7 @@
 
     @staticmethod
     def _log_fields(action: dict[str, Any]) -> dict[str, Any]:
-        """An action's fields under the names that all lines of the log give them."""
+        """Return an action's fields under the names that the log uses."""
         return {
             "task": action["task"],
             "slot": action["place"],
@@ -150,7 +150,7 @@
         }
 
     def close(self) -> None:
-        """Send no further action."""
+        """Stop the timers, so that no further action is sent."""
         for timer in self.timers.values():
             if timer.active():
                 timer.cancel()
