--- a/linenbridge/fleet/configuration.py
+++ b/linenbridge/fleet/configuration.py
@@ -24,9 +24,9 @@
 MIN_ACCEPTORS = 3
 MAX_ACCEPTORS = 7
 MAX_SLOTS = 64  # per task
-MIN_BEATS_PER_LEASE = 3
-MILLIONTHS_PER_PERCENT = 10_000
-MAX_DRIFT = 500_000  # millionths, exclusive
+MIN_HEARTBEATS_PER_LEASE = 3
+PPM_PER_PERCENT = 10_000
+MAX_DRIFT_PPM = 500_000  # exclusive
 
 
 class FleetSettingsError(FileFaultError):
@@ -103,28 +103,28 @@
 
 def _lease_timing(element: etree._Element, values: dict[str, str], faults: SettingsFaults) -> LeaseTiming:
     lease = duration(values["lease"])
-    longest = duration(values["longest"])
-    beat = duration(values["beat"])
-    drift = round(float(values["clocks-apart"].rstrip("%")) * MILLIONTHS_PER_PERCENT)
-    if longest < lease:
+    max_lease = duration(values["longest"])
+    heartbeat = duration(values["beat"])
+    drift_ppm = round(float(values["clocks-apart"].rstrip("%")) * PPM_PER_PERCENT)
+    if max_lease < lease:
         faults.add(
             element,
             f"`lease` is {values['lease']}, longer than `longest` ({values['longest']})",
             "lower `lease`, or raise `longest` at all members first",
         )
-    if beat * MIN_BEATS_PER_LEASE > lease:
+    if heartbeat * MIN_HEARTBEATS_PER_LEASE > lease:
         faults.add(
             element,
             f"`lease` is {values['lease']}, shorter than three times `beat`",
             "shorten `beat` or lengthen `lease`",
         )
-    if drift >= MAX_DRIFT:
+    if drift_ppm >= MAX_DRIFT_PPM:
         faults.add(
             element,
             f"`clocks-apart` is {values['clocks-apart']}, but has to be below 50%",
             "set it to the upper bound of the clock drift between the machines",
         )
-    return LeaseTiming(lease, longest, drift, beat)
+    return LeaseTiming(lease, max_lease, drift_ppm, heartbeat)
 
 
 def _members(element: etree._Element, own_name: str, faults: SettingsFaults) -> dict[str, Address]:
@@ -174,9 +174,9 @@
 def _quorum(
     element: etree._Element, own_name: str, members: dict[str, Address], faults: SettingsFaults
 ) -> Quorum:
-    """Return the acceptors before and after the change that `joins` or `leaves` at one of them announces."""
-    now: list[str] = []
-    before: list[str] = []
+    """Return the quorum; its lists differ by the acceptor that is marked by `joins` or `leaves`."""
+    current: list[str] = []
+    previous: list[str] = []
     changes = 0
     for row in element.iterchildren(f"{SPACE}acceptor", f"{SPACE}seat"):
         name = row.get("name")
@@ -187,16 +187,16 @@
             faults.add(
                 row, f"no member is named {name}", "add the member with its address, or correct the name"
             )
-        if name in now or name in before:
+        if name in current or name in previous:
             faults.add(row, f"{name} is an acceptor already", "name each acceptor once")
         if joins and leaves:
             faults.add(row, f"{name} has both `joins` and `leaves`", "set one of the two")
         if not leaves:
-            now.append(name)
+            current.append(name)
         if not joins:
-            before.append(name)
-    _check_quorum(element, len(now), changes, faults)
-    return Quorum(int(attributes(element, "quorum")["generation"]), tuple(now), tuple(before))
+            previous.append(name)
+    _check_quorum(element, len(current), changes, faults)
+    return Quorum(int(attributes(element, "quorum")["generation"]), tuple(current), tuple(previous))
 
 
 def _check_quorum(element: etree._Element, acceptors: int, changes: int, faults: SettingsFaults) -> None:
--- a/linenbridge/fleet/freezes/windows.py
+++ b/linenbridge/fleet/freezes/windows.py
@@ -16,7 +16,7 @@
 from dateutil.relativedelta import relativedelta
 
 MAX_OCCURRENCES = 100_000  # examined per window
-CALENDAR_ARGUMENTS = {"day": "days", "week": "weeks", "month": "months", "year": "years"}
+RELATIVEDELTA_ARGUMENTS = {"day": "days", "week": "weeks", "month": "months", "year": "years"}
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,11 +54,11 @@
     A local time that a clock change repeats or skips has two readings: the later one is returned if `late` is
     true, else the earlier one.
     """
-    readings = [_unix(local.replace(tzinfo=time_zone, fold=fold)) for fold in (0, 1)]
+    readings = [_timestamp_microseconds(local.replace(tzinfo=time_zone, fold=fold)) for fold in (0, 1)]
     return max(readings) if late else min(readings)
 
 
-def _unix(moment: datetime) -> int:
+def _timestamp_microseconds(moment: datetime) -> int:
     return int(moment.timestamp()) * 1_000_000 + moment.microsecond
 
 
@@ -71,14 +71,14 @@
     if window.cancelled:
         return
     for number in range(MAX_OCCURRENCES if window.every else 1):
-        shift = relativedelta(**{CALENDAR_ARGUMENTS[window.unit]: number * window.every})
+        shift = relativedelta(**{RELATIVEDELTA_ARGUMENTS[window.unit]: number * window.every})
         begin = window.begin + shift
         end = window.end + shift
         if window.last is not None and begin > window.last:
             return
-        found = Occurrence(
+        occurrence = Occurrence(
             unix_microseconds(begin, window.time_zone, late=False),
             unix_microseconds(end, window.time_zone, late=True),
         )
-        if found.end > after:
-            yield found
+        if occurrence.end > after:
+            yield occurrence
--- a/linenbridge/fleet/hosting/member.py
+++ b/linenbridge/fleet/hosting/member.py
@@ -156,7 +156,7 @@
     ) -> None:
         match message:
             case LeaseRequest() if message.proposer.partition("#")[0] == peer:
-                self._remember_reply_peer(message.proposer, peer)
+                self._record_reply_peer(message.proposer, peer)
                 acceptor.on_request(now, message)
             case RecoveryRequest() if message.acceptor == peer:
                 acceptor.on_recovery_request(now, message)
@@ -164,7 +164,7 @@
                 acceptor.on_revision(peer, message.revision)
                 acceptor.on_recovery_reply(now, message)
 
-    def _remember_reply_peer(self, proposer: str, peer: str) -> None:
+    def _record_reply_peer(self, proposer: str, peer: str) -> None:
         """Record the peer to which replies are sent; beyond a bound, drop entries of lost connections."""
         connected = self.connections.by_peer
         if len(self.reply_peers) > REPLY_PEERS_PER_CONNECTION * len(connected) + SPARE_REPLY_PEERS:
--- a/linenbridge/fleet/hosting/task_actions.py
+++ b/linenbridge/fleet/hosting/task_actions.py
@@ -106,9 +106,11 @@
                 self._schedule(task, task.action_address)
 
     def _schedule(self, task: TaskSettings, address: tuple[str, int]) -> None:
-        self.timers[task.task] = self.reactor.callLater(task.action_interval / 1e6, self._act, task, address)
+        self.timers[task.task] = self.reactor.callLater(
+            task.action_interval / 1e6, self._send_action, task, address
+        )
 
-    def _act(self, task: TaskSettings, address: tuple[str, int]) -> None:
+    def _send_action(self, task: TaskSettings, address: tuple[str, int]) -> None:
         self._schedule(task, address)
         lease = self.active_lease(task.task)
         if lease is None or task.task in self.in_flight:
--- a/linenbridge/fleet/leases/proposer.py
+++ b/linenbridge/fleet/leases/proposer.py
@@ -31,8 +31,8 @@
 from linenbridge.fleet.leases.timing import LeaseTiming
 
 QUORUM_LOST_HEARTBEATS = 3  # without a majority's reply, before the loss is logged
-MIN_RETRY_PARTS = 20  # the shortest retry delay is a heartbeat divided by this
-MIN_HEARTBEAT_PART = 0.9  # the shortest random interval of requests, so that members don't all send at once
+RETRY_DELAY_DIVISOR = 20  # the shortest retry delay is a heartbeat divided by this
+MIN_INTERVAL_FRACTION = 0.9  # of a heartbeat; random intervals, so that members don't all send at once
 MAX_OPEN_REQUESTS = 64  # replies to older requests are ignored
 
 
@@ -183,7 +183,7 @@
             if lease.choose_slot(statuses, free, now + self.timing.heartbeat):
                 acquires.append(lease.acquire(self.timing.lease))
             elif (free_in := lease.next_free_in(statuses)) is not None:
-                self._request_by(now + free_in + self.timing.heartbeat // MIN_RETRY_PARTS)
+                self._request_by(now + free_in + self.timing.heartbeat // RETRY_DELAY_DIVISOR)
         if acquires:
             self._send(now, acquires, [], [])
             self._request_by(now + self.timing.heartbeat)
@@ -228,8 +228,8 @@
                 self._expire(now, lease)
             elif lease.phase is LeasePhase.ACQUIRING:
                 if now >= lease.next_phase_at or majority_impossible(self.quorum, lease.rejected_by):
-                    parts = self.random.uniform(1, MIN_RETRY_PARTS)
-                    lease.restart_waiting(now + int(parts * self.timing.heartbeat / MIN_RETRY_PARTS))
+                    parts = self.random.uniform(1, RETRY_DELAY_DIVISOR)
+                    lease.restart_waiting(now + int(parts * self.timing.heartbeat / RETRY_DELAY_DIVISOR))
                     self._request_by(lease.next_phase_at)
             elif lease.phase is LeasePhase.RELEASING and now >= lease.next_phase_at:
                 del self.leases[task]
@@ -281,8 +281,8 @@
                 queries.append(StatusQuery(task, lease.slots, position))
             if lease.pending_relinquish is not None:
                 relinquishes.append(lease.pending_relinquish)
-        part = self.random.uniform(MIN_HEARTBEAT_PART, 1.0)
-        self._next_request_at = now + int(self.timing.heartbeat * part)
+        fraction = self.random.uniform(MIN_INTERVAL_FRACTION, 1.0)
+        self._next_request_at = now + int(self.timing.heartbeat * fraction)
         if acquires or relinquishes or queries:
             self._send(now, acquires, relinquishes, queries)
 
--- a/linenbridge/fleet/leases/recovery.py
+++ b/linenbridge/fleet/leases/recovery.py
@@ -172,7 +172,7 @@
                 self.has_records = True
                 self._records_lost = False
                 self.confirmed_generation = self.quorum.generation - 1
-            elif self._nobody_has_records():
+            elif self._no_acceptor_has_records():
                 self.founded_with = {name: reply.recovery for name, reply in self._replies.items()}
                 return RecoveryGrounds.FOUNDED
         with_records = {name for name, reply in self._replies.items() if self._has_last_change(reply)}
@@ -183,21 +183,24 @@
             return None
         return RecoveryGrounds.RECOVERED if self._records_lost else RecoveryGrounds.RECONFIGURED
 
-    def _nobody_has_records(self) -> bool:
+    def _no_acceptor_has_records(self) -> bool:
         """Return whether all acceptors have replied, and none has records."""
-        present = {*self._replies, self.acceptor}
-        everyone = present >= set(self.quorum.all_acceptors())
-        return everyone and not any(reply.has_records for reply in self._replies.values())
+        responding = {*self._replies, self.acceptor}
+        all_replied = responding >= set(self.quorum.all_acceptors())
+        return all_replied and not any(reply.has_records for reply in self._replies.values())
 
     def _majorities_have_settings(self, with_records: set[str]) -> bool:
         """Return whether a majority of each list has the new settings, the previous one's also records."""
-        knowing = set(with_records)
+        with_last_change = set(with_records)
         if self.has_records and not self.store_restored and self._is_recent(self.confirmed_generation):
-            knowing.add(self.acceptor)
-        present = {*self._replies, self.acceptor}
+            with_last_change.add(self.acceptor)
+        responding = {*self._replies, self.acceptor}
         return all(
             sum(acceptor in names for acceptor in acceptors) >= majority(acceptors)
-            for acceptors, names in ((self.quorum.previous, knowing), (self.quorum.acceptors, present))
+            for acceptors, names in (
+                (self.quorum.previous, with_last_change),
+                (self.quorum.acceptors, responding),
+            )
         )
 
     def _has_last_change(self, reply: RecoveryReply) -> bool:
--- a/linenbridge/fleet/store/acceptor_records.py
+++ b/linenbridge/fleet/store/acceptor_records.py
@@ -29,7 +29,7 @@
 WRITE_RECORD = "insert or replace into place values (?, ?, ?, ?, ?, ?)"
 WRITE_FACT = "insert or replace into fact values (?, ?, ?)"
 FACT_NAMES = ("remembers", "settled", "stamp", "longest")  # stored names of AcceptorFacts' fields, in order
-OPENED = "opened"  # a fact that is written at each start, to detect a disk that can't be written
+OPENED_FACT = "opened"  # a fact that is written at each start, to detect a disk that can't be written
 # Errors caused by the disk, the file system or another process; any other SQLite error means a damaged file.
 UNUSABLE_ERRORS = (
     apsw.BusyError,
@@ -91,7 +91,7 @@
             with self.connection:
                 self._execute(f"pragma user_version={SCHEMA_VERSION}")
                 self.connection.execute(TABLES)
-                self._write_fact(OPENED, 1)
+                self._write_fact(OPENED_FACT, 1)
             return StoredState(self._read_facts(), tuple(self._read_records()))
 
     def write(self, records: Iterable[SlotRecord], facts: AcceptorFacts) -> None:
@@ -166,9 +166,9 @@
     """Return the acceptor's store; NoRecords if `path` is empty."""
     if not path:
         return NoRecords()
-    folder = os.path.dirname(path)
-    if folder and not os.path.isdir(folder):
-        raise StoreUnusable(f"the directory {folder} does not exist", path)
+    directory = os.path.dirname(path)
+    if directory and not os.path.isdir(directory):
+        raise StoreUnusable(f"the directory {directory} does not exist", path)
     return AcceptorRecords(path)
 
 
