--- a/linenbridge/fleet/freezes/windows.py
+++ b/linenbridge/fleet/freezes/windows.py
@@ -66,7 +66,7 @@
     """Yield all occurrences that end later than `after`, in order; `after` is in Unix microseconds.
 
     Each occurrence is computed from the first one by the calendar: one on the 31st falls on the last day of a
-    shorter month, and on the 31st again in the next long one.
+    shorter month, and on the 31st again in the next longer one.
     """
     if window.cancelled:
         return
--- a/linenbridge/fleet/hosting/acceptor_host.py
+++ b/linenbridge/fleet/hosting/acceptor_host.py
@@ -65,7 +65,7 @@
         self.pool.start()
 
     def _read(self, path: str) -> tuple[str, StoredState]:
-        """Return the error's text, empty without one, and the stored state, without records on an error."""
+        """Return the error's text (empty if none) and the stored state (without records on an error)."""
         without_records = self.store.read()
         try:
             self.store = open_records(path)
--- a/linenbridge/fleet/leases/errors.py
+++ b/linenbridge/fleet/leases/errors.py
@@ -27,7 +27,7 @@
 
 
 class OlderTerm(Rejection):
-    """The requested term is not above the newest that the acceptor knows."""
+    """The requested term is not above the newest that the acceptor has recorded."""
 
     code = "older"
     advice = "nothing to do: the member asks again with a newer term"
--- a/linenbridge/fleet/leases/messages.py
+++ b/linenbridge/fleet/leases/messages.py
@@ -119,8 +119,8 @@
 class SlotRecord(Struct, array_like=True, frozen=True):
     """An acceptor's record of one slot.
 
-    It holds the newest term and its holder, the newest term that was relinquished, and the time left of the
-    lease. The time left is not stored: it is 0 in a record that is written to or read from a store.
+    The record holds the newest term and its holder, the newest term that was relinquished, and the time left
+    of the lease. The time left is not stored: it is 0 in a record that is written to or read from a store.
     """
 
     task: str
--- a/linenbridge/fleet/leases/recovery.py
+++ b/linenbridge/fleet/leases/recovery.py
@@ -62,8 +62,8 @@
         """Begin a recovery.
 
         `facts` are those of the store at the start. A `trusted` store can't have been restored from an older
-        copy, so its acceptor grants at once if the quorum is the one that the store knows. `incarnation`
-        differs for each start of the process.
+        copy, so its acceptor grants at once if the stored generation of the quorum is the present one.
+        `incarnation` differs for each start of the process.
         """
         self.acceptor = acceptor
         self.quorum = quorum
@@ -190,7 +190,10 @@
         return all_replied and not any(reply.has_records for reply in self._replies.values())
 
     def _majorities_have_settings(self, with_records: set[str]) -> bool:
-        """Return whether a majority of each list has the new settings, the previous one's also records."""
+        """Return whether majorities of both lists have the new settings.
+
+        The majority of the previous list must also have records.
+        """
         with_last_change = set(with_records)
         if self.has_records and not self.store_restored and self._is_recent(self.confirmed_generation):
             with_last_change.add(self.acceptor)
@@ -207,5 +210,5 @@
         return reply.has_records and self._is_recent(reply.confirmed_generation)
 
     def _is_recent(self, generation: int) -> bool:
-        """Return whether a generation is recent: older records may lack what the last change settled."""
+        """Return whether at most `MAX_MISSED_GENERATIONS` changes of the quorum have followed."""
         return generation >= self.quorum.generation - MAX_MISSED_GENERATIONS
