--- a/linenbridge/distribution/hosting/change_client.py
+++ b/linenbridge/distribution/hosting/change_client.py
@@ -71,7 +71,7 @@
 
     def _on_connection_changed(self, peer: str, *, connected: bool) -> None:
         if connected and not self.pending_candidate:
-            self._request(peer)
+            self._send_to(peer)
         elif not connected and peer == self.pending_candidate and not self._is_decided():
             self.outcome.maybe_accepted = True
             self._try_next_candidate()
@@ -79,23 +79,23 @@
     def _is_decided(self) -> bool:
         return self.outcome.accepted is not None or self.outcome.rejected is not None
 
-    def _request(self, candidate: str) -> None:
+    def _send_to(self, candidate: str) -> None:
         self.pending_candidate = candidate
         self.connections.send(candidate, self.change)
 
     def _try_next_candidate(self) -> None:
         """After a delay, send to the next candidate in order that is connected."""
-        self.timer = self.reactor.callLater(RETRY_DELAY, self._request_next, self.pending_candidate)
+        self.timer = self.reactor.callLater(RETRY_DELAY, self._send_to_next, self.pending_candidate)
         self.pending_candidate = ""
 
-    def _request_next(self, last: str) -> None:
+    def _send_to_next(self, previous_candidate: str) -> None:
         if self.pending_candidate or self._is_decided():
             return
-        position = self.candidates.index(last) + 1
-        in_order = self.candidates[position:] + self.candidates[:position]
+        next_index = self.candidates.index(previous_candidate) + 1
+        in_order = self.candidates[next_index:] + self.candidates[:next_index]
         connected = [candidate for candidate in in_order if candidate in self.connections.by_peer]
         if connected:
-            self._request(connected[0])
+            self._send_to(connected[0])
 
     def _on_published(self, peer: str, published: Published) -> None:
         if peer != self.pending_candidate or published.request != self.change.request:
--- a/linenbridge/distribution/hosting/core_driver.py
+++ b/linenbridge/distribution/hosting/core_driver.py
@@ -85,8 +85,8 @@
         return state_machine.next_decision(now)
 
     def _set_timer(self, min_wait: float = MIN_WAIT) -> None:
-        wakes = [state_machine.wake_at() for state_machine in self.state_machines]
-        due = min((at for at in wakes if at is not None), default=None)
+        wake_times = [state_machine.wake_at() for state_machine in self.state_machines]
+        due = min((time for time in wake_times if time is not None), default=None)
         self._cancel_timer()
         if due is not None and not self._closed:
             wait = max(min_wait, (due - clock.now()) / 1e6)
--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -165,15 +165,15 @@
         """SIGHUP: settings of the distribution take effect at the next start; log that."""
         self.log.event("distribution.not_reloaded", path=path, do="restart the process to take them up")
 
-    def close(self, closed: Callable[[], None] = lambda: None) -> None:
-        """End checks and turns, close connections, write the last pages; then call `closed`."""
+    def close(self, on_closed: Callable[[], None] = lambda: None) -> None:
+        """End checks and turns, close connections, write the last pages; then call `on_closed`."""
         self.apply_queue.close()
         self.driver.close()
         self.connections.close()
         if self.page_writer is None:
-            closed()
+            on_closed()
         else:
-            self.page_writer.close(closed)
+            self.page_writer.close(on_closed)
 
 
 class OpenedView(NamedTuple):
--- a/linenbridge/distribution/hosting/page_writer.py
+++ b/linenbridge/distribution/hosting/page_writer.py
@@ -51,13 +51,13 @@
         if self.store.error is None:
             self.store.error = ViewStoreError(f"{type(error).__name__}: {error}", self.store.path)
 
-    def close(self, closed: Callable[[], None]) -> None:
-        """Write what has changed, then close the store and call `closed`."""
+    def close(self, on_closed: Callable[[], None]) -> None:
+        """Write what has changed, then close the store and call `on_closed`."""
         if self.timer is not None:
             self.timer.cancel()
             self._write_changed()
-        self.writer.close(lambda: self._close_store(closed))
+        self.writer.close(lambda: self._close_store(on_closed))
 
-    def _close_store(self, closed: Callable[[], None]) -> None:
+    def _close_store(self, on_closed: Callable[[], None]) -> None:
         self.store.close()
-        closed()
+        on_closed()
--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -75,8 +75,8 @@
         )
 
     def _refresh_term(self, now: int) -> None:
-        grant = self.member.active_lease(self.task)
-        term = None if grant is None else grant.term
+        lease = self.member.active_lease(self.task)
+        term = None if lease is None else lease.term
         self.publisher.on_term(now, term)
 
     def _on_task_changed(self, task: str) -> None:
@@ -106,8 +106,8 @@
 
     def _execute(self, _state_machine: StateMachine, _now: int, decision: Decision) -> None:
         match decision:
-            case Send(to, Published() as answer):
-                self.clients.send(to, answer)
+            case Send(to, Published() as response):
+                self.clients.send(to, response)
             case Send(to, message):
                 self.relays.send(to, message)
             case Event():
@@ -130,14 +130,14 @@
         """SIGHUP: settings of the fleet take effect at once, those of the distribution at the next start."""
         reload_settings(path, self.member, self.log)
 
-    def close(self, closed: Callable[[], None]) -> None:
-        """Release the lease, then close all connections; then call `closed`."""
+    def close(self, on_closed: Callable[[], None]) -> None:
+        """Release the lease, then close all connections; then call `on_closed`."""
         self.port.stopListening()
-        self.member.leave(lambda: self._close(closed))
+        self.member.leave(lambda: self._close(on_closed))
 
-    def _close(self, closed: Callable[[], None]) -> None:
+    def _close(self, on_closed: Callable[[], None]) -> None:
         self.driver.turn()
         self.driver.close()
         self.clients.close()
         self.relays.close()
-        closed()
+        on_closed()
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -51,7 +51,7 @@
 
 class Relay:
     """One relay of `settings.region`. Raises RelayStoreError where its disk cannot be used. A disk that fails
-    later on ends the relay's use, so `on_broken` is called once, for the process to end."""
+    later on ends the relay's use, so `on_disk_failed` is called once, for the process to end."""
 
     def __init__(
         self,
@@ -59,12 +59,12 @@
         reactor: Any,
         log: Log,
         random: Random,
-        on_broken: Callable[[], None] = lambda: None,
+        on_disk_failed: Callable[[], None] = lambda: None,
     ) -> None:
         self.settings = settings
         self.reactor = reactor
         self.log = log
-        self.on_broken: Callable[[], None] | None = on_broken
+        self.on_disk_failed: Callable[[], None] | None = on_disk_failed
         now = clock.now()
         self.disk = RelayLog(settings.store, settings.region)
         self.replica = Replica(
@@ -72,12 +72,12 @@
         )
         self.feed = self._new_feed(random, now)
         self.followers = {
-            region: self._follower(region, random, now)
+            region: self._new_follower(region, random, now)
             for region in settings.regions
             if region != settings.region
         }
         self.region_of = {
-            relay: region for region, found in settings.regions.items() for relay in found.relays
+            relay: region for region, members in settings.regions.items() for relay in members.relays
         }
         self.writer = GroupWriter[Persist](
             reactor, self.disk.persist, self._on_persisted, self._on_persist_failed
@@ -85,7 +85,7 @@
         self.downstream = self._new_downstream()
         self.upstream = self._new_upstream()
         state_machines: list[StateMachine] = [self.replica, *self.followers.values(), self.feed]
-        self.driver = CoreDriver(reactor, state_machines, self._execute, on_turn_end=self._report_broken_disk)
+        self.driver = CoreDriver(reactor, state_machines, self._execute, on_turn_end=self._report_failed_disk)
         if settings.listen is None:
             raise ValueError("a relay listens")
         self.port = reactor.listenTCP(settings.listen[1], self.downstream, interface=settings.listen[0])
@@ -131,7 +131,7 @@
             on_peer_changed=self._on_upstream_changed,
         )
 
-    def _follower(self, region: str, random: Random, now: int) -> Follower:
+    def _new_follower(self, region: str, random: Random, now: int) -> Follower:
         """The follower of another region. What the feed holds of it is not on disk, so it starts from the
         beginning."""
         settings = self.settings
@@ -206,8 +206,8 @@
             case Persist():
                 self.writer.put(decision)
             case Committed():
-                settled = self.replica.log.purged_up_to
-                self.feed.on_committed(now, decision.region, decision.changes, settled)
+                purged_up_to = self.replica.log.purged_up_to
+                self.feed.on_committed(now, decision.region, decision.changes, purged_up_to)
             case Apply() | ReplaceRange():
                 self._put_into_feed(now, decision)
             case SubtreeProgress():
@@ -229,10 +229,10 @@
                 digest = self.feed.on_range(now, content)
         self.followers[content.region].on_applied(now, content.region, content.upto, digest)
 
-    def _report_broken_disk(self) -> None:
-        if self.replica.failed and self.on_broken is not None:
-            on_broken, self.on_broken = self.on_broken, None
-            call_soon(self.reactor, on_broken)
+    def _report_failed_disk(self) -> None:
+        if self.replica.failed and self.on_disk_failed is not None:
+            on_disk_failed, self.on_disk_failed = self.on_disk_failed, None
+            call_soon(self.reactor, on_disk_failed)
 
     def _address(self, relay: str) -> tuple[str, int]:
         return self.settings.regions[self.region_of[relay]].relays[relay]
@@ -275,17 +275,17 @@
         """SIGHUP: settings of the distribution take effect at the next start; log that."""
         self.log.event("distribution.not_reloaded", path=path, do="restart the process to take them up")
 
-    def close(self, closed: Callable[[], None]) -> None:
-        """Close connections, end turns, then close the disk after its last write; then call `closed`."""
+    def close(self, on_closed: Callable[[], None]) -> None:
+        """Close connections, end turns, then close the disk after its last write; then call `on_closed`."""
         self.port.stopListening()
         self.driver.close()
         self.downstream.close()
         self.upstream.close()
-        self.writer.close(lambda: self._close_disk(closed))
+        self.writer.close(lambda: self._close_disk(on_closed))
 
-    def _close_disk(self, closed: Callable[[], None]) -> None:
+    def _close_disk(self, on_closed: Callable[[], None]) -> None:
         self.disk.close()
-        closed()
+        on_closed()
 
 
 def _feed_settings(settings: DistributionSettings) -> FeedSettings:
--- a/linenbridge/distribution/hosting/server.py
+++ b/linenbridge/distribution/hosting/server.py
@@ -17,7 +17,7 @@
 from linenbridge.logging.structured import structured_log
 from linenbridge.process import lifecycle
 
-EXIT_BROKEN = 1  # exit code of a process that ended by itself: its log says why
+EXIT_DISK_FAILED = 1  # exit code of a process that ended by itself: its log says why
 
 
 class HostedRole(Protocol):
@@ -29,8 +29,8 @@
     def reload(self, path: str, /) -> None:
         """SIGHUP, with the path of the settings."""
 
-    def close(self, closed: Callable[[], None], /) -> None:
-        """Give everything back, then call `closed`."""
+    def close(self, on_closed: Callable[[], None], /) -> None:
+        """Give everything back, then call `on_closed`."""
 
 
 class DistributionProcess:
@@ -62,7 +62,7 @@
         from linenbridge.distribution.hosting.relay import Relay
 
         try:
-            return Relay(settings, self.reactor, self.log, self.random, self._on_broken)
+            return Relay(settings, self.reactor, self.log, self.random, self._on_disk_failed)
         except RelayStoreError as error:
             raise ConfigurationError(str(error)) from error
 
@@ -88,8 +88,8 @@
         lifecycle.run(self.reactor, self.log, self._stop, self._log_counters, self._reload)
         return self.exit_code
 
-    def _on_broken(self) -> None:
-        self.exit_code = EXIT_BROKEN
+    def _on_disk_failed(self) -> None:
+        self.exit_code = EXIT_DISK_FAILED
         self._stop()
 
     def _stop(self) -> None:
--- a/linenbridge/peering/connections.py
+++ b/linenbridge/peering/connections.py
@@ -170,7 +170,7 @@
     def on_hello(self, name: str) -> dict[str, Any]:
         """The peer's name. One that is not authorized, or a second one, costs the connection."""
         if name not in self.connections.peer_names or self.peer:
-            self.connections.log_rarely("peer.unauthorized", name[:MAX_LOGGED_NAME])
+            self.connections.log_sampled("peer.unauthorized", name[:MAX_LOGGED_NAME])
             self.transport.abortConnection()
             return {}
         self.peer = name
@@ -196,7 +196,7 @@
         self._on_malformed(failure.value)
 
     def _on_malformed(self, error: BaseException) -> None:
-        self.connections.log_rarely("peer.malformed", self.peer, error=str(error))
+        self.connections.log_sampled("peer.malformed", self.peer, error=str(error))
         self.transport.abortConnection()
 
     def sendBox(self, box: amp.AmpBox) -> None:
@@ -205,7 +205,7 @@
             self.send_buffer.write(box.serialize())
 
     def _on_send_buffer_full(self, discarded: int) -> None:
-        self.connections.log_rarely("peer.send_buffer_full", self.peer, bytes=discarded)
+        self.connections.log_sampled("peer.send_buffer_full", self.peer, bytes=discarded)
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
@@ -268,7 +268,7 @@
             return self.max_connections or 0
         return CONNECTIONS_PER_PEER * len(self.peer_names) + SPARE_CONNECTIONS
 
-    def log_rarely(self, event: str, peer: str, **fields: object) -> None:
+    def log_sampled(self, event: str, peer: str, **fields: object) -> None:
         """Count an event by the peer's name if the settings hold the names; else under one label, since a
         peer can make up any number of names."""
         if isinstance(self.peer_names, frozenset):
@@ -298,7 +298,7 @@
         """A peer has sent its name: messages to that name go by this connection, the newest, from now on."""
         is_first = connection.peer not in self.by_peer
         self.by_peer[connection.peer] = connection
-        self.log_rarely("peer.connected", connection.peer)
+        self.log_sampled("peer.connected", connection.peer)
         if is_first:
             self.on_peer_changed(connection.peer, connected=True)
 
@@ -307,7 +307,7 @@
         self.open_connections.discard(connection)
         if self.by_peer.get(connection.peer) is connection:
             del self.by_peer[connection.peer]
-            self.log_rarely("peer.disconnected", connection.peer)
+            self.log_sampled("peer.disconnected", connection.peer)
             self.on_peer_changed(connection.peer, connected=False)
 
     def send(self, peer: str, message: Any) -> None:
@@ -318,7 +318,7 @@
         if connection is None or connection.transport is None:
             return
         if len(payload) > MAX_MESSAGE_BYTES:
-            self.log_rarely("peer.message_too_long", peer, bytes=len(payload))
+            self.log_sampled("peer.message_too_long", peer, bytes=len(payload))
             return
         connection.callRemote(Deliver, word=payload)
 
