--- a/linenbridge/distribution/hosting/apply_queue.py
+++ b/linenbridge/distribution/hosting/apply_queue.py
@@ -1,6 +1,6 @@
-"""Content on its way into a view: checked in short steps, then handed over in order.
+"""A queue of content for a view: each batch or range is checked in short steps, then passed on in order.
 
-One batch or range is handed over in one turn of the reactor, so that a request sees one version or the next.
+A batch or range is passed on whole in one turn of the reactor, so that no request is routed by a part of it.
 """
 
 from __future__ import annotations
@@ -17,27 +17,29 @@
 
 
 class ApplyQueue:
-    """Calls `on_checked(content)` for each content that is put, in order, once the view has examined its sets
-    of routes. Only these checks take long enough to be spread over turns: about a millisecond a step."""
+    """Calls `on_checked(content)` for each queued batch or range, in order, after its routes are checked.
+
+    The view's checks of routes are spread over turns of the reactor, about a millisecond a step; all other
+    work is short enough for one turn.
+    """
 
     def __init__(self, reactor: Any, view: View, on_checked: Callable[[Content], None]) -> None:
         self.reactor = reactor
         self.view = view
         self.on_checked = on_checked
         self.pending: deque[Content] = deque()
-        self._unchecked: deque[Change] = deque()  # sets of routes of the first content
-        self._check_steps: Iterator[None] = iter(())  # of the check of one of them
+        self._unchecked: deque[Change] = deque()  # routes of the first pending content
+        self._check_steps: Iterator[None] = iter(())  # remaining steps of the check of one set of routes
         self._closed = False
 
     def put(self, content: Content) -> None:
-        """Add content behind all that waits; without routes and with nothing before it, it is handed over at
-        once."""
+        """Append content to the queue; content without routes is passed on at once if the queue is empty."""
         self.pending.append(content)
         if len(self.pending) == 1:
             self._start_checks()
 
     def close(self) -> None:
-        """Hand nothing over any more."""
+        """Stop checking, and pass no more content on."""
         self._closed = True
 
     def _start_checks(self) -> None:
@@ -57,7 +59,7 @@
             self.reactor.callLater(0, self._start_checks)
 
     def _run_check_step(self) -> bool:
-        """One step of the checks; False once all are done."""
+        """Run one step of the checks; return False once all checks are done."""
         for _ in self._check_steps:
             return True
         if not self._unchecked:
--- a/linenbridge/distribution/hosting/change_client.py
+++ b/linenbridge/distribution/hosting/change_client.py
@@ -1,8 +1,9 @@
-"""The client of one change: sends it to its region's publisher and collects the responses.
+"""The client of one change: sends the change to its region's publisher and collects the responses.
 
-Owns the connections to the candidates and the choice of the next one: a candidate that does not publish, or
-whose connection is lost before it has accepted, is followed by the next. Sending twice is harmless: the same
-value is published again. A change that some candidate may have kept is never reported as rejected.
+Owns the connections to the candidates and selects the candidate: the client tries the next one when a
+candidate is not the publisher, or when its connection is lost before it has accepted the change. Sending a
+change twice is harmless, since the same value is published again. A change that some candidate may have
+stored is never reported as rejected.
 """
 
 from __future__ import annotations
@@ -26,8 +27,7 @@
 
 @dataclass
 class Outcome:
-    """What is known of the change in the end: the responses that decide, and whether a candidate may have
-    kept the change without a response."""
+    """The final responses to a change, and whether a candidate may have stored it without confirming it."""
 
     accepted: Published | None = None
     in_force: Published | None = None
@@ -36,8 +36,11 @@
 
 
 class ChangeClient:
-    """Sends `change` until a candidate has accepted or rejected it. Calls `on_response(published)` with each
-    response that says something new of the change, and `on_done()` after the last one."""
+    """Sends `change` until a candidate has accepted or rejected it.
+
+    Calls `on_response(published)` with each response that changes the outcome, and `on_done()` after the last
+    one. Responses that only lead to the next candidate are not passed on.
+    """
 
     def __init__(
         self,
@@ -54,7 +57,7 @@
         self.on_done = on_done
         self.outcome = Outcome()
         self.candidates = list(region.publishers)
-        self.pending_candidate = ""  # the one whose response counts; "" between two candidates
+        self.pending_candidate = ""  # only its responses are used; "" between two candidates
         self.timer: Any = None
         name = f"author-{os.getpid()}-{secrets.token_hex(4)}"
         self.connections = PeerConnections(
@@ -84,7 +87,7 @@
         self.connections.send(candidate, self.change)
 
     def _try_next_candidate(self) -> None:
-        """After a delay, send to the next candidate in order that is connected."""
+        """After a delay, send the change to the next connected candidate in the order of the settings."""
         self.timer = self.reactor.callLater(RETRY_DELAY, self._send_to_next, self.pending_candidate)
         self.pending_candidate = ""
 
@@ -120,7 +123,7 @@
                 self._try_next_candidate()
 
     def close(self) -> None:
-        """Close all connections; a change without a response by now may be accepted later."""
+        """Close all connections; a change that was sent and has no response yet may still be accepted."""
         self.outcome.maybe_accepted |= bool(self.pending_candidate) and not self._is_decided()
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
--- a/linenbridge/distribution/hosting/core_driver.py
+++ b/linenbridge/distribution/hosting/core_driver.py
@@ -1,7 +1,7 @@
 """Drives state machines on a reactor: pulls their decisions in order and keeps one timer for all of them.
 
-Owns the timer of one process's part and the order in which state machines are pulled. Decides nothing: a host
-calls inputs of its state machines, then `turn`, which hands each decision to the host's `execute`.
+Owns the timer of one host and the order in which its state machines are pulled. A host calls inputs of its
+state machines, then `turn`, which passes each decision to the host's `execute`.
 """
 
 from __future__ import annotations
@@ -12,25 +12,25 @@
 from linenbridge.distribution.decisions import Decision
 from linenbridge.peering import clock
 
-MIN_WAIT = 0.001  # seconds: a state machine that is due again at once leaves time for the rest of the process
-WAIT_AFTER_ERROR = 1.0  # seconds after an exception, which is in the log: one error does not end the part
+MIN_WAIT = 0.001  # seconds; leaves time for the rest of the process when a state machine is due at once
+WAIT_AFTER_ERROR = 1.0  # seconds; the reactor logs the exception, and the host continues
 
 
 class StateMachine(Protocol):
-    """What all state machines of the distribution have in common. Times are whole microseconds."""
+    """The interface of all state machines of the distribution. Times are whole microseconds."""
 
     def next_decision(self, now: int, /) -> Decision | None:
-        """The next decision, in order; None where there is none at this time."""
+        """Return the next decision in order, or None if there is none at this time."""
 
     def wake_at(self) -> int | None:
-        """When `next_decision` is to be called without an input; None: not before the next input."""
+        """Return when to call `next_decision` without an input; None: not before the next input."""
 
 
 class CoreDriver:
     """Pulls `state_machines` in their order.
 
     `execute(state_machine, now, decision)` may call inputs of any state machine: their decisions are pulled
-    in the same turn. `before_pull(now)` runs ahead of each pull, `on_turn_end()` at the end of each turn.
+    in the same turn. `before_pull(now)` is called before each pull, `on_turn_end()` at the end of each turn.
     """
 
     def __init__(
@@ -51,10 +51,11 @@
         self._closed = False
 
     def turn(self) -> None:
-        """Execute all pending decisions, then set the timer to the first `wake_at`. A call from within a turn
-        does nothing: the turn goes on until no state machine decides anything.
+        """Execute all pending decisions, then set the timer to the earliest `wake_at`.
 
-        An exception of `execute` or of a state machine is raised after the timer is set to try again.
+        A call from within a turn does nothing: the turn continues until no state machine has a decision.
+        An exception of `execute` or of a state machine is raised again once the timer for the next turn is
+        set.
         """
         if self._in_turn or self._closed:
             return
@@ -62,7 +63,7 @@
         try:
             while self._pull_all():
                 pass
-        except Exception:  # whatever it is, the next turn comes; the reactor logs it
+        except Exception:  # the next turn follows any exception; the reactor logs it
             self._set_timer(WAIT_AFTER_ERROR)
             raise
         finally:
@@ -71,7 +72,7 @@
         self._set_timer()
 
     def _pull_all(self) -> bool:
-        """One pass over the state machines; whether any of them decided something."""
+        """Pull each state machine until it has no decision; return whether there was any decision."""
         decided = False
         for state_machine in self.state_machines:
             while (decision := self._pull(state_machine)) is not None:
@@ -97,6 +98,6 @@
             self._timer.cancel()
 
     def close(self) -> None:
-        """Pull nothing more."""
+        """Cancel the timer, and ignore all later calls of `turn`."""
         self._closed = True
         self._cancel_timer()
--- a/linenbridge/distribution/hosting/disk_writer.py
+++ b/linenbridge/distribution/hosting/disk_writer.py
@@ -1,6 +1,6 @@
-"""Writes to a disk beside the reactor: one call at a time in a thread, in order; what waits goes together.
+"""Writes to a disk in a thread: one call at a time, in order; items that wait are written together.
 
-Owns the queue before the thread. Does not look into what is written.
+Owns the queue of items for the thread, whose content it does not interpret.
 """
 
 from __future__ import annotations
@@ -14,8 +14,11 @@
 
 
 class GroupWriter(Generic[Item]):
-    """Calls `write(items)` in a thread of the reactor's pool, then `on_written(items)` or
-    `on_failed(items, error)` in the reactor's thread."""
+    """Groups queued items into writes.
+
+    Calls `write(items)` in a thread of the reactor's pool, then `on_written(items)` or
+    `on_failed(items, error)` in the reactor's thread.
+    """
 
     def __init__(
         self,
@@ -33,7 +36,7 @@
         self._on_idle: Callable[[], None] | None = None
 
     def put(self, item: Item) -> None:
-        """Write an item, together with all that waits once the write under way has ended."""
+        """Write an item at once, or with all other waiting items after the write in progress."""
         self.pending.append(item)
         if not self.writing:
             self._start_write()
@@ -53,7 +56,7 @@
         result.addBoth(self._on_write_ended)
 
     def _on_write_ended(self, result: object) -> object:
-        """Go on, also after a callback that raised: Twisted logs the failure that is passed on."""
+        """Start the next write, also after a callback raised: Twisted logs the failure that is returned."""
         self.writing = False
         if self.pending:
             self._start_write()
--- a/linenbridge/distribution/hosting/follower_settings.py
+++ b/linenbridge/distribution/hosting/follower_settings.py
@@ -1,4 +1,4 @@
-"""What gateways and relays share as hosts of a `Follower`: its settings, and its inputs for messages."""
+"""Functions for hosts of a `Follower` (gateways and relays): its settings, and the input for each message."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 
 
 def follower_settings(settings: DistributionSettings, rate: int) -> FollowerSettings:
-    """Settings of a `Follower` that takes `rate` bytes a second; 0: no bound."""
+    """Return the settings of a `Follower` that receives up to `rate` bytes a second; 0: no bound."""
     return FollowerSettings(rate=rate, relay_timeout=settings.silence, heartbeat=settings.heartbeat)
 
 
 def relay_locations(settings: DistributionSettings, regions: list[str]) -> list[RelayLocation]:
-    """The relays of these regions."""
+    """Return the name and region of each relay of `regions`."""
     return [RelayLocation(relay, region) for region in regions for relay in settings.regions[region].relays]
 
 
 def relay_names(settings: DistributionSettings) -> frozenset[str]:
-    """The relays of all regions."""
+    """Return the names of the relays of all regions."""
     return frozenset(relay for region in settings.regions.values() for relay in region.relays)
 
 
 def deliver(
     follower: Follower, now: int, relay: str, message: Batch | RangeSnapshot | FollowRejected
 ) -> None:
-    """Call the input of the follower for a relay's message. `now` in microseconds."""
+    """Pass a relay's message to the input of the follower for its type. `now` is in microseconds."""
     match message:
         case Batch():
             follower.on_batch(now, relay, message)
--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -1,8 +1,8 @@
 """Hosts a gateway's part in the distribution: a follower of relays, its view, and the view's store.
 
-Owns the connections to relays, and connects the follower, the queue of content that is checked, and the
-writer of the view's pages. Decides nothing. It has no thread of its own, so that many gateways, each under
-its own name, can share a process.
+Owns the connections to relays, and connects the follower, the queue of content to check, and the writer of
+the view's pages. A gateway has no thread of its own, so that many gateways with different names can share a
+process.
 """
 
 from __future__ import annotations
@@ -35,8 +35,10 @@
 
 
 class Gateway:
-    """Follows relays and keeps `view` up to date; `store` holds its pages. Calls `on_applied` after each
-    change of the view, in the same turn."""
+    """Follows relays and keeps `view` up to date; `store` holds the view's pages.
+
+    Calls `on_applied` after each change of the view, in the same turn of the reactor.
+    """
 
     def __init__(
         self,
@@ -70,7 +72,7 @@
         self.driver.turn()
 
     def _new_follower(self, random: Random) -> Follower:
-        """The follower of all regions, from the positions that the view has."""
+        """Return a follower of all regions that starts from the positions of the view."""
         settings = self.settings
         regions = list(settings.regions)
         return Follower(
@@ -142,7 +144,7 @@
     # ---- the process -----------------------------------------------------------------------------------
 
     def facts(self) -> dict[str, int]:
-        """The gateway's fields of the counters' line."""
+        """Return the gateway's fields of the log line with counters."""
         counters = self.follower.counters
         view = self.view
         return {
@@ -162,11 +164,11 @@
         }
 
     def reload(self, path: str) -> None:
-        """SIGHUP: settings of the distribution take effect at the next start; log that."""
-        self.log.event("distribution.not_reloaded", path=path, do="restart the process to take them up")
+        """On SIGHUP, log that settings of the distribution take effect at the next start."""
+        self.log.event("distribution.not_reloaded", path=path, do="restart the process to apply the settings")
 
     def close(self, on_closed: Callable[[], None] = lambda: None) -> None:
-        """End checks and turns, close connections, write the last pages; then call `on_closed`."""
+        """Stop checks and turns, close connections, write the changed pages, then call `on_closed`."""
         self.apply_queue.close()
         self.driver.close()
         self.connections.close()
@@ -177,16 +179,16 @@
 
 
 class OpenedView(NamedTuple):
-    """A view and the store that it came from, if the settings name one."""
+    """A view, and the store that it was restored from if the settings name one."""
 
     view: View
     store: ViewStore | None
 
 
 def open_view(settings: DistributionSettings, methods: Methods, log: Log, unix_offset: int = 0) -> OpenedView:
-    """Open the view of the last life where the settings name a store that holds one, else a new one.
+    """Open the view that an earlier process has stored, or an empty view if none is stored.
 
-    `unix_offset` is the view's: the microseconds that make Unix time of the gateway's clock.
+    `unix_offset` is added to the gateway's clock to get Unix time, in microseconds.
     """
     limits = ViewLimits(max_compiled_bytes=settings.compiled_routes)
 
--- a/linenbridge/distribution/hosting/link_messages.py
+++ b/linenbridge/distribution/hosting/link_messages.py
@@ -1,5 +1,7 @@
-"""Decoders of the messages that each end of a connection takes; any other message costs its sender the
-connection (`linenbridge/peering/connections.py`)."""
+"""Decoders of the messages that each end of a connection accepts.
+
+Any other message closes the connection of its sender (`linenbridge/peering/connections.py`).
+"""
 
 from __future__ import annotations
 
@@ -24,6 +26,6 @@
 
 RELAY_DECODER = Decoder(Prepare | Fetch | Append | Follow | Progress | Digests)
 FOLLOWER_DECODER = Decoder(Batch | RangeSnapshot | FollowRejected)
-PUBLISHER_DECODER = Decoder(Prepared | Fetched | Appended | Progress)  # from relays
-CHANGE_REQUEST_DECODER = Decoder(Publish)  # a publisher's, from change clients
+PUBLISHER_DECODER = Decoder(Prepared | Fetched | Appended | Progress)  # at a publisher, from relays
+CHANGE_REQUEST_DECODER = Decoder(Publish)  # at a publisher, from change clients
 CHANGE_CLIENT_DECODER = Decoder(Published)
--- a/linenbridge/distribution/hosting/methods.py
+++ b/linenbridge/distribution/hosting/methods.py
@@ -1,5 +1,7 @@
-"""Which methods routes may name, and the longest deadline: both from the platform's configuration, which the
-settings' attribute `platform` names."""
+"""The methods that routes may name, and the longest deadline.
+
+Both are read from the platform's configuration, the file in the attribute `platform` of the settings.
+"""
 
 from __future__ import annotations
 
@@ -21,14 +23,17 @@
 
 
 def methods_in(platform: ProcessConfiguration) -> Methods:
-    """The methods of a configuration that is read already."""
+    """Return the methods of a configuration that has been read."""
     max_deadline = platform.settings.max_deadline()
     return Methods(tuple(startup(platform.settings).methods), max_deadline)
 
 
 def methods_of(settings: DistributionSettings) -> Methods:
-    """The methods of the file that the settings name; none where they name no file: no set of routes passes
-    its checks then. Raises ConfigurationError where the file cannot be used."""
+    """Return the methods of the file that the settings name.
+
+    If the settings name no file, there are no methods, and no set of routes passes its checks. Raise
+    ConfigurationError if the file cannot be read or is invalid.
+    """
     if not settings.platform:
         return Methods()
     try:
--- a/linenbridge/distribution/hosting/page_writer.py
+++ b/linenbridge/distribution/hosting/page_writer.py
@@ -1,6 +1,6 @@
-"""Writes a gateway's view to its store: the pages that have changed, together, once an interval.
+"""Writes a gateway's view to its store: all changed pages in one write, once an interval.
 
-Owns the timer and the order of writes; the store owns the file and says what went wrong with it.
+Owns the timer and the order of writes; the store owns the file and logs its errors.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class ViewPageWriter:
-    """Writes the changed pages of `view` to `store` in a thread. A store that fails is not written again."""
+    """Writes the changed pages of `view` to `store` in a thread, until a write fails."""
 
     def __init__(self, reactor: Any, log: Log, view: View, store: ViewStore) -> None:
         self.reactor = reactor
@@ -30,7 +30,7 @@
         self.timer: Any = None
 
     def on_changed(self) -> None:
-        """Write the view's pages at the end of the interval that this change begins."""
+        """Start an interval, unless one is running; its end writes the view's changed pages."""
         if self.timer is None and self.store.error is None:
             self.timer = self.reactor.callLater(STORE_INTERVAL, self._write_changed)
 
@@ -44,7 +44,7 @@
             self.store.write(pages)
 
     def _on_written(self, _groups: list[list[StoredPage]]) -> None:
-        """The store logs its own errors."""
+        """Do nothing: the store logs its own errors."""
 
     def _on_failed(self, _groups: list[list[StoredPage]], error: BaseException) -> None:
         self.log.failed("distribution.store", error)
@@ -52,7 +52,7 @@
             self.store.error = ViewStoreError(f"{type(error).__name__}: {error}", self.store.path)
 
     def close(self, on_closed: Callable[[], None]) -> None:
-        """Write what has changed, then close the store and call `on_closed`."""
+        """Write the changed pages, then close the store and call `on_closed`."""
         if self.timer is not None:
             self.timer.cancel()
             self._write_changed()
--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -1,7 +1,7 @@
 """Hosts a candidate for its region's publisher: a member of the fleet, the state machine, and connections.
 
 Owns the connections to relays and from change clients. The lease's term is read before each pull of
-decisions, so that a process that lost the lease while it was paused sends nothing more. Decides nothing.
+decisions, so that a process that lost the lease while it was paused sends nothing more to relays.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class PublisherProcess:
-    """One candidate; it publishes while it holds its region's task. `check` examines each value."""
+    """A candidate that publishes while it holds its region's task. `check` validates each value."""
 
     def __init__(
         self,
@@ -55,7 +55,9 @@
             fleet_settings, reactor, log, secrets.randbits(60), on_task_changed=self._on_task_changed
         )
         if settings.listen is None:
-            raise ValueError("a publisher listens")
+            raise ValueError(
+                "a publisher has no address to listen on; add `listen` to the element distribution"
+            )
         self.port = reactor.listenTCP(settings.listen[1], self.clients, interface=settings.listen[0])
         for relay, address in relays.items():
             self.relays.dial(relay, address)
@@ -63,7 +65,7 @@
         self.driver.turn()
 
     def _new_clients(self) -> PeerConnections:
-        """The connections of change clients, which name themselves."""
+        """Return the connections of change clients, which choose their own names."""
         return PeerConnections(
             self.settings.name,
             WellFormedNames(),
@@ -114,7 +116,7 @@
                 self.log.event(decision.name, **decision.fields)
 
     def facts(self) -> dict[str, int]:
-        """The publisher's fields of the counters' line."""
+        """Return the publisher's fields of the log line with counters."""
         publisher = self.publisher
         return {
             **self.member.facts(),
@@ -127,11 +129,11 @@
         }
 
     def reload(self, path: str) -> None:
-        """SIGHUP: settings of the fleet take effect at once, those of the distribution at the next start."""
+        """On SIGHUP, apply the fleet's settings; those of the distribution take effect at the next start."""
         reload_settings(path, self.member, self.log)
 
     def close(self, on_closed: Callable[[], None]) -> None:
-        """Release the lease, then close all connections; then call `on_closed`."""
+        """Release the lease, close all connections, then call `on_closed`."""
         self.port.stopListening()
         self.member.leave(lambda: self._close(on_closed))
 
--- a/linenbridge/distribution/hosting/relay.py
+++ b/linenbridge/distribution/hosting/relay.py
@@ -1,9 +1,9 @@
 """Hosts a relay: its region's replica with its disk, the feed, and a follower of each other region.
 
-Owns two sets of connections: downstream (followers and publishers connect to it) and upstream (it connects to
-relays of other regions). The log is written by one thread at a time, in order, and responses leave after the
-write. A message is taken only from a peer that may send it: appends from publishers that the settings name, a
-follower's messages under its own name. Decides nothing.
+Owns two sets of connections: downstream (followers and publishers connect to the relay) and upstream (the
+relay connects to relays of other regions). The log is written by one thread at a time, in order, and
+responses are sent after the write. A message is accepted only from a peer that may send it: a publisher's
+messages from publishers that the settings name, and a follower's messages under the follower's own name.
 """
 
 from __future__ import annotations
@@ -45,13 +45,15 @@
 from linenbridge.peering import clock
 from linenbridge.peering.connections import PeerConnections, WellFormedNames, call_soon
 
-RESERVED_CONNECTIONS = 64  # for relays of other regions and publishers, beside two for each follower
-EXTRA_SILENT_HEARTBEATS = 2  # a follower may be silent for so many heartbeats more than a relay
+RESERVED_CONNECTIONS = 64  # for publishers and relays of other regions, in addition to two for each follower
+EXTRA_SILENT_HEARTBEATS = 2  # heartbeats that a follower's timeout is longer than a relay's
 
 
 class Relay:
-    """One relay of `settings.region`. Raises RelayStoreError where its disk cannot be used. A disk that fails
-    later on ends the relay's use, so `on_disk_failed` is called once, for the process to end."""
+    """One relay of `settings.region`; its constructor raises RelayStoreError if the disk cannot be used.
+
+    A relay cannot continue after its disk fails: `on_disk_failed` is called once, and has to end the process.
+    """
 
     def __init__(
         self,
@@ -87,7 +89,7 @@
         state_machines: list[StateMachine] = [self.replica, *self.followers.values(), self.feed]
         self.driver = CoreDriver(reactor, state_machines, self._execute, on_turn_end=self._report_failed_disk)
         if settings.listen is None:
-            raise ValueError("a relay listens")
+            raise ValueError("a relay has no address to listen on; add `listen` to the element distribution")
         self.port = reactor.listenTCP(settings.listen[1], self.downstream, interface=settings.listen[0])
         log.event("distribution.started", role="relay", name=settings.name, region=settings.region)
         self.driver.turn()
@@ -105,7 +107,7 @@
         )
 
     def _new_downstream(self) -> PeerConnections:
-        """The connections of followers and publishers, which name themselves."""
+        """Return the connections of followers and publishers, which send their own names."""
         settings = self.settings
         return PeerConnections(
             settings.name,
@@ -119,7 +121,7 @@
         )
 
     def _new_upstream(self) -> PeerConnections:
-        """The connections to relays of other regions."""
+        """Return the connections to relays of other regions."""
         settings = self.settings
         return PeerConnections(
             settings.name,
@@ -132,8 +134,10 @@
         )
 
     def _new_follower(self, region: str, random: Random, now: int) -> Follower:
-        """The follower of another region. What the feed holds of it is not on disk, so it starts from the
-        beginning."""
+        """Return a follower of another region.
+
+        The feed's log of that region is not on disk, so the follower starts from the beginning.
+        """
         settings = self.settings
         return Follower(
             settings.name,
@@ -206,8 +210,8 @@
             case Persist():
                 self.writer.put(decision)
             case Committed():
-                purged_up_to = self.replica.log.purged_up_to
-                self.feed.on_committed(now, decision.region, decision.changes, purged_up_to)
+                purged_sequence = self.replica.log.purged_up_to
+                self.feed.on_committed(now, decision.region, decision.changes, purged_sequence)
             case Apply() | ReplaceRange():
                 self._put_into_feed(now, decision)
             case SubtreeProgress():
@@ -221,7 +225,7 @@
                 self.log.event(decision.name, **decision.fields)
 
     def _put_into_feed(self, now: int, content: Apply | ReplaceRange) -> None:
-        """What a follower of another region brings goes to the feed, which then is where the follower is."""
+        """Add content of another region to the feed, then report its position to that region's follower."""
         match content:
             case Apply():
                 digest = self.feed.on_apply(now, content)
@@ -254,7 +258,7 @@
     # ---- the process -----------------------------------------------------------------------------------
 
     def facts(self) -> dict[str, int]:
-        """The relay's fields of the counters' line."""
+        """Return the relay's fields of the log line with counters."""
         counters = self.feed.counters
         return {
             "followers": len(self.feed.sessions),
@@ -272,11 +276,11 @@
         }
 
     def reload(self, path: str) -> None:
-        """SIGHUP: settings of the distribution take effect at the next start; log that."""
-        self.log.event("distribution.not_reloaded", path=path, do="restart the process to take them up")
+        """On SIGHUP, log that settings of the distribution take effect at the next start."""
+        self.log.event("distribution.not_reloaded", path=path, do="restart the process to apply the settings")
 
     def close(self, on_closed: Callable[[], None]) -> None:
-        """Close connections, end turns, then close the disk after its last write; then call `on_closed`."""
+        """Stop turns, close connections, close the disk after its last write, then call `on_closed`."""
         self.port.stopListening()
         self.driver.close()
         self.downstream.close()
--- a/linenbridge/distribution/hosting/server.py
+++ b/linenbridge/distribution/hosting/server.py
@@ -1,6 +1,6 @@
-"""One process of the distribution alone: a relay, a publisher, or a gateway that serves no RPCs.
+"""A process that runs only a role of the distribution: a relay, a publisher, or a gateway without RPCs.
 
-Owns its start and its end. Imports only what the role needs, and nothing that serves RPCs.
+Owns the start and the end of the process. Imports only modules that the role needs, none that serves RPCs.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 from linenbridge.logging.structured import structured_log
 from linenbridge.process import lifecycle
 
-EXIT_DISK_FAILED = 1  # exit code of a process that ended by itself: its log says why
+EXIT_DISK_FAILED = 1  # exit code of a process that ended because its disk failed; its log has the error
 
 
 class HostedRole(Protocol):
-    """What relays, publishers and gateways have in common as the content of a process."""
+    """The interface of relays, publishers and gateways to the process that runs them."""
 
     def facts(self) -> dict[str, int]:
-        """Fields of the counters' line."""
+        """Return the fields of the log line with counters."""
 
     def reload(self, path: str, /) -> None:
-        """SIGHUP, with the path of the settings."""
+        """Handle SIGHUP; `path` is the path of the settings."""
 
     def close(self, on_closed: Callable[[], None], /) -> None:
-        """Give everything back, then call `on_closed`."""
+        """Release all resources, then call `on_closed`."""
 
 
 class DistributionProcess:
-    """The process from its start to its end. Imports what its role needs, when it starts."""
+    """One process from its start to its end; modules of a role are imported when the role starts."""
 
     def __init__(
         self, configuration: Configuration, settings: DistributionSettings, methods: Methods
@@ -57,7 +57,10 @@
                 return self._start_gateway(settings, methods)
 
     def _start_relay(self, settings: DistributionSettings) -> HostedRole:
-        """Raises ConfigurationError where its disk cannot be used: the other relays go on without it."""
+        """Start a relay; raise ConfigurationError if its disk cannot be used.
+
+        The region's other relays continue without it.
+        """
         from linenbridge.distribution.errors import RelayStoreError
         from linenbridge.distribution.hosting.relay import Relay
 
@@ -73,7 +76,9 @@
 
         member_settings = fleet_settings(self.configuration)
         if member_settings is None:
-            raise ConfigurationError(f"{self.configuration.path}: a publisher needs the element fleet")
+            raise ConfigurationError(
+                f"{self.configuration.path}: a publisher requires the element fleet; add the element"
+            )
         check = ValueChecks(methods.methods, methods.max_deadline)
         return PublisherProcess(settings, member_settings, self.reactor, self.log, check, self.random)
 
@@ -84,7 +89,7 @@
         return Gateway(settings, self.reactor, self.log, view, self.random, store)
 
     def run(self) -> int:
-        """Serve until a signal or a broken disk ends the process."""
+        """Serve until a signal or a failed disk ends the process; return the exit code."""
         lifecycle.run(self.reactor, self.log, self._stop, self._log_counters, self._reload)
         return self.exit_code
 
@@ -106,8 +111,13 @@
 
 
 def run(configuration: Configuration) -> int:
-    """One process until its end; the exit code. Raises ConfigurationError before anything is started."""
+    """Run one process until its end and return its exit code.
+
+    Raise ConfigurationError if the settings are invalid or the role cannot be started.
+    """
     settings = distribution(configuration)
     if settings is None or configuration.part("processor") is not None:
-        raise ConfigurationError(f"{configuration.path}: only a distribution alone runs without --config")
+        raise ConfigurationError(
+            f"{configuration.path}: --config is required without an element distribution or with a processor"
+        )
     return DistributionProcess(configuration, settings, methods_of(settings)).run()
--- a/linenbridge/peering/__init__.py
+++ b/linenbridge/peering/__init__.py
@@ -1,5 +1,5 @@
-"""Connections between processes: what members, relays, publishers and gateways share to reach each other.
+"""Connections between processes, shared by members, relays, publishers and gateways.
 
 Owns the protocol on these connections (`connections`) and the clock by which both sides measure durations
-(`clock`). Knows no message: the packages above pass the decoder of theirs.
+(`clock`). Defines no messages: the packages that use the connections pass the decoder of their messages.
 """
--- a/linenbridge/peering/clock.py
+++ b/linenbridge/peering/clock.py
@@ -1,4 +1,4 @@
-"""The clock of leases and of the distribution: whole microseconds that also pass while the machine sleeps.
+"""The clock of leases and of the distribution, in whole microseconds; it also runs while the machine sleeps.
 
 Readings of two machines' clocks are never compared; only durations are.
 """
@@ -9,5 +9,5 @@
 
 
 def now() -> int:
-    """Microseconds of `CLOCK_BOOTTIME`."""
+    """Return the time of `CLOCK_BOOTTIME` in microseconds."""
     return time.clock_gettime_ns(time.CLOCK_BOOTTIME) // 1000
--- a/linenbridge/peering/connections.py
+++ b/linenbridge/peering/connections.py
@@ -1,10 +1,9 @@
-"""Connections between processes: messages over Twisted's AMP, one connection from each process that dials to
-each one that it dials.
+"""Connections between processes: messages over Twisted's AMP, one connection to each dialled process.
 
-Owns the connections, their send buffers and the name of the process at the far end of each. A peer that sends
-anything else loses its own connection; one that reads nothing fills a bounded send buffer, then loses its
-connection. A message is decoded and checked for its form only, and is sent once: repeating requests is the
-caller's concern. The set of messages is the caller's as well: it passes their decoder.
+Owns the connections, their send buffers and the name of the process at the far end of each. The connection of
+a peer is closed when the peer sends anything but valid messages, or when it reads nothing until the bounded
+send buffer is full. A message is only decoded and checked for its form, and is sent once: the caller repeats
+requests. The caller also defines the set of messages by passing their decoder.
 """
 
 from __future__ import annotations
@@ -24,23 +23,23 @@
 
 from linenbridge.logging.event_log import Log
 
-MAX_MESSAGE_BYTES = 60_000  # AMP's values end at 65,535 bytes
+MAX_MESSAGE_BYTES = 60_000  # an AMP value has at most 65,535 bytes
 MAX_UNSENT_BYTES = 1 << 20  # in the send buffer of one connection
-MAX_LOGGED_NAME = 64  # characters of a name that a peer made up
-CONNECT_TIMEOUT = 5.0  # seconds, of a connection attempt, and of the wait for the peer's name after it
+MAX_LOGGED_NAME = 64  # characters of an unauthorized name
+CONNECT_TIMEOUT = 5.0  # seconds to connect, and then to receive the peer's name
 MIN_RECONNECT_DELAY = 0.1  # seconds
 MAX_RECONNECT_DELAY = 2.0  # seconds
-CONNECTIONS_PER_PEER = 4  # of the default bound: both sides dial, and the former ones may not have timed out
-SPARE_CONNECTIONS = 16  # of the default bound: for peers that have not sent their name
+CONNECTIONS_PER_PEER = 4  # of the default bound: both sides dial, and earlier ones may not have timed out
+SPARE_CONNECTIONS = 16  # of the default bound: for peers that have not sent their names
 WELL_FORMED_NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._\-]{0,62}")  # the schema's type `name`
 ANY_PEER = "any"  # the counters' label for all peers whose names are not in the settings
-ALL_PEERS = "all"  # the counters' label of what concerns no single peer
+ALL_PEERS = "all"  # the counters' label of events that concern no single peer
 
 _encoder = msgspec.msgpack.Encoder()
 
 
 class Hello(amp.Command):
-    """The name of the process at this end, sent once before any message."""
+    """The name of the sending process, sent once before any message."""
 
     commandName = b"Meet"  # on the wire
     arguments: ClassVar = [(b"name", amp.Unicode())]
@@ -56,16 +55,16 @@
 
 
 class PeerNames(Protocol):
-    """The names that a peer may have: a set of names, or a rule."""
+    """The names that peers may have: a set of names, or a rule."""
 
     def __contains__(self, name: object, /) -> bool:
-        """Whether a peer may have the name."""
+        """Return whether a peer may have the name."""
 
 
 class WellFormedNames:
-    """The rule for processes that no settings list: any well-formed name that begins with `prefix`.
+    """The rule for processes that are not listed in settings: any well-formed name that begins with `prefix`.
 
-    Connections by this rule need a bound on their number.
+    `PeerConnections` with this rule require a bound on their number.
     """
 
     def __init__(self, prefix: str = "") -> None:
@@ -73,7 +72,7 @@
         self.prefix = prefix
 
     def __contains__(self, name: object, /) -> bool:
-        """Whether the name is well formed and begins with the prefix."""
+        """Return whether the name is well formed and begins with the prefix."""
         return (
             isinstance(name, str) and name.startswith(self.prefix) and bool(WELL_FORMED_NAME.fullmatch(name))
         )
@@ -93,8 +92,9 @@
 class SendBuffer:
     """The unsent bytes of one connection, bounded by `max_bytes`.
 
-    A push producer in Twisted's sense: it is paused while the transport's own buffer is full. Beyond the
-    bound it discards all, takes nothing more, and calls `on_overflow` with the number of bytes discarded.
+    The buffer is a push producer in Twisted's sense: it is paused while the transport's own buffer is full.
+    When the unsent bytes exceed the bound, it discards all of them, ignores later writes, and calls
+    `on_overflow` with the number of bytes discarded.
     """
 
     def __init__(self, transport: Any, max_bytes: int, on_overflow: Callable[[int], None]) -> None:
@@ -109,7 +109,7 @@
         transport.registerProducer(self, streaming=True)
 
     def write(self, data: bytes) -> None:
-        """Send now, or once the transport takes more."""
+        """Send `data` now, or once the transport's own buffer has room."""
         if self.stopped:
             return
         if not self.paused:
@@ -123,11 +123,11 @@
             self.on_overflow(discarded)
 
     def pauseProducing(self) -> None:
-        """Twisted: the transport's buffer is full."""
+        """Stop writing to the transport; Twisted calls this when the transport's buffer is full."""
         self.paused = True
 
     def resumeProducing(self) -> None:
-        """Twisted: the transport's buffer has been sent."""
+        """Write the waiting data; Twisted calls this when the transport's buffer is sent."""
         self.paused = False
         while self.waiting and not self.paused:
             data = self.waiting.popleft()
@@ -135,7 +135,7 @@
             self.transport.write(data)
 
     def stopProducing(self) -> None:
-        """Twisted: the connection is lost."""
+        """Discard the waiting data; Twisted calls this when the connection is lost."""
         self.stopped = True
         self.waiting.clear()
         self.waiting_bytes = 0
@@ -148,7 +148,7 @@
     transport: Any  # a TCP transport: Twisted declares the general type
 
     def __init__(self, connections: PeerConnections) -> None:
-        """Belong to `connections`, which passes messages on and counts events."""
+        """Create a connection of `connections`, which passes messages on and counts events."""
         super().__init__()
         self.connections = connections
         self.peer = ""
@@ -156,7 +156,7 @@
         self.send_buffer: SendBuffer | None = None
 
     def connectionMade(self) -> None:
-        """Twisted: send this process's name, and wait for the peer's."""
+        """Send this process's name, and set a timer for the peer's name."""
         super().connectionMade()
         self.transport.setTcpNoDelay(True)
         self.send_buffer = SendBuffer(
@@ -168,7 +168,7 @@
 
     @Hello.responder
     def on_hello(self, name: str) -> dict[str, Any]:
-        """The peer's name. One that is not authorized, or a second one, costs the connection."""
+        """Register the peer's name; abort the connection on an unauthorized name or a second one."""
         if name not in self.connections.peer_names or self.peer:
             self.connections.log_sampled("peer.unauthorized", name[:MAX_LOGGED_NAME])
             self.transport.abortConnection()
@@ -180,10 +180,10 @@
 
     @Deliver.responder
     def on_deliver(self, word: bytes) -> dict[str, Any]:
-        """One message; AMP names the parameter by the argument's key on the wire."""
+        """Decode one message and pass it on. AMP names the parameter after the argument's key on the wire."""
         try:
             if not self.peer:
-                raise msgspec.ValidationError("a word before the name")
+                raise msgspec.ValidationError("a message was received before the peer's name")
             message = self.connections.decoder.decode(word)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
             self._on_malformed(error)
@@ -192,7 +192,7 @@
         return {}
 
     def unhandledError(self, failure: Failure) -> None:
-        """Twisted: a box that is no command of this protocol."""
+        """Abort the connection on a box that is not a command of this protocol."""
         self._on_malformed(failure.value)
 
     def _on_malformed(self, error: BaseException) -> None:
@@ -200,7 +200,7 @@
         self.transport.abortConnection()
 
     def sendBox(self, box: amp.AmpBox) -> None:
-        """Twisted: send a command, or an answer that AMP itself gives, by way of the send buffer."""
+        """Write a command, or an answer that AMP itself sends, to the send buffer."""
         if self.send_buffer is not None:
             self.send_buffer.write(box.serialize())
 
@@ -209,7 +209,7 @@
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Twisted: the connection is closed."""
+        """Cancel the timer and remove the connection."""
         super().connectionLost(reason)
         if self.hello_timer is not None and self.hello_timer.active():
             self.hello_timer.cancel()
@@ -220,9 +220,9 @@
     """All connections of one process under one name.
 
     `on_message(peer, message)` is called for each message that `decoder` decodes. `peer_names` are the names
-    that peers may have. `max_connections` bounds the open connections; without it the bound follows from the
-    number of names, which has to be known then. `on_peer_changed` is called when the first connection of a
-    peer is established and when its last one is lost.
+    that peers may have. `max_connections` bounds the open connections; its default is computed from the
+    number of names, so `peer_names` has to be a frozenset then. `on_peer_changed` is called when the first
+    connection of a peer is established and when its last one is lost.
     """
 
     noisy = False
@@ -240,9 +240,11 @@
         max_unsent_bytes: int = MAX_UNSENT_BYTES,
         on_peer_changed: PeerChanged = ignore_peer_change,
     ) -> None:
-        """Raise ValueError if the names are a rule and there is no bound on connections."""
+        """Raise ValueError if `peer_names` is a rule and `max_connections` is None."""
         if max_connections is None and not isinstance(peer_names, frozenset):
-            raise ValueError("connections to names by a rule need a bound on connections")
+            raise ValueError(
+                "peer_names is a rule, which requires a bound on connections; set max_connections"
+            )
         self.name = name
         self.peer_names = peer_names
         self.reactor = reactor
@@ -253,11 +255,11 @@
         self.max_unsent_bytes = max_unsent_bytes
         self.on_peer_changed = on_peer_changed
         self.open_connections: set[PeerConnection] = set()
-        self.by_peer: dict[str, PeerConnection] = {}  # the newest connection of each
+        self.by_peer: dict[str, PeerConnection] = {}  # the newest connection of each peer
         self.dialled: dict[str, tuple[ClientService, tuple[str, int]]] = {}
 
     def buildProtocol(self, addr: Any) -> PeerConnection | None:  # noqa: ARG002  (Twisted's signature)
-        """Twisted: accept a connection, unless as many as the bound are open."""
+        """Accept a connection unless the bound on open connections is reached."""
         if len(self.open_connections) >= self._connection_bound():
             self.log.event_sampled("peer.too_many_connections", ALL_PEERS)
             return None
@@ -269,20 +271,22 @@
         return CONNECTIONS_PER_PEER * len(self.peer_names) + SPARE_CONNECTIONS
 
     def log_sampled(self, event: str, peer: str, **fields: object) -> None:
-        """Count an event by the peer's name if the settings hold the names; else under one label, since a
-        peer can make up any number of names."""
+        """Log and count an event, of which only a sample is written.
+
+        The counter's label is the peer's name if the names are a set; by a rule all peers share one label,
+        since a peer can use any number of names.
+        """
         if isinstance(self.peer_names, frozenset):
             self.log.event_sampled(event, peer, **fields)
         else:
             self.log.event_sampled(event, ANY_PEER, peer=peer, **fields)
 
     def dial(self, peer: str, address: tuple[str, int]) -> None:
-        """Keep a connection to a process; after a failure it is opened again with exponential backoff and
-        jitter."""
+        """Keep a connection to a process open; reconnect with exponential backoff and jitter."""
         if peer in self.dialled and self.dialled[peer][1] == address:
             return
         self.disconnect(peer)
-        factory: Any = self  # mypy reads no interfaces of zope
+        factory: Any = self  # mypy does not read zope interfaces
         endpoint: Any = TCP4ClientEndpoint(self.reactor, *address, timeout=CONNECT_TIMEOUT)
         policy = backoffPolicy(initialDelay=MIN_RECONNECT_DELAY, maxDelay=MAX_RECONNECT_DELAY)
         service = ClientService(endpoint, factory, retryPolicy=policy, clock=self.reactor)
@@ -290,12 +294,12 @@
         service.startService()
 
     def disconnect(self, peer: str) -> None:
-        """Close the connection that was dialled to a process, and don't open it again."""
+        """Close the connection that was dialled to a process, and do not reconnect."""
         if peer in self.dialled:
             self.dialled.pop(peer)[0].stopService()
 
     def on_connected(self, connection: PeerConnection) -> None:
-        """A peer has sent its name: messages to that name go by this connection, the newest, from now on."""
+        """Send messages for the peer over this connection, the newest, from now on."""
         is_first = connection.peer not in self.by_peer
         self.by_peer[connection.peer] = connection
         self.log_sampled("peer.connected", connection.peer)
@@ -303,7 +307,7 @@
             self.on_peer_changed(connection.peer, connected=True)
 
     def on_disconnected(self, connection: PeerConnection) -> None:
-        """A connection is closed; an older one of the same peer is not taken up again."""
+        """Remove a closed connection; an older one of the same peer is not used again."""
         self.open_connections.discard(connection)
         if self.by_peer.get(connection.peer) is connection:
             del self.by_peer[connection.peer]
@@ -311,8 +315,11 @@
             self.on_peer_changed(connection.peer, connected=False)
 
     def send(self, peer: str, message: Any) -> None:
-        """Send a message to a peer. It is lost without a connection, and counted as lost if it is longer than
-        `MAX_MESSAGE_BYTES`."""
+        """Send a message to a peer.
+
+        The message is dropped if the peer is not connected, and dropped and counted if it is longer than
+        `MAX_MESSAGE_BYTES`.
+        """
         connection = self.by_peer.get(peer)
         payload = _encoder.encode(message)
         if connection is None or connection.transport is None:
@@ -331,5 +338,5 @@
 
 
 def call_soon(reactor: Any, call: Callable[..., None], *args: object) -> None:
-    """Call from the reactor's next turn: how a process passes a message to itself."""
+    """Call `call(*args)` in the reactor's next turn; a process passes messages to itself this way."""
     reactor.callLater(0, partial(call, *args))
