--- a/linenbridge/distribution/hosting/publisher.py
+++ b/linenbridge/distribution/hosting/publisher.py
@@ -1,7 +1,7 @@
 """Hosts a candidate for its region's publisher: a member of the fleet, the state machine, and connections.
 
 Owns the connections to relays and from change clients. The lease's term is read before each pull of
-decisions, so that a process that lost the lease while it was paused sends nothing more. Decides nothing.
+decisions, so that a process that lost the lease while it was paused sends nothing more to relays.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class PublisherProcess:
-    """One candidate; it publishes while it holds its region's task. `check` examines each value."""
+    """A candidate that publishes while it holds its region's task. `check` validates each value."""
 
     def __init__(
         self,
@@ -55,7 +55,9 @@
             fleet_settings, reactor, log, secrets.randbits(60), on_task_changed=self._on_task_changed
         )
         if settings.listen is None:
-            raise ValueError("a publisher listens")
+            raise ValueError(
+                "a publisher has no address to listen on; add `listen` to the element distribution"
+            )
         self.port = reactor.listenTCP(settings.listen[1], self.clients, interface=settings.listen[0])
         for relay, address in relays.items():
             self.relays.dial(relay, address)
@@ -63,7 +65,7 @@
         self.driver.turn()
 
     def _new_clients(self) -> PeerConnections:
-        """The connections of change clients, which name themselves."""
+        """Return the connections of change clients, which choose their own names."""
         return PeerConnections(
             self.settings.name,
             WellFormedNames(),
@@ -75,8 +77,8 @@
         )
 
     def _refresh_term(self, now: int) -> None:
-        grant = self.member.active_lease(self.task)
-        term = None if grant is None else grant.term
+        lease = self.member.active_lease(self.task)
+        term = None if lease is None else lease.term
         self.publisher.on_term(now, term)
 
     def _on_task_changed(self, task: str) -> None:
@@ -106,15 +108,15 @@
 
     def _execute(self, _state_machine: StateMachine, _now: int, decision: Decision) -> None:
         match decision:
-            case Send(to, Published() as answer):
-                self.clients.send(to, answer)
+            case Send(to, Published() as response):
+                self.clients.send(to, response)
             case Send(to, message):
                 self.relays.send(to, message)
             case Event():
                 self.log.event(decision.name, **decision.fields)
 
     def facts(self) -> dict[str, int]:
-        """The publisher's fields of the counters' line."""
+        """Return the publisher's fields of the log line with counters."""
         publisher = self.publisher
         return {
             **self.member.facts(),
@@ -127,17 +129,17 @@
         }
 
     def reload(self, path: str) -> None:
-        """SIGHUP: settings of the fleet take effect at once, those of the distribution at the next start."""
+        """On SIGHUP, apply the fleet's settings; those of the distribution take effect at the next start."""
         reload_settings(path, self.member, self.log)
 
-    def close(self, closed: Callable[[], None]) -> None:
-        """Release the lease, then close all connections; then call `closed`."""
+    def close(self, on_closed: Callable[[], None]) -> None:
+        """Release the lease, close all connections, then call `on_closed`."""
         self.port.stopListening()
-        self.member.leave(lambda: self._close(closed))
+        self.member.leave(lambda: self._close(on_closed))
 
-    def _close(self, closed: Callable[[], None]) -> None:
+    def _close(self, on_closed: Callable[[], None]) -> None:
         self.driver.turn()
         self.driver.close()
         self.clients.close()
         self.relays.close()
-        closed()
+        on_closed()
