--- a/linenbridge/processor/codec.py
+++ b/linenbridge/processor/codec.py
@@ -72,37 +72,37 @@
     return decoded
 
 
-def _headers(found: wire.HeaderMap) -> dict[str, str]:
+def _headers(header_map: wire.HeaderMap) -> dict[str, str]:
     """Headers by name. Several of one name are joined by a comma (RFC 9110, section 5.2); a pseudo-header
     comes once."""
-    if len(found.headers) > MAX_HEADERS:
+    if len(header_map.headers) > MAX_HEADERS:
         raise MalformedError(f"more than {MAX_HEADERS} headers")
-    named: dict[str, str] = {}
-    for header in found.headers:
+    values: dict[str, str] = {}
+    for header in header_map.headers:
         name = header.key.lower()
         value = header.raw_value.decode("latin-1") if header.raw_value else header.value
-        if name in named:
+        if name in values:
             if name.startswith(":"):
                 raise MalformedError(f"the header {name} came twice")
-            value = f"{named[name]},{value}"
-        named[name] = value
-    return named
+            value = f"{values[name]},{value}"
+        values[name] = value
+    return values
 
 
-def _attributes(found: dict[str, Struct]) -> dict[str, str]:
+def _attributes(groups: dict[str, Struct]) -> dict[str, str]:
     """The plain values of all groups by name; numbers without a fraction as whole ones."""
-    named: dict[str, str] = {}
-    for _, group in sorted(found.items()):
+    values: dict[str, str] = {}
+    for _, group in sorted(groups.items()):
         for name, value in sorted(group.fields.items()):
             match value.WhichOneof("kind"):
                 case "string_value":
-                    named[name] = value.string_value
+                    values[name] = value.string_value
                 case "number_value":
                     number = value.number_value
-                    named[name] = str(int(number)) if number.is_integer() else repr(number)
+                    values[name] = str(int(number)) if number.is_integer() else repr(number)
                 case "bool_value":
-                    named[name] = "true" if value.bool_value else "false"
-    return named
+                    values[name] = "true" if value.bool_value else "false"
+    return values
 
 
 # ---- responses ------------------------------------------------------------------------------------------
@@ -149,15 +149,15 @@
     return response.SerializeToString()
 
 
-def immediate_response(code: int, headers: dict[str, str], details: str, grpc: int | None) -> bytes:
-    """A final response in place of an instance's; `grpc` is the status for callers that use gRPC."""
+def immediate_response(code: int, headers: dict[str, str], details: str, grpc_status: int | None) -> bytes:
+    """A final response in place of an instance's; `grpc_status` is the status for callers that use gRPC."""
     response = wire.ProcessingResponse()
     part = response.immediate_response
     part.status.code = code
     _set_headers(part.headers, headers)
     part.details = details
-    if grpc is None:
+    if grpc_status is None:
         part.body = f"{details}\n".encode()
     else:
-        part.grpc_status.status = grpc
+        part.grpc_status.status = grpc_status
     return response.SerializeToString()
--- a/linenbridge/processor/configuration.py
+++ b/linenbridge/processor/configuration.py
@@ -20,7 +20,7 @@
     child_attributes,
     duration,
     size,
-)  # fmt: skip
+)
 from linenbridge.interface import Method
 from linenbridge.net.discovery import host_port
 from linenbridge.processor.connection_limits import ConnectionLimits
@@ -32,7 +32,7 @@
 from linenbridge.routes.language import RouteError
 from linenbridge.routes.table import RoutesError, Table, table
 
-USE_WITHIN_MOST = 250_000  # half of the grace for drains: what is handed out is sent well inside it
+MAX_USE_WITHIN = 250_000  # half of the grace for drains: what is handed out is sent well inside it
 TLS_FILES = ("certificate", "key", "authorities")
 
 
@@ -75,109 +75,120 @@
     bounds = child_attributes(element, "bounds")
     terms = child_attributes(element, "tickets")
     use_within = duration(terms["use-within"])
-    if use_within > USE_WITHIN_MOST:
-        most = USE_WITHIN_MOST // 1000
-        raise configuration.error_at(element.find(f"{SPACE}tickets"), f"use-within is {most}ms at most")
-    peers = tuple(_peer(configuration, found) for found in element.iter(f"{SPACE}partner"))
+    if use_within > MAX_USE_WITHIN:
+        max_milliseconds = MAX_USE_WITHIN // 1000
+        raise configuration.error_at(
+            element.find(f"{SPACE}tickets"), f"use-within is {max_milliseconds}ms at most"
+        )
+    peers = tuple(_peer(configuration, partner) for partner in element.iter(f"{SPACE}partner"))
     names = [known.peer.name for known in peers]
-    for found in element.iter(f"{SPACE}partner"):
-        if names.count(found.get("name")) > 1:
-            raise configuration.error_at(found, f"two are named {found.get('name')}")
+    for partner in element.iter(f"{SPACE}partner"):
+        if names.count(partner.get("name")) > 1:
+            raise configuration.error_at(partner, f"two are named {partner.get('name')}")
     tls, store, routes = (
         element.find(f"{SPACE}tls"),
         element.find(f"{SPACE}store"),
         element.find(f"{SPACE}routes"),
     )
     file, text, line = path, routes.text or "", routes.sourceline
-    if (named := routes.get("file")) is not None:
+    if (routes_file := routes.get("file")) is not None:
         if text.strip():
             raise configuration.error_at(routes, "a file or the routes themselves, not both")
-        file, line = configuration.beside(named), 1
+        file, line = configuration.beside(routes_file), 1
         try:
             with open(file, encoding="utf-8") as opened:
                 text = opened.read(MAX_FILE_BYTES)
         except (OSError, UnicodeDecodeError) as error:
             raise configuration.error_at(routes, f"{file}: {error}") from None
-    kept = None
+    store_location = None
     if store is not None:
-        kept = configuration.beside(store.get("file")), store.get("outlives", "process")
+        store_location = configuration.beside(store.get("file")), store.get("outlives", "process")
     return ProcessorSettings(
         host=host,
         port=port,
         pass_unrouted=element.get("unrouted") == "pass",
         tls=None if tls is None else KeyFiles(*(configuration.beside(tls.get(n, "")) for n in TLS_FILES)),
         limits=ConnectionLimits(
-            int(bounds["streams"]), size(bounds["message"]), size(bounds["headers"]), size(bounds["backlog"]),
-            duration(bounds["first-word"]), duration(bounds["unread"]), duration(bounds["idle"]),
+            int(bounds["streams"]),
+            size(bounds["message"]),
+            size(bounds["headers"]),
+            size(bounds["backlog"]),
+            duration(bounds["first-word"]),
+            duration(bounds["unread"]),
+            duration(bounds["idle"]),
         ),
         connections=int(bounds["connections"]),
         terms=ReservationTerms(
             use_within, use_within, duration(terms["remember"]), int(terms["open"]), int(terms["ids"])
         ),
-        store=kept,
+        store=store_location,
         response_format=_response_format(element.find(f"{SPACE}answer")),
         non_execution_rules=tuple(
-            NonExecutionRule(int(found.get("status")), found.get("header"), found.get("value"))
-            for found in element.iter(f"{SPACE}proof")
+            NonExecutionRule(int(rule.get("status")), rule.get("header"), rule.get("value"))
+            for rule in element.iter(f"{SPACE}proof")
         ),
         peers=peers,
         routes=text,
         routes_file=file,
         routes_line=line,
-    )  # fmt: skip
+    )
 
 
 def _response_format(element: etree._Element | None) -> ResponseFormat:
-    said = {
+    attributes = {
         name.replace("-", "_"): value
         for name, value in (element.attrib if element is not None else {}).items()
     }
     codes = {
-        name: int(value) for name, value in said.items() if name in ("pushed_back", "aborted", "timed_out")
+        name: int(value)
+        for name, value in attributes.items()
+        if name in ("pushed_back", "aborted", "timed_out")
     }
-    return replace(ResponseFormat(), **{**said, **codes})
+    return replace(ResponseFormat(), **{**attributes, **codes})
 
 
 def _peer(configuration: Configuration, element: etree._Element) -> PeerIdentity:
-    refuse = partial(configuration.error_at, element)
+    error_here = partial(configuration.error_at, element)
     identity, address, network = element.get("identity", ""), element.get("address", ""), None
     if bool(identity) == bool(address):
-        raise refuse("it is known by an identity or by an address, one of the two")
+        raise error_here("it is known by an identity or by an address, one of the two")
     if address:
         try:
             network = ipaddress.ip_network(address, strict=False)
         except ValueError as error:
-            raise refuse(str(error)) from None
-    ours = element.get("ours") in ("true", "1")
-    if ours and not identity and not (network is not None and network.is_loopback):
-        raise refuse(
+            raise error_here(str(error)) from None
+    is_own = element.get("ours") in ("true", "1")
+    if is_own and not identity and not (network is not None and network.is_loopback):
+        raise error_here(
             "one of ours is known by its certificate, or comes from this machine: addresses can be taken"
         )
     peer = ProxyPeer(
         element.get("name"),
-        ours,
+        is_own,
         int(element.get("attempts", "1")),
         element.get("fail-open") not in ("false", "0"),
     )
     return PeerIdentity(peer, identity, network)
 
 
-def routes(settings: ProcessorSettings, methods: list[Method], longest: int) -> Table:
+def routes(settings: ProcessorSettings, methods: list[Method], max_deadline: int) -> Table:
     """The routing table; ConfigurationError gives each fault's place in the file that it stands in."""
     try:
-        return table(settings.routes, methods, longest)
+        return table(settings.routes, methods, max_deadline)
     except RoutesError as faults:
-        raise ConfigurationError("\n".join(_placed(settings, error) for error in faults.errors)) from None
+        raise ConfigurationError(
+            "\n".join(_with_location(settings, error) for error in faults.errors)
+        ) from None
     except RouteError as error:
-        raise ConfigurationError(_placed(settings, error)) from None
+        raise ConfigurationError(_with_location(settings, error)) from None
 
 
-def _placed(settings: ProcessorSettings, error: RouteError) -> str:
+def _with_location(settings: ProcessorSettings, error: RouteError) -> str:
     line = settings.routes_line + error.place.line - 1
     return f"{settings.routes_file}:{line}:{error.place.column}: {error.what}"
 
 
-class Directory:
+class PeerDirectory:
     """Who a connection is: the first partner whose identity or network fits."""
 
     def __init__(self, peers: tuple[PeerIdentity, ...]) -> None:
--- a/linenbridge/processor/durable_ids.py
+++ b/linenbridge/processor/durable_ids.py
@@ -40,7 +40,9 @@
         if self.store.open():
             now = self._now()
             unix = self._unix()
-            rows = ((request, now + round((until - unix) * 1e6)) for request, until in self.store.load())
+            rows = (
+                (request, now + round((expires_at - unix) * 1e6)) for request, expires_at in self.store.load()
+            )
             self._log.event("store.loaded", ids=self.ledger.load(rows))
 
     def persist(self, requests: Iterable[str]) -> None:
--- a/linenbridge/processor/evidence.py
+++ b/linenbridge/processor/evidence.py
@@ -23,7 +23,7 @@
 
 from linenbridge.interface import NOT_EXECUTED, Idempotency, Outcome
 
-MAX_SUM = 5.0  # nats: the least threshold of the design
+SUM_THRESHOLD = 5.0  # nats: the least threshold of the design
 MIN_FAILURE_SHARE = 0.01  # the others' share of failures is taken within these bounds
 MAX_FAILURE_SHARE = 0.95
 MIN_OTHERS_REPORTS = 20.0  # of the same method at the same build; with fewer nothing is compared
@@ -118,8 +118,8 @@
         record.reports.add(now, 1.0, 0.0)
         if outcome in (Outcome.OK, Outcome.ERROR):
             self._compare(now, proxy, record, BuildMethod(build, method), succeeded=outcome == Outcome.OK)
-        came, missing = record.reports.at(now)
-        due = came + missing
+        received, missing = record.reports.at(now)
+        due = received + missing
         if due >= MIN_DUE_REPORTS and missing > MAX_MISSING_SHARE * due:
             self._distrust(now, proxy, record, f"leaves out {missing:.0f} of {due:.0f} reports")
         return _untrusted_outcome(effect, outcome) if now < record.distrusted_until else outcome
@@ -158,20 +158,20 @@
         else:
             record.pessimism += PESSIMISM_STEP if share < CLEAR_FAILURE_SHARE else 0.0
             record.optimism = 0.0
-        if record.optimism > MAX_SUM:
+        if record.optimism > SUM_THRESHOLD:
             reason = f"says ok where the others see {share:.2f} fail, W {record.optimism:.1f}"
             self._distrust(now, proxy, record, reason)
             record.optimism = 0.0
-        if record.pessimism > MAX_SUM:
+        if record.pessimism > SUM_THRESHOLD:
             reason = f"says failed where the others see {share:.2f} fail, W {record.pessimism:.1f}"
             self._distrust(now, proxy, record, reason)
             record.pessimism = 0.0
 
     def _others(self, now: int, record: ProxyRecord, key: BuildMethod) -> Counts:
         """The reports of all proxies without this one's."""
-        everybody = _counts_at(now, self.all, key)
+        all_reports = _counts_at(now, self.all, key)
         own = _counts_at(now, record.outcomes, key)
-        return Counts(max(0.0, everybody.good - own.good), max(0.0, everybody.bad - own.bad))
+        return Counts(max(0.0, all_reports.good - own.good), max(0.0, all_reports.bad - own.bad))
 
     def _distrust(self, now: int, proxy: str, record: ProxyRecord, reason: str) -> None:
         if now >= record.distrusted_until:
--- a/linenbridge/processor/external_processor.py
+++ b/linenbridge/processor/external_processor.py
@@ -298,8 +298,10 @@
             session.reject(self.format.final_response(session.grpc, status, outcome_header, "aborted"))
         reporting = self.awaiting_retry.pop(entry.id, None)
         if reporting is not None:
-            wait = {"retry-after": retry_after_seconds(retry_after)} if rejected and retry_after else {}
-            self._answer_report(reporting, outcome_header | wait)
+            retry_headers = (
+                {"retry-after": retry_after_seconds(retry_after)} if rejected and retry_after else {}
+            )
+            self._answer_report(reporting, outcome_header | retry_headers)
         self._end_last_attempt(entry)
         self._finish(now, entry, answered=not rejected)
 
--- a/linenbridge/processor/goaway_filter.py
+++ b/linenbridge/processor/goaway_filter.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-HEAD = 9  # bytes of a frame's head
+FRAME_HEADER_LENGTH = 9  # bytes of a frame's head
 GOAWAY = 7  # type of the frame
 MIN_GOAWAY_LENGTH = 8  # bytes: the last stream and an error code
 MAX_FRAME_LENGTH = 16_384  # bytes: the protocol's default, which is not raised here
@@ -34,29 +34,31 @@
         self.incomplete = b""
         passed: list[bytes] = []  # pieces before GOAWAY frames
         start = 0  # of the piece that is being passed
-        at = 0
-        while at < len(buffer):
+        offset = 0
+        while offset < len(buffer):
             if self.passing:
-                step = min(self.passing, len(buffer) - at)
-                at += step
+                step = min(self.passing, len(buffer) - offset)
+                offset += step
                 self.passing -= step
                 continue
-            if len(buffer) - at < HEAD:
-                self.incomplete = buffer[at:]
+            if len(buffer) - offset < FRAME_HEADER_LENGTH:
+                self.incomplete = buffer[offset:]
                 break
-            length = int.from_bytes(buffer[at : at + 3], "big")
+            length = int.from_bytes(buffer[offset : offset + 3], "big")
             self.oversized = self.oversized or length > MAX_FRAME_LENGTH
-            if buffer[at + 3] != GOAWAY or not MIN_GOAWAY_LENGTH <= length <= MAX_FRAME_LENGTH:
-                self.passing = HEAD + length
+            if buffer[offset + 3] != GOAWAY or not MIN_GOAWAY_LENGTH <= length <= MAX_FRAME_LENGTH:
+                self.passing = FRAME_HEADER_LENGTH + length
                 continue
-            if len(buffer) - at < HEAD + length:
-                self.incomplete = buffer[at:]
+            if len(buffer) - offset < FRAME_HEADER_LENGTH + length:
+                self.incomplete = buffer[offset:]
                 break
-            last_stream = int.from_bytes(buffer[at + HEAD : at + HEAD + 4], "big")
+            last_stream = int.from_bytes(
+                buffer[offset + FRAME_HEADER_LENGTH : offset + FRAME_HEADER_LENGTH + 4], "big"
+            )
             self.last_streams.append(last_stream & STREAM_MASK)
-            passed.append(buffer[start:at])
-            at += HEAD + length
-            start = at
+            passed.append(buffer[start:offset])
+            offset += FRAME_HEADER_LENGTH + length
+            start = offset
         end = len(buffer) - len(self.incomplete)
         if not passed and end == len(buffer):
             return buffer
--- a/linenbridge/processor/responses.py
+++ b/linenbridge/processor/responses.py
@@ -50,13 +50,13 @@
             return http2.NOT_FOUND
         return http2.UNAVAILABLE if code == self.pushed_back else http2.INTERNAL
 
-    def dispatch(self, grpc: bool, endpoint: str, reservation: str, left: int, use_within: int) -> bytes:
-        """Send the request to an endpoint under a reservation's id. `left` is the time to its deadline,
+    def dispatch(self, grpc: bool, endpoint: str, reservation: str, time_left: int, use_within: int) -> bytes:
+        """Send the request to an endpoint under a reservation's id. `time_left` is the time to its deadline,
         `use_within` that until it has to be sent, both in microseconds."""
         headers = {
             self.endpoint: endpoint,
             self.ticket: reservation,
-            self.left: str(max(1, left // 1000)),
+            self.left: str(max(1, time_left // 1000)),
             self.use_within: str(max(1, use_within // 1000)),
         }
         metadata = (self.metadata, {self.endpoint: endpoint}) if self.metadata else None
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -22,7 +22,7 @@
 from linenbridge.process.components import build, reload
 from linenbridge.process.configuration import ProcessConfiguration
 from linenbridge.processor import tls
-from linenbridge.processor.configuration import Directory, ProcessorSettings, processor_settings, routes
+from linenbridge.processor.configuration import PeerDirectory, ProcessorSettings, processor_settings, routes
 from linenbridge.processor.evidence import Evidence
 from linenbridge.processor.external_processor import ExternalProcessor
 from linenbridge.processor.health import HealthService
@@ -40,7 +40,7 @@
 
 PROCESS = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 HEALTH = b"/grpc.health.v1.Health/"
-LEAVE_MORE = 1.0  # seconds after the longest deadline within which streams have ended on a planned stop
+STOP_MARGIN = 1.0  # seconds after the longest deadline within which streams have ended on a planned stop
 
 
 class UnauthorizedStream:
@@ -58,15 +58,19 @@
     """The processor's front with its server, on one gateway's loop."""
 
     def __init__(
-        self, at: ProcessConfiguration, settings: ProcessorSettings, log: Log, reactor: Any,
+        self,
+        process_configuration: ProcessConfiguration,
+        settings: ProcessorSettings,
+        log: Log,
+        reactor: Any,
         view: View | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.settings, self.log, self.reactor = settings, log, reactor
-        start = startup(at.settings)
-        self.longest = at.settings.max_deadline()
-        self.table = routes(settings, list(start.methods), self.longest)
+        start = startup(process_configuration.settings)
+        self.max_deadline = process_configuration.settings.max_deadline()
+        self.table = routes(settings, list(start.methods), self.max_deadline)
         self.routing = _routing(self.table, view)
-        self.directory = Directory(settings.peers)
+        self.directory = PeerDirectory(settings.peers)
         self.health = HealthService()
         self.tls_context = tls.TlsContextFactory(settings.tls) if settings.tls is not None else None
         self.processor: ExternalProcessor | None = None
@@ -75,16 +79,25 @@
     def open(self, loop: DecisionLoop) -> ExternalProcessor:
         """The front on this loop; it listens only when told to."""
         settings = self.settings
-        ours = frozenset(known.peer.name for known in settings.peers if known.peer.is_own)
+        own_proxies = frozenset(known.peer.name for known in settings.peers if known.peer.is_own)
         store = None if settings.store is None else ReservationStore(*settings.store, self.log.event)
         processor = self.processor = ExternalProcessor(
-            loop, self.reactor, self.routing, ReservationLedger(settings.terms), Evidence(ours),
-            ResponseClassifier(settings.non_execution_rules), settings.response_format, store,
-            settings.pass_unrouted, time.time,
-        )  # fmt: skip
+            loop,
+            self.reactor,
+            self.routing,
+            ReservationLedger(settings.terms),
+            Evidence(own_proxies),
+            ResponseClassifier(settings.non_execution_rules),
+            settings.response_format,
+            store,
+            settings.pass_unrouted,
+            time.time,
+        )
         processor.start()
-        named = tls.certificate_names if self.tls_context is not None else lambda transport: ()
-        self.server = Server(self.reactor, loop.now, settings.limits, settings.connections, self.log, named)
+        peer_names = tls.certificate_names if self.tls_context is not None else lambda transport: ()
+        self.server = Server(
+            self.reactor, loop.now, settings.limits, settings.connections, self.log, peer_names
+        )
         self.server.services = {
             PROCESS: self._open_session,
             HEALTH + b"Check": self.health.check,
@@ -111,29 +124,34 @@
         else:
             server.port = self.reactor.listenTCP(settings.port, server, interface=settings.host)
         self.health.set_serving(serving=True)
-        self.log.event("processor.listening", host=settings.host, port=server.port.getHost().port,
-                       tls=self.tls_context is not None, routes=len(self.table.rules))  # fmt: skip
+        self.log.event(
+            "processor.listening",
+            host=settings.host,
+            port=server.port.getHost().port,
+            tls=self.tls_context is not None,
+            routes=len(self.table.rules),
+        )
 
     def reload(self) -> None:
         """Keys anew; routes and all else count from the next start."""
-        if self.tls_context is not None and (why := self.tls_context.reload()) is not None:
-            self.log.event("tls.reload.failed", error=why)
+        if self.tls_context is not None and (error := self.tls_context.reload()) is not None:
+            self.log.event("tls.reload.failed", error=error)
 
-    def leave(self, stopped: Any) -> None:
+    def stop(self, stopped: Any) -> None:
         """Proxies are told to go elsewhere; what is open ends within its time."""
         if self.server is None:
             stopped()
             return
         self.health.set_serving(serving=False)
         self.server.port.stopListening()
-        self.server.leave(self.longest / 1e6 + LEAVE_MORE, partial(self._left, stopped))
+        self.server.leave(self.max_deadline / 1e6 + STOP_MARGIN, partial(self._on_streams_ended, stopped))
 
-    def _left(self, stopped: Any) -> None:
+    def _on_streams_ended(self, stopped: Any) -> None:
         if self.processor is not None:
             self.processor.ids.close()
         stopped()
 
-    def open_now(self) -> dict[str, int]:
+    def open_counts(self) -> dict[str, int]:
         """What stands open at present, for the counters' line."""
         processor, server = self.processor, self.server
         if processor is None or server is None:
@@ -155,14 +173,14 @@
 
 
 def _distributed(
-    configuration: Configuration, at: ProcessConfiguration, log: Log, reactor: Any
+    configuration: Configuration, process_configuration: ProcessConfiguration, log: Log, reactor: Any
 ) -> DistributedState | None:
     """What is spread to this process, where the settings have a distribution."""
     if configuration.part("distribution") is None:
         return None
     from linenbridge.processor.distributed import open_distributed_state
 
-    return open_distributed_state(configuration, at, log, reactor)
+    return open_distributed_state(configuration, process_configuration, log, reactor)
 
 
 def _member(configuration: Configuration, log: Log, reactor: Any, loop: DecisionLoop):  # noqa: ANN202  (imported where it is used)
@@ -172,63 +190,67 @@
     from linenbridge.fleet.configuration import fleet_settings
     from linenbridge.fleet.hosting.member import Member
 
-    told = fleet_settings(configuration)
-    if told is None:
+    settings = fleet_settings(configuration)
+    if settings is None:
         return None
 
-    def held(zones: frozenset[str] | None) -> None:
+    def on_freeze_changed(zones: frozenset[str] | None) -> None:
         loop.enqueue(lambda now: loop.decision_module.on_rollout_freeze(now, zones))
 
-    return Member(told, reactor, log, secrets.randbits(60), held)
+    return Member(settings, reactor, log, secrets.randbits(60), on_freeze_changed)
 
 
-def run(configuration: Configuration, at: ProcessConfiguration, resp: bool) -> int:
+def run(configuration: Configuration, process_configuration: ProcessConfiguration, resp: bool) -> int:
     """One process until its end: the processor, and RESP2 too where `resp` says so."""
-    if (told := processor_settings(configuration)) is None:
+    if (settings := processor_settings(configuration)) is None:
         raise ConfigurationError(f"{configuration.path}: element 'linenbridge': it has no processor")
     log = structured_log(sys.stderr.buffer, configuration.log_level)
     reactor = lifecycle.begin(log)
-    distributed = _distributed(configuration, at, log, reactor)
+    distributed = _distributed(configuration, process_configuration, log, reactor)
     view, start = (None, None) if distributed is None else (distributed.view, distributed.start)
-    server = ProcessorServer(at, told, log, reactor, view)
-    parts = build(at, log, reactor, server.open, start)
+    server = ProcessorServer(process_configuration, settings, log, reactor, view)
+    parts = build(process_configuration, log, reactor, server.open, start)
     member = _member(configuration, log, reactor, parts.loop)
     reactor.serve(parts.loop)
     server.listen()
     if resp:
-        parts.clients.listen(reactor, *host_port(at.listen))
+        parts.clients.listen(reactor, *host_port(process_configuration.listen))
     follower = None if distributed is None else distributed.start_following()
-    log.event("started", gateway=at.name, listen=at.listen if resp else "")
-    left = {"processor"} | ({"resp"} if resp else set()) | ({"view"} if follower is not None else set())
-
-    def gone(which: str) -> None:
-        left.discard(which)
-        if not left:
+    log.event(
+        "started", gateway=process_configuration.name, listen=process_configuration.listen if resp else ""
+    )
+    running = {"processor"} | ({"resp"} if resp else set()) | ({"view"} if follower is not None else set())
+
+    def on_stopped(which: str) -> None:
+        running.discard(which)
+        if not running:
             reactor.stop()
 
     def stop() -> None:
         log.event("stopping", open=parts.loop.unanswered)
         if member is None:
-            leave()
+            stop_components()
         else:
-            member.leave(leave)
+            member.leave(stop_components)
 
-    def leave() -> None:
-        server.leave(partial(gone, "processor"))
+    def stop_components() -> None:
+        server.stop(partial(on_stopped, "processor"))
         if resp:
-            parts.clients.stop(reactor, partial(gone, "resp"))
+            parts.clients.stop(reactor, partial(on_stopped, "resp"))
         if follower is not None:
-            follower.close(partial(gone, "view"))
+            follower.close(partial(on_stopped, "view"))
 
     def counters() -> None:
         log.counters(
-            open=parts.loop.unanswered, clients=parts.clients.descriptors.open,
-            upstream=parts.instances.descriptors.open, **server.open_now(),
+            open=parts.loop.unanswered,
+            clients=parts.clients.descriptors.open,
+            upstream=parts.instances.descriptors.open,
+            **server.open_counts(),
             **({} if member is None else member.facts()),
             **({} if follower is None else follower.facts()),
-        )  # fmt: skip
+        )
 
-    def anew() -> None:
+    def reload_all() -> None:
         reload(parts, log, dict(os.environ))
         server.reload()
         if member is not None:
@@ -236,5 +258,5 @@
 
             reload_settings(configuration.path, member, log)
 
-    lifecycle.run(reactor, log, stop, counters, anew)
+    lifecycle.run(reactor, log, stop, counters, reload_all)
     return 0
--- a/linenbridge/processor/store.py
+++ b/linenbridge/processor/store.py
@@ -16,7 +16,7 @@
 
 import apsw
 
-FORM = 1  # version of the tables; a file with another one is set aside
+SCHEMA_VERSION = 1  # version of the tables; a file with another one is set aside
 ID_BYTES = 16
 CACHE_MEGABYTES = 4
 SWEEP_INTERVAL = 30.0  # seconds between two deletions of expired ids
@@ -87,29 +87,31 @@
         connection.pragma("journal_mode", "wal")
         connection.pragma("synchronous", "full" if self.durability == POWER else "normal")
         connection.pragma("cache_size", -CACHE_MEGABYTES * 1024)
-        form = connection.pragma("user_version")
-        if form not in (0, FORM):
-            raise _WrongFormError(f"its form is {form}, this is {FORM}")
+        version = connection.pragma("user_version")
+        if version not in (0, SCHEMA_VERSION):
+            raise _WrongFormError(f"its form is {version}, this is {SCHEMA_VERSION}")
         with connection:
             connection.execute(
                 "CREATE TABLE IF NOT EXISTS handed (id TEXT PRIMARY KEY, until REAL NOT NULL) WITHOUT ROWID"
             )
             connection.execute("CREATE INDEX IF NOT EXISTS by_time ON handed (until)")
-            connection.pragma("user_version", FORM)
+            connection.pragma("user_version", SCHEMA_VERSION)
         if (found := connection.pragma("quick_check")) != "ok":
             raise apsw.CorruptError(str(found))
 
     def _set_aside(self, error: Exception) -> bool:
-        aside = f"{self.path}.damaged-{int(self.clock())}"
+        damaged_path = f"{self.path}.damaged-{int(self.clock())}"
         try:
-            os.replace(self.path, aside)
-            for ending in ("-wal", "-shm"):
-                if os.path.exists(self.path + ending):
-                    os.replace(self.path + ending, aside + ending)
-        except OSError as why:
-            self.log_event("store.lost", path=self.path, error=str(why))
+            os.replace(self.path, damaged_path)
+            for suffix in ("-wal", "-shm"):
+                if os.path.exists(self.path + suffix):
+                    os.replace(self.path + suffix, damaged_path + suffix)
+        except OSError as rename_error:
+            self.log_event("store.lost", path=self.path, error=str(rename_error))
             return False
-        self.log_event("store.set_aside", path=self.path, now=aside, error=f"{type(error).__name__}: {error}")
+        self.log_event(
+            "store.set_aside", path=self.path, now=damaged_path, error=f"{type(error).__name__}: {error}"
+        )
         return True
 
     def _disconnect(self, error: Exception) -> None:
--- a/linenbridge/processor/stream_phases.py
+++ b/linenbridge/processor/stream_phases.py
@@ -88,7 +88,7 @@
     ),
     StreamState.OBSERVED: _stay(StreamState.OBSERVED, Action.IGNORE, *MessageKind),
 }
-ONCE = frozenset(
+AT_MOST_ONCE = frozenset(
     (
         MessageKind.REQUEST_HEADERS,
         MessageKind.REQUEST_TRAILERS,
@@ -122,7 +122,7 @@
             raise OutOfOrderError("a stream is watched from its first message on, or never")
         if observed:
             self.state = StreamState.OBSERVED
-        if kind in self.seen and kind in ONCE:
+        if kind in self.seen and kind in AT_MOST_ONCE:
             raise OutOfOrderError(f"{kind} came twice")
         transition = TRANSITIONS[self.state].get(kind)
         if transition is None:
--- a/linenbridge/processor/tls.py
+++ b/linenbridge/processor/tls.py
@@ -54,7 +54,9 @@
     context.set_alpn_select_callback(_select_protocol)
     if files.authorities:
         context.load_verify_locations(files.authorities)
-        context.set_verify(SSL.VERIFY_PEER | SSL.VERIFY_FAIL_IF_NO_PEER_CERT, lambda *found: bool(found[-1]))
+        context.set_verify(
+            SSL.VERIFY_PEER | SSL.VERIFY_FAIL_IF_NO_PEER_CERT, lambda *arguments: bool(arguments[-1])
+        )
         context.set_session_id(b"linenbridge")
     return context
 
@@ -70,13 +72,20 @@
         return ()
     from cryptography import x509  # loaded only where a peer shows a certificate
 
-    found = certificate.to_cryptography()
-    named = [str(part.value) for part in found.subject.get_attributes_for_oid(x509.NameOID.COMMON_NAME)]
+    certificate_fields = certificate.to_cryptography()
+    names = [
+        str(part.value)
+        for part in certificate_fields.subject.get_attributes_for_oid(x509.NameOID.COMMON_NAME)
+    ]
     try:
-        more = found.extensions.get_extension_for_class(x509.SubjectAlternativeName).value
+        alternative_names = certificate_fields.extensions.get_extension_for_class(
+            x509.SubjectAlternativeName
+        ).value
     except x509.ExtensionNotFound:
-        more = []
-    named += [
-        str(name.value) for name in more if isinstance(name, x509.DNSName | x509.UniformResourceIdentifier)
+        alternative_names = []
+    names += [
+        str(name.value)
+        for name in alternative_names
+        if isinstance(name, x509.DNSName | x509.UniformResourceIdentifier)
     ]
-    return tuple(named[:MAX_NAMES])
+    return tuple(names[:MAX_NAMES])
