--- a/linenbridge/processor/codec.py
+++ b/linenbridge/processor/codec.py
@@ -149,15 +149,15 @@
     return response.SerializeToString()
 
 
-def immediate_response(code: int, headers: dict[str, str], details: str, grpc_status: int | None) -> bytes:
-    """A final response in place of an instance's; `grpc_status` is the status for callers that use gRPC."""
+def immediate_response(code: int, headers: dict[str, str], details: str, grpc_code: int | None) -> bytes:
+    """A final response in place of an instance's; `grpc_code` is the status for callers that use gRPC."""
     response = wire.ProcessingResponse()
     part = response.immediate_response
     part.status.code = code
     _set_headers(part.headers, headers)
     part.details = details
-    if grpc_status is None:
+    if grpc_code is None:
         part.body = f"{details}\n".encode()
     else:
-        part.grpc_status.status = grpc_status
+        part.grpc_status.status = grpc_code
     return response.SerializeToString()
--- a/linenbridge/processor/configuration.py
+++ b/linenbridge/processor/configuration.py
@@ -91,10 +91,10 @@
         element.find(f"{SPACE}routes"),
     )
     file, text, line = path, routes.text or "", routes.sourceline
-    if (routes_file := routes.get("file")) is not None:
+    if (routes_path := routes.get("file")) is not None:
         if text.strip():
             raise configuration.error_at(routes, "a file or the routes themselves, not both")
-        file, line = configuration.beside(routes_file), 1
+        file, line = configuration.beside(routes_path), 1
         try:
             with open(file, encoding="utf-8") as opened:
                 text = opened.read(MAX_FILE_BYTES)
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -67,8 +67,8 @@
     ) -> None:
         self.settings, self.log, self.reactor = settings, log, reactor
         start = startup(process_configuration.settings)
-        self.max_deadline = process_configuration.settings.max_deadline()
-        self.table = routes(settings, list(start.methods), self.max_deadline)
+        self.longest_deadline = process_configuration.settings.max_deadline()
+        self.table = routes(settings, list(start.methods), self.longest_deadline)
         self.routing = _routing(self.table, view)
         self.directory = PeerDirectory(settings.peers)
         self.health = HealthService()
@@ -134,17 +134,17 @@
 
     def reload(self) -> None:
         """Keys anew; routes and all else count from the next start."""
-        if self.tls_context is not None and (error := self.tls_context.reload()) is not None:
-            self.log.event("tls.reload.failed", error=error)
+        if self.tls_context is not None and (reload_error := self.tls_context.reload()) is not None:
+            self.log.event("tls.reload.failed", error=reload_error)
 
-    def stop(self, stopped: Any) -> None:
+    def shut_down(self, stopped: Any) -> None:
         """Proxies are told to go elsewhere; what is open ends within its time."""
         if self.server is None:
             stopped()
             return
         self.health.set_serving(serving=False)
         self.server.port.stopListening()
-        self.server.leave(self.max_deadline / 1e6 + STOP_MARGIN, partial(self._on_streams_ended, stopped))
+        self.server.leave(self.longest_deadline / 1e6 + STOP_MARGIN, partial(self._on_streams_ended, stopped))
 
     def _on_streams_ended(self, stopped: Any) -> None:
         if self.processor is not None:
@@ -234,7 +234,7 @@
             member.leave(stop_components)
 
     def stop_components() -> None:
-        server.stop(partial(on_stopped, "processor"))
+        server.shut_down(partial(on_stopped, "processor"))
         if resp:
             parts.clients.stop(reactor, partial(on_stopped, "resp"))
         if follower is not None:
