--- a/linenbridge/processor/__init__.py
+++ b/linenbridge/processor/__init__.py
@@ -1,1 +1,1 @@
-"""The external processor: proxies ask on a stream for each request where it goes, and say what came of it."""
+"""The external processor: assigns endpoints to the requests of proxies, and reads their reports."""
--- a/linenbridge/processor/codec.py
+++ b/linenbridge/processor/codec.py
@@ -1,7 +1,7 @@
 """Messages of the external-processing protocol: requests decoded, responses encoded.
 
-A message that cannot be read raises MalformedError. Names of headers are lower-cased; values that are no text
-keep their bytes as latin-1. Unknown fields are ignored, as the protocol asks.
+A message that cannot be parsed raises MalformedError. Header names are lower-cased; raw header values are
+decoded as latin-1, which keeps every byte. Unknown fields are ignored, as the protocol requires.
 """
 
 from __future__ import annotations
@@ -21,12 +21,16 @@
 
 
 class MalformedError(ValueError):
-    """The bytes are no message of the protocol; the text goes to the proxy."""
+    """A message that violates the protocol. Its text is sent to the proxy as the gRPC status message."""
 
 
 @dataclass(slots=True)
 class ProxyMessage:
-    """One message of a proxy. `ended`: nothing of its direction follows; `observed`: it gets no response."""
+    """One message of a proxy.
+
+    `ended` is set on the last message of its direction. `observed` is set on a message that must not get a
+    response.
+    """
 
     kind: MessageKind
     headers: dict[str, str] = field(default_factory=dict)
@@ -35,7 +39,7 @@
     observed: bool = False
 
     def request(self) -> Request:
-        """The request that request headers are about, as routes match it."""
+        """Return the request that the headers describe, in the form that routes match."""
         return Request(
             self.headers.get(":authority", self.headers.get("host", "")),
             self.headers.get(":path", "/"),
@@ -47,7 +51,7 @@
 
 
 def decode(data: bytes | memoryview) -> ProxyMessage:
-    """Decode one ProcessingRequest; MalformedError where that fails."""
+    """Decode one ProcessingRequest. Raises MalformedError if the bytes or the headers are invalid."""
     message = wire.ProcessingRequest()
     try:
         message.ParseFromString(bytes(data))
@@ -73,8 +77,11 @@
 
 
 def _headers(header_map: wire.HeaderMap) -> dict[str, str]:
-    """Headers by name. Several of one name are joined by a comma (RFC 9110, section 5.2); a pseudo-header
-    comes once."""
+    """Return the header values by name.
+
+    Values of one name are joined by a comma (RFC 9110, section 5.2). Raises MalformedError if a pseudo-header
+    occurs twice, or if there are more than MAX_HEADERS headers.
+    """
     if len(header_map.headers) > MAX_HEADERS:
         raise MalformedError(f"more than {MAX_HEADERS} headers")
     values: dict[str, str] = {}
@@ -90,7 +97,7 @@
 
 
 def _attributes(groups: dict[str, Struct]) -> dict[str, str]:
-    """The plain values of all groups by name; numbers without a fraction as whole ones."""
+    """Return the strings, numbers and booleans of all groups as text, by name; integers have no fraction."""
     values: dict[str, str] = {}
     for _, group in sorted(groups.items()):
         for name, value in sorted(group.fields.items()):
@@ -119,8 +126,11 @@
 def dispatch_response(
     headers: dict[str, str], metadata: tuple[str, dict[str, str]] | None, trailers: bool
 ) -> bytes:
-    """The response to request headers that go on; `metadata` is a namespace with its values. It asks the
-    proxy to show the instance's response headers, and with `trailers` its trailers."""
+    """Return the response to the headers of a request that is dispatched.
+
+    `metadata` is a namespace with its values. The response requests that the proxy send the instance's
+    response headers, and its trailers if `trailers` is set.
+    """
     response = wire.ProcessingResponse()
     common = response.request_headers.response
     _set_headers(common.header_mutation, headers)
@@ -135,7 +145,7 @@
 
 
 def continue_response(kind: MessageKind, headers: dict[str, str] | None = None) -> bytes:
-    """The response that lets any other message pass, with these headers set unless it is a body."""
+    """Return the response that lets a message of `kind` pass, with these headers set."""
     response = wire.ProcessingResponse()
     part = getattr(response, kind)
     if kind in (MessageKind.REQUEST_TRAILERS, MessageKind.RESPONSE_TRAILERS):
@@ -150,7 +160,7 @@
 
 
 def immediate_response(code: int, headers: dict[str, str], details: str, grpc_code: int | None) -> bytes:
-    """A final response in place of an instance's; `grpc_code` is the status for callers that use gRPC."""
+    """Return a final response that replaces an instance's; `grpc_code` is set for callers that use gRPC."""
     response = wire.ProcessingResponse()
     part = response.immediate_response
     part.status.code = code
--- a/linenbridge/processor/configuration.py
+++ b/linenbridge/processor/configuration.py
@@ -1,7 +1,7 @@
-"""What the settings say to the processor: its element, from the checked XML to plain objects.
+"""Settings of the processor: converts the element `processor` of the validated XML to plain objects.
 
-Owns what the element's words stand for, and the routes that it names. It must never hold a tuned value:
-defaults stand in the schema, where operators can read them.
+Also loads the routes that the element refers to. Defaults belong in the schema, where operators can read
+them, not in this module.
 """
 
 from __future__ import annotations
@@ -32,13 +32,15 @@
 from linenbridge.routes.language import RouteError
 from linenbridge.routes.table import RoutesError, Table, table
 
-MAX_USE_WITHIN = 250_000  # half of the grace for drains: what is handed out is sent well inside it
+MAX_USE_WITHIN = (
+    250_000  # microseconds; half of the drain grace period, so that attempts are sent well within it
+)
 TLS_FILES = ("certificate", "key", "authorities")
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessorSettings:
-    """The element `processor` of the settings, checked. Times in microseconds, sizes in bytes."""
+    """The validated element `processor` of the settings. Times are in microseconds, sizes in bytes."""
 
     host: str
     port: int
@@ -58,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerIdentity:
-    """How a partner is known: by a name in its certificate, or by where it connects from."""
+    """How a proxy is identified: by a name in its certificate, or by the network it connects from."""
 
     peer: ProxyPeer
     identity: str
@@ -66,7 +68,10 @@
 
 
 def processor_settings(configuration: Configuration) -> ProcessorSettings | None:
-    """The processor's element of the settings; None where the file has none."""
+    """Return the settings of the processor, or None if the file has no such element.
+
+    Raises ConfigurationError, with the location, if a value is invalid or the routes file cannot be read.
+    """
     element = configuration.part("processor")
     if element is None:
         return None
@@ -78,13 +83,17 @@
     if use_within > MAX_USE_WITHIN:
         max_milliseconds = MAX_USE_WITHIN // 1000
         raise configuration.error_at(
-            element.find(f"{SPACE}tickets"), f"use-within is {max_milliseconds}ms at most"
+            element.find(f"{SPACE}tickets"),
+            f"use-within is {terms['use-within']}, the maximum is {max_milliseconds}ms",
         )
     peers = tuple(_peer(configuration, partner) for partner in element.iter(f"{SPACE}partner"))
     names = [known.peer.name for known in peers]
     for partner in element.iter(f"{SPACE}partner"):
         if names.count(partner.get("name")) > 1:
-            raise configuration.error_at(partner, f"two are named {partner.get('name')}")
+            raise configuration.error_at(
+                partner,
+                f"the name '{partner.get('name')}' is used by several partners; each requires its own",
+            )
     tls, store, routes = (
         element.find(f"{SPACE}tls"),
         element.find(f"{SPACE}store"),
@@ -93,13 +102,16 @@
     file, text, line = path, routes.text or "", routes.sourceline
     if (routes_path := routes.get("file")) is not None:
         if text.strip():
-            raise configuration.error_at(routes, "a file or the routes themselves, not both")
+            raise configuration.error_at(
+                routes,
+                "the element has both the attribute `file` and routes as its text; keep one of the two",
+            )
         file, line = configuration.beside(routes_path), 1
         try:
             with open(file, encoding="utf-8") as opened:
                 text = opened.read(MAX_FILE_BYTES)
         except (OSError, UnicodeDecodeError) as error:
-            raise configuration.error_at(routes, f"{file}: {error}") from None
+            raise configuration.error_at(routes, f"cannot read the routes file {file}: {error}") from None
     store_location = None
     if store is not None:
         store_location = configuration.beside(store.get("file")), store.get("outlives", "process")
@@ -151,7 +163,7 @@
     error_here = partial(configuration.error_at, element)
     identity, address, network = element.get("identity", ""), element.get("address", ""), None
     if bool(identity) == bool(address):
-        raise error_here("it is known by an identity or by an address, one of the two")
+        raise error_here("a partner requires either `identity` or `address`; set exactly one of the two")
     if address:
         try:
             network = ipaddress.ip_network(address, strict=False)
@@ -160,7 +172,7 @@
     is_own = element.get("ours") in ("true", "1")
     if is_own and not identity and not (network is not None and network.is_loopback):
         raise error_here(
-            "one of ours is known by its certificate, or comes from this machine: addresses can be taken"
+            "a partner with `ours` requires `identity` or a loopback `address`, as others can be spoofed"
         )
     peer = ProxyPeer(
         element.get("name"),
@@ -172,7 +184,7 @@
 
 
 def routes(settings: ProcessorSettings, methods: list[Method], max_deadline: int) -> Table:
-    """The routing table; ConfigurationError gives each fault's place in the file that it stands in."""
+    """Return the routing table; raises ConfigurationError with the location of each fault."""
     try:
         return table(settings.routes, methods, max_deadline)
     except RoutesError as faults:
@@ -189,13 +201,13 @@
 
 
 class PeerDirectory:
-    """Who a connection is: the first partner whose identity or network fits."""
+    """Finds the peer of a connection: the first partner whose identity or network matches."""
 
     def __init__(self, peers: tuple[PeerIdentity, ...]) -> None:
         self.peers = peers
 
     def find(self, address: str, names: tuple[str, ...]) -> ProxyPeer | None:
-        """Return the peer at an address with these certificate names; None where it is unknown."""
+        """Return the peer at an address with these certificate names, or None if no partner matches."""
         for known in self.peers:
             if known.identity:
                 if known.identity in names:
--- a/linenbridge/processor/dispatch_queue.py
+++ b/linenbridge/processor/dispatch_queue.py
@@ -1,6 +1,6 @@
-"""Reservations that leave for proxies at the end of a turn, after their ids are in the store.
+"""The queue of reservations that are sent to proxies at the end of a turn, after their ids are in the store.
 
-Owns what waits for that. A stream that has ended meanwhile gets nothing.
+A reservation whose stream has ended in the meantime is not sent.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Dispatch(NamedTuple):
-    """A reservation on its way to the stream that waits for it."""
+    """A reservation, and the stream that waits for it."""
 
     session: StreamSession
     entry: RpcEntry
@@ -26,7 +26,10 @@
 
 
 class DispatchQueue:
-    """Calls `on_not_dispatched(session, entry)` where a stream has ended before its reservation left."""
+    """The queued reservations of one turn.
+
+    Calls `on_not_dispatched(session, entry)` for a stream that has ended before its reservation was sent.
+    """
 
     def __init__(
         self,
@@ -46,11 +49,11 @@
         self.pending: list[Dispatch] = []
 
     def put(self, session: StreamSession, entry: RpcEntry, reservation: AttemptReservation) -> None:
-        """Let a reservation leave at the end of the turn."""
+        """Queue a reservation to be sent at the end of the turn."""
         self.pending.append(Dispatch(session, entry, reservation))
 
     def flush(self) -> None:
-        """Store the ids of requests with an effect in one transaction, then respond to the streams."""
+        """Store the ids of non-idempotent requests in one transaction, then send the reservations."""
         dispatches = self.pending
         self.pending = []
         self.ids.persist(
--- a/linenbridge/processor/distributed.py
+++ b/linenbridge/processor/distributed.py
@@ -1,7 +1,7 @@
-"""A processor's part in the distribution: its view, and the routes and tenants' quotas that come from it.
+"""The processor's use of the distribution: the view, and the routes and tenant quotas that the view provides.
 
-Imported only where the settings have the element `distribution`. Connects the parts; the view belongs to the
-gateway of the distribution, which alone changes it.
+Imported only if the settings have the element `distribution`. The view is changed only by the gateway of the
+distribution.
 """
 
 from __future__ import annotations
@@ -26,9 +26,11 @@
 
 @dataclass(frozen=True, slots=True)
 class DistributedState:
-    """The view, from its store if there is one, and start values of the decision module with its quotas.
+    """The view, loaded from its store if there is one, and start values of the decision module.
 
-    `start_following` connects to relays; the process calls it once everything else is running.
+    The tenant quotas of the start values come from the view.
+
+    `start_following` connects to relays; the process calls it after all other components have started.
     """
 
     view: View
@@ -39,9 +41,9 @@
 def open_distributed_state(
     configuration: Configuration, platform: ProcessConfiguration, log: Log, reactor: Any
 ) -> DistributedState | None:
-    """Open the view of this process; None where the settings have no distribution.
+    """Open the view of this process; return None if the settings have no distribution.
 
-    Raises ConfigurationError where the element `distribution` has faults or is not a gateway's.
+    Raises ConfigurationError if the element `distribution` is invalid or does not describe a gateway.
     """
     settings = distribution(configuration)
     if settings is None:
--- a/linenbridge/processor/durable_ids.py
+++ b/linenbridge/processor/durable_ids.py
@@ -1,7 +1,7 @@
-"""Ids of dispatched requests with an effect, in the reservation ledger and in its store alike.
+"""Ids of dispatched non-idempotent requests, kept in both the reservation ledger and its store.
 
-Connects the clock of the ledger (microseconds of the loop) with that of the store (Unix seconds). Without a
-store, or with one that has failed, only the ledger is kept.
+Converts between the clock of the ledger (microseconds of the loop) and that of the store (Unix seconds).
+Without a usable store, ids are kept in the ledger only.
 """
 
 from __future__ import annotations
@@ -14,7 +14,10 @@
 
 
 class DurableIds:
-    """`now` gives microseconds of the loop's clock, `unix` gives Unix seconds."""
+    """Writes ids to the ledger and its store.
+
+    `now` returns microseconds of the loop's clock, `unix` returns Unix seconds.
+    """
 
     def __init__(
         self,
@@ -32,10 +35,15 @@
         self._not_executed: list[str] = []
 
     def load(self) -> None:
-        """Open the store and let the ledger know what earlier processes dispatched; called before any stream
-        opens."""
+        """Open the store and load the ids that earlier processes dispatched into the ledger.
+
+        Must be called before any stream opens.
+        """
         if self.store is None:
-            self._log.event("store.none", what="after a restart a repeat is known by its attempt count alone")
+            self._log.event(
+                "store.none",
+                what="after a restart, repeated requests are recognized only by their attempt count",
+            )
             return
         if self.store.open():
             now = self._now()
@@ -46,23 +54,23 @@
             self._log.event("store.loaded", ids=self.ledger.load(rows))
 
     def persist(self, requests: Iterable[str]) -> None:
-        """Store ids before their reservations leave."""
+        """Store ids; must be called before their reservations are sent."""
         expires_at = self._unix() + self.ledger.terms.remember_for / 1e6
         rows = {request: expires_at for request in requests}
         if rows and self.store is not None and self.store.is_open:
             self.store.persist(rows.items())
 
     def remember_executed(self, request: str) -> None:
-        """Keep an id that a proxy may have sent on without a reservation."""
+        """Keep the id of a request that a proxy may have sent without a reservation."""
         self.ledger.remember(request, self._now() + self.ledger.terms.remember_for, maybe_executed=True)
         self.persist([request])
 
     def delete_later(self, request: str) -> None:
-        """An id whose attempts certainly were not executed goes from the store at the turn's end."""
+        """Delete an id at the end of the turn; its attempts must certainly not have been executed."""
         self._not_executed.append(request)
 
     def delete(self) -> None:
-        """Delete the ids that `delete_later` took, but those that may have been executed since."""
+        """Delete the ids passed to `delete_later`, except those that may have been executed since."""
         requests = self._not_executed
         self._not_executed = []
         if requests and self.store is not None and self.store.is_open:
--- a/linenbridge/processor/endpoints.py
+++ b/linenbridge/processor/endpoints.py
@@ -9,7 +9,7 @@
 
 
 class Endpoint(NamedTuple):
-    """Where an instance is reached, and the build that it runs."""
+    """The address of an instance, and the build that it runs."""
 
     host: str
     port: int
@@ -17,7 +17,7 @@
 
 
 class EndpointDirectory:
-    """The instances that are ready. One that leaves the list, or drains, gets no further attempt."""
+    """The ready instances. An instance that is removed from the list or draining gets no further attempt."""
 
     def __init__(self) -> None:
         self.ready: dict[Id, Endpoint] = {}
@@ -25,7 +25,7 @@
     def update(
         self, endpoints: Iterable[tuple[EndpointEntry, tuple[str, int]]], *, is_snapshot: bool
     ) -> None:
-        """Take entries with their addresses; in a snapshot, instances that it does not name are gone."""
+        """Apply entries with their addresses; a snapshot removes the instances that it does not contain."""
         endpoints = list(endpoints)
         if is_snapshot:
             named = {entry.instance for entry, _ in endpoints}
@@ -37,5 +37,5 @@
                 self.ready.pop(entry.instance, None)
 
     def find(self, instance: Id) -> Endpoint | None:
-        """The endpoint of an instance; None where it is not ready."""
+        """Return the endpoint of an instance, or None if the instance is not ready."""
         return self.ready.get(instance)
--- a/linenbridge/processor/expiry_timer.py
+++ b/linenbridge/processor/expiry_timer.py
@@ -1,4 +1,4 @@
-"""One timer of the reactor for the deadlines of the reservation ledger."""
+"""A reactor timer for the deadlines of the reservation ledger."""
 
 from __future__ import annotations
 
@@ -9,8 +9,10 @@
 
 
 class ExpiryTimer:
-    """Calls `on_expired` for each deadline that has come and whose RPC has not ended. `now` gives
-    microseconds of the loop's clock."""
+    """Calls `on_expired` for each passed deadline whose RPC has not ended.
+
+    `now` returns the time of the loop's clock in microseconds.
+    """
 
     def __init__(
         self,
@@ -27,7 +29,7 @@
         self._due = 0  # microseconds
 
     def set(self) -> None:
-        """Wake at the ledger's next deadline, if that is earlier than what the timer is set to."""
+        """Set the timer to the ledger's next deadline, unless it is already set to an earlier time."""
         due = self.ledger.wake_at()
         if due is None or (self._timer is not None and self._due <= due):
             return
--- a/linenbridge/processor/external_processor.py
+++ b/linenbridge/processor/external_processor.py
@@ -1,8 +1,8 @@
-"""The external processor: streams of proxies become RPCs, and decisions become responses on them.
+"""The external processor: turns streams of proxies into RPCs, and decisions into responses on these streams.
 
-Owns the sessions with proxies, by what they wait for. It is the transport of its RPCs' attempts: it
-dispatches them to proxies and opens no connection to an instance. The decision module chooses; the ledger
-says what may go out; an id is in the store before its reservation leaves.
+Owns the sessions that wait for a decision or a retry. Acts as the transport of attempts: dispatches them to
+proxies and opens no connection to an instance. The decision module chooses the instance, and the reservation
+ledger admits the request. The id of a non-idempotent request is in the store before its reservation is sent.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class ExternalProcessor:
-    """All sessions of one gateway, and the callbacks of the loop for their RPCs."""
+    """The sessions of one gateway with proxies, and the decision loop's callbacks for their RPCs."""
 
     def __init__(
         self,
@@ -66,11 +66,10 @@
         self.pass_unrouted = pass_unrouted
         self.ids = DurableIds(ledger, store, loop.now, unix, loop.log)
         self.endpoints = EndpointDirectory()
-        self.awaiting_decision: dict[
-            str, StreamSession
-        ] = {}  # by RPC: whose request headers have no response
-        self.awaiting_retry: dict[str, StreamSession] = {}  # by RPC: whose failed response has none yet
-        self.active: dict[str, ActiveRequest] = {}  # by RPC
+        # Keys are RPC ids: sessions whose request headers, or whose reported failures, have no response yet.
+        self.awaiting_decision: dict[str, StreamSession] = {}
+        self.awaiting_retry: dict[str, StreamSession] = {}
+        self.active: dict[str, ActiveRequest] = {}
         self.dispatches = DispatchQueue(
             self.ids, self.endpoints, response_format, loop.now, loop.log, self._on_not_dispatched
         )
@@ -78,17 +77,17 @@
         loop.on_turn_end.append(self.on_turn_end)
 
     def start(self) -> None:
-        """Take over what earlier processes dispatched; called before any stream opens."""
+        """Load the ids that earlier processes dispatched; must be called before any stream opens."""
         self.ids.load()
 
     def listed(self, endpoints: Iterable[tuple[EndpointEntry, tuple[str, int]]], is_snapshot: bool) -> None:
-        """Discovery has new entries with their addresses."""
+        """Apply entries of discovery with their addresses; a snapshot replaces all earlier entries."""
         self.endpoints.update(endpoints, is_snapshot=is_snapshot)
 
     # ---- messages of proxies ---------------------------------------------------------------------
 
     def on_request_headers(self, session: StreamSession, message: codec.ProxyMessage) -> None:
-        """Route and admit a request: a new RPC, a retry, or one that must not go out."""
+        """Route a request and admit it as a new RPC or a retry, or reject it."""
         headers = message.headers
         session.grpc = headers.get("content-type", "").startswith(GRPC_CONTENT_TYPE)
         attempt = headers.get(self.format.attempt, "1")
@@ -140,8 +139,11 @@
         self.loop.accept(active, routed.deadline, routed.cost, routed.tenant, routed.key or "")
 
     def _retry(self, session: StreamSession, entry: RpcEntry) -> None:
-        """A further attempt. One before that is in flight may have been executed; one that is reserved is
-        dispatched if it may still be used, else the module decides again."""
+        """Start a further attempt of an open RPC.
+
+        An earlier attempt still in flight ends as cancelled, because it may have been executed. A reserved
+        attempt is dispatched if its reservation is still valid; otherwise the decision module decides again.
+        """
         now = self.loop.now()
         session.entry = entry
         self.awaiting_decision[entry.id] = session
@@ -152,12 +154,12 @@
                 del self.awaiting_decision[entry.id]
                 self.ledger.dispatch(entry, reservation)
                 self.dispatches.put(session, entry, reservation)
-                self.loop.enqueue(lambda _: None)  # so that a turn comes, and its end
+                self.loop.enqueue(lambda _: None)  # triggers a turn, at whose end the queue is flushed
             else:
                 self._on_attempt_ended(entry, reservation, Outcome.NOT_SENT)
 
     def on_response(self, session: StreamSession, message: codec.ProxyMessage) -> None:
-        """Response headers, or trailers where only these tell the outcome."""
+        """Report the outcome of response headers, or of trailers if the headers determine none."""
         entry = session.entry
         reservation = session.reservation
         is_trailers = message.kind == MessageKind.RESPONSE_TRAILERS
@@ -167,7 +169,9 @@
             or reservation.outcome is not None
             or (is_trailers and not session.awaits_trailers)
         ):
-            session.call.send(codec.continue_response(message.kind))  # the RPC went on, or ended, without it
+            session.call.send(
+                codec.continue_response(message.kind)
+            )  # the RPC has ended or has a later attempt
             return
         if is_trailers:
             outcome: Outcome | Pending | None = self.classifier.classify_trailers(
@@ -189,8 +193,11 @@
         outcome: Outcome,
         message: codec.ProxyMessage,
     ) -> None:
-        """Give an outcome to the module. After a failure that the proxy may retry, the response to the proxy
-        waits for the module's decision."""
+        """Report an outcome to the decision module.
+
+        After a failure that the proxy may retry, the response to the proxy is sent after the module's
+        decision.
+        """
         peer = session.peer
         now = self.loop.now()
         module_outcome = self.evidence.on_report(
@@ -217,7 +224,7 @@
             self._on_attempt_ended(entry, reservation, module_outcome, load)
             self.ledger.await_retry(now, entry)
             return
-        # The proxy passes the instance's response on: that is the RPC's final one.
+        # The proxy forwards the instance's response to its client as the final response of the RPC.
         self.loop.mark_answered(self.active[entry.id], outcome)
         self._on_attempt_ended(entry, reservation, module_outcome, load)
         self._finish(now, entry, answered=module_outcome not in NOT_EXECUTED)
@@ -225,8 +232,11 @@
         session.call.send(codec.continue_response(message.kind))
 
     def on_stream_ended(self, session: StreamSession) -> None:
-        """A session has ended; the one place where it is released. A reservation without a report stays in
-        flight: a further attempt may come, or its time is over."""
+        """Detach a session from its RPC when its stream ends.
+
+        A dispatched reservation without a report stays in flight if the proxy may retry; otherwise it ends as
+        unreported.
+        """
         entry = session.entry
         reservation = session.reservation
         session.release()
@@ -247,21 +257,24 @@
                 self._on_unreported(entry, reservation, session.peer.name)
 
     def _on_not_dispatched(self, session: StreamSession, entry: RpcEntry) -> None:
-        """The stream has ended before its response left. A proxy that fails open may have sent the request
-        all the same, so that it may have been executed."""
+        """End an RPC whose stream ended before its response was sent.
+
+        A proxy that fails open may have sent the request without a response, so its id is kept as possibly
+        executed.
+        """
         self._abandon(entry)
         if entry.effect != Idempotency.IDEMPOTENT and session.peer.fail_open:
             self.ids.remember_executed(entry.request)
 
     def has_pending_response(self, session: StreamSession) -> bool:
-        """Whether the response to a report waits for the module's decision."""
+        """Return whether the response to a report is delayed until the module's decision."""
         entry = session.entry
         return entry is not None and self.awaiting_retry.get(entry.id) is session
 
     # ---- callbacks of the loop -------------------------------------------------------------------
 
     def send(self, now: int, active: ActiveRequest, number: int, instance: Id, timeout: int) -> None:
-        """Reserve the module's attempt: for the stream that waits, or for the retry that is to come."""
+        """Reserve the module's attempt for the stream that waits for it, or for the expected retry."""
         entry: RpcEntry = active.payload
         endpoint = self.endpoints.find(instance)
         if endpoint is None:
@@ -278,13 +291,13 @@
             self._answer_report(reporting, {self.format.outcome: "again", self.format.again: "1"})
 
     def cancel(self, active: ActiveRequest, number: int) -> None:
-        """Nothing: an attempt at a proxy cannot be cancelled; the module gets its outcome as of any other."""
+        """Do nothing: a proxy's attempt cannot be cancelled, and its outcome is reported like any other."""
 
     def withdraw_unsent(self, active: ActiveRequest) -> None:
-        """Nothing: a reservation that is not dispatched ends with the final answer."""
+        """Do nothing: a reservation that is not dispatched ends with the final response."""
 
     def answered(self, entry: RpcEntry, outcome: str, retry_after: int, _value: object) -> None:
-        """The module's final answer, for the streams that still wait; `retry_after` in microseconds."""
+        """Send the final response to the streams that wait for one; `retry_after` is in microseconds."""
         now = self.loop.now()
         rejected = outcome == REJECTED
         outcome_header = {self.format.outcome: self.format.outcome_value(outcome)}
@@ -306,21 +319,21 @@
         self._finish(now, entry, answered=not rejected)
 
     def _end_last_attempt(self, entry: RpcEntry) -> None:
-        """End what is in flight, whose time is up at the proxy too, or what is reserved."""
+        """End the attempt that is in flight, which has expired at the proxy as well, or the reserved one."""
         if (reservation := entry.in_flight()) is not None:
             self._on_attempt_ended(entry, reservation, Outcome.CANCELLED)
         elif (reservation := entry.reserved()) is not None:
             self._on_attempt_ended(entry, reservation, Outcome.NOT_SENT)
 
     def on_turn_end(self) -> None:
-        """Let reservations leave, and log which proxies are distrusted."""
+        """Send the queued reservations, and log the proxies that became distrusted."""
         self.dispatches.flush()
         for distrusted in self.evidence.notices:
             self.log.event("proxy.distrusted", proxy=distrusted.proxy, reason=distrusted.reason)
         self.evidence.notices.clear()
         self.timer.set()
 
-    # ---- ends ------------------------------------------------------------------------------------
+    # ---- ends of attempts and RPCs ---------------------------------------------------------------
 
     def _on_attempt_ended(
         self,
@@ -329,7 +342,7 @@
         outcome: Outcome,
         load: dict[str, float] | None = None,
     ) -> None:
-        """Give the module the first outcome of an attempt; later ones count for nothing."""
+        """Pass the first outcome of an attempt to the decision module; later ones are ignored."""
         if self.ledger.record_outcome(reservation, outcome):
             self.loop.attempt_finished(
                 self.active[entry.id], reservation.number, reservation.decided_at, outcome, load or {}
@@ -338,7 +351,7 @@
                 self.active.pop(entry.id, None)
 
     def _abandon(self, entry: RpcEntry) -> None:
-        """Nobody waits for an RPC any more; what was not dispatched was not executed."""
+        """End an RPC whose client has left. An attempt that was not dispatched counts as not sent."""
         self.loop.client_disconnected(self.active[entry.id])
         reservation = entry.reserved()
         if reservation is not None:
@@ -346,7 +359,7 @@
         self._finish(self.loop.now(), entry, answered=False)
 
     def _on_unreported(self, entry: RpcEntry, reservation: AttemptReservation, proxy: str) -> None:
-        """A dispatched reservation has no report: it may have been executed, and is no evidence."""
+        """End an RPC that may have been executed because its dispatched reservation has no report."""
         self.log.count("unreported", proxy)
         self.evidence.on_missing_report(self.loop.now(), proxy)
         self.loop.client_disconnected(self.active[entry.id])
@@ -354,7 +367,7 @@
         self._finish(self.loop.now(), entry, answered=False)
 
     def _finish(self, now: int, entry: RpcEntry, *, answered: bool) -> None:
-        """End an RPC; the one place where that happens. A stream that still waits on it gets a response."""
+        """End an RPC, and respond to the streams that still wait for it. Every RPC ends here."""
         if entry.ended:
             return
         self.ledger.finish(now, entry, answered=answered)
@@ -384,7 +397,7 @@
     # ---- responses -------------------------------------------------------------------------------
 
     def _answer_report(self, session: StreamSession, headers: dict[str, str]) -> None:
-        """Let a failed response pass, with headers that say what the module has decided."""
+        """Let a failed response pass, with headers that carry the module's decision."""
         session.release()
         session.call.send(codec.continue_response(MessageKind.RESPONSE_HEADERS, headers))
         if session.call.half:
--- a/linenbridge/processor/goaway_filter.py
+++ b/linenbridge/processor/goaway_filter.py
@@ -1,39 +1,42 @@
 """Removes GOAWAY frames from a connection's bytes before `h2` reads them.
 
-By RFC 9113 (section 6.8) the sender of a GOAWAY opens or takes no more streams, and open ones run on. `h2`
-ends the whole connection at a GOAWAY and drops what was to be written, so it is never given one. It also
-buffers a frame of any length until its end has come; here its head shows that it is too long. The filter
-holds the bytes of an incomplete head or GOAWAY, and changes no other byte.
+After a GOAWAY no new streams are opened, but open streams continue (RFC 9113, section 6.8). `h2` closes the
+whole connection at a GOAWAY and drops unsent data, so GOAWAY frames are withheld from it. `h2` also buffers a
+frame of any length until it is complete; the filter detects an oversized frame from its header. The filter
+buffers the bytes of an incomplete frame header or GOAWAY frame, and passes all other bytes unchanged.
 """
 
 from __future__ import annotations
 
-FRAME_HEADER_LENGTH = 9  # bytes of a frame's head
-GOAWAY = 7  # type of the frame
-MIN_GOAWAY_LENGTH = 8  # bytes: the last stream and an error code
-MAX_FRAME_LENGTH = 16_384  # bytes: the protocol's default, which is not raised here
-PREFACE = 24  # bytes that a client sends before its first frame
-STREAM_MASK = 0x7FFF_FFFF  # the highest bit of a stream's number is reserved
+FRAME_HEADER_LENGTH = 9  # bytes
+GOAWAY = 7  # frame type
+MIN_GOAWAY_LENGTH = 8  # bytes: the last stream id and the error code
+MAX_FRAME_LENGTH = 16_384  # bytes: the default of SETTINGS_MAX_FRAME_SIZE, which this server keeps
+PREFACE = 24  # bytes of the client connection preface
+STREAM_MASK = 0x7FFF_FFFF  # the highest bit of a stream id is reserved
 
 
 class GoAwayFilter:
-    """Takes bytes as they are read. `last_streams` holds the last stream that each GOAWAY named; `oversized`
-    is set by a frame that is longer than allowed. `preface` bytes are passed before the first frame."""
+    """A filter for the bytes that a connection receives.
+
+    `last_streams` holds the last stream id of each GOAWAY. `oversized` is set once a frame exceeds
+    MAX_FRAME_LENGTH. The first `preface` bytes are passed unchanged.
+    """
 
     __slots__ = ("incomplete", "last_streams", "oversized", "passing")
 
     def __init__(self, preface: int = 0) -> None:
         self.incomplete = b""
-        self.passing = preface  # bytes to come that belong to a frame which is passed on
+        self.passing = preface  # remaining bytes of the preface or of a frame that is passed
         self.last_streams: list[int] = []
         self.oversized = False
 
     def feed(self, data: bytes) -> bytes:
-        """The bytes for `h2`; bytes of an incomplete head or GOAWAY wait for the next read."""
+        """Return the bytes for `h2`; an incomplete frame header or GOAWAY is kept for the next read."""
         buffer = self.incomplete + data if self.incomplete else data
         self.incomplete = b""
         passed: list[bytes] = []  # pieces before GOAWAY frames
-        start = 0  # of the piece that is being passed
+        start = 0  # of the piece that is passed next
         offset = 0
         while offset < len(buffer):
             if self.passing:
--- a/linenbridge/processor/health.py
+++ b/linenbridge/processor/health.py
@@ -1,6 +1,6 @@
-"""The service `grpc.health.v1`: whether this process serves proxies.
+"""The gRPC service `grpc.health.v1.Health`, which reports whether this process serves proxies.
 
-Owns the present status and the streams that watch it; the process sets the status when it starts and stops.
+Owns the current status and the streams that watch it; the process sets the status when it starts and stops.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 
 
 class HealthService:
-    """The present status, and the streams that watch it."""
+    """The current status, and the streams that watch it."""
 
     def __init__(self) -> None:
         self.status = NOT_SERVING
-        self.watchers: dict[HealthStream, None] = {}  # in the order in which they came
+        self.watchers: dict[HealthStream, None] = {}  # in the order of their registration
 
     def set_serving(self, *, serving: bool) -> None:
-        """Set the status; watching streams get it where it changes."""
+        """Set the status, and send it to the watching streams if it has changed."""
         status = SERVING if serving else NOT_SERVING
         if status != self.status:
             self.status = status
@@ -35,16 +35,16 @@
                 watcher.call.send(_response(status))
 
     def check(self, call: http2.Call) -> HealthStream:
-        """The receiver of a stream of the method `Check`."""
+        """Return the receiver for a stream of the method `Check`."""
         return HealthStream(self, call, watches=False)
 
     def watch(self, call: http2.Call) -> HealthStream:
-        """The receiver of a stream of the method `Watch`."""
+        """Return the receiver for a stream of the method `Watch`."""
         return HealthStream(self, call, watches=True)
 
 
 class HealthStream:
-    """One stream: a check gets one response, a watch one now and one at each change."""
+    """One stream. A check gets one response; a watch gets one at once and one at each change."""
 
     def __init__(self, service: HealthService, call: http2.Call, *, watches: bool) -> None:
         self.service = service
@@ -52,7 +52,7 @@
         self.watches = watches
 
     def on_message(self, data: memoryview) -> None:
-        """The request, with the name of the service that it is about."""
+        """Respond to a request with the status of the service that it names."""
         try:
             request = wire.HealthCheckRequest.FromString(bytes(data))
         except DecodeError:
@@ -71,8 +71,8 @@
             self.service.watchers[self] = None
 
     def on_half_closed(self) -> None:
-        """A watch goes on after its request."""
+        """Do nothing: a watch continues after the client has ended its side."""
 
     def on_closed(self) -> None:
-        """A watch has ended."""
+        """Remove the stream from the watchers."""
         self.service.watchers.pop(self, None)
--- a/linenbridge/processor/reservations.py
+++ b/linenbridge/processor/reservations.py
@@ -1,13 +1,14 @@
-"""The reservation ledger: which attempts were dispatched to proxies, and what is known of each. No I/O.
+"""The reservation ledger: the attempts that were dispatched to proxies, and the outcome of each. No I/O.
 
-One request at a proxy, over all its streams, is one RPC; each time it is dispatched it has an attempt
-reservation. The ledger says what a stream that opens is (a new RPC, a retry, one that must not go out), until
-when a reservation may be used and reported on, and which ids may have been executed and are therefore never
-dispatched again. The decision module chooses instances and outcomes; the ledger does neither.
+One request of a proxy, over all its streams, is one RPC; each dispatch of the RPC has an attempt reservation.
+The ledger classifies a new stream (a new RPC, a retry, or a request that must not be dispatched), tracks
+until when a reservation may be used and reported on, and records the ids of requests that may have been
+executed, which are never dispatched again. The decision module chooses instances and outcomes; the ledger
+does neither.
 
-A method with an effect is known by its request id alone, whichever proxy names it: two proxies that share an
-id may be two ways of one request. An idempotent one is known by its proxy and id, and an id in use twice is
-simply two RPCs.
+A request to a non-idempotent method is identified by its request id alone, because one request may arrive
+through two proxies. A request to an idempotent method is identified by its proxy and id; a second request
+with an id that is in use is a separate RPC.
 """
 
 from __future__ import annotations
@@ -22,44 +23,44 @@
 
 from linenbridge.interface import NOT_EXECUTED, Id, Idempotency, Outcome
 
-MAX_ATTEMPT = 1_000  # an attempt count beyond it is taken for this
-UNSHARED_FRACTION = 0.5  # of the ledger: up to here no proxy is held to a share
+MAX_ATTEMPT = 1_000  # larger attempt counts are clamped to this value
+UNSHARED_FRACTION = 0.5  # of the open RPCs; shares per proxy are enforced above it
 
 
 class Admission(StrEnum):
-    """What a stream that opens is. The values are names of counters and of lines of the log."""
+    """The classification of a new stream. The values are names of counters and log fields."""
 
     ACCEPTED = "accepted"  # a new RPC
     RETRY = "retry"  # a further attempt of an open RPC
-    MAYBE_EXECUTED = "maybe_executed"  # an earlier attempt may have been executed: it must not go out
+    MAYBE_EXECUTED = "maybe_executed"  # an earlier attempt may have been executed: must not be dispatched
     CAPACITY_EXHAUSTED = "capacity_exhausted"
-    NO_ID = "no_id"  # a method with an effect and no request id
+    NO_ID = "no_id"  # a non-idempotent method without a request id
 
 
 class ExpiryReason(StrEnum):
-    """What time has decided."""
+    """The event that did not occur before a deadline."""
 
-    UNUSED = "unused"  # no stream came for a reservation
-    UNREPORTED = "unreported"  # nothing was reported of a dispatched one
-    NOT_RETRIED = "not_retried"  # no further attempt came after a failed one
+    UNUSED = "unused"  # no stream used a reservation
+    UNREPORTED = "unreported"  # no report on a dispatched reservation
+    NOT_RETRIED = "not_retried"  # no retry followed a failed attempt
 
 
 @dataclass(frozen=True, slots=True)
 class ReservationTerms:
-    """The times and bounds of the ledger; times in microseconds."""
+    """Time limits, in microseconds, and capacity limits of the ledger."""
 
-    use_within: int  # from the decision: the proxy sends within this time, or not at all
-    retry_within: int  # after a failed attempt: how long a further one of the same request may take to come
-    remember_for: int  # how long an id with an effect is known after its end
-    max_open: int  # RPCs open at once
+    use_within: int  # from the decision until the proxy must have sent the request
+    retry_within: int  # from a failed attempt until the retry of the same request
+    remember_for: int  # how long a non-idempotent request's id is kept after its end
+    max_open: int  # RPCs
     max_remembered: int  # ids
 
 
 @dataclass(slots=True, eq=False)
 class AttemptReservation:
-    """One attempt at an instance. `outcome` is None while nothing is known of it; times in microseconds."""
+    """One attempt at an instance. `outcome` is None until it is known; times are in microseconds."""
 
-    number: int  # of the module's attempt
+    number: int  # the decision module's number of the attempt
     instance: Id
     build: int
     decided_at: int
@@ -71,7 +72,7 @@
 
 @dataclass(slots=True, eq=False)
 class RpcEntry:
-    """One RPC with its reservations, the newest last."""
+    """One RPC with its reservations, the most recent last."""
 
     id: str
     request: str
@@ -79,7 +80,7 @@
     effect: str
     attempt: int
     reservations: list[AttemptReservation] = field(default_factory=list)
-    awaiting_retry_since: int = 0  # microseconds; 0 where no further attempt is awaited
+    awaiting_retry_since: int = 0  # microseconds; 0 if no retry is awaited
     ended: bool = False
 
     def _undecided(self, *, dispatched: bool) -> AttemptReservation | None:
@@ -89,34 +90,34 @@
         return last if last.outcome is None and last.dispatched == dispatched else None
 
     def in_flight(self) -> AttemptReservation | None:
-        """The reservation that was dispatched and of which nothing is known yet; there is one at most."""
+        """Return the dispatched reservation without an outcome, if any; there is at most one."""
         return self._undecided(dispatched=True)
 
     def reserved(self) -> AttemptReservation | None:
-        """The reservation for which no stream has come yet; there is one at most."""
+        """Return the reservation that no stream has used yet, if any; there is at most one."""
         return self._undecided(dispatched=False)
 
     def maybe_executed(self) -> bool:
-        """Whether any attempt may have been executed."""
+        """Return whether any attempt may have been executed."""
         return any(one.dispatched and one.outcome not in NOT_EXECUTED for one in self.reservations)
 
 
 class EndedRequest(NamedTuple):
-    """An id whose RPC is over: until when it is kept, and whether it may have been executed."""
+    """The record of an ended RPC's id: its expiry, and whether the RPC may have been executed."""
 
     expires_at: int
     maybe_executed: bool
 
 
 class Admitted(NamedTuple):
-    """What a stream is, and the RPC that it belongs to, if any."""
+    """The classification of a stream, and the RPC that it belongs to, if any."""
 
     admission: Admission
     entry: RpcEntry | None = None
 
 
 class Expired(NamedTuple):
-    """A time that has come; `reservation` is None for a retry that did not come."""
+    """A deadline that has passed; `reservation` is None for a retry that did not arrive."""
 
     reason: ExpiryReason
     entry: RpcEntry
@@ -124,34 +125,36 @@
 
 
 class _Deadline(NamedTuple):
-    """A time to look at an RPC again; `serial` orders equal times."""
+    """A time at which to check an RPC again; `serial` orders equal times."""
 
     at: int
     serial: int
     entry: RpcEntry
-    reservation: AttemptReservation | None  # None: the time by which a retry comes
+    reservation: AttemptReservation | None  # None for the deadline of a retry
 
 
 class ReservationLedger:
-    """All reservations of one gateway. Times are whole microseconds."""
+    """All reservations of one gateway. Times are in whole microseconds."""
 
     def __init__(self, terms: ReservationTerms) -> None:
         self.terms = terms
-        self.open: dict[tuple[str, str], RpcEntry] = {}  # by proxy ("" for methods with an effect) and id
+        self.open: dict[
+            tuple[str, str], RpcEntry
+        ] = {}  # by proxy ("" for non-idempotent methods) and request id
         self.by_id: dict[str, RpcEntry] = {}
-        self.ended: OrderedDict[str, EndedRequest] = OrderedDict()  # by request id, the oldest first
-        self.per_proxy: dict[str, int] = {}  # open RPCs
+        self.ended: OrderedDict[str, EndedRequest] = OrderedDict()  # by request id, in order of their end
+        self.per_proxy: dict[str, int] = {}  # number of open RPCs
         self._serial = count()
         self._deadlines: list[_Deadline] = []  # a heap
 
-    # ---- streams that open -----------------------------------------------------------------------
+    # ---- admission of streams -----------------------------------------------------------------------
 
     def admit(self, now: int, proxy: str, request: str, attempt: int, effect: str) -> Admitted:
-        """What a stream is that names this request. `attempt` is the proxy's own count, 1 for the first.
+        """Classify a new stream for a request. `attempt` is the proxy's own count, 1 for the first attempt.
 
-        A count above one of a request with an effect that is not known here means that it went out without
-        this gateway, or under an earlier process that left no record: it may have been executed. So does a
-        gap in the counts.
+        A non-idempotent request that is unknown here but has a count above 1 may have been executed: the
+        proxy sent it without this gateway, or an earlier process dispatched it and left no record. A gap in
+        the counts has the same meaning.
         """
         attempt = min(max(1, attempt), MAX_ATTEMPT)
         if effect == Idempotency.IDEMPOTENT:
@@ -171,20 +174,21 @@
         return Admitted(Admission.RETRY, entry)
 
     def _admit_unknown(self, now: int, proxy: str, request: str, attempt: int, effect: str) -> Admitted:
-        """A request with an effect whose id is not open."""
+        """Classify a stream for a non-idempotent request whose id is not open."""
         self._drop_expired(now)
         ended = self.ended.get(request)
         if ended.maybe_executed if ended is not None else attempt > 1:
             return Admitted(Admission.MAYBE_EXECUTED)
         if len(self.ended) + len(self.open) >= self.terms.max_remembered:
-            return Admitted(
-                Admission.CAPACITY_EXHAUSTED
-            )  # rather than forget one that may have been executed
+            # Dropping an id instead could allow a second execution of its request.
+            return Admitted(Admission.CAPACITY_EXHAUSTED)
         return self._add(proxy, request, attempt, effect)
 
     def _add(self, proxy: str, request: str, attempt: int, effect: str) -> Admitted:
-        """A place for one more RPC. While more than a fraction is taken, no proxy has more than an equal
-        share."""
+        """Add an RPC if there is capacity.
+
+        While more than UNSHARED_FRACTION of the capacity is in use, no proxy may exceed an equal share.
+        """
         open_count = len(self.by_id)
         of_proxy = self.per_proxy.get(proxy, 0)
         if open_count >= self.terms.max_open:
@@ -214,10 +218,10 @@
         *,
         dispatch: bool,
     ) -> AttemptReservation:
-        """Reserve the module's attempt for an RPC; `dispatch` where a stream waits for it.
+        """Reserve the module's attempt for an RPC, and dispatch it if a stream waits for it (`dispatch`).
 
-        It must be used within the terms' time of the decision, so that the proxy's own delay is within every
-        limit that counts from it.
+        The reservation must be used within `use_within` of the decision, so that every limit that counts from
+        the decision includes the proxy's own delay.
         """
         use_by = now + min(self.terms.use_within, timeout)
         reservation = AttemptReservation(number, instance, build, now, use_by, now + timeout)
@@ -229,26 +233,29 @@
         return reservation
 
     def dispatch(self, entry: RpcEntry, reservation: AttemptReservation) -> None:
-        """The reservation goes to a stream: from here on it may be used."""
+        """Mark a reservation as dispatched to a stream; from now on the proxy may use it."""
         reservation.dispatched = True
         entry.awaiting_retry_since = 0
         self._add_deadline(reservation.report_by, entry, reservation)
 
     def record_outcome(self, reservation: AttemptReservation, outcome: Outcome) -> bool:
-        """Record what is known of a reservation; False where an earlier outcome stands."""
+        """Record the outcome of a reservation; return False if it already has one."""
         if reservation.outcome is not None:
             return False
         reservation.outcome = outcome
         return True
 
     def await_retry(self, now: int, entry: RpcEntry) -> None:
-        """An attempt has failed and the request is not over: a further stream may come."""
+        """Set the deadline for the retry of a request whose attempt has failed or whose stream has ended."""
         entry.awaiting_retry_since = now
         self._add_deadline(now + self.terms.retry_within, entry, None)
 
     def finish(self, now: int, entry: RpcEntry, *, answered: bool) -> None:
-        """Remove an RPC; the one place where that happens. One with an effect is remembered; its id may come
-        again where it is certain that no attempt was executed."""
+        """Remove an RPC. Every removal passes through here.
+
+        The id of a non-idempotent request is kept; it may be used again only if no attempt can have been
+        executed.
+        """
         if entry.ended:
             return
         entry.ended = True
@@ -266,18 +273,18 @@
             self.remember(entry.request, now + self.terms.remember_for, maybe_executed=executed)
 
     def remember(self, request: str, expires_at: int, *, maybe_executed: bool) -> None:
-        """Keep an id whose RPC is over, here or in an earlier process."""
+        """Keep the id of an RPC that has ended, in this or an earlier process, until `expires_at`."""
         before = self.ended.pop(request, None)
         executed = maybe_executed or (before is not None and before.maybe_executed)
         self.ended[request] = EndedRequest(expires_at, executed)
 
     def maybe_executed(self, request: str) -> bool:
-        """Whether an id whose RPC is over may have been executed."""
+        """Return whether the ended RPC with this request id may have been executed."""
         ended = self.ended.get(request)
         return ended is not None and ended.maybe_executed
 
     def load(self, requests: Iterator[tuple[str, int]]) -> int:
-        """Take over ids that earlier processes dispatched, each with its expiry; their number."""
+        """Add ids that earlier processes dispatched, each with its expiry; return their number."""
         number = 0
         for request, expires_at in requests:
             self.remember(request, expires_at, maybe_executed=True)
@@ -285,7 +292,7 @@
         return number
 
     def _drop_expired(self, now: int) -> None:
-        """Expired ids go, in the order in which they came."""
+        """Remove expired ids, up to the first one that has not expired."""
         while self.ended and next(iter(self.ended.values())).expires_at <= now:
             self.ended.popitem(last=False)
 
@@ -304,13 +311,13 @@
         return entry.ended or not since or since + self.terms.retry_within > deadline.at
 
     def wake_at(self) -> int | None:
-        """The time of the next deadline; None where there is none."""
+        """Return the time of the next deadline, or None if there is none."""
         while self._deadlines and self._is_obsolete(self._deadlines[0]):
             heapq.heappop(self._deadlines)
         return self._deadlines[0].at if self._deadlines else None
 
     def take_expired(self, now: int) -> Iterator[Expired]:
-        """Remove the deadlines that have come, in order of time, and give what each of them decides."""
+        """Remove the deadlines that have passed, in order of time, and yield each that is still valid."""
         while self._deadlines and self._deadlines[0].at <= now:
             deadline = heapq.heappop(self._deadlines)
             if not self._is_obsolete(deadline):
@@ -324,5 +331,5 @@
 
 
 def _key(entry: RpcEntry) -> tuple[str, str]:
-    """Whichever proxy names it, a request with an effect is one."""
+    """Return the key of an open RPC; a non-idempotent request has one key for all proxies."""
     return entry.proxy if entry.effect == Idempotency.IDEMPOTENT else "", entry.request
--- a/linenbridge/processor/response_classification.py
+++ b/linenbridge/processor/response_classification.py
@@ -1,8 +1,8 @@
-"""The outcome of an attempt, from the response that a proxy shows. Decides without I/O.
+"""Classification of an instance's response, as a proxy reports it, into the outcome of the attempt. No I/O.
 
 A status never proves that an RPC was not executed: a 503 may come from an instance that executed it, from a
-proxy that never sent it, or from one that lost the response. Only a response that a rule of the settings
-names, or a response code detail that proxies publish for it, counts as such a proof.
+proxy that never sent it, or from one that lost the response. The only proofs are a response that
+matches a rule of the settings, and a response code detail that Envoy documents for unsent requests.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from linenbridge.interface import Outcome
 
-# Response code details that Envoy publishes for requests that have not left it, and their outcomes.
+# Response code details that Envoy documents for requests that it has not sent, with their outcomes.
 NOT_EXECUTED_DETAILS = {
     "no_healthy_upstream": Outcome.CONNECT_FAILED,
     "cluster_not_found": Outcome.CONNECT_FAILED,
@@ -23,7 +23,7 @@
     "upstream_reset_before_response_started{overflow}": Outcome.OVERLOADED,
 }
 DETAILS_ATTRIBUTE = "response.code_details"
-# gRPC statuses that the caller has brought about: the instance has served the RPC as it should.
+# gRPC statuses of success, and of failures that the caller caused: the instance served the RPC correctly.
 GRPC_CALLER_STATUSES = frozenset((0, 1, 3, 5, 6, 7, 9, 11, 16))
 GRPC_CONTENT_TYPE = "application/grpc"
 MAX_GRPC_STATUS_DIGITS = 3
@@ -34,14 +34,14 @@
 
 
 class Pending(Enum):
-    """In place of an outcome."""
+    """The result of a classification that has no outcome yet."""
 
-    TRAILERS = "trailers"  # they will tell it
+    TRAILERS = "trailers"  # the trailers determine the outcome
 
 
 @dataclass(frozen=True, slots=True)
 class NonExecutionRule:
-    """A response by which instances say that they have not executed an RPC: a status and a header."""
+    """The status and header value by which a response states that the instance has not executed the RPC."""
 
     status: int
     header: str
@@ -57,10 +57,10 @@
     def classify_headers(
         self, headers: Mapping[str, str], attributes: Mapping[str, str], ended: bool
     ) -> Outcome | Pending | None:
-        """The outcome that response headers tell; `ended`: nothing follows them.
+        """Return the outcome of response headers; `ended` is set if neither body nor trailers follow.
 
-        Pending.TRAILERS for a gRPC response that goes on; None for an interim response, or one without a
-        status that can be read.
+        Return Pending.TRAILERS for a gRPC response whose status comes in its trailers, and None for an
+        interim response or an invalid status.
         """
         status = _http_status(headers.get(":status", ""))
         if status is None or status < MIN_FINAL_STATUS:
@@ -76,14 +76,14 @@
         return Outcome.OK if status < MIN_SERVER_ERROR else Outcome.ERROR
 
     def classify_trailers(self, trailers: Mapping[str, str], attributes: Mapping[str, str]) -> Outcome:
-        """The outcome that the trailers of a gRPC response tell."""
+        """Return the outcome of the trailers of a gRPC response."""
         outcome = self._not_executed(HTTP_OK, trailers, attributes)
         return grpc_outcome(trailers.get("grpc-status", "")) if outcome is None else outcome
 
     def _not_executed(
         self, status: int, headers: Mapping[str, str], attributes: Mapping[str, str]
     ) -> Outcome | None:
-        """The outcome where the response proves that the RPC was not executed."""
+        """Return an outcome if the response proves that the RPC was not executed, otherwise None."""
         for rule in self.rules:
             if status == rule.status and headers.get(rule.header) == rule.value:
                 return Outcome.OVERLOADED
@@ -93,11 +93,11 @@
 
 
 def _http_status(text: str) -> int | None:
-    """Three digits as a number; None for anything else."""
+    """Return a text of three digits as a number, None for any other text."""
     return int(text) if len(text) == HTTP_STATUS_DIGITS and text.isascii() and text.isdigit() else None
 
 
 def grpc_outcome(status: str) -> Outcome:
-    """The outcome of a gRPC status; one that is no number is a failure."""
+    """Return the outcome of a gRPC status; a status that is not a number is an error."""
     is_number = status.isascii() and status.isdigit() and len(status) <= MAX_GRPC_STATUS_DIGITS
     return Outcome.OK if is_number and int(status) in GRPC_CALLER_STATUSES else Outcome.ERROR
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -1,7 +1,9 @@
-"""One gateway that serves proxies: `linenbridge processor`, and `linenbridge serve` beside RESP2.
+"""The process of a gateway that serves proxies.
 
-Owns the start and the end of that process: it reads both settings, puts the parts together, hands signals on.
-It must never decide, nor hold anything once the parts run.
+The command `linenbridge processor` runs it alone, `linenbridge serve` with a RESP2 server as well.
+
+Starts and stops the process: reads the settings, connects the components, and forwards signals. Makes no
+decisions and keeps no state of requests.
 """
 
 from __future__ import annotations
@@ -40,22 +42,27 @@
 
 PROCESS = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 HEALTH = b"/grpc.health.v1.Health/"
-STOP_MARGIN = 1.0  # seconds after the longest deadline within which streams have ended on a planned stop
+STOP_MARGIN = 1.0  # seconds beyond the longest deadline that a planned stop waits for streams to end
 
 
 class UnauthorizedStream:
-    """The receiver of a stream from nobody that the settings name."""
+    """The receiver for a stream of a peer that is not in the settings; ends the stream at once."""
 
     def __init__(self, call: Call) -> None:
         call.finish(PERMISSION_DENIED, "no partner of these settings")
 
-    def on_message(self, data: memoryview) -> None: ...
-    def on_half_closed(self) -> None: ...
-    def on_closed(self) -> None: ...
+    def on_message(self, data: memoryview) -> None:
+        """Do nothing: the stream has already ended."""
+
+    def on_half_closed(self) -> None:
+        """Do nothing: the stream has already ended."""
+
+    def on_closed(self) -> None:
+        """Do nothing: no state is kept for the stream."""
 
 
 class ProcessorServer:
-    """The processor's front with its server, on one gateway's loop."""
+    """The external processor of one gateway and its HTTP/2 server."""
 
     def __init__(
         self,
@@ -77,7 +84,7 @@
         self.server: Server | None = None
 
     def open(self, loop: DecisionLoop) -> ExternalProcessor:
-        """The front on this loop; it listens only when told to."""
+        """Create the external processor and its server on a loop; `listen` starts listening."""
         settings = self.settings
         own_proxies = frozenset(known.peer.name for known in settings.peers if known.peer.is_own)
         store = None if settings.store is None else ReservationStore(*settings.store, self.log.event)
@@ -114,9 +121,10 @@
         return StreamSession(self.processor, peer, call)
 
     def listen(self) -> None:
+        """Listen for proxies and set the health status to serving. Raises RuntimeError before `open`."""
         server, settings = self.server, self.settings
         if server is None:
-            raise RuntimeError("the server has not been opened")
+            raise RuntimeError("listen() was called before open()")
         if self.tls_context is not None:
             server.port = self.reactor.listenSSL(
                 settings.port, server, self.tls_context, interface=settings.host
@@ -133,12 +141,12 @@
         )
 
     def reload(self) -> None:
-        """Keys anew; routes and all else count from the next start."""
+        """Reload keys and certificates. Changes of routes and other settings require a restart."""
         if self.tls_context is not None and (reload_error := self.tls_context.reload()) is not None:
             self.log.event("tls.reload.failed", error=reload_error)
 
     def shut_down(self, stopped: Any) -> None:
-        """Proxies are told to go elsewhere; what is open ends within its time."""
+        """Stop accepting streams and let open ones end within the longest deadline; then call `stopped`."""
         if self.server is None:
             stopped()
             return
@@ -152,7 +160,7 @@
         stopped()
 
     def open_counts(self) -> dict[str, int]:
-        """What stands open at present, for the counters' line."""
+        """Return the numbers of connections, open RPCs and kept ids, for the log line of counters."""
         processor, server = self.processor, self.server
         if processor is None or server is None:
             return {}
@@ -164,7 +172,7 @@
 
 
 def _routing(table: Table, view: View | None) -> Routing:
-    """The settings' own table; with a view the sets that it has go before."""
+    """Return the routing table of the settings; routes of a view, if there is one, take precedence."""
     if view is None:
         return table
     from linenbridge.distribution.view.serving import RoutesByAuthority
@@ -175,7 +183,7 @@
 def _distributed(
     configuration: Configuration, process_configuration: ProcessConfiguration, log: Log, reactor: Any
 ) -> DistributedState | None:
-    """What is spread to this process, where the settings have a distribution."""
+    """Open the distributed state of this process; return None if the settings have no distribution."""
     if configuration.part("distribution") is None:
         return None
     from linenbridge.processor.distributed import open_distributed_state
@@ -184,7 +192,7 @@
 
 
 def _member(configuration: Configuration, log: Log, reactor: Any, loop: DecisionLoop):  # noqa: ANN202  (imported where it is used)
-    """This process as a member of the fleet, where the settings have one."""
+    """Return this process as a member of the fleet, or None without a fleet in the settings."""
     if configuration.part("fleet") is None:
         return None
     from linenbridge.fleet.configuration import fleet_settings
@@ -201,9 +209,14 @@
 
 
 def run(configuration: Configuration, process_configuration: ProcessConfiguration, resp: bool) -> int:
-    """One process until its end: the processor, and RESP2 too where `resp` says so."""
+    """Run the process until it is stopped: the processor, and the RESP2 server if `resp` is set.
+
+    Returns the exit code. Raises ConfigurationError if the settings have no element `processor`.
+    """
     if (settings := processor_settings(configuration)) is None:
-        raise ConfigurationError(f"{configuration.path}: element 'linenbridge': it has no processor")
+        raise ConfigurationError(
+            f"{configuration.path}: element 'linenbridge': the element 'processor' is missing"
+        )
     log = structured_log(sys.stderr.buffer, configuration.log_level)
     reactor = lifecycle.begin(log)
     distributed = _distributed(configuration, process_configuration, log, reactor)
--- a/linenbridge/processor/store.py
+++ b/linenbridge/processor/store.py
@@ -1,9 +1,9 @@
-"""The store of dispatched requests: ids of those with an effect, which outlive the process.
+"""The store of dispatched requests: keeps the ids of non-idempotent requests across restarts of the process.
 
-Owns one file of an embedded store (SQLite by `apsw`) and every transaction on it. An id is in the store
-before its reservation leaves the gateway, so that the next process knows it, whatever ends this one. An error
-of the store never stops the gateway: a damaged file is set aside, a file that cannot be used is left, each
-with one warning, and the reservation ledger then relies on the proxies' attempt counts alone.
+Owns one SQLite file (through `apsw`) and every transaction on it. An id is stored before its reservation is
+sent, so that the next process finds it however this process ends. An error of the store never stops the
+gateway: a damaged file is renamed and replaced, a file that cannot be used is left unchanged, and each case
+is logged once. Without a store the reservation ledger relies on the attempt counts of the proxies alone.
 """
 
 from __future__ import annotations
@@ -16,12 +16,13 @@
 
 import apsw
 
-SCHEMA_VERSION = 1  # version of the tables; a file with another one is set aside
+SCHEMA_VERSION = 1  # a file with another version is renamed and replaced
 ID_BYTES = 16
 CACHE_MEGABYTES = 4
-SWEEP_INTERVAL = 30.0  # seconds between two deletions of expired ids
+SWEEP_INTERVAL = 30.0  # seconds between deletions of expired ids
 
-# Errors that say nothing against the file itself: there is no place for it, or another process has it.
+# Errors that do not indicate a damaged file: it cannot be accessed, the disk is full, or another process uses
+# it.
 UNAVAILABLE_ERRORS = (
     apsw.BusyError,
     apsw.LockedError,
@@ -34,21 +35,23 @@
     OSError,
 )
 
-POWER = "power"  # durability: the store outlives a loss of power
-PROCESS = "process"  # the store outlives the process alone
+POWER = "power"  # durability: persisted ids survive a loss of power
+PROCESS = "process"  # durability: persisted ids survive an end of the process only
 
 
 Result = TypeVar("Result")
 
 
 def request_digest(request: str) -> str:
-    """The id as it is stored: of one length, whatever a proxy sends."""
+    """Return the stored form of a request id: a digest of fixed length."""
     return blake2b(request.encode("utf-8", "surrogatepass"), digest_size=ID_BYTES).hexdigest()
 
 
 class ReservationStore:
-    """One file at `path`. `durability` is what it outlives: PROCESS, or POWER as well. `log_event` writes a
-    line of the log; `clock` gives Unix seconds."""
+    """The store in the file at `path`.
+
+    `durability` is PROCESS or POWER. `log_event` writes a log line; `clock` returns Unix seconds.
+    """
 
     def __init__(
         self,
@@ -65,7 +68,10 @@
         self.swept_at = 0.0
 
     def open(self) -> bool:
-        """Open the file; a damaged one is renamed with the time and replaced. False: there is no store."""
+        """Open the file and return whether the store is usable.
+
+        A damaged file is replaced by a new one and gets the time appended to its name.
+        """
         for _ in range(2):
             try:
                 self._open()
@@ -83,13 +89,17 @@
     def _open(self) -> None:
         connection = self.connection = apsw.Connection(self.path)
         connection.set_busy_timeout(0)
-        connection.pragma("locking_mode", "exclusive")  # two processes on one file would each miss half
+        connection.pragma(
+            "locking_mode", "exclusive"
+        )  # two processes on one file would each miss the other's ids
         connection.pragma("journal_mode", "wal")
         connection.pragma("synchronous", "full" if self.durability == POWER else "normal")
         connection.pragma("cache_size", -CACHE_MEGABYTES * 1024)
         version = connection.pragma("user_version")
         if version not in (0, SCHEMA_VERSION):
-            raise _WrongFormError(f"its form is {version}, this is {SCHEMA_VERSION}")
+            raise _WrongFormError(
+                f"the tables have version {version}, this release requires version {SCHEMA_VERSION}"
+            )
         with connection:
             connection.execute(
                 "CREATE TABLE IF NOT EXISTS handed (id TEXT PRIMARY KEY, until REAL NOT NULL) WITHOUT ROWID"
@@ -126,11 +136,11 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether there is a store (any more)."""
+        """Whether the store is usable: it has been opened and has not failed since."""
         return self.connection is not None
 
     def load(self) -> Iterator[tuple[str, float]]:
-        """Ids of earlier processes that have not expired, each with its expiry in Unix seconds."""
+        """Yield the stored ids that have not expired, each with its expiry in Unix seconds."""
         if self.connection is None:
             return
 
@@ -141,7 +151,7 @@
         yield from self._attempt(read) or ()
 
     def persist(self, ids: Iterable[tuple[str, float]]) -> bool:
-        """Write ids with their expiry, all of them or none; False where there is no store (any more)."""
+        """Write ids with their expiry in one transaction; return False if the store is unusable."""
         rows = list(ids)
 
         def write(connection: apsw.Connection) -> bool:
@@ -155,7 +165,7 @@
         return bool(self._attempt(write))
 
     def delete(self, ids: Iterable[str]) -> None:
-        """Delete ids whose requests are known not to have run."""
+        """Delete ids of requests that certainly were not executed."""
         rows = [(one,) for one in ids]
 
         def write(connection: apsw.Connection) -> None:
@@ -165,8 +175,11 @@
         self._attempt(write)
 
     def _attempt(self, work: Callable[[apsw.Connection], Result]) -> Result | None:
-        """The result of `work`; None where it fails. After an error the store is not used again in this
-        process: half a record would be worse than none that says so."""
+        """Run `work` and return its result, or None if it fails.
+
+        After an error this process does not use the store again: an incomplete record that seems complete
+        would be worse than a logged loss of the store.
+        """
         if self.connection is None:
             return None
         try:
@@ -177,7 +190,7 @@
             return None
 
     def close(self) -> None:
-        """Close the file."""
+        """Close the file. The store is not usable afterwards."""
         connection = self.connection
         self.connection = None
         if connection is not None:
@@ -185,4 +198,4 @@
 
 
 class _WrongFormError(Exception):
-    """The file has tables of another version."""
+    """The tables of the file have another version."""
--- a/linenbridge/processor/stream_phases.py
+++ b/linenbridge/processor/stream_phases.py
@@ -1,8 +1,8 @@
-"""The phases of one external-processing stream: which message may follow which, and what it brings about.
+"""The state machine of one external-processing stream: the allowed messages, and the action for each.
 
-A proxy opens a stream for each request and sends its messages in phases; each message is owed one response,
-in order. A message that the table does not foresee ends its own stream with a status and a text. The module
-decides without I/O and reads nothing of a message but its kind.
+A proxy opens a stream for each request and sends its messages in phases; each message gets one response, in
+order. A message that the transition table does not allow ends its stream with a gRPC status and a text. The
+module does no I/O and uses only the kind of a message.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-MAX_DEFERRED = 8  # messages that wait for one decision
+MAX_DEFERRED = 8  # messages of one stream
 
 
 class MessageKind(StrEnum):
     """The phases of a ProcessingRequest, by the names that its `oneof` has in the protocol."""
 
-    UNKNOWN = ""  # none of these
+    UNKNOWN = ""  # no or an unsupported phase
     REQUEST_HEADERS = "request_headers"
     REQUEST_BODY = "request_body"
     REQUEST_TRAILERS = "request_trailers"
@@ -26,7 +26,7 @@
 
 
 class StreamState(StrEnum):
-    """Where a stream stands. The values stand in the texts that proxies get, so they stay as they are."""
+    """The state of a stream. The values are part of error texts sent to proxies, so they must not change."""
 
     OPENED = "opened"
     AWAITING_DECISION = "asked"
@@ -37,29 +37,29 @@
 
 
 class Action(StrEnum):
-    """What a message brings about."""
+    """The action that a message requires."""
 
-    DECIDE = "decide"  # request headers: a decision is due
-    REPORT = "report"  # the response says how the attempt went
-    CONTINUE = "continue"  # it passes at once
-    DEFER = "defer"  # it passes once the decision is there
-    IGNORE = "ignore"  # no response is due
+    DECIDE = "decide"  # request headers: start a decision
+    REPORT = "report"  # response headers or trailers: report the outcome
+    CONTINUE = "continue"  # respond at once
+    DEFER = "defer"  # respond after the decision
+    IGNORE = "ignore"  # send no response
 
 
 class Transition(NamedTuple):
-    """One cell of the table."""
+    """The action for a message, and the state after it."""
 
     action: Action
     state: StreamState
 
 
 def _stay(state: StreamState, action: Action, *kinds: MessageKind) -> dict[MessageKind, Transition]:
-    """Messages of these kinds leave the stream in its state."""
+    """Return transitions by which messages of these kinds leave the state unchanged."""
     return {kind: Transition(action, state) for kind in kinds}
 
 
-# A body or trailers that come while a decision is due are deferred: a proxy that streams both ways need not
-# wait for the response to the headers.
+# A body or trailers received before the decision are deferred: a proxy in full-duplex mode may send them
+# before it has the response to the headers.
 TRANSITIONS: dict[StreamState, dict[MessageKind, Transition]] = {
     StreamState.OPENED: {
         MessageKind.REQUEST_HEADERS: Transition(Action.DECIDE, StreamState.AWAITING_DECISION),
@@ -99,12 +99,15 @@
 
 
 class OutOfOrderError(ValueError):
-    """A message that may not come in the stream's state; the text goes to the proxy."""
+    """A message that the stream's state does not allow. Its text is sent to the proxy."""
 
 
 class StreamPhases:
-    """The state of one stream. `on_message` takes each message; `on_dispatched` and `on_rejected` take the
-    decision on its request headers."""
+    """The state of one stream.
+
+    Each message is passed to `on_message`, and the decision on the request headers to `on_dispatched` or
+    `on_rejected`.
+    """
 
     __slots__ = ("deferred", "seen", "state")
 
@@ -114,8 +117,11 @@
         self.deferred: list[MessageKind] = []
 
     def on_message(self, kind: MessageKind, *, observed: bool = False) -> Action:
-        """The action for a message of this kind; OutOfOrderError where it may not come now. A message that is
-        `observed` gets no response: the proxy only shows it."""
+        """Advance the state by a message and return its action.
+
+        An `observed` message is a copy that gets no response. Raises OutOfOrderError if the state does not
+        allow the message.
+        """
         if kind == MessageKind.UNKNOWN:
             raise OutOfOrderError("the message holds no phase that is known here")
         if observed != (self.state == StreamState.OBSERVED) and self.state != StreamState.OPENED:
@@ -139,11 +145,11 @@
         self.deferred.append(kind)
 
     def on_dispatched(self) -> list[MessageKind]:
-        """The request may go on; the deferred messages, whose responses are due after that of the headers."""
+        """Record the dispatch; return the deferred messages, to be responded to after the request headers."""
         return self._end_decision(StreamState.DISPATCHED)
 
     def on_rejected(self) -> None:
-        """The request is answered here. Deferred messages get no response: the proxy has the final one."""
+        """Record the rejection and drop the deferred messages, which need no response after the final one."""
         self._end_decision(StreamState.REJECTED)
 
     def _end_decision(self, state: StreamState) -> list[MessageKind]:
--- a/linenbridge/processor/stream_session.py
+++ b/linenbridge/processor/stream_session.py
@@ -1,7 +1,7 @@
-"""One stream of a proxy: the receiver of its messages, and the RPC that it is about.
+"""One stream of a proxy: receives its messages and links the stream to its RPC.
 
-Owns the stream's phases and the responses on it. Decides nothing: request headers and reports go to the
-handler, of which it knows the interface alone.
+Owns the phases of the stream and sends the responses on it. Request headers and reports are passed to a
+handler, which makes the decisions.
 """
 
 from __future__ import annotations
@@ -17,8 +17,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ProxyPeer:
-    """One proxy, or a group that counts as one. `is_own`: its reports may be evidence. `attempts`: how often
-    it sends one request. `fail_open`: it sends a request on when it gets no response from here."""
+    """One proxy, or a group of proxies that is treated as one.
+
+    `is_own` is set if its reports may be evidence. `attempts` is the maximum number of attempts that it makes
+    for a request. `fail_open` is set if it forwards a request for which it gets no response from this
+    processor.
+    """
 
     name: str
     is_own: bool = False
@@ -27,25 +31,25 @@
 
 
 class Handler(Protocol):
-    """What a session needs from whoever decides: `external_processor.ExternalProcessor` outside of tests."""
+    """The interface of `external_processor.ExternalProcessor` that a session uses."""
 
     log: Log
 
     def on_request_headers(self, session: StreamSession, message: codec.ProxyMessage) -> None:
-        """Request headers have come; an answer is owed."""
+        """Handle request headers, which require a response."""
 
     def on_response(self, session: StreamSession, message: codec.ProxyMessage) -> None:
-        """Response headers or trailers have come; an answer is owed."""
+        """Handle response headers or trailers, which require a response."""
 
     def on_stream_ended(self, session: StreamSession) -> None:
-        """The stream is over, or its request is settled as if it were."""
+        """Handle the end of the stream, or an error after which the session is detached from its RPC."""
 
     def has_pending_response(self, session: StreamSession) -> bool:
-        """Whether an answer to a report is still to come on this stream."""
+        """Return whether the response to a report is still pending on this stream."""
 
 
 class StreamSession:
-    """One stream of `peer`; `entry` and `reservation` are set while it is about an RPC."""
+    """One stream of `peer`; `entry` and `reservation` are set while the stream belongs to an RPC."""
 
     __slots__ = ("awaits_trailers", "call", "entry", "grpc", "handler", "peer", "phases", "reservation")
 
@@ -60,7 +64,7 @@
         self.awaits_trailers = False
 
     def on_message(self, data: memoryview) -> None:
-        """A message has come whole: act on it by the stream's state."""
+        """Process one complete message according to the state of the stream."""
         handler = self.handler
         try:
             message = codec.decode(data)
@@ -81,27 +85,27 @@
             self.call.send(codec.continue_response(message.kind))
 
     def release(self) -> None:
-        """The stream is about no RPC any more."""
+        """Detach the stream from its RPC."""
         self.entry = None
         self.reservation = None
 
     def fail(self, status: int, text: str) -> None:
-        """End the stream with an error; its RPC goes on as if the proxy had left."""
+        """End the stream with an error status; its RPC is handled as if the proxy had disconnected."""
         self.handler.on_stream_ended(self)
         self.call.finish(status, text)
 
     def on_half_closed(self) -> None:
-        """The proxy has ended its side: the stream ends with OK, after a response that is still due."""
+        """End the stream with OK when the proxy has ended its side and no response is pending."""
         if self.phases.state != StreamState.AWAITING_DECISION and not self.handler.has_pending_response(self):
             self.handler.on_stream_ended(self)
             self.call.finish(http2.OK)
 
     def on_closed(self) -> None:
-        """The stream has ended, by either side or with its connection."""
+        """Handle the end of the stream, by either side or with its connection."""
         self.handler.on_stream_ended(self)
 
     def dispatch(self, answer: bytes) -> None:
-        """Let the request go on, and the messages that were deferred behind it."""
+        """Send the response to the request headers, and then let the deferred messages pass."""
         deferred = self.phases.on_dispatched()
         self.call.send(answer)
         for kind in deferred:
--- a/linenbridge/processor/tls.py
+++ b/linenbridge/processor/tls.py
@@ -1,7 +1,7 @@
-"""TLS towards proxies: keys, certificates, and the names in a proxy's certificate.
+"""TLS for connections of proxies: keys, certificates, and the names in a proxy's certificate.
 
-Owns the context that new connections take. A reload reads all files; where any of them cannot be used, the
-context stays as it is.
+Owns the TLS context of new connections. A reload reads all files; if any of them is unusable, the context is
+not replaced.
 """
 
 from __future__ import annotations
@@ -11,13 +11,15 @@
 
 from OpenSSL import SSL, crypto
 
-MAX_NAMES = 32  # of one certificate; others are ignored
+MAX_NAMES = 32  # per certificate; further ones are ignored
 
 
 @dataclass(frozen=True, slots=True)
 class KeyFiles:
-    """PEM files: this process's key and certificates, and the authorities of proxies' certificates; without
-    authorities ("") proxies need no certificate."""
+    """Paths of PEM files: this process's certificates and key, and the authorities of proxies' certificates.
+
+    Without authorities ("") proxies need no certificate.
+    """
 
     certificate: str
     key: str
@@ -25,15 +27,17 @@
 
 
 class TlsContextFactory:
-    """The context factory of `listenSSL`."""
+    """The context factory for Twisted's `listenSSL`."""
 
     def __init__(self, files: KeyFiles) -> None:
         self.files = files
         self.context = _context(files)
 
     def reload(self) -> str | None:
-        """Read the files again: None, or the error that left the context as it was. Open connections keep
-        theirs."""
+        """Read the files again; return None, or the error because of which the context was not replaced.
+
+        Open connections keep their context.
+        """
         try:
             self.context = _context(self.files)
         except (SSL.Error, crypto.Error, OSError, ValueError) as error:
@@ -41,7 +45,7 @@
         return None
 
     def getContext(self) -> SSL.Context:
-        """The context of a new connection; Twisted calls it by this name."""
+        """Return the context for a new connection; Twisted requires this method name."""
         return self.context
 
 
@@ -66,11 +70,11 @@
 
 
 def certificate_names(transport: Any) -> tuple[str, ...]:
-    """The common name, DNS names and URIs of the certificate that a peer has shown; none without one."""
+    """Return the common names, DNS names and URIs in the peer's certificate; empty without a certificate."""
     certificate = getattr(transport, "getPeerCertificate", lambda: None)()
     if certificate is None:
         return ()
-    from cryptography import x509  # loaded only where a peer shows a certificate
+    from cryptography import x509  # imported only if a peer has a certificate
 
     certificate_fields = certificate.to_cryptography()
     names = [
