--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -53,12 +53,15 @@
 
     def on_message(self, data: memoryview) -> None:
         """Do nothing: the stream has already ended."""
+        ...
 
     def on_half_closed(self) -> None:
         """Do nothing: the stream has already ended."""
+        ...
 
     def on_closed(self) -> None:
         """Do nothing: no state is kept for the stream."""
+        ...
 
 
 class ProcessorServer:
