--- a/linenbridge/processor/codec.py
+++ b/linenbridge/processor/codec.py
@@ -145,7 +145,7 @@
 
 
 def continue_response(kind: MessageKind, headers: dict[str, str] | None = None) -> bytes:
-    """Return the response that lets a message of `kind` pass, with these headers set."""
+    """Return the response that lets a message of `kind` pass. A body must have no `headers`."""
     response = wire.ProcessingResponse()
     part = getattr(response, kind)
     if kind in (MessageKind.REQUEST_TRAILERS, MessageKind.RESPONSE_TRAILERS):
--- a/linenbridge/processor/evidence.py
+++ b/linenbridge/processor/evidence.py
@@ -30,9 +30,8 @@
 MAX_FAILURE_SHARE = 0.95
 MIN_OTHERS_REPORTS = 20.0  # of one method at one build; with fewer reports no comparison is made
 CLEAR_FAILURE_SHARE = 0.05  # a smaller share of failures counts as none
-PESSIMISM_STEP = (
-    1.25  # nats per failure; five in a row are needed, as an honest proxy may use one faulty instance
-)
+# Nats per failure: five failures in a row are needed, as an honest proxy may use one faulty instance.
+PESSIMISM_STEP = 1.25
 DECAY_TIME = 30_000_000  # microseconds after which a count weighs 1/e
 DISTRUST_TIME = 60_000_000  # microseconds
 MAX_MISSING_SHARE = 0.2  # of the reports that were due
--- a/linenbridge/processor/external_processor.py
+++ b/linenbridge/processor/external_processor.py
@@ -169,9 +169,8 @@
             or reservation.outcome is not None
             or (is_trailers and not session.awaits_trailers)
         ):
-            session.call.send(
-                codec.continue_response(message.kind)
-            )  # the RPC has ended or has a later attempt
+            # The RPC has ended, or a later attempt has replaced this one.
+            session.call.send(codec.continue_response(message.kind))
             return
         if is_trailers:
             outcome: Outcome | Pending | None = self.classifier.classify_trailers(
--- a/linenbridge/processor/reservations.py
+++ b/linenbridge/processor/reservations.py
@@ -49,8 +49,8 @@
 class ReservationTerms:
     """Time limits, in microseconds, and capacity limits of the ledger."""
 
-    use_within: int  # from the decision until the proxy must have sent the request
-    retry_within: int  # from a failed attempt until the retry of the same request
+    use_within: int  # maximum from the decision until the proxy sends the request
+    retry_within: int  # maximum from a failed attempt to the retry of the same request
     remember_for: int  # how long a non-idempotent request's id is kept after its end
     max_open: int  # RPCs
     max_remembered: int  # ids
@@ -138,9 +138,8 @@
 
     def __init__(self, terms: ReservationTerms) -> None:
         self.terms = terms
-        self.open: dict[
-            tuple[str, str], RpcEntry
-        ] = {}  # by proxy ("" for non-idempotent methods) and request id
+        # Keys are the proxy ("" for non-idempotent methods) and the request id.
+        self.open: dict[tuple[str, str], RpcEntry] = {}
         self.by_id: dict[str, RpcEntry] = {}
         self.ended: OrderedDict[str, EndedRequest] = OrderedDict()  # by request id, in order of their end
         self.per_proxy: dict[str, int] = {}  # number of open RPCs
--- a/linenbridge/processor/store.py
+++ b/linenbridge/processor/store.py
@@ -70,7 +70,7 @@
     def open(self) -> bool:
         """Open the file and return whether the store is usable.
 
-        A damaged file is replaced by a new one and gets the time appended to its name.
+        A damaged file, or one whose tables have another version, is renamed with the time and replaced.
         """
         for _ in range(2):
             try:
