--- a/linenbridge/processor/codec.py
+++ b/linenbridge/processor/codec.py
@@ -1,7 +1,7 @@
 """Messages of the external-processing protocol: requests decoded, responses encoded.
 
-A message that cannot be read raises MalformedError. Names of headers are lower-cased; values that are no text
-keep their bytes as latin-1. Unknown fields are ignored, as the protocol asks.
+A message that cannot be parsed raises MalformedError. Header names are lower-cased; raw header values are
+decoded as latin-1, which keeps every byte. Unknown fields are ignored, as the protocol requires.
 """
 
 from __future__ import annotations
@@ -21,12 +21,16 @@
 
 
 class MalformedError(ValueError):
-    """The bytes are no message of the protocol; the text goes to the proxy."""
+    """A message that violates the protocol. Its text is sent to the proxy as the gRPC status message."""
 
 
 @dataclass(slots=True)
 class ProxyMessage:
-    """One message of a proxy. `ended`: nothing of its direction follows; `observed`: it gets no response."""
+    """One message of a proxy.
+
+    `ended` is set on the last message of its direction. `observed` is set on a message that must not get a
+    response.
+    """
 
     kind: MessageKind
     headers: dict[str, str] = field(default_factory=dict)
@@ -35,7 +39,7 @@
     observed: bool = False
 
     def request(self) -> Request:
-        """The request that request headers are about, as routes match it."""
+        """Return the request that the headers describe, in the form that routes match."""
         return Request(
             self.headers.get(":authority", self.headers.get("host", "")),
             self.headers.get(":path", "/"),
@@ -47,7 +51,7 @@
 
 
 def decode(data: bytes | memoryview) -> ProxyMessage:
-    """Decode one ProcessingRequest; MalformedError where that fails."""
+    """Decode one ProcessingRequest. Raises MalformedError if the bytes or the headers are invalid."""
     message = wire.ProcessingRequest()
     try:
         message.ParseFromString(bytes(data))
@@ -72,37 +76,40 @@
     return decoded
 
 
-def _headers(found: wire.HeaderMap) -> dict[str, str]:
-    """Headers by name. Several of one name are joined by a comma (RFC 9110, section 5.2); a pseudo-header
-    comes once."""
-    if len(found.headers) > MAX_HEADERS:
+def _headers(header_map: wire.HeaderMap) -> dict[str, str]:
+    """Return the header values by name.
+
+    Values of one name are joined by a comma (RFC 9110, section 5.2). Raises MalformedError if a pseudo-header
+    occurs twice, or if there are more than MAX_HEADERS headers.
+    """
+    if len(header_map.headers) > MAX_HEADERS:
         raise MalformedError(f"more than {MAX_HEADERS} headers")
-    named: dict[str, str] = {}
-    for header in found.headers:
+    values: dict[str, str] = {}
+    for header in header_map.headers:
         name = header.key.lower()
         value = header.raw_value.decode("latin-1") if header.raw_value else header.value
-        if name in named:
+        if name in values:
             if name.startswith(":"):
                 raise MalformedError(f"the header {name} came twice")
-            value = f"{named[name]},{value}"
-        named[name] = value
-    return named
+            value = f"{values[name]},{value}"
+        values[name] = value
+    return values
 
 
-def _attributes(found: dict[str, Struct]) -> dict[str, str]:
-    """The plain values of all groups by name; numbers without a fraction as whole ones."""
-    named: dict[str, str] = {}
-    for _, group in sorted(found.items()):
+def _attributes(groups: dict[str, Struct]) -> dict[str, str]:
+    """Return the strings, numbers and booleans of all groups as text, by name; integers have no fraction."""
+    values: dict[str, str] = {}
+    for _, group in sorted(groups.items()):
         for name, value in sorted(group.fields.items()):
             match value.WhichOneof("kind"):
                 case "string_value":
-                    named[name] = value.string_value
+                    values[name] = value.string_value
                 case "number_value":
                     number = value.number_value
-                    named[name] = str(int(number)) if number.is_integer() else repr(number)
+                    values[name] = str(int(number)) if number.is_integer() else repr(number)
                 case "bool_value":
-                    named[name] = "true" if value.bool_value else "false"
-    return named
+                    values[name] = "true" if value.bool_value else "false"
+    return values
 
 
 # ---- responses ------------------------------------------------------------------------------------------
@@ -119,8 +126,11 @@
 def dispatch_response(
     headers: dict[str, str], metadata: tuple[str, dict[str, str]] | None, trailers: bool
 ) -> bytes:
-    """The response to request headers that go on; `metadata` is a namespace with its values. It asks the
-    proxy to show the instance's response headers, and with `trailers` its trailers."""
+    """Return the response to the headers of a request that is dispatched.
+
+    `metadata` is a namespace with its values. The response requests that the proxy send the instance's
+    response headers, and its trailers if `trailers` is set.
+    """
     response = wire.ProcessingResponse()
     common = response.request_headers.response
     _set_headers(common.header_mutation, headers)
@@ -135,7 +145,7 @@
 
 
 def continue_response(kind: MessageKind, headers: dict[str, str] | None = None) -> bytes:
-    """The response that lets any other message pass, with these headers set unless it is a body."""
+    """Return the response that lets a message of `kind` pass. A body must have no `headers`."""
     response = wire.ProcessingResponse()
     part = getattr(response, kind)
     if kind in (MessageKind.REQUEST_TRAILERS, MessageKind.RESPONSE_TRAILERS):
@@ -149,15 +159,15 @@
     return response.SerializeToString()
 
 
-def immediate_response(code: int, headers: dict[str, str], details: str, grpc: int | None) -> bytes:
-    """A final response in place of an instance's; `grpc` is the status for callers that use gRPC."""
+def immediate_response(code: int, headers: dict[str, str], details: str, grpc_code: int | None) -> bytes:
+    """Return a final response that replaces an instance's; `grpc_code` is set for callers that use gRPC."""
     response = wire.ProcessingResponse()
     part = response.immediate_response
     part.status.code = code
     _set_headers(part.headers, headers)
     part.details = details
-    if grpc is None:
+    if grpc_code is None:
         part.body = f"{details}\n".encode()
     else:
-        part.grpc_status.status = grpc
+        part.grpc_status.status = grpc_code
     return response.SerializeToString()
--- a/linenbridge/processor/configuration.py
+++ b/linenbridge/processor/configuration.py
@@ -1,7 +1,7 @@
-"""What the settings say to the processor: its element, from the checked XML to plain objects.
+"""Settings of the processor: converts the element `processor` of the validated XML to plain objects.
 
-Owns what the element's words stand for, and the routes that it names. It must never hold a tuned value:
-defaults stand in the schema, where operators can read them.
+Also loads the routes that the element refers to. Defaults belong in the schema, where operators can read
+them, not in this module.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
     child_attributes,
     duration,
     size,
-)  # fmt: skip
+)
 from linenbridge.interface import Method
 from linenbridge.net.discovery import host_port
 from linenbridge.processor.connection_limits import ConnectionLimits
@@ -32,13 +32,15 @@
 from linenbridge.routes.language import RouteError
 from linenbridge.routes.table import RoutesError, Table, table
 
-USE_WITHIN_MOST = 250_000  # half of the grace for drains: what is handed out is sent well inside it
+MAX_USE_WITHIN = (
+    250_000  # microseconds; half of the drain grace period, so that attempts are sent well within it
+)
 TLS_FILES = ("certificate", "key", "authorities")
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessorSettings:
-    """The element `processor` of the settings, checked. Times in microseconds, sizes in bytes."""
+    """The validated element `processor` of the settings. Times are in microseconds, sizes in bytes."""
 
     host: str
     port: int
@@ -58,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerIdentity:
-    """How a partner is known: by a name in its certificate, or by where it connects from."""
+    """How a proxy is identified: by a name in its certificate, or by the network it connects from."""
 
     peer: ProxyPeer
     identity: str
@@ -66,7 +68,10 @@
 
 
 def processor_settings(configuration: Configuration) -> ProcessorSettings | None:
-    """The processor's element of the settings; None where the file has none."""
+    """Return the settings of the processor, or None if the file has no such element.
+
+    Raises ConfigurationError, with the location, if a value is invalid or the routes file cannot be read.
+    """
     element = configuration.part("processor")
     if element is None:
         return None
@@ -75,116 +80,134 @@
     bounds = child_attributes(element, "bounds")
     terms = child_attributes(element, "tickets")
     use_within = duration(terms["use-within"])
-    if use_within > USE_WITHIN_MOST:
-        most = USE_WITHIN_MOST // 1000
-        raise configuration.error_at(element.find(f"{SPACE}tickets"), f"use-within is {most}ms at most")
-    peers = tuple(_peer(configuration, found) for found in element.iter(f"{SPACE}partner"))
+    if use_within > MAX_USE_WITHIN:
+        max_milliseconds = MAX_USE_WITHIN // 1000
+        raise configuration.error_at(
+            element.find(f"{SPACE}tickets"),
+            f"use-within is {terms['use-within']}, the maximum is {max_milliseconds}ms",
+        )
+    peers = tuple(_peer(configuration, partner) for partner in element.iter(f"{SPACE}partner"))
     names = [known.peer.name for known in peers]
-    for found in element.iter(f"{SPACE}partner"):
-        if names.count(found.get("name")) > 1:
-            raise configuration.error_at(found, f"two are named {found.get('name')}")
+    for partner in element.iter(f"{SPACE}partner"):
+        if names.count(partner.get("name")) > 1:
+            raise configuration.error_at(
+                partner,
+                f"the name '{partner.get('name')}' is used by several partners; each requires its own",
+            )
     tls, store, routes = (
         element.find(f"{SPACE}tls"),
         element.find(f"{SPACE}store"),
         element.find(f"{SPACE}routes"),
     )
     file, text, line = path, routes.text or "", routes.sourceline
-    if (named := routes.get("file")) is not None:
+    if (routes_path := routes.get("file")) is not None:
         if text.strip():
-            raise configuration.error_at(routes, "a file or the routes themselves, not both")
-        file, line = configuration.beside(named), 1
+            raise configuration.error_at(
+                routes,
+                "the element has both the attribute `file` and routes as its text; keep one of the two",
+            )
+        file, line = configuration.beside(routes_path), 1
         try:
             with open(file, encoding="utf-8") as opened:
                 text = opened.read(MAX_FILE_BYTES)
         except (OSError, UnicodeDecodeError) as error:
-            raise configuration.error_at(routes, f"{file}: {error}") from None
-    kept = None
+            raise configuration.error_at(routes, f"cannot read the routes file {file}: {error}") from None
+    store_location = None
     if store is not None:
-        kept = configuration.beside(store.get("file")), store.get("outlives", "process")
+        store_location = configuration.beside(store.get("file")), store.get("outlives", "process")
     return ProcessorSettings(
         host=host,
         port=port,
         pass_unrouted=element.get("unrouted") == "pass",
         tls=None if tls is None else KeyFiles(*(configuration.beside(tls.get(n, "")) for n in TLS_FILES)),
         limits=ConnectionLimits(
-            int(bounds["streams"]), size(bounds["message"]), size(bounds["headers"]), size(bounds["backlog"]),
-            duration(bounds["first-word"]), duration(bounds["unread"]), duration(bounds["idle"]),
+            int(bounds["streams"]),
+            size(bounds["message"]),
+            size(bounds["headers"]),
+            size(bounds["backlog"]),
+            duration(bounds["first-word"]),
+            duration(bounds["unread"]),
+            duration(bounds["idle"]),
         ),
         connections=int(bounds["connections"]),
         terms=ReservationTerms(
             use_within, use_within, duration(terms["remember"]), int(terms["open"]), int(terms["ids"])
         ),
-        store=kept,
+        store=store_location,
         response_format=_response_format(element.find(f"{SPACE}answer")),
         non_execution_rules=tuple(
-            NonExecutionRule(int(found.get("status")), found.get("header"), found.get("value"))
-            for found in element.iter(f"{SPACE}proof")
+            NonExecutionRule(int(rule.get("status")), rule.get("header"), rule.get("value"))
+            for rule in element.iter(f"{SPACE}proof")
         ),
         peers=peers,
         routes=text,
         routes_file=file,
         routes_line=line,
-    )  # fmt: skip
+    )
 
 
 def _response_format(element: etree._Element | None) -> ResponseFormat:
-    said = {
+    attributes = {
         name.replace("-", "_"): value
         for name, value in (element.attrib if element is not None else {}).items()
     }
     codes = {
-        name: int(value) for name, value in said.items() if name in ("pushed_back", "aborted", "timed_out")
+        name: int(value)
+        for name, value in attributes.items()
+        if name in ("pushed_back", "aborted", "timed_out")
     }
-    return replace(ResponseFormat(), **{**said, **codes})
+    return replace(ResponseFormat(), **{**attributes, **codes})
 
 
 def _peer(configuration: Configuration, element: etree._Element) -> PeerIdentity:
-    refuse = partial(configuration.error_at, element)
+    error_here = partial(configuration.error_at, element)
     identity, address, network = element.get("identity", ""), element.get("address", ""), None
     if bool(identity) == bool(address):
-        raise refuse("it is known by an identity or by an address, one of the two")
+        raise error_here("a partner requires either `identity` or `address`; set exactly one of the two")
     if address:
         try:
             network = ipaddress.ip_network(address, strict=False)
         except ValueError as error:
-            raise refuse(str(error)) from None
-    ours = element.get("ours") in ("true", "1")
-    if ours and not identity and not (network is not None and network.is_loopback):
-        raise refuse(
-            "one of ours is known by its certificate, or comes from this machine: addresses can be taken"
+            raise error_here(str(error)) from None
+    is_own = element.get("ours") in ("true", "1")
+    if is_own and not identity and not (network is not None and network.is_loopback):
+        raise error_here(
+            "a partner with `ours` requires `identity` or a loopback `address`, as others can be spoofed"
         )
     peer = ProxyPeer(
         element.get("name"),
-        ours,
+        is_own,
         int(element.get("attempts", "1")),
         element.get("fail-open") not in ("false", "0"),
     )
     return PeerIdentity(peer, identity, network)
 
 
-def routes(settings: ProcessorSettings, methods: list[Method], longest: int) -> Table:
-    """The routing table; ConfigurationError gives each fault's place in the file that it stands in."""
+def routes(settings: ProcessorSettings, methods: list[Method], max_deadline: int) -> Table:
+    """Return the routing table; raises ConfigurationError with the location of each fault."""
     try:
-        return table(settings.routes, methods, longest)
+        return table(settings.routes, methods, max_deadline)
     except RoutesError as faults:
-        raise ConfigurationError("\n".join(_placed(settings, error) for error in faults.errors)) from None
+        raise ConfigurationError(
+            "\n".join(_with_location(settings, error) for error in faults.errors)
+        ) from None
     except RouteError as error:
-        raise ConfigurationError(_placed(settings, error)) from None
+        raise ConfigurationError(_with_location(settings, error)) from None
 
 
-def _placed(settings: ProcessorSettings, error: RouteError) -> str:
+def _with_location(settings: ProcessorSettings, error: RouteError) -> str:
     line = settings.routes_line + error.place.line - 1
     return f"{settings.routes_file}:{line}:{error.place.column}: {error.what}"
 
 
-class Directory:
-    """Who a connection is: the first partner whose identity or network fits."""
+class PeerDirectory:
+    """Finds the peer of a connection: the first partner whose identity or network matches."""
 
     def __init__(self, peers: tuple[PeerIdentity, ...]) -> None:
         self.peers = peers
 
     def find(self, address: str, names: tuple[str, ...]) -> ProxyPeer | None:
-        """Return the peer at an address with these certificate names; None where it is unknown."""
+        """Return the peer at an address with these certificate names, or None if no partner matches."""
         for known in self.peers:
             if known.identity:
                 if known.identity in names:
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -1,7 +1,9 @@
-"""One gateway that serves proxies: `linenbridge processor`, and `linenbridge serve` beside RESP2.
+"""The process of a gateway that serves proxies.
 
-Owns the start and the end of that process: it reads both settings, puts the parts together, hands signals on.
-It must never decide, nor hold anything once the parts run.
+The command `linenbridge processor` runs it alone, `linenbridge serve` with a RESP2 server as well.
+
+Starts and stops the process: reads the settings, connects the components, and forwards signals. Makes no
+decisions and keeps no state of requests.
 """
 
 from __future__ import annotations
@@ -22,7 +24,7 @@
 from linenbridge.process.components import build, reload
 from linenbridge.process.configuration import ProcessConfiguration
 from linenbridge.processor import tls
-from linenbridge.processor.configuration import Directory, ProcessorSettings, processor_settings, routes
+from linenbridge.processor.configuration import PeerDirectory, ProcessorSettings, processor_settings, routes
 from linenbridge.processor.evidence import Evidence
 from linenbridge.processor.external_processor import ExternalProcessor
 from linenbridge.processor.health import HealthService
@@ -40,51 +42,72 @@
 
 PROCESS = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 HEALTH = b"/grpc.health.v1.Health/"
-LEAVE_MORE = 1.0  # seconds after the longest deadline within which streams have ended on a planned stop
+STOP_MARGIN = 1.0  # seconds beyond the longest deadline that a planned stop waits for streams to end
 
 
 class UnauthorizedStream:
-    """The receiver of a stream from nobody that the settings name."""
+    """The receiver for a stream of a peer that is not in the settings; ends the stream at once."""
 
     def __init__(self, call: Call) -> None:
         call.finish(PERMISSION_DENIED, "no partner of these settings")
 
-    def on_message(self, data: memoryview) -> None: ...
-    def on_half_closed(self) -> None: ...
-    def on_closed(self) -> None: ...
+    def on_message(self, data: memoryview) -> None:
+        """Do nothing: the stream has already ended."""
+        ...
+
+    def on_half_closed(self) -> None:
+        """Do nothing: the stream has already ended."""
+        ...
+
+    def on_closed(self) -> None:
+        """Do nothing: no state is kept for the stream."""
+        ...
 
 
 class ProcessorServer:
-    """The processor's front with its server, on one gateway's loop."""
+    """The external processor of one gateway and its HTTP/2 server."""
 
     def __init__(
-        self, at: ProcessConfiguration, settings: ProcessorSettings, log: Log, reactor: Any,
+        self,
+        process_configuration: ProcessConfiguration,
+        settings: ProcessorSettings,
+        log: Log,
+        reactor: Any,
         view: View | None = None,
-    ) -> None:  # fmt: skip
+    ) -> None:
         self.settings, self.log, self.reactor = settings, log, reactor
-        start = startup(at.settings)
-        self.longest = at.settings.max_deadline()
-        self.table = routes(settings, list(start.methods), self.longest)
+        start = startup(process_configuration.settings)
+        self.longest_deadline = process_configuration.settings.max_deadline()
+        self.table = routes(settings, list(start.methods), self.longest_deadline)
         self.routing = _routing(self.table, view)
-        self.directory = Directory(settings.peers)
+        self.directory = PeerDirectory(settings.peers)
         self.health = HealthService()
         self.tls_context = tls.TlsContextFactory(settings.tls) if settings.tls is not None else None
         self.processor: ExternalProcessor | None = None
         self.server: Server | None = None
 
     def open(self, loop: DecisionLoop) -> ExternalProcessor:
-        """The front on this loop; it listens only when told to."""
+        """Create the external processor and its server on a loop; `listen` starts listening."""
         settings = self.settings
-        ours = frozenset(known.peer.name for known in settings.peers if known.peer.is_own)
+        own_proxies = frozenset(known.peer.name for known in settings.peers if known.peer.is_own)
         store = None if settings.store is None else ReservationStore(*settings.store, self.log.event)
         processor = self.processor = ExternalProcessor(
-            loop, self.reactor, self.routing, ReservationLedger(settings.terms), Evidence(ours),
-            ResponseClassifier(settings.non_execution_rules), settings.response_format, store,
-            settings.pass_unrouted, time.time,
-        )  # fmt: skip
+            loop,
+            self.reactor,
+            self.routing,
+            ReservationLedger(settings.terms),
+            Evidence(own_proxies),
+            ResponseClassifier(settings.non_execution_rules),
+            settings.response_format,
+            store,
+            settings.pass_unrouted,
+            time.time,
+        )
         processor.start()
-        named = tls.certificate_names if self.tls_context is not None else lambda transport: ()
-        self.server = Server(self.reactor, loop.now, settings.limits, settings.connections, self.log, named)
+        peer_names = tls.certificate_names if self.tls_context is not None else lambda transport: ()
+        self.server = Server(
+            self.reactor, loop.now, settings.limits, settings.connections, self.log, peer_names
+        )
         self.server.services = {
             PROCESS: self._open_session,
             HEALTH + b"Check": self.health.check,
@@ -101,9 +124,10 @@
         return StreamSession(self.processor, peer, call)
 
     def listen(self) -> None:
+        """Listen for proxies and set the health status to serving. Raises RuntimeError before `open`."""
         server, settings = self.server, self.settings
         if server is None:
-            raise RuntimeError("the server has not been opened")
+            raise RuntimeError("listen() was called before open()")
         if self.tls_context is not None:
             server.port = self.reactor.listenSSL(
                 settings.port, server, self.tls_context, interface=settings.host
@@ -111,30 +135,35 @@
         else:
             server.port = self.reactor.listenTCP(settings.port, server, interface=settings.host)
         self.health.set_serving(serving=True)
-        self.log.event("processor.listening", host=settings.host, port=server.port.getHost().port,
-                       tls=self.tls_context is not None, routes=len(self.table.rules))  # fmt: skip
+        self.log.event(
+            "processor.listening",
+            host=settings.host,
+            port=server.port.getHost().port,
+            tls=self.tls_context is not None,
+            routes=len(self.table.rules),
+        )
 
     def reload(self) -> None:
-        """Keys anew; routes and all else count from the next start."""
-        if self.tls_context is not None and (why := self.tls_context.reload()) is not None:
-            self.log.event("tls.reload.failed", error=why)
+        """Reload keys and certificates. Changes of routes and other settings require a restart."""
+        if self.tls_context is not None and (reload_error := self.tls_context.reload()) is not None:
+            self.log.event("tls.reload.failed", error=reload_error)
 
-    def leave(self, stopped: Any) -> None:
-        """Proxies are told to go elsewhere; what is open ends within its time."""
+    def shut_down(self, stopped: Any) -> None:
+        """Stop accepting streams and let open ones end within the longest deadline; then call `stopped`."""
         if self.server is None:
             stopped()
             return
         self.health.set_serving(serving=False)
         self.server.port.stopListening()
-        self.server.leave(self.longest / 1e6 + LEAVE_MORE, partial(self._left, stopped))
+        self.server.leave(self.longest_deadline / 1e6 + STOP_MARGIN, partial(self._on_streams_ended, stopped))
 
-    def _left(self, stopped: Any) -> None:
+    def _on_streams_ended(self, stopped: Any) -> None:
         if self.processor is not None:
             self.processor.ids.close()
         stopped()
 
-    def open_now(self) -> dict[str, int]:
-        """What stands open at present, for the counters' line."""
+    def open_counts(self) -> dict[str, int]:
+        """Return the numbers of connections, open RPCs and kept ids, for the log line of counters."""
         processor, server = self.processor, self.server
         if processor is None or server is None:
             return {}
@@ -146,7 +175,7 @@
 
 
 def _routing(table: Table, view: View | None) -> Routing:
-    """The settings' own table; with a view the sets that it has go before."""
+    """Return the routing table of the settings; routes of a view, if there is one, take precedence."""
     if view is None:
         return table
     from linenbridge.distribution.view.serving import RoutesByAuthority
@@ -155,80 +184,89 @@
 
 
 def _distributed(
-    configuration: Configuration, at: ProcessConfiguration, log: Log, reactor: Any
+    configuration: Configuration, process_configuration: ProcessConfiguration, log: Log, reactor: Any
 ) -> DistributedState | None:
-    """What is spread to this process, where the settings have a distribution."""
+    """Open the distributed state of this process; return None if the settings have no distribution."""
     if configuration.part("distribution") is None:
         return None
     from linenbridge.processor.distributed import open_distributed_state
 
-    return open_distributed_state(configuration, at, log, reactor)
+    return open_distributed_state(configuration, process_configuration, log, reactor)
 
 
 def _member(configuration: Configuration, log: Log, reactor: Any, loop: DecisionLoop):  # noqa: ANN202  (imported where it is used)
-    """This process as a member of the fleet, where the settings have one."""
+    """Return this process as a member of the fleet, or None without a fleet in the settings."""
     if configuration.part("fleet") is None:
         return None
     from linenbridge.fleet.configuration import fleet_settings
     from linenbridge.fleet.hosting.member import Member
 
-    told = fleet_settings(configuration)
-    if told is None:
+    settings = fleet_settings(configuration)
+    if settings is None:
         return None
 
-    def held(zones: frozenset[str] | None) -> None:
+    def on_freeze_changed(zones: frozenset[str] | None) -> None:
         loop.enqueue(lambda now: loop.decision_module.on_rollout_freeze(now, zones))
 
-    return Member(told, reactor, log, secrets.randbits(60), held)
+    return Member(settings, reactor, log, secrets.randbits(60), on_freeze_changed)
 
 
-def run(configuration: Configuration, at: ProcessConfiguration, resp: bool) -> int:
-    """One process until its end: the processor, and RESP2 too where `resp` says so."""
-    if (told := processor_settings(configuration)) is None:
-        raise ConfigurationError(f"{configuration.path}: element 'linenbridge': it has no processor")
+def run(configuration: Configuration, process_configuration: ProcessConfiguration, resp: bool) -> int:
+    """Run the process until it is stopped: the processor, and the RESP2 server if `resp` is set.
+
+    Returns the exit code. Raises ConfigurationError if the settings have no element `processor`.
+    """
+    if (settings := processor_settings(configuration)) is None:
+        raise ConfigurationError(
+            f"{configuration.path}: element 'linenbridge': the element 'processor' is missing"
+        )
     log = structured_log(sys.stderr.buffer, configuration.log_level)
     reactor = lifecycle.begin(log)
-    distributed = _distributed(configuration, at, log, reactor)
+    distributed = _distributed(configuration, process_configuration, log, reactor)
     view, start = (None, None) if distributed is None else (distributed.view, distributed.start)
-    server = ProcessorServer(at, told, log, reactor, view)
-    parts = build(at, log, reactor, server.open, start)
+    server = ProcessorServer(process_configuration, settings, log, reactor, view)
+    parts = build(process_configuration, log, reactor, server.open, start)
     member = _member(configuration, log, reactor, parts.loop)
     reactor.serve(parts.loop)
     server.listen()
     if resp:
-        parts.clients.listen(reactor, *host_port(at.listen))
+        parts.clients.listen(reactor, *host_port(process_configuration.listen))
     follower = None if distributed is None else distributed.start_following()
-    log.event("started", gateway=at.name, listen=at.listen if resp else "")
-    left = {"processor"} | ({"resp"} if resp else set()) | ({"view"} if follower is not None else set())
-
-    def gone(which: str) -> None:
-        left.discard(which)
-        if not left:
+    log.event(
+        "started", gateway=process_configuration.name, listen=process_configuration.listen if resp else ""
+    )
+    running = {"processor"} | ({"resp"} if resp else set()) | ({"view"} if follower is not None else set())
+
+    def on_stopped(which: str) -> None:
+        running.discard(which)
+        if not running:
             reactor.stop()
 
     def stop() -> None:
         log.event("stopping", open=parts.loop.unanswered)
         if member is None:
-            leave()
+            stop_components()
         else:
-            member.leave(leave)
+            member.leave(stop_components)
 
-    def leave() -> None:
-        server.leave(partial(gone, "processor"))
+    def stop_components() -> None:
+        server.shut_down(partial(on_stopped, "processor"))
         if resp:
-            parts.clients.stop(reactor, partial(gone, "resp"))
+            parts.clients.stop(reactor, partial(on_stopped, "resp"))
         if follower is not None:
-            follower.close(partial(gone, "view"))
+            follower.close(partial(on_stopped, "view"))
 
     def counters() -> None:
         log.counters(
-            open=parts.loop.unanswered, clients=parts.clients.descriptors.open,
-            upstream=parts.instances.descriptors.open, **server.open_now(),
+            open=parts.loop.unanswered,
+            clients=parts.clients.descriptors.open,
+            upstream=parts.instances.descriptors.open,
+            **server.open_counts(),
             **({} if member is None else member.facts()),
             **({} if follower is None else follower.facts()),
-        )  # fmt: skip
+        )
 
-    def anew() -> None:
+    def reload_all() -> None:
         reload(parts, log, dict(os.environ))
         server.reload()
         if member is not None:
@@ -236,5 +274,5 @@
 
             reload_settings(configuration.path, member, log)
 
-    lifecycle.run(reactor, log, stop, counters, anew)
+    lifecycle.run(reactor, log, stop, counters, reload_all)
     return 0
