--- a/linenbridge/distribution/dissemination/acceptance.py
+++ b/linenbridge/distribution/dissemination/acceptance.py
@@ -1,7 +1,7 @@
-"""A follower's rules for the content of one region: what is accepted, what is ignored, what is malformed.
+"""A follower's rules for the content of one region: which messages are accepted, ignored or malformed.
 
-Decides without I/O. Batches are accepted in order only; a batch or range behind the position is ignored; a
-message whose bytes fail a check is malformed, and nothing of it is accepted.
+The module decides without I/O. Batches are accepted only in order. A batch or range that is older than the
+follower's position is ignored. A message whose bytes fail a check is malformed and is discarded as a whole.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from linenbridge.distribution.decisions import Apply, ReplaceRange
 from linenbridge.distribution.messages import Batch, RangeSnapshot, batch_checksum, range_checksum
 
-MAX_RANGE_BYTES = 16_000_000  # of the values of one range whose parts are being joined
-MAX_PENDING_DIGESTS = 256  # positions whose digest the host has yet to report
+MAX_RANGE_BYTES = 16_000_000  # sum of the sizes of the values of one range
+MAX_PENDING_DIGESTS = 256  # positions with a relay's digest and none of the host yet
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class Verdict(Enum):
-    """What a follower does with a message."""
+    """The result of checking a message against a follower's state of its region."""
 
     ACCEPTED = "accepted"
     HEARTBEAT = "heartbeat"
@@ -31,16 +31,16 @@
 
 
 def defect(message: Batch | RangeSnapshot) -> str:
-    """The first check that the bytes of a message fail; empty if they pass all."""
+    """Return a description of the first check that a message fails, or an empty string."""
     return batch_defect(message) if isinstance(message, Batch) else range_defect(message)
 
 
 def batch_defect(batch: Batch) -> str:
-    """The first check that the bytes of a batch fail; empty if they pass all."""
+    """Return a description of the first check that a batch fails, or an empty string."""
     if batch.checksum != batch_checksum(batch.region, batch.after, batch.upto, _encode(batch.changes)):
-        return "the list's checksum"
+        return "the checksum of the batch does not match"
     if batch.after > batch.upto.sequence:
-        return "the end lies before the beginning"
+        return "the end of the batch is before its start"
     return _changes_defect(batch.region, batch.changes) or _order_defect(batch)
 
 
@@ -48,50 +48,51 @@
     last = batch.after
     for change in batch.changes:
         if not last < change.sequence <= batch.upto.sequence or change.epoch > batch.upto.epoch:
-            return "the order of changes"
+            return "a change is out of order or outside the batch"
         last = change.sequence
     return ""
 
 
 def range_defect(snapshot: RangeSnapshot) -> str:
-    """The first check that the bytes of a part of a range fail; empty if they pass all."""
+    """Return a description of the first check that a part of a range fails, or an empty string."""
     encoded = _encode(snapshot.changes)
     expected = range_checksum(
         snapshot.region, snapshot.upto, snapshot.range_index, snapshot.part, snapshot.last, encoded
     )
     if snapshot.checksum != expected:
-        return "the list's checksum"
+        return "the checksum of the range does not match"
     if not 0 <= snapshot.range_index < RANGES:
-        return "the range's number"
+        return "the range index is out of bounds"
     if any(range_of(change.kind, change.name) != snapshot.range_index for change in snapshot.changes):
-        return "a change of another range"
+        return "a change belongs to another range"
     return _changes_defect(snapshot.region, snapshot.changes)
 
 
 def _changes_defect(region: str, changes: list[Change]) -> str:
     for change in changes:
         if change.region != region:
-            return "a change of another region"
+            return "a change belongs to another region"
         if not intact(change):
-            return "a change's checksum"
+            return "the checksum of a change does not match"
     return ""
 
 
 class Acceptance:
-    """State of one region at a follower.
+    """A follower's state of one region.
 
-    `accepted` is the position up to which changes were handed to the host, `applied` the position up to which
-    the host has them in force, `digest` the host's digest at `applied` where it is known.
+    `accepted` is the position up to which changes were handed to the host. `applied` is the position up to
+    which the host has put them in force. `digest` is the host's digest at `applied`, or None if it is
+    unknown.
     """
 
     def __init__(self, region: str, version: Version = START) -> None:
         self.region = region
         self.accepted = self.applied = version
         self.digest: int | None = None
-        self.confirmed = False  # a relay has sent its digest at `accepted`
+        self.confirmed = False  # the relay has sent its digest at `accepted`
         self.digest_differs = False  # the host's digest is not the relay's at the same position
         self.behind_horizon = False
-        self.transferring_at: int | None = None  # when ranges were requested or last arrived, microseconds
+        self.transferring_at: int | None = None  # microseconds; the last request or part
         self._expected: dict[Version, int] = {}
         self._parts: list[Change] = []
         self._bytes = 0
@@ -100,19 +101,22 @@
 
     @property
     def needs_ranges(self) -> bool:
-        """Whether the follower has to request ranges, because changes alone do not lead to the relay's
-        state."""
+        """Whether changes alone do not lead to the relay's state, so that the follower has to request
+        ranges."""
         return self.digest_differs or self.behind_horizon
 
     def on_new_session(self) -> None:
-        """Reset what belongs to a session: transfers end, digests are compared again."""
+        """Reset the state of the session: abort a transfer and compare digests again."""
         self.transferring_at = None
         self.confirmed = self.digest_differs = self.behind_horizon = False
         self._drop_parts()
 
     def judge(self, message: Batch | RangeSnapshot) -> Verdict:
-        """Decide what to do with a message of this region. Records the relay's horizon and the first part of
-        a range; all else changes in `accept` and `accept_snapshot`."""
+        """Decide what to do with a message of this region.
+
+        The only state that changes here is `behind_horizon` and, at the first part of a range, the range that
+        is being joined. All other state changes in `accept` and `accept_snapshot`.
+        """
         if defect(message):
             return Verdict.MALFORMED
         return self._judge_batch(message) if isinstance(message, Batch) else self._judge_snapshot(message)
@@ -131,8 +135,11 @@
         return Verdict.IGNORED if self.behind_horizon else Verdict.ACCEPTED
 
     def accept(self, batch: Batch) -> Apply:
-        """What the host has to apply of an accepted batch. The first heartbeat with a digest has no changes:
-        the host only reports its own digest."""
+        """Accept a batch. Return the changes that the host has to apply.
+
+        The first heartbeat with a digest leads to an `Apply` without changes, to which the host answers with
+        its own digest.
+        """
         changes = [change for change in batch.changes if change.version > self.accepted]
         self.accepted = batch.upto
         self.confirmed = batch.digest is not None
@@ -141,8 +148,8 @@
         return Apply(self.region, batch.upto, changes, batch.digest, batch.horizon)
 
     def compare(self, batch: Batch) -> bool:
-        """Compare the digest of a heartbeat with the host's. Returns whether both are known at one
-        position."""
+        """Compare the digest of a heartbeat with the host's digest. Return whether both digests are known at
+        the same position."""
         if batch.digest is None or self.applied != batch.upto or self.digest is None:
             return False
         self.digest_differs = self.digest != batch.digest
@@ -166,7 +173,8 @@
         return Verdict.ACCEPTED
 
     def accept_snapshot(self, now: int, snapshot: RangeSnapshot) -> ReplaceRange | None:
-        """Add a part; returns the complete range with its last part. `now` is in microseconds."""
+        """Add a part to its range. Return the complete range if this is the last part, None otherwise. `now`
+        is in microseconds."""
         self.transferring_at = now
         self._next_part += 1
         self._parts += snapshot.changes
@@ -185,7 +193,7 @@
 
     @property
     def too_large(self) -> bool:
-        """Whether the range that is being joined exceeds MAX_RANGE_BYTES."""
+        """Whether the parts received of the current range exceed MAX_RANGE_BYTES."""
         return self._bytes > MAX_RANGE_BYTES
 
     def _drop_parts(self) -> None:
@@ -197,9 +205,12 @@
     # ---- the host --------------------------------------------------------------------------------------
 
     def on_applied(self, upto: Version, digest: int | None) -> bool:
-        """The host has a batch or range in force. `digest` is its digest there, None if it cannot be
-        compared. A range that does not end its transfer does not move the position. Returns whether the
-        digest was compared with the relay's."""
+        """Record that the host has put a batch or range in force.
+
+        `digest` is the host's digest at `upto`, or None if the host cannot compute a comparable one. A range
+        that is not the final one of its transfer does not move the position. Return whether the digest was
+        compared with the relay's.
+        """
         if self.accepted < upto or upto < self.applied:
             return False
         self.applied = upto
@@ -213,9 +224,9 @@
 
 
 class Acceptances:
-    """State of all regions of one follower.
+    """A follower's state of all regions.
 
-    With an empty `regions` the follower accepts every region that its relays send, up to
+    If `regions` is empty, the follower accepts every region that its relays send, up to
     `max_unknown_regions`.
     """
 
@@ -234,7 +245,7 @@
         return self._by_region[region]
 
     def of_region(self, region: str) -> Acceptance | None:
-        """The state of a region; None if the follower accepts nothing of it."""
+        """Return the state of a region, or None if the follower does not accept this region."""
         if region not in self._by_region:
             bounded = len(self._by_region) >= self._max_unknown_regions
             if bounded or (self._wanted and region not in self._wanted):
@@ -243,20 +254,20 @@
         return self._by_region[region]
 
     def applied(self) -> list[Position]:
-        """The positions up to which the host has the changes in force."""
+        """Return the positions up to which the host has put changes in force."""
         return [
             Position(region, each.applied.epoch, each.applied.sequence)
             for region, each in self._by_region.items()
         ]
 
     def accepted(self) -> list[Position]:
-        """The positions up to which changes were handed to the host."""
+        """Return the positions up to which changes were handed to the host."""
         return [
             Position(region, each.accepted.epoch, each.accepted.sequence)
             for region, each in self._by_region.items()
         ]
 
     def on_new_session(self) -> None:
-        """Reset what belongs to a session, in every region."""
+        """Reset the state of the session in every region."""
         for acceptance in self._by_region.values():
             acceptance.on_new_session()
--- a/linenbridge/distribution/dissemination/compacted_log.py
+++ b/linenbridge/distribution/dissemination/compacted_log.py
@@ -1,9 +1,9 @@
-"""A relay's compacted log of one region: the newest change of each key, in order of sequence and by range.
+"""A relay's compacted log of one region: the newest change of each key, by sequence and by range.
 
-Keeps state without I/O. A key that changes again loses its older entry; a deleted key stays as a tombstone
-until there are too many of them. The horizon is the highest sequence of a dropped tombstone: a follower
-behind it cannot learn of that deletion from the changes and requests ranges instead. Changes are stored as
-they are encoded on the wire, so that one encoding serves all followers.
+The log performs no I/O. A new change of a key replaces the older entry. A deleted key stays as a tombstone
+until the number of tombstones exceeds its limit. The horizon is the highest sequence of a dropped tombstone:
+the changes that are left do not contain that deletion, so a follower behind the horizon requests ranges
+instead. Changes are stored in the encoding of the wire, so that each is encoded once for all followers.
 """
 
 from __future__ import annotations
@@ -25,16 +25,16 @@
     removed,
 )
 
-MAX_TOMBSTONES = 65_536  # of one region; about five days of replaced instances
-_MIN_HOLES = 1_024  # entries of superseded changes; fewer are not worth a compaction
-_DIGEST_BYTES = 8  # of one range
+MAX_TOMBSTONES = 65_536  # per region; about five days of replaced instances
+_MIN_HOLES = 1_024  # superseded entries; compacting fewer costs more than it frees
+_DIGEST_BYTES = 8  # per range
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Change).decode
 
 
 class _OrderedKey(NamedTuple):
-    """One key in the order of the log."""
+    """A key and the sequence of its newest change, sortable in the order of the log."""
 
     sequence: int
     key: str
@@ -42,25 +42,26 @@
 
 
 class Entry(NamedTuple):
-    """One encoded change and its sequence."""
+    """An encoded change and its sequence."""
 
     sequence: int
     encoded: bytes
 
 
 class Page(NamedTuple):
-    """Encoded changes behind a sequence, complete up to `upto`."""
+    """Encoded changes after a sequence, complete up to `upto`."""
 
     upto: Version
     encoded: list[bytes]
 
 
 class CompactedLog:
-    """All keys of one region at `head`.
+    """All keys of one region at the version `head`.
 
-    While `replacing`, ranges of a newer state are being stored and the keys are at no single version.
-    `consistent` says that the keys are known to be those of the region's log at `head`. A part of a compacted
-    log leads to a state that never existed: keys that changed again behind it are still missing or older.
+    While `replacing` is set, ranges of a newer state are being stored and the keys belong to no single
+    version. `consistent` is set if the keys are known to be those of the region's log at `head`. Applying
+    only a part of a compacted log gives a state that never existed: keys whose newest change comes after this
+    part are missing or older.
     """
 
     def __init__(self, region: str, max_tombstones: int = MAX_TOMBSTONES) -> None:
@@ -74,13 +75,13 @@
         self._digests = [0] * RANGES
         self._digest = 0
         self._sequences: list[int] = []
-        self._keys: list[str | None] = []  # of the same places; None: superseded
+        self._keys: list[str | None] = []  # parallel to `_sequences`; None: superseded
         self._live = 0
         self._tombstones: deque[int] = deque()
         self._tombstones_live = 0
 
     def __len__(self) -> int:
-        """The number of keys, tombstones among them."""
+        """Return the number of keys, including tombstones."""
         return self._live
 
     @property
@@ -94,19 +95,23 @@
         return self._tombstones_live
 
     def range_digests(self) -> bytes:
-        """The digests of all ranges, 8 bytes each, the highest byte first."""
+        """Return the digests of all ranges, 8 bytes each, big-endian."""
         return b"".join(digest.to_bytes(_DIGEST_BYTES, "big") for digest in self._digests)
 
     def newest(self, kind: int, name: str) -> Change | None:
-        """The newest change of a key; one without a value is a tombstone."""
+        """Return the newest change of a key, or None if there is none. A change without a value is a
+        tombstone."""
         encoded = self._ranges[range_of(kind, name)].get(_key(kind, name))
         return None if encoded is None else _decode(encoded)
 
     # ---- changes in order ------------------------------------------------------------------------------
 
     def apply(self, upto: Version, changes: Iterable[Change], horizon: int = 0) -> None:
-        """Apply changes in order and move the head to `upto`. Changes that are not newer than the head are
-        ignored. `horizon` is that of the log that the changes come from."""
+        """Apply changes in order and move the head to `upto`.
+
+        Changes that are not newer than the head are ignored. `horizon` is the horizon of the log that the
+        changes come from.
+        """
         for change in changes:
             if change.version > self.head:
                 self._append(change)
@@ -127,7 +132,8 @@
             self._tombstones.append(change.sequence)
 
     def _store(self, change: Change) -> str | None:
-        """Replace an older change of the same key. Returns the key, or None if the change is not newer."""
+        """Store a change in place of an older one of the same key. Return the key, or None if the stored
+        change is not older."""
         index = range_of(change.kind, change.name)
         key = _key(change.kind, change.name)
         stored = self._ranges[index].get(key)
@@ -144,7 +150,7 @@
         return key
 
     def _remove(self, index: int, key: str, change: Change) -> None:
-        """Remove a change from its range and leave a hole in the order."""
+        """Remove a change from its range and leave a hole in the list of keys."""
         del self._ranges[index][key]
         self._digests[index] = removed(self._digests[index], change)
         self._digest = removed(self._digest, change)
@@ -160,8 +166,8 @@
         return place if found else None
 
     def _insert(self, change: Change, key: str) -> None:
-        """Insert a change that is not newer than all others. This is rare, so moving the entries behind it is
-        affordable."""
+        """Insert a change whose sequence is not the highest. All later entries are moved, which is affordable
+        because this case is rare."""
         place = bisect_left(self._sequences, change.sequence)
         if place < len(self._sequences) and self._sequences[place] == change.sequence:
             self._keys[place] = key
@@ -181,7 +187,7 @@
             self._drop_tombstone(self._tombstones.popleft())
 
     def _drop_tombstone(self, sequence: int) -> None:
-        """Drop a tombstone unless its key was written again since."""
+        """Drop a tombstone and move the horizon to it, unless its key was written again."""
         place = self._index_of(sequence)
         key = None if place is None else self._keys[place]
         if key is None:
@@ -205,9 +211,12 @@
     def replace(
         self, index: int, upto: Version, changes: list[Change], *, final: bool, horizon: int = 0
     ) -> None:
-        """Store the complete content of one range: keys at versions up to `upto` that `changes` does not name
-        are removed, newer ones stay. With `final` the head moves to `upto`. `horizon` is that of the log that
-        the range comes from: a key that is not named was deleted there and its tombstone dropped."""
+        """Store the complete content of one range.
+
+        Keys that are not in `changes` are removed if their version is at most `upto`: they were deleted in
+        the log that the range comes from, and their tombstones were dropped. Newer keys stay. `horizon` is
+        the horizon of that log. If `final` is set, the head moves to `upto`.
+        """
         self.replacing = True
         named = {_key(change.kind, change.name) for change in changes}
         removed_keys = [key for key in self._ranges[index] if key not in named]
@@ -236,11 +245,13 @@
                 change = _decode(encoded)
                 yield _OrderedKey(change.sequence, key, not change.value)
 
-    # ---- what followers are sent -----------------------------------------------------------------------
+    # ---- content of messages ---------------------------------------------------------------------------
 
     def since(self, sequence: int) -> Iterator[Entry]:
-        """The newest change of each key that changed behind a sequence, in order. The iterator is invalid
-        while `replacing` and after any change of the log."""
+        """Iterate over the newest change of each key that changed after a sequence, in order.
+
+        The iterator is invalid while `replacing` is set and after any change of the log.
+        """
         for place in range(bisect_right(self._sequences, sequence), len(self._sequences)):
             key = self._keys[place]
             if key is not None:
@@ -248,7 +259,7 @@
                 yield Entry(self._sequences[place], self._ranges[range_of(kind, name)][key])
 
     def page(self, after: int, max_bytes: int) -> Page:
-        """The changes behind a sequence, up to `max_bytes` encoded bytes, at least one change."""
+        """Return changes after a sequence: up to `max_bytes` encoded bytes, and at least one change."""
         encoded: list[bytes] = []
         size = 0
         for entry in self.since(after):
@@ -259,20 +270,20 @@
         return Page(self.head, encoded)
 
     def range(self, index: int) -> list[Change]:
-        """All changes of one range, tombstones among them."""
+        """Return all changes of one range, including tombstones."""
         return [_decode(encoded) for encoded in self._ranges[index].values()]
 
     def encoded_range(self, index: int) -> list[bytes]:
-        """All changes of one range, encoded."""
+        """Return all changes of one range, including tombstones, encoded."""
         return list(self._ranges[index].values())
 
 
 def _key(kind: int, name: str) -> str:
-    """One string for a key: it takes half the memory of a tuple."""
+    """Return a key as one string, which takes half the memory of a tuple."""
     return f"{kind}/{name}"
 
 
 def _kind_and_name(key: str) -> tuple[int, str]:
-    """The key of `_key` as `changes.Change.key` has it."""
+    """Return the kind and name of a string made by `_key`, in the form of `changes.Change.key`."""
     kind, _, name = key.partition("/")
     return int(kind), name
--- a/linenbridge/distribution/dissemination/counters.py
+++ b/linenbridge/distribution/dissemination/counters.py
@@ -1,6 +1,6 @@
 """Counters of a feed and of a follower since their start.
 
-Owns the names of the counters. The cores increment them; hosts log them.
+The feed and the follower increment the counters; their hosts log them.
 """
 
 from __future__ import annotations
@@ -10,14 +10,17 @@
 
 @dataclass(slots=True)
 class FeedCounters:
-    """Counters of a relay's feed; `malformed` counts `Digests` messages, `rejected` rejections of followers,
-    `silent` followers that timed out."""
+    """Counters of a relay's feed.
+
+    `malformed` counts malformed `Digests` messages, `rejected` rejections of followers, and `silent`
+    followers that timed out.
+    """
 
     batches: int = 0
     ranges: int = 0
     heartbeats: int = 0
     bytes: int = 0  # of encoded changes
-    encoded: int = 0  # batches that were encoded; the others were shared
+    encoded: int = 0  # batches encoded; the others were sent from the cache
     rejected: int = 0
     silent: int = 0
     malformed: int = 0
@@ -27,9 +30,10 @@
 class FollowerCounters:
     """Counters of a follower.
 
-    `ignored` counts stale, repeated and foreign messages, `gaps` messages that do not follow on, `malformed`
-    messages that fail a check, `digest_mismatches` digests that differ from the relay's, `rejected`
-    rejections by relays, `silent` relays that timed out, `lost` links to the followed relay that broke.
+    `ignored` counts stale and repeated messages and messages of other relays, sessions or regions, `gaps`
+    messages after a missing one, `malformed` messages that failed a check, `digest_mismatches` digests that
+    differed from the relay's, `rejected` rejections by relays, `silent` relays that timed out, and `lost`
+    broken links to the followed relay.
     """
 
     batches: int = 0
--- a/linenbridge/distribution/dissemination/encoded_lists.py
+++ b/linenbridge/distribution/dissemination/encoded_lists.py
@@ -1,6 +1,6 @@
-"""Lists of encoded changes: joined into one encoding, and split into messages.
+"""Joining encoded changes into one encoded list, and splitting them into the parts of several messages.
 
-Owns the form of such a list on the wire, which is msgpack's encoding of a list of `Change`.
+The list has the form of msgpack's encoding of a list of `Change`.
 """
 
 from __future__ import annotations
@@ -13,13 +13,15 @@
 
 
 def joined(encoded: list[bytes]) -> bytes:
-    """The encoding of a list, from the encodings of its members."""
+    """Return the encoding of a list, given the encodings of its items."""
     return _encode([Raw(each) for each in encoded])
 
 
 def split(encoded: list[bytes], max_bytes: int) -> list[list[bytes]]:
-    """Split a list into parts of at most `max_bytes` bytes, or one member. An empty list is one empty
-    part."""
+    """Split a list of encoded items into parts of at most `max_bytes` bytes.
+
+    An item that is larger is a part of its own. An empty list gives one empty part.
+    """
     parts: list[list[bytes]] = [[]]
     size = 0
     for each in encoded:
--- a/linenbridge/distribution/dissemination/feed.py
+++ b/linenbridge/distribution/dissemination/feed.py
@@ -1,9 +1,10 @@
-"""A relay's feed: sends committed changes of all regions to followers, each at its own rate.
+"""A relay's feed, which sends committed changes of all regions to each follower at the follower's own rate.
 
-Decides without I/O. Changes are batched for a short time; then each follower is sent what lies behind its
-cursor: the newest change of each key. Followers at the same position share one encoded batch. A window bounds
-the unacknowledged bytes of a follower, its rate the bytes a second. A follower behind the horizon of a log,
-or with another digest, requests ranges by `Digests` and is sent those that differ.
+The feed decides without I/O. It batches changes for a short time and then sends each follower the newest
+change of each key that changed after the follower's cursor. Followers at the same position share one encoded
+batch. A window limits the unacknowledged bytes of a follower, and its rate limits the bytes per second. A
+follower that is behind the horizon of a log or has another digest requests ranges with a `Digests` message
+and receives the ranges that differ.
 """
 
 from __future__ import annotations
@@ -38,11 +39,12 @@
 
 
 class Feed:
-    """The feed of the relay `name` of `region`; `regions` are all regions.
+    """The feed of the relay `name` in `region`.
 
-    `relays` are the names of all relays: they do not count towards `max_followers` and are never rejected as
-    too many, since a whole region depends on each. Times are in microseconds. A host calls the `on_...`
-    inputs, pulls `next_decision` until it is None, and calls it again at `wake_at`.
+    `regions` are all regions. `relays` are the names of all relays: these do not count towards
+    `max_followers` and are never rejected as too many, since a whole region depends on each of them. Times
+    are in microseconds. A host calls the `on_...` methods with its inputs, then `next_decision` until that
+    returns None, and `next_decision` again at `wake_at`.
     """
 
     def __init__(
@@ -76,26 +78,29 @@
     # ---- state -----------------------------------------------------------------------------------------
 
     def positions(self) -> list[Position]:
-        """The heads of all regions' logs."""
+        """Return the heads of the logs of all regions."""
         return heads(self.logs)
 
     def digest(self, region: str) -> int:
-        """The digest of a region's log."""
+        """Return the digest of a region's log."""
         return self.logs[region].digest
 
     def range_digests(self, region: str) -> bytes:
-        """The digests of all ranges of a region's log, 8 bytes each."""
+        """Return the digests of all ranges of a region's log, 8 bytes each."""
         return self.logs[region].range_digests()
 
     def summaries(self, now: int) -> list[SubtreeSummary]:
-        """The summaries of all regions, for monitoring; reports are sent without a call."""
+        """Return the summaries of all regions, for monitoring. Reports do not need a call of this method."""
         return self._reports.summaries(now)
 
     # ---- changes ---------------------------------------------------------------------------------------
 
     def on_committed(self, now: int, region: str, changes: list[Change], compacted_to: int = 0) -> None:
-        """Changes of the own region that a majority of its relays has on disk, in order, up to a state that
-        the log had. Deletions up to `compacted_to` may be missing: the replica has dropped them."""
+        """Append changes of the relay's own region that are on the disks of a majority of its relays.
+
+        The changes are in order and end at a version of the region log. Deletions up to the sequence
+        `compacted_to` may be missing, because the replica has dropped their tombstones.
+        """
         if changes:
             log = self.logs[region]
             log.apply(changes[-1].version, changes, horizon=compacted_to)
@@ -103,8 +108,8 @@
             self._on_head_moved(now, region)
 
     def on_apply(self, now: int, apply: Apply) -> int:
-        """Changes of another region, from the relay's follower. Returns the digest for
-        `Follower.on_applied`."""
+        """Apply changes of another region that the relay's follower has received. Return the digest to pass
+        to `Follower.on_applied`."""
         log = self.logs[apply.region]
         log.apply(apply.upto, apply.changes, apply.horizon)
         log.consistent = apply.digest == log.digest
@@ -112,8 +117,10 @@
         return log.digest
 
     def on_range(self, now: int, replace: ReplaceRange) -> int:
-        """A complete range of another region, whose followers wait until the final one has arrived. Returns
-        the digest for `Follower.on_applied`."""
+        """Store a complete range of another region. Return the digest to pass to `Follower.on_applied`.
+
+        Nothing of this region is sent to followers until the final range of the transfer has arrived.
+        """
         log = self.logs[replace.region]
         log.replace(
             replace.range_index, replace.upto, replace.changes, final=replace.final, horizon=replace.horizon
@@ -131,7 +138,7 @@
     # ---- followers -------------------------------------------------------------------------------------
 
     def on_follow(self, now: int, follow: Follow) -> None:
-        """A follower begins a session."""
+        """Begin a session of a follower, or reject the follower."""
         if self._is_full_for(follow.follower):
             self._reject(follow.follower, follow.session, RelayFull.code)
             return
@@ -153,7 +160,7 @@
         return gateways >= self.settings.max_followers
 
     def _is_behind(self, now: int, follow: Follow) -> bool:
-        """Whether a follower is ahead of this relay, which has started and not yet caught up."""
+        """Return whether this relay has just started and its logs are behind the follower's positions."""
         if now - self._started_at > self.settings.catch_up_time:
             return False
         return any(
@@ -171,7 +178,7 @@
         self._decisions.append(Event("distribution.follower_rejected", fields))
 
     def on_progress(self, now: int, progress: Progress) -> None:
-        """A follower's heartbeat and acknowledgement."""
+        """Record a follower's progress, which is also its heartbeat and acknowledgement."""
         session = self.sessions.get(progress.follower)
         if session is None or session.number != progress.session:
             self._on_progress_elsewhere(now, progress)
@@ -184,7 +191,7 @@
 
     def _on_progress_elsewhere(self, now: int, progress: Progress) -> None:
         if not progress.session:
-            self.on_lost(now, progress.follower)  # the old link may not be known to be down yet
+            self.on_lost(now, progress.follower)  # the loss of the old link may not have been detected yet
             self._reports.departed.elsewhere(progress.follower, now)
         elif progress.follower not in self.sessions:
             self._decisions.append(
@@ -192,7 +199,7 @@
             )
 
     def on_digests(self, now: int, follower: str, digests: Digests) -> None:
-        """A follower requests the ranges that differ from its own, or all of them."""
+        """Begin to transfer the ranges that differ from the follower's digests, or all if it sent none."""
         session = self.sessions.get(follower)
         if session is None or session.number != digests.session:
             return
@@ -212,33 +219,33 @@
         self._wake_by(now)
 
     def on_lost(self, now: int, follower: str) -> None:
-        """The link to a follower is down."""
+        """End the session of a follower whose link is down."""
         session = self.sessions.pop(follower, None)
         if session is not None:
             self._reports.on_departed(now, session.progress)
 
     def on_publisher(self, now: int, publisher: str) -> None:
-        """The publisher of the own region according to the replica; empty: none. Reports are sent to it."""
+        """Set the publisher of the relay's own region, which receives the reports; empty means none."""
         if self._reports.on_publisher(publisher):
             self._wake_by(now)
 
     # ---- decisions -------------------------------------------------------------------------------------
 
     def wake_at(self) -> int:
-        """When `next_decision` has to be called again at the latest."""
+        """Return the latest time at which `next_decision` has to be called again."""
         return self._next_turn
 
     def _wake_by(self, at: int) -> None:
         self._next_turn = min(self._next_turn, at)
 
     def next_decision(self, now: int) -> Decision | None:
-        """The next decision for the host to carry out, None if there is none now."""
+        """Return the next decision for the host to execute, or None if there is none now."""
         if not self._decisions and now >= self._next_turn:
             self._turn(now)
         return self._decisions.popleft() if self._decisions else None
 
     def _turn(self, now: int) -> None:
-        """Send every follower what its flow control allows now, then the reports."""
+        """Send the messages that the flow control of each follower allows, then the reports that are due."""
         self._turned_at = now
         waiting = False
         for session in list(self.sessions.values()):
@@ -258,8 +265,10 @@
         self.on_lost(now, session.follower)
 
     def _serve(self, session: Session, now: int) -> bool:
-        """Send messages as the window and the rate allow. Returns whether more is waiting. Regions take
-        turns, so that a long catch-up of one does not delay the others."""
+        """Send messages as the window and the rate allow. Return whether more messages are waiting.
+
+        Regions are served in rotation, so that a long catch-up of one region does not delay the others.
+        """
         waiting = deque(cursor for cursor in session.cursors.values() if self._builder.has_more(cursor))
         waiting.rotate(-session.messages)
         while waiting:
--- a/linenbridge/distribution/dissemination/flow_control.py
+++ b/linenbridge/distribution/dissemination/flow_control.py
@@ -1,7 +1,7 @@
-"""Flow control of one follower: a token bucket in bytes a second, and a window of unacknowledged bytes.
+"""Flow control of one follower: a token bucket in bytes per second, and a window of unacknowledged bytes.
 
-Keeps state without I/O. Both bound the sender: a follower that reads slowly or not at all costs its relay no
-more than a window.
+Neither performs I/O. Both limit the sender: for a follower that reads slowly or not at all, the relay buffers
+at most one window.
 """
 
 from __future__ import annotations
@@ -10,16 +10,16 @@
 
 from linenbridge.distribution.dissemination.settings import SECOND
 
-MESSAGE_OVERHEAD = 96  # bytes of a message beside its changes: its fields, the link's framing, the headers
-BUCKET_PARTS = 4  # a bucket holds a quarter of a second's bytes, a page at most as many
-MAX_PAGE_BYTES = 48_000  # bytes of changes in one message, unless a single one is larger
+MESSAGE_OVERHEAD = 96  # bytes of a message without its changes: fields, framing of the link, headers
+BUCKET_PARTS = 4  # a bucket and a page hold the bytes of a quarter of a second at most
+MAX_PAGE_BYTES = 48_000  # bytes of changes in one message, unless a single change is larger
 
 
 class TokenBucket:
-    """A bound of `rate` bytes a second; 0 is no bound.
+    """A token bucket with a rate of `rate` bytes per second; 0 means no limit.
 
-    The bucket goes into debt for one message: over any time T at most `rate * T`, a quarter of a second's
-    bytes and one message pass.
+    A message may be sent whenever the bucket is not empty, and may overdraw it. Over any time T at most
+    `rate * T` bytes, the bytes of a quarter of a second and one message are sent.
     """
 
     def __init__(self, rate: int, now: int) -> None:
@@ -29,7 +29,7 @@
         self._at = now
 
     def ready(self, now: int) -> bool:
-        """Whether a message may be sent now."""
+        """Return whether a message may be sent now."""
         if not self.rate:
             return True
         self._tokens = min(self._depth, self._tokens + (now - self._at) * self.rate)
@@ -37,18 +37,18 @@
         return self._tokens > 0
 
     def take(self, size: int) -> None:
-        """Account for a message of `size` bytes."""
+        """Remove the tokens of a message of `size` bytes."""
         if self.rate:
             self._tokens -= size * SECOND
 
     @property
     def max_page_bytes(self) -> int:
-        """The bytes of changes that one message may have."""
+        """The maximum size of the changes in one message, in bytes."""
         return min(MAX_PAGE_BYTES, max(1, self.rate // BUCKET_PARTS)) if self.rate else MAX_PAGE_BYTES
 
 
 class Window:
-    """Messages that are sent and not acknowledged: at most `max_bytes` and one message."""
+    """The messages that are sent and not acknowledged: at most `max_bytes` plus one message."""
 
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes = max_bytes
@@ -63,16 +63,18 @@
 
     @property
     def open_for_heartbeats(self) -> bool:
-        """Whether heartbeats may be sent: also to a follower that is slow to apply what it received."""
+        """Whether heartbeats may be sent. The limit is twice that for changes, so that a follower that
+        applies changes slowly still receives heartbeats."""
         return self.outstanding < 2 * self._max_bytes
 
     def sent(self, size: int) -> None:
-        """Account for a message of `size` bytes."""
+        """Add a sent message of `size` bytes."""
         self._sizes.append(size)
         self.outstanding += size
 
     def acknowledge(self, received: int) -> None:
-        """The follower has processed `received` messages since the session began."""
+        """Remove acknowledged messages. `received` is the number of messages of this session that the
+        follower has processed."""
         while self.acknowledged < received and self._sizes:
             self.outstanding -= self._sizes.popleft()
             self.acknowledged += 1
--- a/linenbridge/distribution/dissemination/follower.py
+++ b/linenbridge/distribution/dissemination/follower.py
@@ -1,8 +1,8 @@
-"""A follower of relays: part of a gateway, or of a relay that follows another region.
+"""A follower of relays, as part of a gateway or of a relay that follows another region.
 
-Decides without I/O. It follows one relay and has a standby link to a second. If the relay is lost, silent or
-full, or sends a malformed message, it follows the next one in its order from its position. `acceptance.py`
-has the rules for what it accepts.
+The follower decides without I/O. It follows one relay and keeps a standby link to a second one. If the relay
+is lost, silent or full, or sends a malformed message, the follower continues at its position with the next
+relay in its order. `acceptance.py` has the rules for accepting messages.
 """
 
 from __future__ import annotations
@@ -30,19 +30,20 @@
     RangeSnapshot,
 )
 
-MAX_SESSION = 1 << 53  # a number of a session that every decoder has exactly
-MAX_GAPS = 3  # in a row at one relay; then another is followed
-MAX_REJECTION_WAIT = 60 * SECOND  # before a relay that rejected this follower is tried again
+MAX_SESSION = 1 << 53  # every decoder represents integers up to this one exactly
+MAX_GAPS = 3  # allowed at one relay before another one is followed
+MAX_REJECTION_WAIT = 60 * SECOND  # microseconds before the relay is tried again
 
 
 class Follower:
-    """A follower `name`, which is unique and the same after a restart.
-
-    `regions` are those that it follows, empty: all. `positions` are those of the host's tables.
-    `range_digests` returns the digests of a region's ranges in the host's tables, 8 bytes each: with it a
-    catch-up behind the relay's horizon transfers the ranges that differ, without it all. `relay` is the relay
-    that is followed or tried, empty: none. Times are in microseconds. A host calls the `on_...` inputs, pulls
-    `next_decision` until it is None, and calls it again at `wake_at`.
+    """A follower of relays. Its `name` is unique and the same after a restart.
+
+    `regions` are the regions to follow; an empty list means all. `positions` are the positions of the host's
+    tables. `range_digests` returns the digests of a region's ranges in the host's tables, 8 bytes each: with
+    this function a catch-up from behind the relay's horizon transfers only the ranges that differ, without it
+    all ranges. `relay` is the relay that is followed or tried, or an empty string. Times are in microseconds.
+    A host calls the `on_...` methods with its inputs, then `next_decision` until that returns None, and
+    `next_decision` again at `wake_at`.
     """
 
     def __init__(
@@ -74,8 +75,8 @@
         self._repair = DigestRepair()
         self._session = self._random.randrange(1, MAX_SESSION)
         self._messages = 0  # of the session
-        self._unapplied = 0  # messages of the session that the host has yet to put in force
-        self._unapplied_before = 0  # messages of earlier sessions, likewise
+        self._unapplied = 0  # messages of the session that the host has not yet put in force
+        self._unapplied_before = 0  # messages of earlier sessions that it has not yet put in force
         self._gaps = 0
         self._begin_at = now + self._jitter()
         self._deadline: int | None = None  # for the link to connect, then for the next message
@@ -88,7 +89,7 @@
     # ---- state -----------------------------------------------------------------------------------------
 
     def positions(self) -> list[Position]:
-        """The positions that the host has in force."""
+        """Return the positions up to which the host has put changes in force."""
         return self._acceptances.applied()
 
     def _jitter(self) -> int:
@@ -97,7 +98,7 @@
     # ---- links -----------------------------------------------------------------------------------------
 
     def on_link(self, now: int, relay: str, *, connected: bool) -> None:
-        """A link to a relay is connected or lost."""
+        """Record that the link to a relay is connected or lost."""
         if relay not in self._order:
             return
         if connected:
@@ -114,7 +115,7 @@
             self._leave(now, "lost")
 
     def _notify_elsewhere(self, relay: str) -> None:
-        """Notify a relay that this follower follows another one."""
+        """Notify a connected relay that this follower follows another one."""
         if self.following and relay != self.relay and relay in self._links.connected_at:
             self._decisions.append(Send(relay, Progress(self.name, 0, [], [])))
             self._left_relays.discard(relay)
@@ -122,7 +123,7 @@
     # ---- the followed relay ----------------------------------------------------------------------------
 
     def _begin(self, now: int) -> None:
-        """Follow the first usable relay, a connected one before all others."""
+        """Follow the first usable relay, or the first connected one if any is connected."""
         usable = self._order.next_to_try(now)
         if not usable:
             self._begin_at = max(now + 1, self._order.next_usable_at()) + self._jitter()
@@ -142,7 +143,7 @@
             self._follow(now)
 
     def _follow(self, now: int) -> None:
-        """Begin a session at the relay, at this follower's position."""
+        """Begin a session with the relay at this follower's position."""
         self._session = self._session % MAX_SESSION + 1
         self._messages = 0
         self._unapplied_before += self._unapplied
@@ -157,7 +158,7 @@
         self._decisions.append(Send(self.relay, follow))
 
     def _leave(self, now: int, reason: str, min_wait: int = 0) -> None:
-        """Leave the relay; another one is followed after a random delay."""
+        """Leave the relay. The next one is tried after a random delay."""
         relay = self.relay
         self._decisions.append(Event("distribution.left", {"relay": relay, "reason": reason}))
         self._order.on_failed(now, relay, min_wait)
@@ -170,7 +171,7 @@
         self._begin_at = now + self._jitter()
 
     def _on_served(self, now: int) -> None:
-        """The relay has sent a message of this session."""
+        """Record that the relay has sent a valid message of this session."""
         self._deadline = now + self.settings.relay_timeout
         if not self.following:
             self.following = True
@@ -183,7 +184,7 @@
             self._order.on_served(self.relay)
 
     def _fail_back(self, now: int) -> None:
-        """Follow the better relay that the standby link goes to."""
+        """Follow the preferred relay, to which the standby link goes."""
         left = self.relay
         self._links.disconnect(left)
         self._left_relays.add(left)
@@ -193,19 +194,19 @@
     # ---- messages from the relay ------------------------------------------------------------------------
 
     def _is_current(self, relay: str, session: int, number: int) -> bool:
-        """Whether a message is new in this session. Older and repeated messages are ignored; one that is too
-        new shows that others were lost."""
+        """Return whether a message is a new one of the current session and relay; others are counted as
+        ignored. A number that skips others shows that messages were lost, which the caller checks."""
         if relay != self.relay or session != self._session or number <= self._messages:
             self.counters.ignored += 1
             return False
         return True
 
     def on_batch(self, now: int, relay: str, batch: Batch) -> None:
-        """Changes of one region, or a heartbeat."""
+        """Receive changes of one region, or a heartbeat."""
         self._on_content(now, relay, batch)
 
     def on_range_snapshot(self, now: int, relay: str, snapshot: RangeSnapshot) -> None:
-        """A part of a requested range."""
+        """Receive a part of a requested range."""
         self._on_content(now, relay, snapshot)
 
     def _on_content(self, now: int, relay: str, message: Batch | RangeSnapshot) -> None:
@@ -253,7 +254,7 @@
             return
         replace = acceptance.accept_snapshot(now, snapshot)
         if acceptance.too_large:
-            self._on_malformed(now, relay, snapshot.region, "a range of more bytes than any")
+            self._on_malformed(now, relay, snapshot.region, "the range exceeds the maximum size")
         elif replace is not None:
             self.counters.ranges += 1
             self._unapplied += 1
@@ -262,13 +263,13 @@
             self._decisions.append(replace)
 
     def on_rejected(self, now: int, relay: str, rejection: FollowRejected) -> None:
-        """The relay rejects this follower, or ends its session."""
+        """Leave the relay if it rejected this follower or ended the current session."""
         if relay == self.relay and rejection.session == self._session:
             self.counters.rejected += 1
             self._leave(now, rejection.code, min(rejection.after, MAX_REJECTION_WAIT))
 
     def _on_gap(self, now: int) -> None:
-        """A message was lost: begin another session; after several in a row leave the relay."""
+        """Begin another session because a message was lost, or leave the relay after too many gaps."""
         self.counters.gaps += 1
         self._gaps += 1
         if self._gaps > MAX_GAPS:
@@ -277,7 +278,7 @@
             self._follow(now)
 
     def _on_malformed(self, now: int, relay: str, region: str, what: str) -> None:
-        """Leave a relay that sent other bytes than were published."""
+        """Leave a relay that sent a message that fails a check."""
         self.counters.malformed += 1
         self._decisions.append(
             Event("distribution.malformed", {"relay": relay, "region": region, "what": what})
@@ -287,8 +288,11 @@
     # ---- the host --------------------------------------------------------------------------------------
 
     def on_applied(self, now: int, region: str, upto: Version, digest: int | None) -> None:
-        """The host has an `Apply` or `ReplaceRange` in force; `digest` is that of its tables of the region
-        there, None if it cannot be compared."""
+        """Record that the host has put an `Apply` or `ReplaceRange` in force.
+
+        `digest` is the digest of the host's tables of the region at `upto`, or None if the host cannot
+        compute a comparable one.
+        """
         if self._unapplied_before:
             self._unapplied_before -= 1
         elif self._unapplied:
@@ -298,8 +302,9 @@
         compared = acceptance.on_applied(upto, digest)
         self._check(now, acceptance, compared)
 
-    def on_progress_below(self, now: int, summaries: list[SubtreeSummary]) -> None:  # noqa: ARG002  # inputs have the time first
-        """A relay's summaries of its own followers; those of the regions followed here are passed on."""
+    def on_progress_below(self, now: int, summaries: list[SubtreeSummary]) -> None:  # noqa: ARG002  # all inputs begin with the time
+        """Record a relay's summaries of its own followers, which are sent on with this follower's progress.
+        Regions that are not followed here are left out."""
         for summary in summaries:
             if summary.region in self._acceptances and self._below.get(summary.region) != summary:
                 self._below[summary.region] = summary
@@ -319,8 +324,10 @@
         self._request_ranges(now, acceptance)
 
     def _should_repair(self, now: int, acceptance: Acceptance) -> bool:
-        """Whether to request ranges from this relay, whose digest differs. Leaves the relay if another one's
-        digest has to be compared first."""
+        """Return whether to request ranges from the current relay, whose digest differs.
+
+        If the digest of another relay has to be compared first, leave this one.
+        """
         region = acceptance.region
         relay = self.relay
         alone = not any(other != relay for other in self._links.connected_at)
@@ -344,7 +351,7 @@
     # ---- decisions -------------------------------------------------------------------------------------
 
     def wake_at(self) -> int:
-        """When `next_decision` has to be called again at the latest."""
+        """Return the latest time at which `next_decision` has to be called again."""
         if not self.relay:
             return self._begin_at
         if not self.following and self._deadline is not None:
@@ -357,7 +364,7 @@
         return min(times)
 
     def next_decision(self, now: int) -> Decision | None:
-        """The next decision for the host to carry out, None if there is none now."""
+        """Return the next decision for the host to execute, or None if there is none now."""
         if not self._decisions:
             self._turn(now)
         return self._decisions.popleft() if self._decisions else None
@@ -393,7 +400,8 @@
             self._notify_left_relays()
 
     def _notify_left_relays(self) -> None:
-        """Once a heartbeat: close links that are not needed, and connect to the next relay to be notified."""
+        """Close links that are not needed, and connect to the next relay to be notified. Called once per
+        heartbeat interval."""
         self._links.disconnect_others({self.relay, self._standby.relay, *self._left_relays})
         relay = self._left_relays.next()
         if relay is not None:
--- a/linenbridge/distribution/dissemination/message_builder.py
+++ b/linenbridge/distribution/dissemination/message_builder.py
@@ -1,7 +1,6 @@
-"""The next message of a feed to a follower: a batch, a part of a range, or an empty batch.
+"""Selection and building of the next message to a follower: a batch, a part of a range, or an empty batch.
 
-Owns the selection and the content of the messages. Whether a message may be sent now is up to the session's
-flow control.
+The flow control of the session decides whether a message may be sent now.
 """
 
 from __future__ import annotations
@@ -25,7 +24,7 @@
 
 
 class MessageBuilder:
-    """Builds messages from the logs of all regions. Each call moves the cursor that it is given."""
+    """Builds messages from the logs of all regions, and moves the cursor of the follower with each one."""
 
     def __init__(self, logs: dict[str, CompactedLog], pages: PageCache, counters: FeedCounters) -> None:
         self._logs = logs
@@ -33,7 +32,7 @@
         self._counters = counters
 
     def has_more(self, cursor: Cursor) -> bool:
-        """Whether a message for this cursor is waiting."""
+        """Return whether a message for this cursor is waiting."""
         log = self._logs[cursor.region]
         if log.replacing:
             return False
@@ -44,7 +43,7 @@
         return cursor.version < log.head
 
     def next_message(self, session: Session, cursor: Cursor) -> EncodedBatch | EncodedRangeSnapshot:
-        """The waiting message; call it only if `has_more`."""
+        """Return the waiting message. Requires that `has_more` is true for the cursor."""
         if cursor.transfer is not None:
             return self._range_part(session, cursor, cursor.transfer)
         if cursor.version == self._logs[cursor.region].head:
@@ -54,8 +53,11 @@
         return self._batch(session, cursor)
 
     def empty_batch(self, session: Session, cursor: Cursor) -> EncodedBatch:
-        """A batch without changes at the cursor, with the digest if that is the head. It has neither digest
-        nor horizon if the log is not consistent: ranges cannot be requested yet."""
+        """Return a batch without changes at the cursor, with the digest if the cursor is at the head.
+
+        If the log is not consistent or a transfer is running, the batch has neither digest nor horizon, so
+        that the follower does not request ranges.
+        """
         log = self._logs[cursor.region]
         version = cursor.version
         digest = None
@@ -77,8 +79,11 @@
         )
 
     def _horizon(self, cursor: Cursor) -> int:
-        """The sequence behind which a follower needs ranges. A follower whose position is in no history that
-        leads to the head (the region lost all its disks and started again) needs them too."""
+        """Return the sequence before which this follower needs ranges.
+
+        A follower also needs ranges if its position is not part of the history of the log, because the region
+        has lost all its disks and started again.
+        """
         log = self._logs[cursor.region]
         diverged = cursor.version.epoch < log.head.epoch and cursor.version.sequence >= log.head.sequence
         return cursor.version.sequence + 1 if diverged else log.horizon
--- a/linenbridge/distribution/dissemination/page_cache.py
+++ b/linenbridge/distribution/dissemination/page_cache.py
@@ -1,6 +1,6 @@
-"""Cache of encoded batches that followers at the same position share.
+"""A cache of encoded batches, shared by followers at the same position.
 
-A batch is encoded once for all followers at a position whose messages have the same maximum size, and dropped
+A batch is encoded once for all followers at a position that have the same maximum message size, and dropped
 when the log changes.
 """
 
@@ -21,8 +21,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SharedPage:
-    """Encoded changes behind a position up to `upto`, with their `batch_checksum`. `digest` is the log's if
-    `upto` is its head and the log is consistent."""
+    """Encoded changes after a position up to `upto`, and their `batch_checksum`.
+
+    `digest` is the digest of the log if `upto` is its head and the log is consistent, None otherwise.
+    """
 
     upto: Version
     changes: Raw
@@ -31,15 +33,15 @@
 
 
 class PageCache:
-    """Pages of all regions; beyond MAX_PAGES the oldest is dropped."""
+    """The cached pages of all regions. The oldest is dropped if there are more than MAX_PAGES."""
 
     def __init__(self, logs: dict[str, CompactedLog], counters: FeedCounters) -> None:
         self._logs = logs
         self._counters = counters
-        self._pages: dict[tuple[str, int, int], SharedPage] = {}  # by the arguments of `page`
+        self._pages: dict[tuple[str, int, int], SharedPage] = {}  # keys: the arguments of `page`
 
     def page(self, region: str, after: int, max_bytes: int) -> SharedPage:
-        """The page behind a sequence, of at most `max_bytes` bytes of changes, one change at least."""
+        """Return the page after a sequence: up to `max_bytes` bytes of changes, and at least one change."""
         key = region, after, max_bytes
         page = self._pages.get(key)
         if page is None:
--- a/linenbridge/distribution/dissemination/progress.py
+++ b/linenbridge/distribution/dissemination/progress.py
@@ -1,10 +1,10 @@
-"""Progress of a relay's subtree, summed up along the tree: positions in force, lag, unreached followers.
+"""Progress of a relay's subtree, aggregated along the tree: positions in force, lag, unreached followers.
 
-Keeps state without I/O. A relay sums up its own followers and the summaries of those that are relays. Each
-gateway follows one relay and is counted there alone. A lost follower counts with its last position for a
-grace period; then it is named as unreached until it returns or reports that it follows another relay. A
-follower that no running relay has ever seen is unknown and therefore not named; a lost follower expires after
-an hour.
+The module performs no I/O. A relay aggregates the progress of its own followers and the summaries of those
+that are relays. Each gateway follows one relay and is counted only there. A lost follower is counted with its
+last position for a grace period. Then it is reported as unreached until it returns or reports that it follows
+another relay, and is forgotten after an hour. A follower to which no running relay has had a link is unknown
+and not reported.
 """
 
 from __future__ import annotations
@@ -16,25 +16,25 @@
 from linenbridge.distribution.dissemination.settings import MILLISECOND, SECOND
 from linenbridge.distribution.messages import Progress, SubtreeSummary
 
-LAG_BUCKETS = 24  # bucket n: less than 2**n ms; the last one has all above as well
+LAG_BUCKETS = 24  # bucket n: less than 2**n ms; the last one also has all longer lags
 MAX_SLOWEST = 8  # names in one summary
 MAX_UNREACHED = 32  # names in one summary
-MAX_DEPARTED = 2_048  # lost followers that a relay remembers; beyond that the oldest is dropped
-MAX_HEADS = 4_096  # moves of a head that lags are computed from
-GRACE = 3 * SECOND  # for which a lost follower counts with its last position
-GRACE_ELSEWHERE = SECOND  # the same once it follows another relay, until that one's summaries arrive
+MAX_DEPARTED = 2_048  # lost followers that a relay records; then the oldest is dropped
+MAX_HEADS = 4_096  # recorded moves of a head, from which lags are computed
+GRACE = 3 * SECOND  # for which a lost follower is counted with its last position
+GRACE_ELSEWHERE = SECOND  # the same if it follows another relay; until summaries of that one arrive
 EXPIRE_AFTER = 3_600 * SECOND  # after which a lost follower is forgotten
 
 
 class Heads:
-    """When a region's head moved, to compute the lag of a position in time."""
+    """The times at which a region's head moved, from which the lag of a position is computed."""
 
     def __init__(self) -> None:
         self._sequences: list[int] = []
         self._times: list[int] = []
 
     def on_head(self, sequence: int, now: int) -> None:
-        """The head has moved to a sequence."""
+        """Record that the head has moved to a sequence."""
         self._sequences.append(sequence)
         self._times.append(now)
         if len(self._sequences) > 2 * MAX_HEADS:
@@ -42,22 +42,25 @@
             del self._times[:MAX_HEADS]
 
     def lag(self, sequence: int, now: int) -> int:
-        """Microseconds since the first change that a position lacks was committed; 0 if it lacks none."""
+        """Return the microseconds since the first change after a position was committed, 0 if there is
+        none."""
         place = bisect_right(self._sequences, sequence)
         return now - self._times[place] if place < len(self._times) else 0
 
 
 @dataclass(slots=True)
 class FollowerProgress:
-    """The last reported progress of one direct follower. `below` has the summaries of its own followers by
-    region."""
+    """The last reported progress of one direct follower.
+
+    `positions` has its sequences in force and `below` the summaries of its own followers, both by region.
+    """
 
     name: str
     positions: dict[str, int] = field(default_factory=dict)
     below: dict[str, SubtreeSummary] = field(default_factory=dict)
 
     def update(self, progress: Progress, regions: frozenset[str]) -> None:
-        """Record a report; regions that are not among `regions` are ignored."""
+        """Record a report. Regions that are not among `regions` are ignored."""
         for position in progress.positions[: len(regions)]:
             if position.region in regions:
                 self.positions[position.region] = position.sequence
@@ -66,7 +69,7 @@
                 self.below[summary.region] = summary
 
     def followers(self, region: str) -> int:
-        """The number of followers: this one and its own."""
+        """Return the number of followers of a region: this one and its own."""
         below = self.below.get(region)
         return 1 + (below.followers if below else 0)
 
@@ -79,7 +82,8 @@
 
 
 class Departed:
-    """Followers that this relay has lost, by name, in the order of their loss. Times are in microseconds."""
+    """The followers that this relay has lost, by name and in the order of their loss. Times are in
+    microseconds."""
 
     def __init__(self) -> None:
         self._lost: dict[str, _Lost] = {}
@@ -88,25 +92,25 @@
         return len(self._lost)
 
     def add(self, progress: FollowerProgress, now: int) -> None:
-        """A follower was lost."""
+        """Add a lost follower."""
         self._lost.pop(progress.name, None)
         self._lost[progress.name] = _Lost(progress, now)
         if len(self._lost) > MAX_DEPARTED:
             del self._lost[next(iter(self._lost))]
 
     def returned(self, name: str) -> None:
-        """A follower follows this relay again."""
+        """Remove a follower that follows this relay again."""
         self._lost.pop(name, None)
 
     def elsewhere(self, name: str, now: int) -> None:
-        """A follower reports that it follows another relay, which counts it."""
+        """Record a follower's report that it follows another relay, where it is counted."""
         lost = self._lost.get(name)
         if lost is not None and not lost.elsewhere:
             lost.elsewhere = True
             lost.since = now
 
     def forget(self, now: int) -> None:
-        """Forget followers that another relay counts, and expired ones."""
+        """Remove the followers that are counted at another relay, and the expired ones."""
         done = [name for name, lost in self._lost.items() if self._done(lost, now)]
         for name in done:
             del self._lost[name]
@@ -115,7 +119,7 @@
         return now - lost.since > (GRACE_ELSEWHERE if lost.elsewhere else EXPIRE_AFTER)
 
     def counted(self, region: str, now: int) -> list[FollowerProgress]:
-        """Lost followers of a region that still count with their last position."""
+        """Return the lost followers of a region that are still counted with their last position."""
         return [
             lost.progress
             for lost in self._lost.values()
@@ -123,7 +127,8 @@
         ]
 
     def unreached(self, region: str, now: int) -> list[FollowerProgress]:
-        """Lost followers of a region that follow no other relay as far as known."""
+        """Return the lost followers of a region whose grace period is over and of which no other relay is
+        known."""
         return [
             lost.progress
             for lost in self._lost.values()
@@ -132,14 +137,15 @@
 
 
 def bucket_of(lag: int) -> int:
-    """The histogram's bucket of a lag in microseconds."""
+    """Return the bucket of the histogram for a lag in microseconds."""
     return min((lag // MILLISECOND).bit_length(), LAG_BUCKETS - 1)
 
 
 def summarize(
     region: str, head: int, heads: Heads, followers: Iterable[FollowerProgress], departed: Departed, now: int
 ) -> SubtreeSummary:
-    """The summary of one region at a relay whose head is `head`. Names are bounded, numbers exact."""
+    """Return the summary of one region at a relay whose head is `head`. The lists of names are limited, the
+    numbers are exact."""
     counted = [*followers, *departed.counted(region, now)]
     lost = departed.unreached(region, now)
     count = 0
@@ -172,6 +178,7 @@
 
 
 def _add_lag_histogram(lag: list[int], below: list[int], own: int) -> None:
-    """Add a follower's own followers, which lag by at least as much as itself."""
+    """Add the histogram of a follower's own followers. They lag at least as much as the follower, whose
+    bucket is `own`."""
     for bucket, number in enumerate(below[:LAG_BUCKETS]):
         lag[max(bucket, own)] += number
--- a/linenbridge/distribution/dissemination/progress_reports.py
+++ b/linenbridge/distribution/dissemination/progress_reports.py
@@ -1,7 +1,8 @@
-"""A relay's reports of the progress of its subtree, and when they are due.
+"""A relay's reports of the progress of its subtree, and their timing.
 
-Owns the timing of the reports and their input: when the heads moved, and the followers that were lost. The
-summary of the own region goes to its publisher, those of other regions to the relays that are followed there.
+The summary of the relay's own region is sent to the publisher, the summaries of other regions to the relays
+that are followed there. The reports are computed from the followers' progress, the times at which the heads
+moved, and the lost followers.
 """
 
 from __future__ import annotations
@@ -14,12 +15,14 @@
 from linenbridge.distribution.dissemination.settings import FeedSettings
 from linenbridge.distribution.messages import Progress, SubtreeSummary
 
-REPORT_SESSION = 1  # of a relay's Progress to its region's publisher
+REPORT_SESSION = 1  # session number in a Progress to the region's publisher
 
 
 class ProgressReports:
-    """Reports of the relay `name` of `region` over its `sessions`. `due`: something has changed since the
-    last report."""
+    """The reports of the relay `name` in `region` about the followers of its `sessions`.
+
+    `due` is set if something has changed since the last report.
+    """
 
     def __init__(
         self,
@@ -43,11 +46,12 @@
         self._forgot_at = now
 
     def on_head(self, now: int, region: str) -> None:
-        """The head of a region has moved."""
+        """Record that the head of a region has moved."""
         self._heads[region].on_head(self._logs[region].head.sequence, now)
 
     def on_publisher(self, publisher: str) -> bool:
-        """Set the publisher of the own region; empty: none. Returns whether it has changed."""
+        """Set the publisher of the relay's own region; an empty name means none. Return whether it has
+        changed."""
         if publisher == self._publisher:
             return False
         self._publisher = publisher
@@ -55,17 +59,17 @@
         return True
 
     def on_departed(self, now: int, progress: FollowerProgress) -> None:
-        """A follower was lost."""
+        """Record that a follower was lost, with its last progress."""
         self.departed.add(progress, now)
         self.due = True
 
     @property
     def next_at(self) -> int:
-        """When the next report is due while something changes, microseconds."""
+        """The time of the next report if something has changed, in microseconds."""
         return self._reported_at + self._settings.report_interval
 
     def summaries(self, now: int) -> list[SubtreeSummary]:
-        """The summaries of all regions."""
+        """Return the summaries of all regions."""
         return [self._summary(region, now) for region in self._logs]
 
     def _summary(self, region: str, now: int) -> SubtreeSummary:
@@ -74,7 +78,8 @@
         return summarize(region, head, self._heads[region], followers, self.departed, now)
 
     def turn(self, now: int) -> list[Decision]:
-        """The reports that are due now. Expired lost followers are forgotten once a heartbeat."""
+        """Return the reports that are due now. Once per heartbeat interval, expired lost followers are
+        removed."""
         if now - self._forgot_at >= self._settings.heartbeat:
             self.departed.forget(now)
             self._forgot_at = now
@@ -98,5 +103,5 @@
 
 
 def heads(logs: dict[str, CompactedLog]) -> list[Position]:
-    """The heads of all logs."""
+    """Return the heads of all logs."""
     return [Position(region, log.head.epoch, log.head.sequence) for region, log in logs.items()]
--- a/linenbridge/distribution/dissemination/range_transfer.py
+++ b/linenbridge/distribution/dissemination/range_transfer.py
@@ -1,7 +1,7 @@
-"""Transfer of complete ranges to one follower: which ranges differ, and what is left to send.
+"""The transfer of complete ranges to one follower: which ranges differ, and which parts are left to send.
 
-Keeps state without I/O. The content of a range is read when its first part is sent: it may be newer than the
-version that the transfer leads to.
+The module performs no I/O. The content of a range is read when its first part is sent, so that it may be
+newer than the version at which the follower is after the transfer.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from linenbridge.distribution.dissemination.compacted_log import CompactedLog
 from linenbridge.distribution.dissemination.encoded_lists import joined, split
 
-DIGEST_BYTES = 8  # of one range
+DIGEST_BYTES = 8  # per range
 
 
 @dataclass(frozen=True, slots=True)
 class RangeTransferPart:
-    """The content of one message: `last` of its range, `final` of the transfer."""
+    """The content of one message. `last` marks the last part of its range, `final` that of the transfer."""
 
     index: int
     part: int
@@ -29,10 +29,10 @@
 
 @dataclass(slots=True)
 class RangeTransfer:
-    """Ranges that are being sent to a follower, which is at `upto` after the last one.
+    """The ranges that are being sent to a follower, whose position is `upto` after the last one.
 
-    `parts` are those left of the range `index`, each a list of encoded changes; `ranges` are the ranges after
-    it.
+    `parts` are the remaining parts of the range `index`, each a list of encoded changes, and `part` is the
+    number of the next one. `ranges` are the indexes of the remaining ranges.
     """
 
     upto: Version
@@ -42,7 +42,8 @@
     parts: deque[list[bytes]] = field(default_factory=deque)
 
     def next_part(self, log: CompactedLog, max_bytes: int) -> RangeTransferPart:
-        """The next part: at most `max_bytes` encoded bytes, at least one change unless the range is empty."""
+        """Return the next part: up to `max_bytes` encoded bytes, and at least one change unless the range is
+        empty."""
         if not self.parts:
             self.index = self.ranges.popleft()
             self.part = 0
@@ -55,8 +56,10 @@
 
 
 def differing_ranges(own: bytes, others: bytes) -> list[int]:
-    """The ranges whose digests differ, all of them if `others` is empty. At least one, since its last part
-    ends the transfer for the follower."""
+    """Return the indexes of the ranges whose digests differ, or of all ranges if `others` is empty.
+
+    The result has at least one range, since the last part of a range ends the transfer at the follower.
+    """
     if not others:
         return list(range(RANGES))
     places = [slice(index * DIGEST_BYTES, (index + 1) * DIGEST_BYTES) for index in range(RANGES)]
--- a/linenbridge/distribution/dissemination/relay_links.py
+++ b/linenbridge/distribution/dissemination/relay_links.py
@@ -1,6 +1,6 @@
-"""A follower's links to relays: which are wanted, which are connected, and which relays to notify.
+"""A follower's links to relays: the requested and the connected links, and the relays to be notified.
 
-Keeps state without I/O. Requests to the host are appended to the follower's decisions, in order.
+The module performs no I/O. Requests to the host are appended to the follower's decisions, in order.
 """
 
 from __future__ import annotations
@@ -10,13 +10,14 @@
 
 from linenbridge.distribution.decisions import Decision, Dial, Disconnect
 
-MAX_LEFT_RELAYS = (
-    8  # to be notified that another relay is followed; an earlier process of this name may have left them
-)
+# Relays to be notified that another relay is followed; a process of this name may have left them before a
+# restart.
+MAX_LEFT_RELAYS = 8
 
 
 class RelayLinks:
-    """Links by relay. `connected_at` has the connected ones, with the time in microseconds."""
+    """The links by relay. `connected_at` has the time at which each connected link was connected, in
+    microseconds."""
 
     def __init__(self, decisions: deque[Decision]) -> None:
         self.connected_at: dict[str, int] = {}
@@ -24,7 +25,7 @@
         self._decisions = decisions
 
     def connect(self, relay: str) -> None:
-        """Request a link to a relay."""
+        """Request a link to a relay, unless there is a request already."""
         if relay not in self._wanted:
             self._wanted.add(relay)
             self._decisions.append(Dial(relay))
@@ -37,13 +38,13 @@
             self._decisions.append(Disconnect(relay))
 
     def disconnect_others(self, wanted: Container[str]) -> None:
-        """Close all links but these."""
+        """Close all links except those to the relays in `wanted`."""
         for relay in [relay for relay in self._wanted if relay not in wanted]:
             self.disconnect(relay)
 
 
 class LeftRelays:
-    """Relays to be notified that another one is followed, in the order in which they are tried."""
+    """The relays to be notified that another one is followed, in the order in which they are tried."""
 
     def __init__(self, relays: list[str]) -> None:
         self._relays = dict.fromkeys(relays[:MAX_LEFT_RELAYS])
@@ -52,7 +53,8 @@
         return iter(self._relays)
 
     def add(self, relay: str) -> None:
-        """Add a relay that was followed until now; beyond the bound the oldest is dropped."""
+        """Add a relay that was followed until now. If there are more than MAX_LEFT_RELAYS, the first one is
+        dropped."""
         self._relays[relay] = None
         if len(self._relays) > MAX_LEFT_RELAYS:
             del self._relays[next(iter(self._relays))]
@@ -62,7 +64,7 @@
         self._relays.pop(relay, None)
 
     def next(self) -> str | None:
-        """The relay to try now; it moves behind the others."""
+        """Return the relay to try now and move it to the end, or return None if there is none."""
         relay = next(iter(self._relays), None)
         if relay is not None:
             del self._relays[relay]
--- a/linenbridge/distribution/dissemination/relay_selection.py
+++ b/linenbridge/distribution/dissemination/relay_selection.py
@@ -1,8 +1,9 @@
-"""Selection of relays: each follower's own order of relays, and a backoff for those that failed.
+"""Selection of relays: each follower's own order of relays, and a backoff for the relays that failed.
 
-Decides without I/O. The order is by rendezvous hashing (Thaler and Ravishankar, 1998): each follower ranks
-its region's relays by a hash over both names, so that followers spread evenly and those of a lost relay
-spread over all others. Relays of other regions come after all of the own one.
+The module decides without I/O. The order uses rendezvous hashing (Thaler and Ravishankar, 1998): each
+follower ranks the relays of its region by a hash of both names, so that followers are spread evenly and those
+of a lost relay are spread over all others. Relays of other regions are ranked after those of the follower's
+region.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 def rank_relays(follower: str, home_region: str, relays: list[RelayLocation]) -> list[str]:
-    """The names of the relays in the follower's order, the best one first."""
+    """Return the names of the relays in the follower's order of preference."""
 
     def rank(relay: RelayLocation) -> tuple[bool, bytes]:
         score = blake2b(f"{follower}/{relay.name}".encode(), digest_size=8).digest()
@@ -44,8 +45,8 @@
 class RelayOrder:
     """A follower's order of relays and their backoff.
 
-    A backoff doubles with each failure in a row, up to MAX_BACKOFF, plus a random part of up to half of it.
-    Times are in microseconds.
+    The backoff doubles with each consecutive failure, up to MAX_BACKOFF, and a random part of up to half of
+    it is added. Times are in microseconds.
     """
 
     def __init__(self, follower: str, home_region: str, relays: list[RelayLocation], random: Random) -> None:
@@ -57,11 +58,11 @@
         return relay in self._backoff_by_relay
 
     def prefers(self, relay: str, other: str) -> bool:
-        """Whether a relay comes before another in the order."""
+        """Return whether `relay` comes before `other` in the order."""
         return self.names.index(relay) < self.names.index(other)
 
     def on_failed(self, now: int, relay: str, min_wait: int = 0) -> None:
-        """A relay failed: it is not usable for its backoff, and for `min_wait` at least."""
+        """Make a failed relay unusable for its backoff, and for `min_wait` at least."""
         backoff = self._backoff_by_relay[relay]
         wait = min(MIN_BACKOFF << backoff.failures, MAX_BACKOFF)
         wait = max(min_wait, wait + self._random.randrange(wait // 2))
@@ -69,17 +70,18 @@
         backoff.until = now + wait
 
     def on_served(self, relay: str) -> None:
-        """A relay has served for a while: its next failure counts as the first."""
+        """Reset the backoff of a relay that has served for a while."""
         self._backoff_by_relay[relay] = _Backoff()
 
     def usable(self, now: int, without: str = "") -> list[str]:
-        """The relays whose backoff is over, in order."""
+        """Return the relays whose backoff is over, in order, except `without`."""
         return [name for name in self.names if name != without and self._backoff_by_relay[name].until <= now]
 
     def next_to_try(self, now: int) -> list[str]:
-        """The usable relays, fewest failures in a row first: all are tried before one is tried again."""
+        """Return the usable relays, those with the fewest consecutive failures first, so that all are tried
+        before one is tried again."""
         return sorted(self.usable(now), key=lambda name: self._backoff_by_relay[name].failures)
 
     def next_usable_at(self) -> int:
-        """When the first relay is usable."""
+        """Return the earliest time at which any relay is usable."""
         return min(backoff.until for backoff in self._backoff_by_relay.values())
--- a/linenbridge/distribution/dissemination/sessions.py
+++ b/linenbridge/distribution/dissemination/sessions.py
@@ -1,7 +1,7 @@
 """A relay's state of one follower: its position in each region, its flow control and its last progress.
 
-Keeps state without I/O. A follower costs a cursor for each region, a window of unacknowledged bytes and,
-during a transfer, one range.
+The module performs no I/O. The memory for a follower is a cursor for each region, a window of unacknowledged
+bytes and, during a transfer, one range.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 
 @dataclass(slots=True)
 class Cursor:
-    """Position up to which a follower has been sent one region.
+    """The position up to which a follower has been sent the changes of one region.
 
-    `reported_head` is the head at which the follower was last sent the digest or the horizon.
+    `reported_head` is the head of the log when the follower was last sent the digest or the horizon.
     """
 
     region: str
@@ -30,7 +30,7 @@
 
 
 class Session:
-    """One follower from its `Follow` until it is lost. Times are in microseconds."""
+    """The session of one follower, from its `Follow` until its loss. Times are in microseconds."""
 
     def __init__(self, follow: Follow, regions: list[str], window: int, now: int) -> None:
         self.follower = follow.follower
@@ -48,11 +48,11 @@
         self._order = deque(wanted)
 
     def may_send(self, now: int) -> bool:
-        """Whether the window and the rate allow a message."""
+        """Return whether the window and the rate allow a message now."""
         return self.window.open and self.bucket.ready(now)
 
     def on_sent(self, message: EncodedBatch | EncodedRangeSnapshot, now: int) -> None:
-        """Account for a message."""
+        """Account for a sent message in the window, the token bucket and the counts."""
         size = len(bytes(message.changes)) + MESSAGE_OVERHEAD
         self.messages += 1
         self.window.sent(size)
@@ -60,6 +60,6 @@
         self.sent_at = now
 
     def next_region(self) -> Cursor:
-        """The region whose turn it is for a heartbeat."""
+        """Return the cursor of the region that the next heartbeat is for. Regions are used in rotation."""
         self._order.rotate(-1)
         return self.cursors[self._order[-1]]
--- a/linenbridge/distribution/dissemination/standby_link.py
+++ b/linenbridge/distribution/dissemination/standby_link.py
@@ -1,7 +1,7 @@
-"""The standby link of a follower: to the best relay beside the one that is followed.
+"""The standby link of a follower, which goes to the most preferred relay beside the followed one.
 
-Decides without I/O which relay that is, and when a better relay has been connected for long enough to be
-followed again.
+The module decides without I/O to which relay the link goes, and when a relay that is preferred to the
+followed one has been connected for long enough to be followed again.
 """
 
 from __future__ import annotations
@@ -12,7 +12,8 @@
 
 
 class StandbyLink:
-    """The standby link. `relay` is the one that it goes to, connected or not; empty: none."""
+    """The standby link of a follower. `relay` is the relay to which the link goes, connected or not, or an
+    empty string."""
 
     def __init__(self, order: RelayOrder, links: RelayLinks, settings: FollowerSettings, now: int) -> None:
         self.relay = ""
@@ -22,12 +23,12 @@
         self._deadline = now
 
     def release(self, relay: str) -> None:
-        """The link to this relay is now that of the followed relay."""
+        """Give up the link if it goes to `relay`, which is followed over this link from now on."""
         if self.relay == relay:
             self.relay = ""
 
     def update(self, now: int, followed: str) -> None:
-        """Move the link to the best usable relay; one that did not connect in time has failed."""
+        """Move the link to the most preferred usable relay. A relay that did not connect in time failed."""
         if self.relay and self.relay not in self._links.connected_at and now >= self._deadline:
             failed = self.relay
             self.relay = ""
@@ -46,8 +47,9 @@
         self._links.connect(relay)
 
     def better_than(self, now: int, followed: str, followed_at: int, session: int) -> bool:
-        """Whether the link is to a better relay than the followed one and has been connected for long enough.
-        The time depends on the session's number, so that followers do not all return at once."""
+        """Return whether the link goes to a relay that is preferred to `followed` and has been connected for
+        long enough. That time depends on the number of the session, so that the followers do not all return
+        at once."""
         connected_at = self._links.connected_at.get(self.relay)
         if connected_at is None or not self._order.prefers(self.relay, followed):
             return False
