--- a/linenbridge/distribution/dissemination/acceptance.py
+++ b/linenbridge/distribution/dissemination/acceptance.py
@@ -111,7 +111,7 @@
         self.confirmed = self.digest_differs = self.behind_horizon = False
         self._drop_parts()
 
-    def judge(self, message: Batch | RangeSnapshot) -> Verdict:
+    def classify(self, message: Batch | RangeSnapshot) -> Verdict:
         """Decide what to do with a message of this region.
 
         The only state that changes here is `behind_horizon` and, at the first part of a range, the range that
@@ -119,11 +119,13 @@
         """
         if defect(message):
             return Verdict.MALFORMED
-        return self._judge_batch(message) if isinstance(message, Batch) else self._judge_snapshot(message)
+        return (
+            self._classify_batch(message) if isinstance(message, Batch) else self._classify_snapshot(message)
+        )
 
     # ---- batches ---------------------------------------------------------------------------------------
 
-    def _judge_batch(self, batch: Batch) -> Verdict:
+    def _classify_batch(self, batch: Batch) -> Verdict:
         if batch.after > self.accepted.sequence:
             return Verdict.GAP
         self.behind_horizon = batch.horizon > self.accepted.sequence
@@ -162,7 +164,7 @@
 
     # ---- ranges ----------------------------------------------------------------------------------------
 
-    def _judge_snapshot(self, snapshot: RangeSnapshot) -> Verdict:
+    def _classify_snapshot(self, snapshot: RangeSnapshot) -> Verdict:
         if snapshot.upto < self.accepted or self.transferring_at is None:
             return Verdict.IGNORED
         if snapshot.part == 0:
--- a/linenbridge/distribution/dissemination/compacted_log.py
+++ b/linenbridge/distribution/dissemination/compacted_log.py
@@ -76,13 +76,13 @@
         self._digest = 0
         self._sequences: list[int] = []
         self._keys: list[str | None] = []  # parallel to `_sequences`; None: superseded
-        self._live = 0
+        self._key_count = 0
         self._tombstones: deque[int] = deque()
-        self._tombstones_live = 0
+        self._tombstone_count = 0
 
     def __len__(self) -> int:
         """Return the number of keys, including tombstones."""
-        return self._live
+        return self._key_count
 
     @property
     def digest(self) -> int:
@@ -92,7 +92,7 @@
     @property
     def tombstones(self) -> int:
         """The number of tombstones."""
-        return self._tombstones_live
+        return self._tombstone_count
 
     def range_digests(self) -> bytes:
         """Return the digests of all ranges, 8 bytes each, big-endian."""
@@ -117,7 +117,7 @@
                 self._append(change)
         self.head = max(self.head, upto)
         self.horizon = max(self.horizon, horizon)
-        self._tidy()
+        self._enforce_limits()
 
     def _append(self, change: Change) -> None:
         key = self._store(change)
@@ -145,8 +145,8 @@
         self._ranges[index][key] = _encode(change)
         self._digests[index] = added(self._digests[index], change)
         self._digest = added(self._digest, change)
-        self._live += 1
-        self._tombstones_live += not change.value
+        self._key_count += 1
+        self._tombstone_count += not change.value
         return key
 
     def _remove(self, index: int, key: str, change: Change) -> None:
@@ -154,8 +154,8 @@
         del self._ranges[index][key]
         self._digests[index] = removed(self._digests[index], change)
         self._digest = removed(self._digest, change)
-        self._live -= 1
-        self._tombstones_live -= not change.value
+        self._key_count -= 1
+        self._tombstone_count -= not change.value
         place = self._index_of(change.sequence)
         if place is not None and self._keys[place] == key:
             self._keys[place] = None
@@ -177,13 +177,13 @@
         if not change.value:
             self._tombstones = deque(sorted({*self._tombstones, change.sequence}))
 
-    def _tidy(self) -> None:
+    def _enforce_limits(self) -> None:
         if self.replacing:
             return
-        holes = len(self._sequences) - self._live
+        holes = len(self._sequences) - self._key_count
         if holes > _MIN_HOLES and holes * 2 > len(self._sequences):
             self._compact()
-        while self._tombstones_live > self._max_tombstones:
+        while self._tombstone_count > self._max_tombstones:
             self._drop_tombstone(self._tombstones.popleft())
 
     def _drop_tombstone(self, sequence: int) -> None:
@@ -237,7 +237,7 @@
         self._sequences = [place.sequence for place in order]
         self._keys = [place.key for place in order]
         self._tombstones = deque(place.sequence for place in order if place.deleted)
-        self._tidy()
+        self._enforce_limits()
 
     def _ordered_keys(self) -> Iterator[_OrderedKey]:
         for stored in self._ranges:
--- a/linenbridge/distribution/dissemination/digest_repair.py
+++ b/linenbridge/distribution/dissemination/digest_repair.py
@@ -28,14 +28,14 @@
         """Forget the mismatch of a region: its digests are equal now."""
         self._first_mismatch.pop(region, None)
 
-    def may_repair(self, region: str, relay: str, *, alone: bool) -> bool:
+    def may_repair(self, region: str, relay: str, *, is_only_relay: bool) -> bool:
         """Return whether to request ranges from `relay`, whose digest differs.
 
         If the result is False, the relay is recorded as the one that differed first, and the follower has to
-        follow another relay. `alone` says that there is no other relay.
+        follow another relay. `is_only_relay` says that there is no other relay.
         """
-        elsewhere = self._first_mismatch.get(region, relay) != relay
-        if region not in self._repaired and (alone or elsewhere):
+        differed_elsewhere = self._first_mismatch.get(region, relay) != relay
+        if region not in self._repaired and (is_only_relay or differed_elsewhere):
             return True
         self._first_mismatch[region] = relay
         return False
--- a/linenbridge/distribution/dissemination/encoded_lists.py
+++ b/linenbridge/distribution/dissemination/encoded_lists.py
@@ -12,7 +12,7 @@
 EMPTY_LIST = _encode([])
 
 
-def joined(encoded: list[bytes]) -> bytes:
+def encode_list(encoded: list[bytes]) -> bytes:
     """Return the encoding of a list, given the encodings of its items."""
     return _encode([Raw(each) for each in encoded])
 
--- a/linenbridge/distribution/dissemination/feed.py
+++ b/linenbridge/distribution/dissemination/feed.py
@@ -18,7 +18,7 @@
 from linenbridge.distribution.dissemination.counters import FeedCounters
 from linenbridge.distribution.dissemination.message_builder import MessageBuilder
 from linenbridge.distribution.dissemination.page_cache import PageCache
-from linenbridge.distribution.dissemination.progress_reports import ProgressReports, heads
+from linenbridge.distribution.dissemination.progress_reports import ProgressReports, head_positions
 from linenbridge.distribution.dissemination.range_transfer import (
     DIGEST_BYTES,
     RangeTransfer,
@@ -79,7 +79,7 @@
 
     def positions(self) -> list[Position]:
         """Return the heads of the logs of all regions."""
-        return heads(self.logs)
+        return head_positions(self.logs)
 
     def digest(self, region: str) -> int:
         """Return the digest of a region's log."""
@@ -147,7 +147,7 @@
             return
         session = Session(follow, self._regions, self.settings.window, now)
         self.sessions[follow.follower] = session
-        self._reports.departed.returned(follow.follower)
+        self._reports.lost_followers.on_returned(follow.follower)
         self._reports.due = True
         for cursor in session.cursors.values():
             self._heartbeat(session, cursor, now)
@@ -192,7 +192,7 @@
     def _on_progress_elsewhere(self, now: int, progress: Progress) -> None:
         if not progress.session:
             self.on_lost(now, progress.follower)  # the loss of the old link may not have been detected yet
-            self._reports.departed.elsewhere(progress.follower, now)
+            self._reports.lost_followers.on_following_elsewhere(progress.follower, now)
         elif progress.follower not in self.sessions:
             self._decisions.append(
                 Send(progress.follower, FollowRejected(progress.session, SilentFollower.code, 0))
@@ -222,7 +222,7 @@
         """End the session of a follower whose link is down."""
         session = self.sessions.pop(follower, None)
         if session is not None:
-            self._reports.on_departed(now, session.progress)
+            self._reports.on_follower_lost(now, session.progress)
 
     def on_publisher(self, now: int, publisher: str) -> None:
         """Set the publisher of the relay's own region, which receives the reports; empty means none."""
@@ -255,7 +255,7 @@
             waiting = self._serve(session, now) or waiting
             quiet = now - session.sent_at >= self.settings.heartbeat
             if quiet and session.cursors and session.window.open_for_heartbeats:
-                self._heartbeat(session, session.next_region(), now)
+                self._heartbeat(session, session.next_heartbeat_cursor(), now)
         self._decisions.extend(self._reports.turn(now))
         self._next_turn = now + (self.settings.batch_interval if waiting else self.settings.heartbeat // 2)
 
--- a/linenbridge/distribution/dissemination/flow_control.py
+++ b/linenbridge/distribution/dissemination/flow_control.py
@@ -11,7 +11,7 @@
 from linenbridge.distribution.dissemination.settings import SECOND
 
 MESSAGE_OVERHEAD = 96  # bytes of a message without its changes: fields, framing of the link, headers
-BUCKET_PARTS = 4  # a bucket and a page hold the bytes of a quarter of a second at most
+BUCKETS_PER_SECOND = 4  # a bucket and a page hold the bytes of a quarter of a second at most
 MAX_PAGE_BYTES = 48_000  # bytes of changes in one message, unless a single change is larger
 
 
@@ -24,16 +24,16 @@
 
     def __init__(self, rate: int, now: int) -> None:
         self.rate = rate
-        self._depth = max(1, rate // BUCKET_PARTS) * SECOND
+        self._depth = max(1, rate // BUCKETS_PER_SECOND) * SECOND
         self._tokens = self._depth  # in bytes times microseconds
-        self._at = now
+        self._refilled_at = now
 
     def ready(self, now: int) -> bool:
         """Return whether a message may be sent now."""
         if not self.rate:
             return True
-        self._tokens = min(self._depth, self._tokens + (now - self._at) * self.rate)
-        self._at = now
+        self._tokens = min(self._depth, self._tokens + (now - self._refilled_at) * self.rate)
+        self._refilled_at = now
         return self._tokens > 0
 
     def take(self, size: int) -> None:
@@ -44,7 +44,7 @@
     @property
     def max_page_bytes(self) -> int:
         """The maximum size of the changes in one message, in bytes."""
-        return min(MAX_PAGE_BYTES, max(1, self.rate // BUCKET_PARTS)) if self.rate else MAX_PAGE_BYTES
+        return min(MAX_PAGE_BYTES, max(1, self.rate // BUCKETS_PER_SECOND)) if self.rate else MAX_PAGE_BYTES
 
 
 class Window:
--- a/linenbridge/distribution/dissemination/follower.py
+++ b/linenbridge/distribution/dissemination/follower.py
@@ -78,7 +78,7 @@
         self._unapplied = 0  # messages of the session that the host has not yet put in force
         self._unapplied_before = 0  # messages of earlier sessions that it has not yet put in force
         self._gaps = 0
-        self._begin_at = now + self._jitter()
+        self._next_try_at = now + self._jitter()
         self._deadline: int | None = None  # for the link to connect, then for the next message
         self._followed_at = now
         self._progress_at = now
@@ -122,16 +122,16 @@
 
     # ---- the followed relay ----------------------------------------------------------------------------
 
-    def _begin(self, now: int) -> None:
+    def _try_next_relay(self, now: int) -> None:
         """Follow the first usable relay, or the first connected one if any is connected."""
         usable = self._order.next_to_try(now)
         if not usable:
-            self._begin_at = max(now + 1, self._order.next_usable_at()) + self._jitter()
+            self._next_try_at = max(now + 1, self._order.next_usable_at()) + self._jitter()
             return
         linked = [relay for relay in usable if relay in self._links.connected_at]
-        self._take(now, (linked or usable)[0])
+        self._switch_to(now, (linked or usable)[0])
 
-    def _take(self, now: int, relay: str) -> None:
+    def _switch_to(self, now: int, relay: str) -> None:
         self.relay = relay
         self.following = False
         self._repair.on_new_relay()
@@ -168,7 +168,7 @@
         self.relay = ""
         self.following = False
         self._deadline = None
-        self._begin_at = now + self._jitter()
+        self._next_try_at = now + self._jitter()
 
     def _on_served(self, now: int) -> None:
         """Record that the relay has sent a valid message of this session."""
@@ -189,7 +189,7 @@
         self._links.disconnect(left)
         self._left_relays.add(left)
         self._decisions.append(Event("distribution.left", {"relay": left, "reason": "returned"}))
-        self._take(now, self._standby.relay)
+        self._switch_to(now, self._standby.relay)
 
     # ---- messages from the relay ------------------------------------------------------------------------
 
@@ -217,7 +217,7 @@
             self.counters.ignored += 1
             return
         skipped = message.number != self._messages + 1
-        verdict = acceptance.judge(message)
+        verdict = acceptance.classify(message)
         if verdict is Verdict.MALFORMED:
             self._on_malformed(now, relay, message.region, defect(message))
         elif skipped or verdict is Verdict.GAP:
@@ -226,11 +226,11 @@
             self._messages += 1
             self._on_served(now)
             if isinstance(message, Batch):
-                self._on_judged_batch(now, acceptance, message, verdict)
+                self._on_classified_batch(now, acceptance, message, verdict)
             else:
-                self._on_judged_snapshot(now, relay, acceptance, message, verdict)
+                self._on_classified_snapshot(now, relay, acceptance, message, verdict)
 
-    def _on_judged_batch(self, now: int, acceptance: Acceptance, batch: Batch, verdict: Verdict) -> None:
+    def _on_classified_batch(self, now: int, acceptance: Acceptance, batch: Batch, verdict: Verdict) -> None:
         if verdict is Verdict.ACCEPTED:
             self.counters.batches += 1
             self.counters.changes += len(batch.changes)
@@ -243,9 +243,9 @@
             compared = acceptance.compare(batch)
         else:
             self.counters.ignored += 1
-        self._check(now, acceptance, compared)
+        self._repair_if_needed(now, acceptance, compared)
 
-    def _on_judged_snapshot(
+    def _on_classified_snapshot(
         self, now: int, relay: str, acceptance: Acceptance, snapshot: RangeSnapshot, verdict: Verdict
     ) -> None:
         self._progress_due = True
@@ -300,7 +300,7 @@
         self._progress_due = True
         acceptance = self._acceptances[region]
         compared = acceptance.on_applied(upto, digest)
-        self._check(now, acceptance, compared)
+        self._repair_if_needed(now, acceptance, compared)
 
     def on_progress_below(self, now: int, summaries: list[SubtreeSummary]) -> None:  # noqa: ARG002  # all inputs begin with the time
         """Record a relay's summaries of its own followers, which are sent on with this follower's progress.
@@ -310,7 +310,7 @@
                 self._below[summary.region] = summary
                 self._progress_due = True
 
-    def _check(self, now: int, acceptance: Acceptance, compared: bool) -> None:
+    def _repair_if_needed(self, now: int, acceptance: Acceptance, compared: bool) -> None:
         """Request ranges if the digest differs or the position is behind the relay's horizon."""
         if compared and not acceptance.digest_differs:
             self._repair.on_equal(acceptance.region)
@@ -330,12 +330,16 @@
         """
         region = acceptance.region
         relay = self.relay
-        alone = not any(other != relay for other in self._links.connected_at)
-        if alone and len(self._order.names) > 1 and now - self._followed_at < self.settings.range_timeout:
+        is_only_relay = not any(other != relay for other in self._links.connected_at)
+        if (
+            is_only_relay
+            and len(self._order.names) > 1
+            and now - self._followed_at < self.settings.range_timeout
+        ):
             return False  # the standby link may be connecting
         self.counters.digest_mismatches += 1
         self._decisions.append(Event("distribution.digest_differs", {"relay": relay, "region": region}))
-        if self._repair.may_repair(region, relay, alone=alone):
+        if self._repair.may_repair(region, relay, is_only_relay=is_only_relay):
             return True
         self._leave(now, "digest", self.settings.malformed_backoff)
         return False
@@ -353,7 +357,7 @@
     def wake_at(self) -> int:
         """Return the latest time at which `next_decision` has to be called again."""
         if not self.relay:
-            return self._begin_at
+            return self._next_try_at
         if not self.following and self._deadline is not None:
             return self._deadline
         times = [self._progress_at + self.settings.heartbeat]
@@ -371,8 +375,8 @@
 
     def _turn(self, now: int) -> None:
         if not self.relay:
-            if now >= self._begin_at:
-                self._begin(now)
+            if now >= self._next_try_at:
+                self._try_next_relay(now)
             return
         if self._deadline is not None and now >= self._deadline:
             linked = self.relay in self._links.connected_at
@@ -382,7 +386,7 @@
         self._report_progress(now)
         if self.following:
             self._standby.update(now, self.relay)
-            if self._standby.better_than(now, self.relay, self._followed_at, self._session):
+            if self._standby.should_fail_back(now, self.relay, self._followed_at, self._session):
                 self._fail_back(now)
 
     def _report_progress(self, now: int) -> None:
--- a/linenbridge/distribution/dissemination/page_cache.py
+++ b/linenbridge/distribution/dissemination/page_cache.py
@@ -13,7 +13,7 @@
 from linenbridge.distribution.changes import Version
 from linenbridge.distribution.dissemination.compacted_log import CompactedLog
 from linenbridge.distribution.dissemination.counters import FeedCounters
-from linenbridge.distribution.dissemination.encoded_lists import joined
+from linenbridge.distribution.dissemination.encoded_lists import encode_list
 from linenbridge.distribution.messages import batch_checksum
 
 MAX_PAGES = 64  # cached batches of all regions
@@ -59,7 +59,7 @@
     def _encode(self, region: str, after: int, max_bytes: int) -> SharedPage:
         log = self._logs[region]
         page = log.page(after, max_bytes)
-        encoded = joined(page.encoded)
+        encoded = encode_list(page.encoded)
         digest = log.digest if log.consistent and page.upto == log.head else None
         self._counters.encoded += 1
         checksum = batch_checksum(region, after, page.upto, encoded)
--- a/linenbridge/distribution/dissemination/progress.py
+++ b/linenbridge/distribution/dissemination/progress.py
@@ -19,14 +19,14 @@
 LAG_BUCKETS = 24  # bucket n: less than 2**n ms; the last one also has all longer lags
 MAX_SLOWEST = 8  # names in one summary
 MAX_UNREACHED = 32  # names in one summary
-MAX_DEPARTED = 2_048  # lost followers that a relay records; then the oldest is dropped
+MAX_LOST_FOLLOWERS = 2_048  # lost followers that a relay records; then the oldest is dropped
 MAX_HEADS = 4_096  # recorded moves of a head, from which lags are computed
-GRACE = 3 * SECOND  # for which a lost follower is counted with its last position
-GRACE_ELSEWHERE = SECOND  # the same if it follows another relay; until summaries of that one arrive
+GRACE_PERIOD = 3 * SECOND  # for which a lost follower is counted with its last position
+GRACE_PERIOD_ELSEWHERE = SECOND  # the same if it follows another relay; until summaries of that one arrive
 EXPIRE_AFTER = 3_600 * SECOND  # after which a lost follower is forgotten
 
 
-class Heads:
+class HeadHistory:
     """The times at which a region's head moved, from which the lag of a position is computed."""
 
     def __init__(self) -> None:
@@ -75,18 +75,18 @@
 
 
 @dataclass(slots=True)
-class _Lost:
+class _LostFollower:
     progress: FollowerProgress
     since: int
-    elsewhere: bool = False
+    follows_elsewhere: bool = False
 
 
-class Departed:
+class LostFollowers:
     """The followers that this relay has lost, by name and in the order of their loss. Times are in
     microseconds."""
 
     def __init__(self) -> None:
-        self._lost: dict[str, _Lost] = {}
+        self._lost: dict[str, _LostFollower] = {}
 
     def __len__(self) -> int:
         return len(self._lost)
@@ -94,36 +94,37 @@
     def add(self, progress: FollowerProgress, now: int) -> None:
         """Add a lost follower."""
         self._lost.pop(progress.name, None)
-        self._lost[progress.name] = _Lost(progress, now)
-        if len(self._lost) > MAX_DEPARTED:
+        self._lost[progress.name] = _LostFollower(progress, now)
+        if len(self._lost) > MAX_LOST_FOLLOWERS:
             del self._lost[next(iter(self._lost))]
 
-    def returned(self, name: str) -> None:
+    def on_returned(self, name: str) -> None:
         """Remove a follower that follows this relay again."""
         self._lost.pop(name, None)
 
-    def elsewhere(self, name: str, now: int) -> None:
+    def on_following_elsewhere(self, name: str, now: int) -> None:
         """Record a follower's report that it follows another relay, where it is counted."""
         lost = self._lost.get(name)
-        if lost is not None and not lost.elsewhere:
-            lost.elsewhere = True
+        if lost is not None and not lost.follows_elsewhere:
+            lost.follows_elsewhere = True
             lost.since = now
 
     def forget(self, now: int) -> None:
         """Remove the followers that are counted at another relay, and the expired ones."""
-        done = [name for name, lost in self._lost.items() if self._done(lost, now)]
-        for name in done:
+        expired = [name for name, lost in self._lost.items() if self._is_expired(lost, now)]
+        for name in expired:
             del self._lost[name]
 
-    def _done(self, lost: _Lost, now: int) -> bool:
-        return now - lost.since > (GRACE_ELSEWHERE if lost.elsewhere else EXPIRE_AFTER)
+    def _is_expired(self, lost: _LostFollower, now: int) -> bool:
+        return now - lost.since > (GRACE_PERIOD_ELSEWHERE if lost.follows_elsewhere else EXPIRE_AFTER)
 
     def counted(self, region: str, now: int) -> list[FollowerProgress]:
         """Return the lost followers of a region that are still counted with their last position."""
         return [
             lost.progress
             for lost in self._lost.values()
-            if region in lost.progress.positions and (lost.elsewhere or now - lost.since <= GRACE)
+            if region in lost.progress.positions
+            and (lost.follows_elsewhere or now - lost.since <= GRACE_PERIOD)
         ]
 
     def unreached(self, region: str, now: int) -> list[FollowerProgress]:
@@ -132,7 +133,9 @@
         return [
             lost.progress
             for lost in self._lost.values()
-            if region in lost.progress.positions and not lost.elsewhere and now - lost.since > GRACE
+            if region in lost.progress.positions
+            and not lost.follows_elsewhere
+            and now - lost.since > GRACE_PERIOD
         ]
 
 
@@ -142,12 +145,17 @@
 
 
 def summarize(
-    region: str, head: int, heads: Heads, followers: Iterable[FollowerProgress], departed: Departed, now: int
+    region: str,
+    head: int,
+    history: HeadHistory,
+    followers: Iterable[FollowerProgress],
+    lost_followers: LostFollowers,
+    now: int,
 ) -> SubtreeSummary:
     """Return the summary of one region at a relay whose head is `head`. The lists of names are limited, the
     numbers are exact."""
-    counted = [*followers, *departed.counted(region, now)]
-    lost = departed.unreached(region, now)
+    counted = [*followers, *lost_followers.counted(region, now)]
+    lost = lost_followers.unreached(region, now)
     count = 0
     lowest = head
     lag = [0] * LAG_BUCKETS
@@ -157,7 +165,7 @@
     for progress in counted:
         position = progress.positions.get(region, 0)
         below = progress.below.get(region)
-        bucket = bucket_of(heads.lag(position, now))
+        bucket = bucket_of(history.lag(position, now))
         lag[bucket] += 1
         count += progress.followers(region)
         lowest = min(lowest, position)
--- a/linenbridge/distribution/dissemination/progress_reports.py
+++ b/linenbridge/distribution/dissemination/progress_reports.py
@@ -10,7 +10,12 @@
 from linenbridge.distribution.changes import Position
 from linenbridge.distribution.decisions import Decision, Send, SubtreeProgress
 from linenbridge.distribution.dissemination.compacted_log import CompactedLog
-from linenbridge.distribution.dissemination.progress import Departed, FollowerProgress, Heads, summarize
+from linenbridge.distribution.dissemination.progress import (
+    LostFollowers,
+    FollowerProgress,
+    HeadHistory,
+    summarize,
+)
 from linenbridge.distribution.dissemination.sessions import Session
 from linenbridge.distribution.dissemination.settings import FeedSettings
 from linenbridge.distribution.messages import Progress, SubtreeSummary
@@ -33,21 +38,21 @@
         settings: FeedSettings,
         now: int,
     ) -> None:
-        self.departed = Departed()
+        self.lost_followers = LostFollowers()
         self.due = True
         self._name = name
         self._region = region
         self._logs = logs
         self._sessions = sessions
         self._settings = settings
-        self._heads = {region: Heads() for region in logs}
+        self._head_histories = {region: HeadHistory() for region in logs}
         self._publisher = ""
         self._reported_at = now - settings.heartbeat
         self._forgot_at = now
 
     def on_head(self, now: int, region: str) -> None:
         """Record that the head of a region has moved."""
-        self._heads[region].on_head(self._logs[region].head.sequence, now)
+        self._head_histories[region].on_head(self._logs[region].head.sequence, now)
 
     def on_publisher(self, publisher: str) -> bool:
         """Set the publisher of the relay's own region; an empty name means none. Return whether it has
@@ -58,9 +63,9 @@
         self.due = True
         return True
 
-    def on_departed(self, now: int, progress: FollowerProgress) -> None:
+    def on_follower_lost(self, now: int, progress: FollowerProgress) -> None:
         """Record that a follower was lost, with its last progress."""
-        self.departed.add(progress, now)
+        self.lost_followers.add(progress, now)
         self.due = True
 
     @property
@@ -75,13 +80,13 @@
     def _summary(self, region: str, now: int) -> SubtreeSummary:
         head = self._logs[region].head.sequence
         followers = [session.progress for session in self._sessions.values() if region in session.cursors]
-        return summarize(region, head, self._heads[region], followers, self.departed, now)
+        return summarize(region, head, self._head_histories[region], followers, self.lost_followers, now)
 
     def turn(self, now: int) -> list[Decision]:
         """Return the reports that are due now. Once per heartbeat interval, expired lost followers are
         removed."""
         if now - self._forgot_at >= self._settings.heartbeat:
-            self.departed.forget(now)
+            self.lost_followers.forget(now)
             self._forgot_at = now
         since = now - self._reported_at
         if since < (self._settings.report_interval if self.due else self._settings.heartbeat):
@@ -97,11 +102,11 @@
             decisions.append(SubtreeProgress(others))
         if self._publisher:
             own = [self._summary(self._region, now)]
-            report = Progress(self._name, REPORT_SESSION, heads(self._logs), own)
+            report = Progress(self._name, REPORT_SESSION, head_positions(self._logs), own)
             decisions.append(Send(self._publisher, report))
         return decisions
 
 
-def heads(logs: dict[str, CompactedLog]) -> list[Position]:
+def head_positions(logs: dict[str, CompactedLog]) -> list[Position]:
     """Return the heads of all logs."""
     return [Position(region, log.head.epoch, log.head.sequence) for region, log in logs.items()]
--- a/linenbridge/distribution/dissemination/range_transfer.py
+++ b/linenbridge/distribution/dissemination/range_transfer.py
@@ -11,7 +11,7 @@
 
 from linenbridge.distribution.changes import RANGES, Version
 from linenbridge.distribution.dissemination.compacted_log import CompactedLog
-from linenbridge.distribution.dissemination.encoded_lists import joined, split
+from linenbridge.distribution.dissemination.encoded_lists import encode_list, split
 
 DIGEST_BYTES = 8  # per range
 
@@ -48,7 +48,7 @@
             self.index = self.ranges.popleft()
             self.part = 0
             self.parts = deque(split(log.encoded_range(self.index), max_bytes))
-        changes = joined(self.parts.popleft())
+        changes = encode_list(self.parts.popleft())
         last = not self.parts
         part = RangeTransferPart(self.index, self.part, last, last and not self.ranges, changes)
         self.part += 1
--- a/linenbridge/distribution/dissemination/sessions.py
+++ b/linenbridge/distribution/dissemination/sessions.py
@@ -59,7 +59,7 @@
         self.bucket.take(size)
         self.sent_at = now
 
-    def next_region(self) -> Cursor:
+    def next_heartbeat_cursor(self) -> Cursor:
         """Return the cursor of the region that the next heartbeat is for. Regions are used in rotation."""
         self._order.rotate(-1)
         return self.cursors[self._order[-1]]
--- a/linenbridge/distribution/dissemination/standby_link.py
+++ b/linenbridge/distribution/dissemination/standby_link.py
@@ -46,7 +46,7 @@
         self._deadline = now + 2 * self._settings.connect_timeout
         self._links.connect(relay)
 
-    def better_than(self, now: int, followed: str, followed_at: int, session: int) -> bool:
+    def should_fail_back(self, now: int, followed: str, followed_at: int, session: int) -> bool:
         """Return whether the link goes to a relay that is preferred to `followed` and has been connected for
         long enough. That time depends on the number of the session, so that the followers do not all return
         at once."""
