--- a/linenbridge/distribution/dissemination/feed.py
+++ b/linenbridge/distribution/dissemination/feed.py
@@ -119,7 +119,7 @@
     def on_range(self, now: int, replace: ReplaceRange) -> int:
         """Store a complete range of another region. Return the digest to pass to `Follower.on_applied`.
 
-        Nothing of this region is sent to followers until the final range of the transfer has arrived.
+        No changes of this region are sent to followers until the final range of the transfer has arrived.
         """
         log = self.logs[replace.region]
         log.replace(
