--- a/linenbridge/cli/route_commands.py
+++ b/linenbridge/cli/route_commands.py
@@ -55,7 +55,7 @@
 
 def _print_json(match: MatchedRequest | None, steps: list[Step]) -> None:
     rows = [
-        {"route": step.rule, "took": step.took, "answers": [list(answer) for answer in step.answers]}
+        {"route": step.rule, "took": step.matched, "answers": [list(answer) for answer in step.answers]}
         for step in steps
     ]
     print(json.dumps({"rpc": msgspec.to_builtins(match), "routes": rows}))
@@ -63,7 +63,7 @@
 
 def _print_text(match: MatchedRequest | None, steps: list[Step]) -> None:
     for step in steps:
-        print(f"{'takes it' if step.took else 'passes  '}  {step.rule}")
+        print(f"{'takes it' if step.matched else 'passes  '}  {step.rule}")
         for question, value, answer in step.answers:
             print(f"            {'yes' if answer else 'no '}  {question}   (it is {value!r})")
     if match is None:
--- a/linenbridge/distribution/view/paths.py
+++ b/linenbridge/distribution/view/paths.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct
 
-from linenbridge.routes.checks import Conjunction, choice, possible
+from linenbridge.routes.checks import Conjunction, conjunctions_of, is_satisfiable
 from linenbridge.routes.language import Predicate, Rule
 
 MAX_DEPTH = 4  # path segments that the index looks at
@@ -26,17 +26,17 @@
     `/`.
     """
 
-    places: dict[str, list[int]]
+    rules_by_prefix: dict[str, list[int]]
 
     def candidates(self, segments: Sequence[str]) -> Sequence[int]:
         """Return the numbers of all rules under any prefix of these segments, in the order of the rules."""
-        places = self.places
+        rules_by_prefix = self.rules_by_prefix
         prefix = ""
-        found = places.get(prefix, NO_RULES)
+        found = rules_by_prefix.get(prefix, NO_RULES)
         merged = False
         for segment in segments[:MAX_DEPTH]:
             prefix = f"{prefix}/{segment}"
-            rules_here = places.get(prefix)
+            rules_here = rules_by_prefix.get(prefix)
             if rules_here is not None:
                 merged = merged or bool(found)
                 found = [*found, *rules_here]
@@ -45,18 +45,18 @@
 
 def path_index(rules: Sequence[Rule]) -> PathIndex:
     """Return the index of a rule set."""
-    places: dict[str, list[int]] = {}
+    rules_by_prefix: dict[str, list[int]] = {}
     for number, rule in enumerate(rules):
         for segments in _prefixes(rule):
-            places.setdefault("".join(f"/{segment}" for segment in segments), []).append(number)
-    return PathIndex(places)
+            rules_by_prefix.setdefault("".join(f"/{segment}" for segment in segments), []).append(number)
+    return PathIndex(rules_by_prefix)
 
 
 def _prefixes(rule: Rule) -> set[Segments]:
     """The prefixes that a rule is filed under: the root alone if one of its alternatives asks for no path."""
     found: set[Segments] = set()
-    for conjunction in choice(rule.when, rule.place):
-        if possible(conjunction):
+    for conjunction in conjunctions_of(rule.when, rule.place):
+        if is_satisfiable(conjunction):
             found |= _longest_prefixes(conjunction)
     return {()} if () in found else found
 
--- a/linenbridge/distribution/view/rules.py
+++ b/linenbridge/distribution/view/rules.py
@@ -29,19 +29,19 @@
 class Form(IntEnum):
     """The first item of a packed condition."""
 
-    QUESTION = 0
+    PREDICATE = 0
     NOT = 1
     ALL = 2
     ANY = 3
 
 
 # Plain numbers for the look-ups: an enum's members are slow to reach.
-_QUESTION = int(Form.QUESTION)
+_PREDICATE = int(Form.PREDICATE)
 _NOT = int(Form.NOT)
 _ALL = int(Form.ALL)
 
 COMPRESSION_LEVEL = 6  # zlib's
-NOWHERE = Place(0, 0)  # places are for parse errors; packed rules have none
+NO_PLACE = Place(0, 0)  # places are for parse errors; packed rules have none
 # Bytes in memory, measured (docs/CAPACITY.md, `tests/scale/measure/view.py`).
 TABLE_BYTES = 1_500  # of a table
 ENTRY_BYTES = 260  # of each rule while it is packed
@@ -102,21 +102,21 @@
 
 def _typical_rule() -> bytes:
     """A packed rule with the strings that most rules have: a set that repeats them compresses better."""
-    question = Form.QUESTION
+    predicate = Form.PREDICATE
     header = ("header", "x-tenant")
-    has_attribute = [question, "attribute", "", "has", []]
-    query_contains = [question, "query", "", "contains", [""]]
-    path_is = [question, "path", "", "is", ["/"]]
-    verb_writes = [question, "verb", "", "in", ["POST", "PUT"]]
-    path_starts = [question, "path", "", "starts", ["/api/v1/"]]
-    verb_reads = [question, "verb", "", "in", ["GET", "HEAD"]]
+    has_attribute = [predicate, "attribute", "", "has", []]
+    query_contains = [predicate, "query", "", "contains", [""]]
+    path_is = [predicate, "path", "", "is", ["/"]]
+    verb_writes = [predicate, "verb", "", "in", ["POST", "PUT"]]
+    path_starts = [predicate, "path", "", "starts", ["/api/v1/"]]
+    verb_reads = [predicate, "verb", "", "in", ["GET", "HEAD"]]
     when = [
         Form.NOT,
         [Form.ANY, has_attribute, query_contains],
-        [question, "authority", "", "ends", [""]],
-        [question, "header", "x-", "matches", [""]],
+        [predicate, "authority", "", "ends", [""]],
+        [predicate, "header", "x-", "matches", [""]],
         [Form.ALL, path_is, verb_writes],
-        [Form.ALL, path_starts, verb_reads, [question, "header", "x-", "is", [""]]],
+        [Form.ALL, path_starts, verb_reads, [predicate, "header", "x-", "is", [""]]],
     ]
     rule = PackedRule(
         name="route-1",
@@ -153,7 +153,7 @@
 def _pack_condition(condition: Condition) -> list[Any]:
     match condition:
         case Predicate(subject, operator, operands):
-            return [Form.QUESTION, subject.kind, subject.name, operator, operands]
+            return [Form.PREDICATE, subject.kind, subject.name, operator, operands]
         case Not(part):
             return [Form.NOT, _pack_condition(part)]
         case language.All(parts):
@@ -179,7 +179,7 @@
     found = msgspec.msgpack.decode(packed, type=PackedRule)
     return Rule(
         name=found.name,
-        place=NOWHERE,
+        place=NO_PLACE,
         when=_read_condition(found.when),
         method=found.method,
         tenant=tuple(map(_read_part, found.tenant)),
@@ -193,7 +193,7 @@
 
 def _read_condition(packed: list[Any]) -> Condition:
     form, *rest = packed
-    if form == _QUESTION:
+    if form == _PREDICATE:
         kind, name, operator, operands = rest
         return Predicate(Subject(kind, name), operator, tuple(operands))
     if form == _NOT:
@@ -287,7 +287,7 @@
         content = _unpacked(packed)
         found = msgspec.msgpack.decode(content, type=PackedRules)
         self.methods = methods
-        self.longest = max_deadline
+        self.max_deadline = max_deadline
         self.paths = found.paths
         self.rules = PackedRuleList(found.rules, on_rule_compiled)
         self.conditions = _Conditions(self.rules)
--- a/linenbridge/routes/checks.py
+++ b/linenbridge/routes/checks.py
@@ -26,9 +26,9 @@
     Predicate,
     predicates,
 )
-from linenbridge.routes.regexes import runaway
+from linenbridge.routes.regexes import reason_to_reject
 
-MAX_CHOICES = 256  # conjunctions that one condition may come to
+MAX_CONJUNCTIONS = 256  # conjunctions that one condition may come to
 VERBS = frozenset(("GET", "HEAD", "POST", "PUT", "DELETE", "CONNECT", "OPTIONS", "TRACE", "PATCH"))
 SCHEMES = frozenset(("http", "https"))
 KNOWN_VALUES = {"verb": VERBS, "scheme": SCHEMES}  # subjects with a fixed set of values
@@ -50,28 +50,30 @@
     """Return all errors of the rules, in the order of the text."""
     known = set(methods)
     names = {rule.name for rule in rules}
-    wrong = [error for rule in rules for error in _alone(rule, known, names)]
+    wrong = [error for rule in rules for error in _errors_of_rule(rule, known, names)]
     seen: set[str] = set()
     for rule in rules:
         if rule.name in seen:
             wrong.append(RouteError(rule.place, f"there are two routes named {rule.name}"))
         seen.add(rule.name)
-    choices: dict[int, list[Conjunction]] = {}
+    conjunctions: dict[int, list[Conjunction]] = {}
     for number, rule in enumerate(rules):
         try:
-            choices[number] = [found for found in choice(rule.when, rule.place) if possible(found)]
+            conjunctions[number] = [
+                found for found in conjunctions_of(rule.when, rule.place) if is_satisfiable(found)
+            ]
         except RouteError as error:
             wrong.append(error)
             continue
-        if not choices[number]:
+        if not conjunctions[number]:
             wrong.append(RouteError(rule.place, f"route {rule.name} can never match: it contradicts itself"))
-    starts = {number: _path_starts(own) for number, own in choices.items()}
-    wrong.extend(_shadowed(rules, choices, starts))
-    wrong.extend(_conflicts(rules, choices, starts))
+    starts = {number: _path_starts(own) for number, own in conjunctions.items()}
+    wrong.extend(_shadowed_rules(rules, conjunctions, starts))
+    wrong.extend(_conflicts(rules, conjunctions, starts))
     return sorted(wrong, key=lambda error: (error.place.line, error.place.column))
 
 
-def _alone(rule: Rule, known: set[str], names: set[str]) -> Iterator[RouteError]:
+def _errors_of_rule(rule: Rule, known: set[str], names: set[str]) -> Iterator[RouteError]:
     if not rule.method:
         yield RouteError(rule.place, f"route {rule.name} names no method")
     elif rule.method not in known:
@@ -80,14 +82,14 @@
         if name not in names or name == rule.name:
             yield RouteError(rule.place, f"route {rule.name} is to go over {name}, which is no other route")
     for predicate in predicates(rule.when):
-        if predicate.operator == "matches" and (why := runaway(predicate.operands[0])):
-            yield RouteError(predicate.place, f"the expression cannot be used: {why}")
-        wrong = [operand for operand in predicate.operands if not _fits(predicate, operand)]
+        if predicate.operator == "matches" and (reason := reason_to_reject(predicate.operands[0])):
+            yield RouteError(predicate.place, f"the expression cannot be used: {reason}")
+        wrong = [operand for operand in predicate.operands if not _can_occur(predicate, operand)]
         if wrong:
             yield RouteError(predicate.place, f"no request has the {predicate.subject.kind} {wrong[0]!r}")
 
 
-def _fits(predicate: Predicate, operand: str) -> bool:
+def _can_occur(predicate: Predicate, operand: str) -> bool:
     """Whether some request can have the operand: verbs and schemes are known, a path begins with a slash."""
     if predicate.operator not in ("is", "in", "starts"):
         return True
@@ -99,45 +101,49 @@
     return known is None or operand in known
 
 
-def _shadowed(
-    rules: list[Rule], choices: dict[int, list[Conjunction]], starts: dict[int, list[str]]
+def _shadowed_rules(
+    rules: list[Rule], conjunctions: dict[int, list[Conjunction]], starts: dict[int, list[str]]
 ) -> Iterator[RouteError]:
     """Rules all of whose requests match earlier rules."""
-    for number, own in choices.items():
+    for number, own in conjunctions.items():
         if not own:
             continue
         earlier = {
-            other: choices[other]
+            other: conjunctions[other]
             for other in range(number)
-            if other in choices and not _apart(starts[other], starts[number])
+            if other in conjunctions and not _share_no_path(starts[other], starts[number])
         }
         wide = [conjunction for found in earlier.values() for conjunction in found]
         if all(any(covers(general, special) for general in wide) for special in own):
-            takers = [
+            names = [
                 rules[other].name
                 for other, found in earlier.items()
                 if any(covers(general, special) for general in found for special in own)
             ]
             yield RouteError(
                 rules[number].place,
-                f"route {rules[number].name} can never match: {' and '.join(takers)} before it take it all",
+                f"route {rules[number].name} can never match: {' and '.join(names)} before it take it all",
             )
 
 
 def _conflicts(
-    rules: list[Rule], choices: dict[int, list[Conjunction]], starts: dict[int, list[str]]
+    rules: list[Rule], conjunctions: dict[int, list[Conjunction]], starts: dict[int, list[str]]
 ) -> Iterator[RouteError]:
     """Pairs of rules with different methods that match the same request, without an order that is stated."""
-    for first, second in combinations(choices, 2):
+    for first, second in combinations(conjunctions, 2):
         one = rules[first]
         two = rules[second]
-        if _apart(starts[first], starts[second]):
+        if _share_no_path(starts[first], starts[second]):
             continue
         if one.method == two.method or two.name in one.over or one.name in two.over:
             continue
-        if _special(choices[first], choices[second]) or _special(choices[second], choices[first]):
+        if _is_special_case(conjunctions[first], conjunctions[second]) or _is_special_case(
+            conjunctions[second], conjunctions[first]
+        ):
             continue
-        if any(possible((*left, *right)) for left in choices[first] for right in choices[second]):
+        if any(
+            is_satisfiable((*left, *right)) for left in conjunctions[first] for right in conjunctions[second]
+        ):
             yield RouteError(
                 two.place,
                 f"routes {one.name} and {two.name} can both match and name different methods; "
@@ -145,9 +151,9 @@
             )
 
 
-def _path_starts(choices: list[Conjunction]) -> list[str]:
+def _path_starts(conjunctions: list[Conjunction]) -> list[str]:
     """Return the prefix that each conjunction requires of a path, "" where it requires none."""
-    return [max((_path_start(literal) for literal in found), key=len, default="") for found in choices]
+    return [max((_path_start(literal) for literal in found), key=len, default="") for found in conjunctions]
 
 
 def _path_start(literal: Literal) -> str:
@@ -157,7 +163,7 @@
     return predicate.operands[0]
 
 
-def _apart(one: list[str], two: list[str]) -> bool:
+def _share_no_path(one: list[str], two: list[str]) -> bool:
     """Whether no path has a prefix of each list: then the rules match no request in common.
 
     Most rules of one service are apart, which saves the comparison of their conjunctions.
@@ -165,7 +171,7 @@
     return not any(first.startswith(second) or second.startswith(first) for first in one for second in two)
 
 
-def _special(narrow: list[Conjunction], wide: list[Conjunction]) -> bool:
+def _is_special_case(narrow: list[Conjunction], wide: list[Conjunction]) -> bool:
     """Whether every request that matches one rule matches the other: a special case of it."""
     return all(any(covers(general, special) for general in wide) for special in narrow)
 
@@ -173,7 +179,7 @@
 # ---- conditions as choices of conjunctions -----------------------------------------------------------
 
 
-def choice(condition: Condition, place: Place, *, expected: bool = True) -> list[Conjunction]:
+def conjunctions_of(condition: Condition, place: Place, *, expected: bool = True) -> list[Conjunction]:
     """Return the condition, or its negation if not `expected`, as conjunctions; any one is enough."""
     match condition:
         case Predicate() if condition.operator == "in" and expected:
@@ -184,21 +190,21 @@
         case Predicate():
             return [(Literal(condition, expected),)]
         case Not(part):
-            return choice(part, place, expected=not expected)
+            return conjunctions_of(part, place, expected=not expected)
         case All(parts) | Any(parts):
-            expanded = [choice(part, place, expected=expected) for part in parts]
+            expanded = [conjunctions_of(part, place, expected=expected) for part in parts]
             if isinstance(condition, All) != expected:
                 return [conjunction for own in expanded for conjunction in own]
             product: list[Conjunction] = [()]
             for own in expanded:
                 product = [(*left, *right) for left in product for right in own]
-                if len(product) > MAX_CHOICES:
-                    raise RouteError(place, f"the condition comes to more than {MAX_CHOICES} choices")
+                if len(product) > MAX_CONJUNCTIONS:
+                    raise RouteError(place, f"the condition comes to more than {MAX_CONJUNCTIONS} choices")
             return product
     raise AssertionError(condition)
 
 
-def answer(predicate: Predicate, value: str | None) -> bool:
+def is_satisfied_by(predicate: Predicate, value: str | None) -> bool:
     """Return whether a value satisfies a predicate; None means that the request lacks the property."""
     if value is None:
         return False
@@ -219,48 +225,48 @@
     return re.search(operand, value) is not None
 
 
-def possible(conjunction: Conjunction) -> bool:
+def is_satisfiable(conjunction: Conjunction) -> bool:
     """Whether some request may satisfy all these literals; when in doubt, yes."""
     subjects: dict[Subject, list[Literal]] = {}
     for literal in conjunction:
         subjects.setdefault(literal.predicate.subject, []).append(literal)
-    return all(_possible(subject, literals) for subject, literals in subjects.items())
+    return all(_can_satisfy(subject, literals) for subject, literals in subjects.items())
 
 
-def _possible(subject: Subject, literals: list[Literal]) -> bool:
+def _can_satisfy(subject: Subject, literals: list[Literal]) -> bool:
     required = [literal.predicate for literal in literals if literal.expected]
-    denied = [literal.predicate for literal in literals if not literal.expected]
-    if any(predicate.operator == "has" for predicate in denied):
+    excluded = [literal.predicate for literal in literals if not literal.expected]
+    if any(predicate.operator == "has" for predicate in excluded):
         return not required
     values = _values(required)
     if values is None:
         values = KNOWN_VALUES.get(subject.kind)
     if values is not None:
-        return any(_agrees(value, literals) for value in values)
+        return any(_satisfies_all(value, literals) for value in values)
     if not required:
         return True
     start = _longest(required, "starts")
     end = _longest(required, "ends")
     if start is None or end is None:
         return False
-    return not any(_contradicts(predicate, required, start, end) for predicate in denied)
+    return not any(_contradicts(predicate, required, start, end) for predicate in excluded)
 
 
-def _contradicts(denied: Predicate, required: list[Predicate], start: str, end: str) -> bool:
-    """Whether what is required, with its longest prefix and suffix, implies the denied predicate."""
-    if denied in required:
+def _contradicts(excluded: Predicate, required: list[Predicate], start: str, end: str) -> bool:
+    """Whether what is required, with its longest prefix and suffix, implies the excluded predicate."""
+    if excluded in required:
         return True
-    match denied.operator:
+    match excluded.operator:
         case "contains":
             return any(
-                denied.operands[0] in other.operands[0]
+                excluded.operands[0] in other.operands[0]
                 for other in required
                 if other.operator in SUBSTRING_OPERATORS
             )
         case "starts":
-            return start.startswith(denied.operands[0])
+            return start.startswith(excluded.operands[0])
         case "ends":
-            return end.endswith(denied.operands[0])
+            return end.endswith(excluded.operands[0])
     return False
 
 
@@ -270,8 +276,8 @@
     return set.intersection(*named) if named else None
 
 
-def _agrees(value: str, literals: list[Literal]) -> bool:
-    return all(answer(literal.predicate, value) == literal.expected for literal in literals)
+def _satisfies_all(value: str, literals: list[Literal]) -> bool:
+    return all(is_satisfied_by(literal.predicate, value) == literal.expected for literal in literals)
 
 
 def _longest(required: list[Predicate], operator: str) -> str | None:
@@ -296,12 +302,12 @@
         return True
     required = [other.predicate for other in about if other.expected]
     if (values := _values(required)) is not None:
-        agreeing = [value for value in values if _agrees(value, about)]
-        return all(answer(literal.predicate, value) == literal.expected for value in agreeing)
+        matching = [value for value in values if _satisfies_all(value, about)]
+        return all(is_satisfied_by(literal.predicate, value) == literal.expected for value in matching)
     predicate = literal.predicate
     if not literal.expected:
         # What contradicts the question implies its contrary.
-        return bool(about) and not _possible(predicate.subject, [*about, Literal(predicate)])
+        return bool(about) and not _can_satisfy(predicate.subject, [*about, Literal(predicate)])
     if predicate.operator == "has":
         return bool(required)
     if predicate.operator not in SUBSTRING_OPERATORS:
--- a/linenbridge/routes/table.py
+++ b/linenbridge/routes/table.py
@@ -19,7 +19,7 @@
 from msgspec import Struct
 
 from linenbridge.interface import Method
-from linenbridge.routes.checks import check, choice, possible
+from linenbridge.routes.checks import check, conjunctions_of, is_satisfiable
 from linenbridge.routes.language import (
     All, Any, Condition, Not, Part, RouteError, Rule, Subject, Predicate, Timed, UNITS, parse, predicates,
 )  # fmt: skip
@@ -27,7 +27,7 @@
 MAX_VALUE_LENGTH = 4096  # characters of a value that an expression searches; a longer value does not match
 MAX_NAME_LENGTH = 256  # characters of a tenant's or a key's name
 MAX_TIME_DIGITS = 12  # digits of a time in a request
-BINARY = 2  # operands of the usual conjunction, which has a shorter function
+PAIR = 2  # operands of the usual conjunction, which has a shorter function
 SEGMENT_SLASHES = 2  # slashes in a prefix of a path that holds its whole first segment
 GRPC_UNITS = {"n": 0.001, "u": 1, "m": 1_000, "S": 1_000_000, "M": 60_000_000, "H": 3_600_000_000}
 
@@ -92,7 +92,7 @@
     """One rule in an explanation: whether it matched, and each predicate with the value and the result."""
 
     rule: str
-    took: bool
+    matched: bool
     answers: tuple[tuple[str, str | None, bool], ...]
 
 
@@ -109,25 +109,25 @@
 class Table:
     """All routes of one gateway, compiled."""
 
-    def __init__(self, rules: list[Rule], methods: Iterable[Method], longest: int) -> None:
+    def __init__(self, rules: list[Rule], methods: Iterable[Method], max_deadline: int) -> None:
         self.rules: Sequence[Rule] = rules
         self.methods = {method.name: method for method in methods}
-        self.longest = longest
+        self.max_deadline = max_deadline
         self.conditions: Sequence[Callable[[Request], bool]] = [compiled(rule.when) for rule in rules]
-        self.everywhere: list[int] = []
-        self.under: dict[str, list[int]] = {}
-        self._sort_in()
+        self.rules_for_other_segments: list[int] = []
+        self.rules_by_segment: dict[str, list[int]] = {}
+        self._index_rules()
 
-    def _sort_in(self) -> None:
+    def _index_rules(self) -> None:
         """Index each rule by the first segments that it requires; a rule that requires none is under all."""
         firsts = [_first_segments(rule) for rule in self.rules]
         named = sorted({segment for found in firsts if found is not None for segment in found})
-        self.under = {segment: [] for segment in named}
+        self.rules_by_segment = {segment: [] for segment in named}
         for number, found in enumerate(firsts):
             if found is None:
-                self.everywhere.append(number)
+                self.rules_for_other_segments.append(number)
             for segment in named if found is None else sorted(found):
-                self.under[segment].append(number)
+                self.rules_by_segment[segment].append(number)
 
     def find(self, request: Request) -> MatchedRequest | None:
         """Return the RPC that the first matching rule gives; None if no rule matches."""
@@ -139,7 +139,7 @@
     def _candidates(self, request: Request) -> Sequence[int]:
         """Return the numbers of the rules that can match, in their order, by the path's first segment."""
         first = request.segments[0] if request.segments else ""
-        return self.under.get(first, self.everywhere)
+        return self.rules_by_segment.get(first, self.rules_for_other_segments)
 
     def explain(self, request: Request) -> list[Step]:
         """Return each rule in its order up to the one that matches."""
@@ -149,15 +149,15 @@
                 (str(predicate), request.value(predicate.subject), compiled(predicate)(request))
                 for predicate in predicates(rule.when)
             )
-            took = self.conditions[number](request)
-            steps.append(Step(rule.name, took, answers))
-            if took:
+            matched = self.conditions[number](request)
+            steps.append(Step(rule.name, matched, answers))
+            if matched:
                 break
         return steps
 
     def _match(self, rule: Rule, request: Request) -> MatchedRequest:
         method = self.methods[rule.method]
-        deadline = min(_time(rule.deadline, request) or self.longest, self.longest)
+        deadline = min(_time(rule.deadline, request) or self.max_deadline, self.max_deadline)
         latency_objective = min(rule.latency_objective or method.latency_objective, deadline)
         cost = _time(rule.cost, request) if rule.cost is not None else None
         tenant = _value(rule.tenant, request) or ""
@@ -165,17 +165,17 @@
         return MatchedRequest(rule.name, rule.method, tenant, key, latency_objective, deadline, cost)
 
 
-def table(text: str, methods: Iterable[Method], longest: int) -> Table:
+def table(text: str, methods: Iterable[Method], max_deadline: int) -> Table:
     """Return the table of a text; RouteError or RoutesError say what is wrong with it."""
-    return checked_table(parse(text), methods, longest)
+    return checked_table(parse(text), methods, max_deadline)
 
 
-def checked_table(rules: list[Rule], methods: Iterable[Method], longest: int) -> Table:
+def checked_table(rules: list[Rule], methods: Iterable[Method], max_deadline: int) -> Table:
     """Return the table of these rules; RoutesError holds every error of the checks."""
     methods = list(methods)
     if errors := check(rules, [method.name for method in methods]):
         raise RoutesError(errors)
-    return Table(rules, methods, longest)
+    return Table(rules, methods, max_deadline)
 
 
 class RoutesError(ValueError):
@@ -198,15 +198,13 @@
         case All(parts):
             every = [compiled(part) for part in parts]
             return (
-                _both(*every)
-                if len(every) == BINARY
-                else lambda request: all(part(request) for part in every)
+                _both(*every) if len(every) == PAIR else lambda request: all(part(request) for part in every)
             )
         case Any(parts):
             some = [compiled(part) for part in parts]
             return lambda request: any(part(request) for part in some)
         case Predicate():
-            return _question(condition)
+            return _compiled_predicate(condition)
     raise AssertionError(condition)
 
 
@@ -214,8 +212,8 @@
     return lambda request: first(request) and second(request)
 
 
-def _question(predicate: Predicate) -> Callable[[Request], bool]:
-    value_of = _reader(predicate.subject)
+def _compiled_predicate(predicate: Predicate) -> Callable[[Request], bool]:
+    value_of = _value_reader(predicate.subject)
     operand = predicate.operands[0] if predicate.operands else ""
     match predicate.operator:
         case "has":
@@ -240,7 +238,7 @@
     return matches
 
 
-def _reader(subject: Subject) -> Callable[[Request], str | None]:
+def _value_reader(subject: Subject) -> Callable[[Request], str | None]:
     """`Request.value` of one subject, decided once."""
     name = subject.name
     match subject.kind:
@@ -288,8 +286,8 @@
 def _first_segments(rule: Rule) -> set[str] | None:
     """Return the first segments that the conjunctions of a rule require; None if one requires none."""
     found: set[str] = set()
-    for conjunction in choice(rule.when, rule.place):
-        if not possible(conjunction):
+    for conjunction in conjunctions_of(rule.when, rule.place):
+        if not is_satisfiable(conjunction):
             continue
         named = [_segments_of(literal.predicate) for literal in conjunction if literal.expected]
         if not (required := [segments for segments in named if segments is not None]):
