--- a/linenbridge/routes/__init__.py
+++ b/linenbridge/routes/__init__.py
@@ -1,5 +1,5 @@
-"""Routes: the RPC that a request at a proxy belongs to.
+"""Routes: map a request at a proxy to the method, tenant, key and times of its RPC.
 
-`language` parses the text of the routes, `regexes` rejects expensive expressions, `checks` finds
-contradictions between rules, and `table` compiles checked rules into the look-up for a proxy's requests.
+`language` parses the text of the routes, `regexes` rejects regular expressions that can take too long,
+`checks` finds contradictions between rules, and `table` compiles checked rules into a routing table.
 """
--- a/linenbridge/routes/checks.py
+++ b/linenbridge/routes/checks.py
@@ -1,10 +1,10 @@
 """Checks of the rules of one text against each other; no I/O.
 
-Each condition is expanded into conjunctions of literals, any one of which is enough. The checks decide
-on them whether a rule can match at all, whether earlier rules match all of its requests, and whether two
-rules with different methods match the same request though neither is a special case of the other. The
-checks are conservative: where they cannot decide, a rule counts as one that can match, and the author of
-the text states the order with `over`.
+Each condition is expanded into disjunctive normal form: conjunctions of literals, of which one has to be
+satisfied. From the conjunctions, the checks decide whether a rule can match at all, whether earlier rules
+match all of its requests, and whether two rules with different methods can match the same request although
+neither is a special case of the other. The checks are conservative: a rule that they cannot decide about
+counts as one that can match, and the author of the text states the precedence with `over`.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 )
 from linenbridge.routes.regexes import reason_to_reject
 
-MAX_CONJUNCTIONS = 256  # conjunctions that one condition may come to
+MAX_CONJUNCTIONS = 256  # of one condition
 VERBS = frozenset(("GET", "HEAD", "POST", "PUT", "DELETE", "CONNECT", "OPTIONS", "TRACE", "PATCH"))
 SCHEMES = frozenset(("http", "https"))
 KNOWN_VALUES = {"verb": VERBS, "scheme": SCHEMES}  # subjects with a fixed set of values
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Literal:
-    """A predicate and the result that is required of it."""
+    """A predicate and the result that it has to have."""
 
     predicate: Predicate
     expected: bool = True
@@ -66,7 +66,9 @@
             wrong.append(error)
             continue
         if not conjunctions[number]:
-            wrong.append(RouteError(rule.place, f"route {rule.name} can never match: it contradicts itself"))
+            wrong.append(
+                RouteError(rule.place, f"route {rule.name} can never match: its condition contradicts itself")
+            )
     starts = {number: _path_starts(own) for number, own in conjunctions.items()}
     wrong.extend(_shadowed_rules(rules, conjunctions, starts))
     wrong.extend(_conflicts(rules, conjunctions, starts))
@@ -74,23 +76,24 @@
 
 
 def _errors_of_rule(rule: Rule, known: set[str], names: set[str]) -> Iterator[RouteError]:
+    """Yield the errors of one rule that do not depend on the conditions of other rules."""
     if not rule.method:
         yield RouteError(rule.place, f"route {rule.name} names no method")
     elif rule.method not in known:
         yield RouteError(rule.method_place, f"no method is named {rule.method!r}")
     for name in rule.over:
         if name not in names or name == rule.name:
-            yield RouteError(rule.place, f"route {rule.name} is to go over {name}, which is no other route")
+            yield RouteError(rule.place, f"route {rule.name}: `over {name}` names no other route of the text")
     for predicate in predicates(rule.when):
         if predicate.operator == "matches" and (reason := reason_to_reject(predicate.operands[0])):
-            yield RouteError(predicate.place, f"the expression cannot be used: {reason}")
+            yield RouteError(predicate.place, f"the regular expression is rejected: {reason}")
         wrong = [operand for operand in predicate.operands if not _can_occur(predicate, operand)]
         if wrong:
             yield RouteError(predicate.place, f"no request has the {predicate.subject.kind} {wrong[0]!r}")
 
 
 def _can_occur(predicate: Predicate, operand: str) -> bool:
-    """Whether some request can have the operand: verbs and schemes are known, a path begins with a slash."""
+    """Return whether some request can have the operand: a known verb or scheme, a path from `/`."""
     if predicate.operator not in ("is", "in", "starts"):
         return True
     if predicate.subject.kind == "path":
@@ -104,7 +107,7 @@
 def _shadowed_rules(
     rules: list[Rule], conjunctions: dict[int, list[Conjunction]], starts: dict[int, list[str]]
 ) -> Iterator[RouteError]:
-    """Rules all of whose requests match earlier rules."""
+    """Yield an error for each rule whose requests all match earlier rules."""
     for number, own in conjunctions.items():
         if not own:
             continue
@@ -122,14 +125,19 @@
             ]
             yield RouteError(
                 rules[number].place,
-                f"route {rules[number].name} can never match: {' and '.join(names)} before it take it all",
+                f"route {rules[number].name} can never match: "
+                f"all its requests match {' and '.join(names)} before it",
             )
 
 
 def _conflicts(
     rules: list[Rule], conjunctions: dict[int, list[Conjunction]], starts: dict[int, list[str]]
 ) -> Iterator[RouteError]:
-    """Pairs of rules with different methods that match the same request, without an order that is stated."""
+    """Yield an error for each pair of rules with different methods that can match the same request.
+
+    A pair is no error if `over` states which of the two takes precedence, or if one is a special case of the
+    other.
+    """
     for first, second in combinations(conjunctions, 2):
         one = rules[first]
         two = rules[second]
@@ -146,13 +154,13 @@
         ):
             yield RouteError(
                 two.place,
-                f"routes {one.name} and {two.name} can both match and name different methods; "
-                f"{one.name} stands first: let it say `over {two.name}`, or keep them apart",
+                f"routes {one.name} and {two.name} can both match a request and name different methods; "
+                f"{one.name} comes first: add `over {two.name}` to it, or make their conditions disjoint",
             )
 
 
 def _path_starts(conjunctions: list[Conjunction]) -> list[str]:
-    """Return the prefix that each conjunction requires of a path, "" where it requires none."""
+    """Return the path prefix that each conjunction requires, "" for a conjunction that requires none."""
     return [max((_path_start(literal) for literal in found), key=len, default="") for found in conjunctions]
 
 
@@ -164,23 +172,26 @@
 
 
 def _share_no_path(one: list[str], two: list[str]) -> bool:
-    """Whether no path has a prefix of each list: then the rules match no request in common.
+    """Return whether no path starts with a prefix of each list: no request can then match both rules.
 
-    Most rules of one service are apart, which saves the comparison of their conjunctions.
+    This holds for most pairs of rules of one service and saves the comparison of their conjunctions.
     """
     return not any(first.startswith(second) or second.startswith(first) for first in one for second in two)
 
 
 def _is_special_case(narrow: list[Conjunction], wide: list[Conjunction]) -> bool:
-    """Whether every request that matches one rule matches the other: a special case of it."""
+    """Return whether every request that satisfies the `narrow` condition satisfies the `wide` one."""
     return all(any(covers(general, special) for general in wide) for special in narrow)
 
 
-# ---- conditions as choices of conjunctions -----------------------------------------------------------
+# ---- conditions as conjunctions ----------------------------------------------------------------------
 
 
 def conjunctions_of(condition: Condition, place: Place, *, expected: bool = True) -> list[Conjunction]:
-    """Return the condition, or its negation if not `expected`, as conjunctions; any one is enough."""
+    """Return the condition in disjunctive normal form; its negation if not `expected`.
+
+    Raises RouteError at `place` if there would be more than MAX_CONJUNCTIONS.
+    """
     match condition:
         case Predicate() if condition.operator == "in" and expected:
             return [
@@ -199,13 +210,15 @@
             for own in expanded:
                 product = [(*left, *right) for left in product for right in own]
                 if len(product) > MAX_CONJUNCTIONS:
-                    raise RouteError(place, f"the condition comes to more than {MAX_CONJUNCTIONS} choices")
+                    raise RouteError(
+                        place, f"the condition expands to more than {MAX_CONJUNCTIONS} alternatives"
+                    )
             return product
     raise AssertionError(condition)
 
 
 def is_satisfied_by(predicate: Predicate, value: str | None) -> bool:
-    """Return whether a value satisfies a predicate; None means that the request lacks the property."""
+    """Return whether a value satisfies a predicate; `value` is None if the request lacks the property."""
     if value is None:
         return False
     if predicate.operator == "has":
@@ -226,7 +239,7 @@
 
 
 def is_satisfiable(conjunction: Conjunction) -> bool:
-    """Whether some request may satisfy all these literals; when in doubt, yes."""
+    """Return whether some request may satisfy all literals; True if that cannot be decided."""
     subjects: dict[Subject, list[Literal]] = {}
     for literal in conjunction:
         subjects.setdefault(literal.predicate.subject, []).append(literal)
@@ -234,6 +247,7 @@
 
 
 def _can_satisfy(subject: Subject, literals: list[Literal]) -> bool:
+    """Return whether some value of the subject, or its absence, may satisfy all its literals."""
     required = [literal.predicate for literal in literals if literal.expected]
     excluded = [literal.predicate for literal in literals if not literal.expected]
     if any(predicate.operator == "has" for predicate in excluded):
@@ -253,7 +267,7 @@
 
 
 def _contradicts(excluded: Predicate, required: list[Predicate], start: str, end: str) -> bool:
-    """Whether what is required, with its longest prefix and suffix, implies the excluded predicate."""
+    """Return whether the required predicates, with their longest prefix and suffix, imply `excluded`."""
     if excluded in required:
         return True
     match excluded.operator:
@@ -271,7 +285,7 @@
 
 
 def _values(required: list[Predicate]) -> Set[str] | None:
-    """Return the values that the predicates leave, None where they name none."""
+    """Return the values that all `is` and `in` predicates allow; None if there is no such predicate."""
     named = [set(predicate.operands) for predicate in required if predicate.operator in ("is", "in")]
     return set.intersection(*named) if named else None
 
@@ -281,7 +295,10 @@
 
 
 def _longest(required: list[Predicate], operator: str) -> str | None:
-    """The longest required operand at one end, "" without one; None where two contradict each other."""
+    """Return the longest prefix (`starts`) or suffix (`ends`) that is required, "" if there is none.
+
+    Returns None if two of the operands contradict each other.
+    """
     operands = sorted(
         (predicate.operands[0] for predicate in required if predicate.operator == operator), key=len
     )
@@ -292,11 +309,12 @@
 
 
 def covers(wide: Conjunction, narrow: Conjunction) -> bool:
-    """Whether every request that satisfies `narrow` satisfies `wide` too; when in doubt, no."""
+    """Return whether every request that satisfies `narrow` satisfies `wide`; False if undecided."""
     return all(_implied(literal, narrow) for literal in wide)
 
 
 def _implied(literal: Literal, given: Conjunction) -> bool:
+    """Return whether the conjunction `given` implies the literal; False if that cannot be decided."""
     about = [other for other in given if other.predicate.subject == literal.predicate.subject]
     if literal in about:
         return True
@@ -306,7 +324,7 @@
         return all(is_satisfied_by(literal.predicate, value) == literal.expected for value in matching)
     predicate = literal.predicate
     if not literal.expected:
-        # What contradicts the question implies its contrary.
+        # Literals that exclude the predicate imply its negation.
         return bool(about) and not _can_satisfy(predicate.subject, [*about, Literal(predicate)])
     if predicate.operator == "has":
         return bool(required)
@@ -318,7 +336,7 @@
 
 
 def _entails(premise: Predicate, conclusion: Predicate) -> bool:
-    """Whether each value that satisfies one substring predicate satisfies the other."""
+    """Return whether each value that satisfies `premise` satisfies the substring predicate `conclusion`."""
     if premise.operator not in SUBSTRING_OPERATORS:
         return False
     known = premise.operands[0]
--- a/linenbridge/routes/language.py
+++ b/linenbridge/routes/language.py
@@ -1,8 +1,8 @@
 """Parses the text of the routes into rules.
 
-The grammar is `grammar.lark`; this module gives it its meaning and keeps the position of each token for error
-messages. The parser does no I/O: one text always gives the same rules. `checks` compares the rules with each
-other and with the methods of a deployment.
+The grammar is `grammar.lark`; this module builds a `Rule` from each parsed rule and keeps the positions of
+tokens for error messages. The result depends on the text alone. `checks` compares the rules with each other
+and with the methods of a deployment.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from lark import Lark, Token, Transformer, v_args
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedInput
 
-MAX_TEXT_LENGTH = 256 * 1024  # characters of one routes file
-MAX_RULES = 512  # of one routes file
-# All up to the end of a rule: a `}` that stands neither in a string nor in a comment.
+MAX_TEXT_LENGTH = 256 * 1024  # characters, of one text
+MAX_RULES = 512  # of one text
+# Matches up to the end of a rule: the first `}` that is neither in a string nor in a comment.
 RULE_END = re.compile(r'(?:"(?:[^"\\\n]|\\["\\])*"|#[^\n]*|[^"#}])*\}')
-UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000}
+UNITS = {"us": 1, "ms": 1_000, "s": 1_000_000}  # microseconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
 
 
 class RouteError(ValueError):
-    """One error in the text of the routes; `str` gives `line:column: what`."""
+    """One error in the text of the routes, with its position; `str` returns `line:column: what`."""
 
     def __init__(self, place: Place, what: str) -> None:
         super().__init__(f"{place.line}:{place.column}: {what}")
@@ -72,21 +72,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Not:
-    """The part does not hold."""
+    """A condition that is satisfied if its part is not."""
 
     part: Condition
 
 
 @dataclass(frozen=True, slots=True)
 class All:
-    """Every part holds; with no parts it always does."""
+    """A condition that is satisfied if every part is; without parts it is always satisfied."""
 
     parts: tuple[Condition, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Any:
-    """At least one part holds."""
+    """A condition that is satisfied if at least one part is."""
 
     parts: tuple[Condition, ...]
 
@@ -96,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """Where a value comes from: a subject, a segment of the path (from 1), or a literal."""
+    """The source of a value: a subject, a segment of the path (counted from 1), or a literal."""
 
     subject: Subject | None = None
     segment: int = 0
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timed:
-    """A time: read from a subject in `unit` where it can be, else `default` in microseconds."""
+    """A duration: the number in a subject of the request, in `unit`, or else `default`, in microseconds."""
 
     default: int
     subject: Subject | None = None
@@ -114,7 +114,7 @@
 
 @dataclass(slots=True)
 class Rule:
-    """One route as written. Times are microseconds; 0 and None mean that the route leaves it out."""
+    """One rule of the text. Times are microseconds; 0, None, "" and () mean that the clause is absent."""
 
     name: str
     place: Place
@@ -130,14 +130,14 @@
 
 
 class Clause(NamedTuple):
-    """One clause of a rule as parsed; `place` is the position of its value, where an error names it."""
+    """One parsed clause of a rule; `place` is the position of its value, if an error message may need it."""
 
     name: str
     value: object
     place: Place | None = None
 
 
-CLAUSE_ATTRIBUTES = {"soft": "latency_objective"}  # clauses whose attribute of Rule has another name
+CLAUSE_ATTRIBUTES = {"soft": "latency_objective"}  # clause: attribute of Rule, where the two differ
 
 
 def _place(token: Token) -> Place:
@@ -149,14 +149,14 @@
 
 
 def duration(token: str) -> int:
-    """`250ms` and the like in microseconds."""
+    """Return the microseconds of a DURATION token such as `250ms`."""
     digits = token.rstrip("ums")
     return int(digits) * UNITS[token[len(digits) :]]
 
 
 @v_args(inline=True)
 class _Builder(Transformer):
-    """Builds the rules from the parse tree; each method has the name of its line in the grammar."""
+    """Builds the rules from the parse tree; each method is named after the grammar rule that it handles."""
 
     def plain(self, kind: Token) -> Subject:
         return Subject(str(kind))
@@ -164,7 +164,7 @@
     def named(self, kind: Token, name: Token) -> Subject:
         string = _unquoted(name)
         if not string:
-            raise RouteError(_place(name), f"{kind} needs a name")
+            raise RouteError(_place(name), f"{kind} needs a name that is not empty")
         return Subject(str(kind), string.lower() if kind == "header" else string)
 
     def always(self) -> Condition:
@@ -195,7 +195,9 @@
 
     def segment(self, number: Token) -> Part:
         if int(number) < 1:
-            raise RouteError(_place(number), "segments of a path are counted from 1")
+            raise RouteError(
+                _place(number), "segment(0) does not exist: the first segment of a path is segment(1)"
+            )
         return Part(segment=int(number))
 
     def value(self, *parts: Part | Subject) -> tuple[Part, ...]:
@@ -233,7 +235,7 @@
         seen: set[str] = set()
         for clause, value, place in clauses:
             if clause in seen:
-                raise RouteError(place or rule.place, f"route {name} says its {clause} twice")
+                raise RouteError(place or rule.place, f"route {name} has more than one `{clause}` clause")
             seen.add(clause)
             setattr(rule, CLAUSE_ATTRIBUTES.get(clause, clause), value)
             if clause == "method" and place is not None:
@@ -251,7 +253,7 @@
 
 
 def parse(text: str) -> list[Rule]:
-    """Return the rules of a text in their order; RouteError has the first position that is wrong."""
+    """Return the rules of a text in their order; raise RouteError at the first error."""
     if len(text) > MAX_TEXT_LENGTH:
         raise RouteError(Place(1, 1), f"the routes are longer than {MAX_TEXT_LENGTH} characters")
     try:
@@ -268,7 +270,10 @@
 
 
 def parse_by_rule(text: str) -> Iterator[Rule]:
-    """Yield the rules that `parse` returns one at a time, so that a caller can do other work in between."""
+    """Yield the rules that `parse` returns one by one, so that a caller can do other work in between.
+
+    Raises the same RouteError as `parse`, possibly after some rules.
+    """
     count = 0
     try:
         for piece in _pieces(text):
@@ -278,12 +283,12 @@
                     raise RouteError(rule.place, f"more than {MAX_RULES} routes")
                 yield rule
     except RouteError:
-        parse(text)  # its error has the first position that is wrong in the whole text
+        parse(text)  # raises the error that comes first in the complete text
         raise
 
 
 def _pieces(text: str) -> Iterator[str]:
-    """Split the text after the end of each rule; padding keeps each piece at its line and column."""
+    """Split the text after the end of each rule; padding keeps the line and column of each token."""
     if len(text) > MAX_TEXT_LENGTH:
         raise RouteError(Place(1, 1), f"the routes are longer than {MAX_TEXT_LENGTH} characters")
     begin = line = column = 0
@@ -298,18 +303,19 @@
 
 
 def _unexpected(error: UnexpectedInput, text: str) -> tuple[Place, str]:
+    """Return the position and the message for an error of the parser."""
     if isinstance(error, UnexpectedEOF) or getattr(getattr(error, "token", None), "type", "") == "$END":
         lines = text.split("\n")
         return Place(len(lines), len(lines[-1]) + 1), "the text ends in the middle of a route"
     place = Place(error.line, error.column)
     if isinstance(error, UnexpectedCharacters):
-        return place, f"no word can start with {error.char!r}"
+        return place, f"unexpected character {error.char!r}"
     found = getattr(error, "token", "")
-    return place, f"{str(found)!r} does not fit here"
+    return place, f"{str(found)!r} is not allowed here"
 
 
 def predicates(condition: Condition) -> Iterator[Predicate]:
-    """Every predicate of a condition, in the order of the text."""
+    """Yield every predicate of a condition, in the order of the text."""
     match condition:
         case Predicate():
             yield condition
--- a/linenbridge/routes/regexes.py
+++ b/linenbridge/routes/regexes.py
@@ -1,8 +1,8 @@
-"""Rejects regular expressions that can take too long, by their structure alone.
+"""Rejects regular expressions whose matching can take too long, by their structure.
 
-Python's matcher backtracks. Three shapes make the number of attempts grow faster than the text: a repeat
-within a repeat, a repeated choice whose branches can begin alike, and adjacent repeats of the same
-characters. This module matches nothing and rejects every construct that it does not know.
+Python's matcher backtracks. Three constructs make the number of attempts grow faster than the length of the
+text: a repeat within a repeat, a repeated alternation whose branches can start with the same character, and
+adjacent repeats of the same characters. Every construct that this module does not know is rejected.
 """
 
 from __future__ import annotations
@@ -13,29 +13,30 @@
 from re import _parser  # type: ignore[attr-defined]
 
 MAX_PATTERN_LENGTH = 512  # characters
-MAX_REPEAT_COUNT = 1_000  # of a counted repeat, so that compiling stays cheap
-MAX_ADJACENT_REPEATS = 2  # a square of the text's length is borne: what is matched is bounded in length
-OTHER_CODE_POINTS = 256  # stands for all code points above 255
+MAX_REPEAT_COUNT = 1_000  # of a counted repeat; bounds the cost of compiling it
+# Two cost the square of the length of the text, which is acceptable because that length is bounded.
+MAX_ADJACENT_REPEATS = 2
+OTHER_CODE_POINTS = 256  # represents all code points above 255
 ALL_CHARACTERS = frozenset(range(OTHER_CODE_POINTS + 1))
-MAX_BOUNDED_SPREAD = 64  # a counted repeat with more between its bounds counts as unbounded
+MAX_BOUNDED_SPREAD = 64  # a counted repeat whose bounds differ by more counts as unbounded
 REPEATS = {sre.MAX_REPEAT, sre.MIN_REPEAT}
 ZERO_WIDTH = {sre.AT, sre.ASSERT, sre.ASSERT_NOT}
 
 
 def reason_to_reject(pattern: str) -> str | None:
-    """Return why the expression is rejected, as a user reads it; None if it is accepted."""
+    """Return the reason, for a user, why the expression is rejected; None if it is accepted."""
     if len(pattern) > MAX_PATTERN_LENGTH:
         return f"it is longer than {MAX_PATTERN_LENGTH} characters"
     try:
         parsed = _parser.parse(pattern)
         re.compile(pattern)
     except (re.error, OverflowError, RecursionError) as error:
-        return f"it is no regular expression ({error})"
+        return f"it is not a valid regular expression ({error})"
     return _sequence(list(parsed), in_repeat=False)
 
 
 def _sequence(items: list, in_repeat: bool) -> str | None:
-    """Check a sequence; adjacent repeats are compared by the characters that they match."""
+    """Return the reason to reject a sequence, such as adjacent repeats that match the same characters."""
     adjacent: list[frozenset[int]] = []
     for item in items:
         if reason := _item(item, in_repeat):
@@ -45,7 +46,7 @@
             matched = _characters(list(item[1][2]))
             adjacent = [*(other for other in adjacent if other & matched), matched]
             if len(adjacent) > MAX_ADJACENT_REPEATS:
-                return "three repeats side by side take the same characters"
+                return "three adjacent repeats can match the same characters"
         elif operator not in ZERO_WIDTH:
             matched = _characters([item])
             if not _may_be_empty([item]):
@@ -54,6 +55,7 @@
 
 
 def _item(item: tuple, in_repeat: bool) -> str | None:
+    """Return the reason to reject one parsed item; None if it is accepted."""
     operator, argument = item
     if operator in REPEATS:
         return _repeat(argument, in_repeat)
@@ -65,31 +67,32 @@
         return _sequence(list(argument[1]), in_repeat)
     if operator in (sre.LITERAL, sre.NOT_LITERAL, sre.ANY, sre.IN, sre.AT):
         return None
-    return f"{str(operator).lower()} is not taken here"
+    return f"{str(operator).lower()} is not supported"
 
 
 def _repeat(repeat: tuple, in_repeat: bool) -> str | None:
     _, high, inner = repeat
     if high is not sre.MAXREPEAT and high > MAX_REPEAT_COUNT:
-        return f"a repeat of more than {MAX_REPEAT_COUNT}"
+        return f"a counted repeat above {MAX_REPEAT_COUNT}"
     if not _unbounded(repeat):
         return _sequence(list(inner), in_repeat)
     if in_repeat:
         return "a repeat within a repeat"
     if _may_be_empty(list(inner)):
-        return "a repeat of something that may be empty"
+        return "a repeat of an expression that can match the empty text"
     return _sequence(list(inner), in_repeat=True)
 
 
 def _branches(branches: list[list], in_repeat: bool) -> str | None:
+    """Return the reason to reject an alternation; None if it is accepted."""
     if in_repeat:
         if sum(_may_be_empty(branch) for branch in branches) > 1:
-            return "a repeated choice whose branches can begin alike"
+            return "a repeated alternation whose branches can start with the same character"
         seen: frozenset[int] = frozenset()
         for branch in branches:
             first = _first(branch)
             if first & seen:
-                return "a repeated choice whose branches can begin alike"
+                return "a repeated alternation whose branches can start with the same character"
             seen |= first
     return next((reason for branch in branches if (reason := _sequence(branch, in_repeat))), None)
 
@@ -99,6 +102,7 @@
 
 
 def _may_be_empty(items: list) -> bool:
+    """Return whether a sequence can match the empty text."""
     for operator, argument in items:
         if operator in REPEATS:
             if argument[0] and not _may_be_empty(list(argument[2])):
@@ -115,7 +119,7 @@
 
 
 def _first(items: list) -> frozenset[int]:
-    """Return the characters that a sequence can begin with."""
+    """Return the characters that a match of a sequence can start with."""
     found: frozenset[int] = frozenset()
     for item in items:
         operator, argument = item
@@ -154,6 +158,7 @@
 
 
 def _members(members: list) -> frozenset[int]:
+    """Return the characters that a character set (`[...]`) can match."""
     found: set[int] = set()
     negated = False
     for operator, argument in members:
@@ -171,6 +176,7 @@
 
 
 def _category(category: object) -> frozenset[int]:
+    """Return the characters of a category of digits, words or spaces; all characters for any other."""
     shape = {sre.CATEGORY_DIGIT: r"\d", sre.CATEGORY_WORD: r"\w", sre.CATEGORY_SPACE: r"\s"}.get(category)
     if shape is None:
         return ALL_CHARACTERS
--- a/linenbridge/routes/table.py
+++ b/linenbridge/routes/table.py
@@ -1,8 +1,8 @@
 """The routing table: finds the RPC that a request belongs to.
 
 A table is compiled once from checked rules and is immutable: each condition becomes one function, and rules
-that require a first path segment are indexed by it, so that a look-up evaluates few rules. A look-up does no
-I/O and accepts any request: a property that the request lacks has no value and satisfies no predicate.
+that require a first path segment are indexed by it, so that a look-up evaluates few rules. A look-up accepts
+any request: a property that the request lacks has no value and satisfies no predicate.
 """
 
 from __future__ import annotations
@@ -21,20 +21,41 @@
 from linenbridge.interface import Method
 from linenbridge.routes.checks import check, conjunctions_of, is_satisfiable
 from linenbridge.routes.language import (
-    All, Any, Condition, Not, Part, RouteError, Rule, Subject, Predicate, Timed, UNITS, parse, predicates,
-)  # fmt: skip
-
-MAX_VALUE_LENGTH = 4096  # characters of a value that an expression searches; a longer value does not match
+    UNITS,
+    All,
+    Any,
+    Condition,
+    Not,
+    Part,
+    Predicate,
+    RouteError,
+    Rule,
+    Subject,
+    Timed,
+    parse,
+    predicates,
+)
+
+MAX_VALUE_LENGTH = (
+    4096  # characters of a value that a regular expression searches; a longer value does not match
+)
 MAX_NAME_LENGTH = 256  # characters of a tenant's or a key's name
-MAX_TIME_DIGITS = 12  # digits of a time in a request
-PAIR = 2  # operands of the usual conjunction, which has a shorter function
-SEGMENT_SLASHES = 2  # slashes in a prefix of a path that holds its whole first segment
-GRPC_UNITS = {"n": 0.001, "u": 1, "m": 1_000, "S": 1_000_000, "M": 60_000_000, "H": 3_600_000_000}
+MAX_TIME_DIGITS = 12  # digits of a duration in a request
+PAIR = 2  # parts of the most frequent conjunction, which is compiled to a shorter function
+SEGMENT_SLASHES = 2  # in a path prefix that contains the complete first segment
+GRPC_UNITS = {
+    "n": 0.001,
+    "u": 1,
+    "m": 1_000,
+    "S": 1_000_000,
+    "M": 60_000_000,
+    "H": 3_600_000_000,
+}  # microseconds
 
 
 @dataclass
 class Request:
-    """The properties of one request that a proxy reports; names of headers in lower case."""
+    """The properties of one request that a proxy reports; header names are in lower case."""
 
     authority: str = ""
     path: str = "/"
@@ -49,7 +70,7 @@
 
     @cached_property
     def query(self) -> dict[str, str]:
-        """The parameters of the query; of several with one name the first counts."""
+        """Return the parameters of the query; of several with the same name, the first."""
         found: dict[str, str] = {}
         try:
             pairs = parse_qsl(self.path.partition("?")[2], keep_blank_values=True, max_num_fields=64)
@@ -74,7 +95,7 @@
 
 
 class MatchedRequest(Struct, frozen=True):
-    """The RPC of a request. Times are microseconds; `cost` is an estimate of the work, None if unknown."""
+    """The RPC of a request. Times are in microseconds; `cost` is an estimate of the work, None if unknown."""
 
     rule: str
     method: str
@@ -89,7 +110,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One rule in an explanation: whether it matched, and each predicate with the value and the result."""
+    """One rule in an explanation: whether it matched, and its predicates.
+
+    `answers` has the text of each predicate, the value of its subject, and whether the value satisfies it.
+    """
 
     rule: str
     matched: bool
@@ -107,7 +131,7 @@
 
 
 class Table:
-    """All routes of one gateway, compiled."""
+    """All routes of one gateway, compiled; `max_deadline` is the longest deadline, in microseconds."""
 
     def __init__(self, rules: list[Rule], methods: Iterable[Method], max_deadline: int) -> None:
         self.rules: Sequence[Rule] = rules
@@ -119,7 +143,7 @@
         self._index_rules()
 
     def _index_rules(self) -> None:
-        """Index each rule by the first segments that it requires; a rule that requires none is under all."""
+        """Index each rule by the first segments that it requires; others are under all segments."""
         firsts = [_first_segments(rule) for rule in self.rules]
         named = sorted({segment for found in firsts if found is not None for segment in found})
         self.rules_by_segment = {segment: [] for segment in named}
@@ -142,7 +166,7 @@
         return self.rules_by_segment.get(first, self.rules_for_other_segments)
 
     def explain(self, request: Request) -> list[Step]:
-        """Return each rule in its order up to the one that matches."""
+        """Return the rules in their order up to the first that matches."""
         steps = []
         for number, rule in enumerate(self.rules):
             answers = tuple(
@@ -166,12 +190,15 @@
 
 
 def table(text: str, methods: Iterable[Method], max_deadline: int) -> Table:
-    """Return the table of a text; RouteError or RoutesError say what is wrong with it."""
+    """Return the table of a text; `max_deadline` is the longest deadline, in microseconds.
+
+    Raises RouteError if the text cannot be parsed, RoutesError if its rules fail the checks.
+    """
     return checked_table(parse(text), methods, max_deadline)
 
 
 def checked_table(rules: list[Rule], methods: Iterable[Method], max_deadline: int) -> Table:
-    """Return the table of these rules; RoutesError holds every error of the checks."""
+    """Return the table of these rules; raise RoutesError with every error of the checks."""
     methods = list(methods)
     if errors := check(rules, [method.name for method in methods]):
         raise RoutesError(errors)
@@ -179,7 +206,7 @@
 
 
 class RoutesError(ValueError):
-    """All errors that the checks find in a set of rules, one a line."""
+    """All errors that the checks find in a set of rules; `str` has one per line."""
 
     def __init__(self, errors: list[RouteError]) -> None:
         super().__init__("\n".join(str(error) for error in errors))
@@ -190,7 +217,7 @@
 
 
 def compiled(condition: Condition) -> Callable[[Request], bool]:
-    """Return the condition as one function of a request."""
+    """Return a function that evaluates the condition for a request."""
     match condition:
         case Not(part):
             inner = compiled(part)
@@ -239,7 +266,7 @@
 
 
 def _value_reader(subject: Subject) -> Callable[[Request], str | None]:
-    """`Request.value` of one subject, decided once."""
+    """Return a function that gives the same value as `Request.value` of one subject."""
     name = subject.name
     match subject.kind:
         case "path":
@@ -254,7 +281,7 @@
 
 
 def _value(parts: tuple[Part, ...], request: Request) -> str | None:
-    """Return the first part that the request has, cut at MAX_NAME_LENGTH."""
+    """Return the value of the first part that the request has, at most MAX_NAME_LENGTH characters of it."""
     for part in parts:
         if part.literal is not None:
             return part.literal
@@ -268,14 +295,14 @@
 
 
 def _time(timed: Timed | None, request: Request) -> int:
-    """Return microseconds; a value that is no time counts as absent."""
+    """Return the duration in microseconds; a value of the request that is not a duration counts as absent."""
     if timed is None:
         return 0
     text = (request.value(timed.subject) or "") if timed.subject is not None else ""
     if timed.unit == "grpc":
         digits = text[:-1]
         unit = GRPC_UNITS.get(text[-1:], 0)
-        # Eight digits at most (gRPC over HTTP/2, "TimeoutValue"); a literal costs a look-up nothing.
+        # gRPC over HTTP/2 limits "TimeoutValue" to 8 digits; a literal is faster than a global constant.
         if unit and digits.isascii() and digits.isdigit() and len(digits) <= 8:  # noqa: PLR2004
             return max(1, round(int(digits) * unit))
     elif text.isascii() and text.isdigit() and len(text) <= MAX_TIME_DIGITS:
@@ -284,7 +311,7 @@
 
 
 def _first_segments(rule: Rule) -> set[str] | None:
-    """Return the first segments that the conjunctions of a rule require; None if one requires none."""
+    """Return the first path segments that the conjunctions of a rule require; None if one requires none."""
     found: set[str] = set()
     for conjunction in conjunctions_of(rule.when, rule.place):
         if not is_satisfiable(conjunction):
@@ -297,6 +324,7 @@
 
 
 def _segments_of(predicate: Predicate) -> set[str] | None:
+    """Return the first path segments that the predicate allows; None if it allows any."""
     if predicate.subject.kind != "path":
         return None
     if predicate.operator in ("is", "in"):
