--- a/linenbridge/distribution/view/instances.py
+++ b/linenbridge/distribution/view/instances.py
@@ -1,8 +1,8 @@
-"""All instances, packed in compressed pages; the services in use are kept unpacked as well.
+"""All instances, packed in compressed pages; services in use are kept unpacked as well.
 
-A service with many instances has many pages. An instance's page follows from a hash of its name, and pages
-are split one at a time (linear hashing, W. Litwin, VLDB 1980), so that a change costs one page whatever the
-size of the service. The table does no I/O and knows nothing of how instances are selected.
+A service with many instances has many pages. The hash of an instance's name determines its page, and pages
+are split one at a time (linear hashing, W. Litwin, VLDB 1980), so that a change rewrites one page whatever
+the size of the service. The table performs no I/O and does not select instances for requests.
 """
 
 from __future__ import annotations
@@ -27,12 +27,12 @@
 from linenbridge.distribution.view.results import PageKind, StoredPage
 from linenbridge.distribution.view.tables import record_in_force
 
-MAX_PAGE_INSTANCES = 48  # instances in a page; with one more the service gets another page
-COMPRESSION_LEVEL = 6  # zlib's; the lowest level that compresses as well as the highest does
+MAX_PAGE_INSTANCES = 48  # records in a page; one more adds a page to the service
+COMPRESSION_LEVEL = 6  # zlib's; the lowest level that compresses as well as the highest
 
 
 class InstanceRecord(Struct, array_like=True, frozen=True):
-    """One region's record of an instance, its value as it was published."""
+    """One region's record of an instance, with its value as published."""
 
     name: str
     region: int
@@ -59,7 +59,7 @@
 
 
 class InstanceUpdate(NamedTuple):
-    """One changed instance of a service in use, with its value in force; a removed one has its last value."""
+    """One changed instance of a service in use, with its value in force; its last one if it is removed."""
 
     name: str
     value: InstanceValue
@@ -67,7 +67,7 @@
 
 
 class PackedPages(NamedTuple):
-    """All pages of a service, packed, and the numbers of those that changed."""
+    """All packed pages of a service, and the numbers of the changed ones."""
 
     pages: tuple[bytes, ...]
     changed: set[int]
@@ -81,10 +81,10 @@
 
 
 class UnpackedService:
-    """The pages of one service while they are changed; a page is unpacked at its first use."""
+    """The pages of one service while changes are applied to it; a page is unpacked at its first use."""
 
     def __init__(self, pages: tuple[bytes, ...]) -> None:
-        """Take over the packed pages; a service without pages gets an empty one."""
+        """Start with the packed pages of the service, or with one empty page if there are none."""
         self.packed = list(pages) or [b""]
         self.unpacked: dict[int, PageRecords] = {}
         self.changed: set[int] = set()
@@ -102,7 +102,7 @@
         return self.page(page_number(instance, len(self.packed))).get((instance, region))
 
     def put(self, record: InstanceRecord) -> None:
-        """Set a record; a page that is full then makes the service split a page."""
+        """Set a record; split a page of the service if the record's page is too large afterwards."""
         number = page_number(record.name, len(self.packed))
         page = self.page(number)
         page[record.name, record.region] = record
@@ -119,7 +119,7 @@
         return record
 
     def _split(self) -> None:
-        """Add a page and move its share of records there from the one page that had them."""
+        """Add a page and move the records that belong there out of the one page that has them."""
         target = len(self.packed)
         source = target - _level(target)
         count = target + 1
@@ -131,7 +131,7 @@
         self.changed |= {source, target}
 
     def pack(self) -> PackedPages:
-        """Pack the changed pages. A service without records has no pages."""
+        """Pack the changed pages and return all pages; a service without records has none."""
         for number in self.changed:
             records = list(self.unpacked[number].values())
             self.packed[number] = zlib.compress(_encode(records), COMPRESSION_LEVEL) if records else b""
@@ -140,12 +140,12 @@
 
 
 def _level(count: int) -> int:
-    """The largest power of two that is not above the count."""
+    """Return the largest power of two that is not above the count."""
     return 1 << count.bit_length() - 1
 
 
 def page_number(instance: str, count: int) -> int:
-    """Return which of a service's `count` pages an instance is in."""
+    """Return the number of the page, of the `count` pages of a service, that an instance is in."""
     hashed = zlib.crc32(instance.encode())
     level = _level(count)
     number = hashed % (2 * level)
@@ -156,13 +156,15 @@
     """Instances by service and name; a `tables.RecordTable`."""
 
     def __init__(self, regions: Regions) -> None:
-        """Create an empty table; `regions` names the region of an index."""
+        """Create an empty table; `regions` gives the region of an index."""
         self.regions = regions
         self.buckets = [b""] * RANGES  # by range, of its services: see packing.py
         self.unpacked: dict[str, UnpackedService] = {}
         self.changed: set[tuple[str, int]] = set()
         self.in_use: dict[str, dict[str, InstanceValue]] = {}
-        self.last_values: dict[str, dict[str, InstanceValue]] = {}  # of changed instances of services in use
+        self.last_values: dict[
+            str, dict[str, InstanceValue]
+        ] = {}  # of instances changed since `take_updates`
         self._loading_service = ""
         self._loading_pages: list[bytes] = []
 
@@ -172,7 +174,7 @@
             yield from names(bucket)
 
     def _pages(self, service: str) -> tuple[bytes, ...]:
-        """The packed pages of a service; none if it has no instance."""
+        """Return the packed pages of a service; an empty tuple if it has no instance."""
         pages = value_of(self.buckets[_range(service)], service)
         return () if pages is None else _decode_pages(pages)
 
@@ -192,6 +194,7 @@
         return found
 
     def _in_force(self, records: Iterable[DecodedInstanceRecord]) -> dict[str, InstanceValue]:
+        """Return the value in force of each instance in the records, by name."""
         by_name: dict[str, dict[int, InstanceValue]] = {}
         for record in records:
             by_name.setdefault(record.name, {})[record.region] = record.value
@@ -199,11 +202,11 @@
         return {name: record_in_force(found, regions) for name, found in by_name.items()}
 
     def use(self, service: str) -> None:
-        """Keep the service unpacked, and include it in `take_updates`, from now on."""
+        """Keep the service unpacked and include its changes in `take_updates` until `release`."""
         self.in_use.setdefault(service, self.read(service))
 
     def release(self, service: str) -> None:
-        """Stop keeping the service unpacked."""
+        """Stop keeping the service unpacked and including it in `take_updates`."""
         self.in_use.pop(service, None)
 
     # ---- changes ---------------------------------------------------------------------------------
@@ -285,7 +288,7 @@
         return updates
 
     def _refresh(self, service: str, values: dict[str, InstanceValue], changed: Collection[str]) -> None:
-        """Set the changed instances of a service in use to what its packed pages have."""
+        """Update the unpacked `values` of the changed instances from the packed pages of the service."""
         pages = self._pages(service)
         numbers = {page_number(name, len(pages)) for name in changed} if pages else set()
         fresh: dict[str, InstanceValue] = {}
@@ -310,13 +313,15 @@
             yield StoredPage(PageKind.INSTANCE, service, number, body)
 
     def load(self, page: StoredPage) -> None:
-        """Add one stored page; ValueError unless a service's pages arrive together and in order."""
+        """Add one stored page; raise ValueError unless a service's pages are loaded together and in order."""
         if page.name != self._loading_service:
             self.finish_loading()
             self._loading_service = page.name
         pages = self._loading_pages
         if page.number != len(pages):
-            raise ValueError(f"page {page.number} of {page.name} follows on {len(pages)} pages")
+            raise ValueError(
+                f"page {page.number} of service {page.name} is out of order after {len(pages)} pages"
+            )
         pages.append(page.body or b"")
 
     def finish_loading(self) -> None:
--- a/linenbridge/distribution/view/packing.py
+++ b/linenbridge/distribution/view/packing.py
@@ -1,8 +1,8 @@
 """A bucket: several named values in one bytes object.
 
-A name and its value cost 6 bytes beside their own, where a dict entry with its two objects costs some 200. A
-look-up scans the names in order, so a bucket suits a dozen of them: the groups of one range of keys. Pure
-functions.
+An entry adds 6 bytes to its name and value, while a dict entry with its two objects adds about 200. A look-up
+scans the names one after another, so a bucket is meant for about a dozen entries, such as the groups of one
+range of keys. Pure functions.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from struct import Struct as Layout
 from typing import NamedTuple
 
-HEADER = Layout(">HI")  # bytes of the encoded name, bytes of the value
+HEADER = Layout(">HI")  # size of the encoded name, size of the value; bytes
 
 
 class _Span(NamedTuple):
-    """Offsets of one entry in its bucket: of the entry, of its value, and of the end of both."""
+    """Offsets in a bucket: where an entry begins, where its value begins, and where both end."""
 
     begin: int
     value: int
@@ -23,7 +23,7 @@
 
 
 def packed_entry(name: str, value: bytes) -> bytes:
-    """Return a bucket with one value. Buckets are joined by concatenation."""
+    """Return a bucket with one entry. Buckets are joined by concatenation."""
     encoded_name = name.encode()
     return HEADER.pack(len(encoded_name), len(value)) + encoded_name + value
 
@@ -35,7 +35,7 @@
 
 
 def with_value(bucket: bytes, name: str, value: bytes | None) -> bytes:
-    """Return the bucket with another value under a name, or without the name if the value is None."""
+    """Return the bucket with the value set under a name, or with the name removed if the value is None."""
     span = _find(bucket, name.encode())
     entry = b"" if value is None else packed_entry(name, value)
     if span is None:
--- a/linenbridge/distribution/view/paths.py
+++ b/linenbridge/distribution/view/paths.py
@@ -1,8 +1,8 @@
 """An index of a rule set by the leading segments of a request's path.
 
-A rule whose every alternative asks for a path is filed under the leading segments that it asks for; any other
-rule is filed under the root, "". A look-up returns every rule that can match the request, and possibly more.
-Pure functions over parsed rules.
+A rule is indexed under the leading segments that its conjunctions require, or under the root, "", if one of
+them requires none. A look-up returns every rule that can match the request, and possibly more. Pure functions
+of parsed rules.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from linenbridge.routes.checks import Conjunction, conjunctions_of, is_satisfiable
 from linenbridge.routes.language import Predicate, Rule
 
-MAX_DEPTH = 4  # path segments that the index looks at
+MAX_DEPTH = 4  # leading path segments that are indexed
 
 NO_RULES: list[int] = []
 
@@ -22,8 +22,9 @@
 
 
 class PathIndex(Struct, array_like=True):
-    """Rule numbers by path prefix, in the order of the rules. A prefix is some leading segments, each after a
-    `/`.
+    """Rule numbers by path prefix, in the order of the rules.
+
+    A prefix consists of leading segments, each after a `/`; the prefix of the root is "".
     """
 
     rules_by_prefix: dict[str, list[int]]
@@ -53,7 +54,7 @@
 
 
 def _prefixes(rule: Rule) -> set[Segments]:
-    """The prefixes that a rule is filed under: the root alone if one of its alternatives asks for no path."""
+    """Return the prefixes to index a rule under: the root alone if a conjunction requires no path."""
     found: set[Segments] = set()
     for conjunction in conjunctions_of(rule.when, rule.place):
         if is_satisfiable(conjunction):
@@ -62,7 +63,7 @@
 
 
 def _longest_prefixes(conjunction: Conjunction) -> set[Segments]:
-    """The prefixes that a conjunction asks for, by the question that gives the longest ones."""
+    """Return the prefixes that a conjunction requires, from the predicate that gives the longest ones."""
     alternatives: list[set[Segments]] = [{()}]
     alternatives.extend(
         _leading_segments(literal.predicate)
@@ -73,7 +74,7 @@
 
 
 def _leading_segments(predicate: Predicate) -> set[Segments]:
-    """The complete segments that a path begins with if it passes the test."""
+    """Return the complete leading segments of the paths that satisfy the predicate."""
     if predicate.operator in ("is", "in"):
         return {_segments(path) for path in predicate.operands}
     if predicate.operator == "starts":
--- a/linenbridge/distribution/view/regions.py
+++ b/linenbridge/distribution/view/regions.py
@@ -1,6 +1,7 @@
-"""The position of a view in each region's log, and the digests of what it holds of each region.
+"""The position of a view in each region's log, and the digests of its content of each region.
 
-Owns positions, floors (ranges that are ahead of the position) and digests; it holds no values.
+The module owns positions, floors (versions of ranges that are ahead of the position) and digests; it holds no
+values.
 """
 
 from __future__ import annotations
@@ -15,16 +16,14 @@
 from linenbridge.distribution.errors import ChangeRejected
 from linenbridge.distribution.view.results import PageKind, StoredPage
 
-DIGESTS_PER_PAGE = 64  # ranges whose digests share a stored page
+DIGESTS_PER_PAGE = 64  # one for each range
 DIGEST_BYTES = 8
-MAX_REGIONS = 255  # a region's index is one byte in packed pages
+MAX_REGIONS = 255  # the index of a region is one byte in packed pages
 DIGEST_MASK = (1 << 64) - 1
 
 
 class RegionRecord(Struct, array_like=True, frozen=True):
-    """A region as it is stored. `floors` are the ranges that were replaced at a version after the
-    position.
-    """
+    """A region as stored; `floors` has the version of each range that is ahead of the position."""
 
     index: int
     position: Version
@@ -32,7 +31,7 @@
 
 
 class Region:
-    """The position and the digests of one region. `index` stands for its name in packed pages."""
+    """The position and the digests of one region. `index` represents its name in packed pages."""
 
     def __init__(self, name: str, index: int) -> None:
         """Create a region at the start of its log."""
@@ -46,25 +45,21 @@
         self.changed_pages: set[int] = set()
 
     def has_seen(self, number: int, version: Version) -> bool:
-        """Return whether a change of the range `number` at that version was applied or replaced by a newer
-        one.
-        """
+        """Return whether the content of the range `number` includes changes up to that version."""
         return version <= max(self.position, self.floors.get(number, START))
 
     def is_ahead_of(self, number: int, version: Version) -> bool:
-        """Return whether the range `number` is complete at a newer version."""
+        """Return whether the range `number` is complete at a version newer than `version`."""
         return version < max(self.position, self.floors.get(number, self.position))
 
     def add(self, number: int, difference: int) -> None:
-        """Add the digest of a key's new version less that of its earlier one to its range and to the
-        total.
-        """
+        """Add the new digest of a key less its earlier one to the digests of its range and of the region."""
         self.digests[number] = (self.digests[number] + difference) & DIGEST_MASK
         self.total_digest = (self.total_digest + difference) & DIGEST_MASK
         self.changed_pages.add(number // DIGESTS_PER_PAGE)
 
     def advance_to(self, upto: Version) -> None:
-        """Move the position; floors at or before it are dropped."""
+        """Set the position to `upto` and drop the floors at or before it."""
         self.position = upto
         self.floors = {number: floor for number, floor in self.floors.items() if floor > upto}
         self.changed = True
@@ -76,7 +71,7 @@
             self.changed = True
 
     def digest(self) -> int | None:
-        """Return the digest of the whole region at the position; None while single ranges are ahead of it."""
+        """Return the digest of the whole region at the position; None while a range is ahead of it."""
         return None if self.floors else self.total_digest
 
     def stored_position(self) -> Position:
@@ -95,10 +90,10 @@
         self.changed_pages = set()
 
     def load_digests(self, page: StoredPage) -> None:
-        """Set the digests of one stored page; ValueError if it has another size."""
+        """Set the digests of one stored page; raise ValueError if the page has another size."""
         part = array("Q", page.body or b"")
         if len(part) != DIGESTS_PER_PAGE:
-            raise ValueError(f"{len(part)} digests in a page of {DIGESTS_PER_PAGE}")
+            raise ValueError(f"{len(part)} digests in a page that has to hold {DIGESTS_PER_PAGE}")
         self.digests[page.number * DIGESTS_PER_PAGE : (page.number + 1) * DIGESTS_PER_PAGE] = part
 
 
@@ -106,13 +101,14 @@
     """All regions of a view, by name and by index."""
 
     def __init__(self) -> None:
-        """Create a view's regions: none."""
+        """Create an empty collection."""
         self.by_name: dict[str, Region] = {}
         self.by_index: list[Region] = []
 
     def get(self, name: str) -> Region:
-        """Return the region of that name, added if it is new; ChangeRejected if there are MAX_REGIONS
-        already.
+        """Return the region of that name; add it if it is new.
+
+        Raises ChangeRejected if it is new and there are MAX_REGIONS already.
         """
         region = self.by_name.get(name)
         if region is None:
@@ -129,8 +125,9 @@
         return region
 
     def load(self, pages: list[StoredPage]) -> None:
-        """Restore all regions from their stored pages; ValueError or a msgspec error if they do not fit
-        together.
+        """Restore all regions from their stored pages.
+
+        Raises ValueError or a msgspec error if the pages do not fit together.
         """
         records = [
             (page.name, msgspec.msgpack.decode(page.body or b"", type=RegionRecord))
--- a/linenbridge/distribution/view/rejections.py
+++ b/linenbridge/distribution/view/rejections.py
@@ -1,7 +1,7 @@
-"""Keys whose newest version was rejected: it counts in the digests, while the last good version stays in
-force.
+"""Keys whose newest version was rejected.
 
-The table owns the key, version and reason of each rejection, but not the rejected value.
+The rejected version counts in the digests, while the last good version stays in force. The table owns the
+key, version and reason of each rejection, but not the rejected value.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from linenbridge.distribution.view.regions import Region
 from linenbridge.distribution.view.results import PageKind, RejectedChange, StoredPage
 
-Key = tuple[str, int, str]  # region, kind, name: the form of a stored page's name
+Key = tuple[str, int, str]  # region, kind, name; JSON-encoded, the name of a stored page
 
 
 class RejectionRecord(Struct, array_like=True, frozen=True):
-    """What is stored of a rejected change."""
+    """The version, digest and rejection reason of a change; its value is not stored."""
 
     epoch: int
     sequence: int
@@ -37,9 +37,7 @@
         self.changed: set[Key] = set()
 
     def digest(self, region: Region, kind: int, name: str) -> int | None:
-        """Return the digest of the rejected version that is the key's newest; None if the newest is in
-        force.
-        """
+        """Return the digest of the key's newest version if it was rejected; None if it was not."""
         record = self.records.get((region.name, kind, name))
         return None if record is None else record.digest
 
@@ -86,7 +84,7 @@
             yield StoredPage(PageKind.REJECTION, msgspec.json.encode(key).decode(), 0, body)
 
     def load(self, page: StoredPage) -> None:
-        """Add one stored rejection; a msgspec error if the page cannot be read."""
+        """Add one stored rejection; raise a msgspec error if the page cannot be decoded."""
         key = msgspec.json.decode(page.name, type=Key)
         self._add(key, msgspec.msgpack.decode(page.body or b"", type=RejectionRecord))
 
--- a/linenbridge/distribution/view/results.py
+++ b/linenbridge/distribution/view/results.py
@@ -1,4 +1,4 @@
-"""What a view returns to its host and asks the host to store, as typed values."""
+"""The types that a view returns to its host: results, rejections and pages to store."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 class ViewLimits(Struct, frozen=True):
     """Bounds of one view.
 
-    `max_compiled_bytes` bounds the estimated memory of the route sets that are unpacked for look-ups (the
-    setting `compiled-routes`), `max_prevalidated` the number of changes that are validated ahead of their
-    batch.
+    `max_compiled_bytes` is the limit of the estimated memory of the rule sets that are compiled for look-ups
+    (the setting `compiled-routes`), `max_prevalidated` that of the number of results of changes that were
+    validated ahead of their batch.
     """
 
     max_compiled_bytes: int = 4_000_000
@@ -28,7 +28,7 @@
 
 
 class RejectedChange(Struct, frozen=True):
-    """A change that cannot be read or fails its checks: its key, its version, and the reason."""
+    """A change that cannot be decoded or fails its checks: its key, its version, and the reason."""
 
     region: str
     version: Version
@@ -37,14 +37,14 @@
     reason: str
 
     def error(self) -> ChangeRejected:
-        """Return the rejection as the typed error, whose text names the key, the version and the reason."""
+        """Return the rejection as an error whose text has the key, the version and the reason."""
         kind = KIND_NAMES.get(self.kind, str(self.kind))
         place = f"{kind} {self.name} at {self.region}/{self.version.epoch}/{self.version.sequence}"
         return ChangeRejected(self.reason, place)
 
 
 class Endpoint(NamedTuple):
-    """One instance as the decision module and the external processor take it, with its host and port."""
+    """One instance: its entry in the endpoint list of the decision module, and its host and port."""
 
     entry: EndpointEntry
     address: tuple[str, int]
@@ -53,10 +53,11 @@
 class ApplyResult(Struct, frozen=True):
     """The result of one `View.apply` or `View.replace`.
 
-    `upto` is the position after the call, `digest` the digest of the region's complete table there; None
-    while single ranges are ahead of the position. `applied` counts changes, `skipped` those that were known
-    already or do not belong to the batch. `routes` and `zones` name the keys that changed, `tenants` counts
-    them. `instances` has the changed endpoints of the services in use, removed ones in the state REMOVED.
+    `upto` is the position after the call. `digest` is the digest of the region's complete content at that
+    position, None while a range is ahead of the position. `applied` is the number of applied changes,
+    `skipped` that of changes that the view has already or that do not belong to the batch. `routes` and
+    `zones` have the names of the changed keys, `tenants` their number. `instances` has the changed endpoints
+    of the services in use, removed ones in the state REMOVED.
     """
 
     region: str
@@ -73,7 +74,7 @@
 
 @dataclass(slots=True)
 class ViewCounters:
-    """Changes that a view has applied, skipped and rejected since its start."""
+    """The numbers of changes that a view has applied, skipped and rejected since its creation."""
 
     applied: int = 0
     skipped: int = 0
@@ -87,7 +88,7 @@
 
 
 class PageKind(IntEnum):
-    """What a stored page holds; the first four are those of `changes.Kind`."""
+    """The content of a stored page; the first four values are those of `changes.Kind`."""
 
     ROUTES = 1
     TENANT = 2
--- a/linenbridge/distribution/view/routes.py
+++ b/linenbridge/distribution/view/routes.py
@@ -1,7 +1,6 @@
-"""Routes of all services: one packed rule set for each authority, and a bounded cache of those compiled for
-look-ups.
+"""Routes of all services: a packed rule set for each authority, and a bounded cache of compiled sets.
 
-A set is changed, cached and dropped as a whole. The table holds sets that passed their checks only.
+A set is changed, cached and dropped as a whole. The table holds only sets that passed their checks.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
 
 
 class RouteRecord(Struct, array_like=True, frozen=True):
-    """One region's rule set of an authority, as `rules.pack_rules` made it."""
+    """One region's rule set of an authority, packed by `rules.pack_rules`."""
 
     region: int
     epoch: int
@@ -37,8 +36,9 @@
 
 
 class RouteTable:
-    """Rule sets by authority; a `tables.RecordTable`. `cost` is the estimated memory of the compiled sets,
-    bytes.
+    """Rule sets by authority; a `tables.RecordTable`.
+
+    `cost` is the estimated memory of the compiled sets, in bytes.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         self.max_deadline = max_deadline
         self.max_compiled_bytes = max_compiled_bytes
         self.buckets = [b""] * RANGES  # by range, of its authorities: see packing.py
-        self.compiled: OrderedDict[str, PackedTable] = OrderedDict()  # the least recently used first
+        self.compiled: OrderedDict[str, PackedTable] = OrderedDict()  # least recently used first
         self.cost = 0
         self.changed: set[str] = set()
         self._loading_range = 0
@@ -59,7 +59,7 @@
     # ---- look-ups --------------------------------------------------------------------------------
 
     def find(self, authority: str) -> PackedTable | None:
-        """Return the rule set in force; None if there is none. A set that a caller holds does not change."""
+        """Return the rule set in force; None if there is none. Later changes do not alter a returned set."""
         found = self.compiled.get(authority)
         if found is not None:
             self.compiled.move_to_end(authority)
@@ -81,12 +81,15 @@
             yield from names(bucket)
 
     def clear(self) -> None:
-        """Drop all compiled sets; the packed ones stay."""
+        """Drop all compiled sets; the packed sets stay."""
         for authority in list(self.compiled):
             self._drop(authority)
 
     def _on_rule_compiled(self, authority: str, rules: PackedRuleList) -> None:
-        """Count a rule that a look-up compiled; the bound is enforced when the next set is compiled."""
+        """Count the memory of a rule that a look-up compiled.
+
+        The limit `max_compiled_bytes` is enforced when the next set is compiled.
+        """
         table = self.compiled.get(authority)
         if table is not None and table.rules is rules:
             self.cost += RULE_BYTES
@@ -134,7 +137,7 @@
         self.changed.add(authority)
 
     def commit(self) -> None:
-        """Do nothing: each change packs its set."""
+        """Do nothing: a rule set is packed at each change."""
 
     # ---- storage ---------------------------------------------------------------------------------
 
@@ -147,7 +150,7 @@
             yield StoredPage(PageKind.ROUTES, name, 0, body)
 
     def load(self, page: StoredPage) -> None:
-        """Add one stored page. Pages arrive range by range, so that a bucket is joined once."""
+        """Add one stored page. Pages are loaded range by range, so that a bucket is joined once."""
         number = range_of(Kind.ROUTES, page.name)
         if number != self._loading_range:
             self.finish_loading()
@@ -155,6 +158,6 @@
         self._loading_entries.append(packed_entry(page.name, page.body or b""))
 
     def finish_loading(self) -> None:
-        """Join the entries of the range that was loaded last."""
+        """Join the entries of the range that was loaded last into its bucket."""
         self.buckets[self._loading_range] += b"".join(self._loading_entries)
         self._loading_entries = []
--- a/linenbridge/distribution/view/rules.py
+++ b/linenbridge/distribution/view/rules.py
@@ -1,9 +1,8 @@
-"""The checked rules of one service, packed as data, and the routing table that reads them without parsing.
+"""The checked rules of one service as packed data, and the routing table that reads them without parsing.
 
-A packed set holds the index of `paths.py` and each rule by itself, so that a look-up in a set that is not
-unpacked yet reads only the rules that its path can match. `PackedTable` finds and explains with the code of
-`routes.table.Table` and gives the same answers as the table of the same text. Pure functions and lazy
-sequences; no I/O.
+A packed set has the index of `paths.py` and each rule encoded separately, so that a look-up decodes only the
+rules that its path can match. `PackedTable` inherits `find` and `explain` of `routes.table.Table` and gives
+the same results as the table of the same text.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 
 
 class Form(IntEnum):
-    """The first item of a packed condition."""
+    """The type of a packed condition: its first item."""
 
     PREDICATE = 0
     NOT = 1
@@ -35,23 +34,21 @@
     ANY = 3
 
 
-# Plain numbers for the look-ups: an enum's members are slow to reach.
+# Plain integers, because access to an enum member is slow.
 _PREDICATE = int(Form.PREDICATE)
 _NOT = int(Form.NOT)
 _ALL = int(Form.ALL)
 
 COMPRESSION_LEVEL = 6  # zlib's
-NO_PLACE = Place(0, 0)  # places are for parse errors; packed rules have none
-# Bytes in memory, measured (docs/CAPACITY.md, `tests/scale/measure/view.py`).
+NO_PLACE = Place(0, 0)  # packed rules have no position: it is needed for parse errors only
+# Estimated memory (docs/CAPACITY.md, `tests/scale/measure/view.py`).
 TABLE_BYTES = 1_500  # of a table
-ENTRY_BYTES = 260  # of each rule while it is packed
-RULE_BYTES = 3_100  # of each rule once it is compiled
+ENTRY_BYTES = 260  # of each packed rule
+RULE_BYTES = 3_100  # of each compiled rule, in addition
 
 
 class PackedDuration(Struct, array_like=True, frozen=True):
-    """A duration of a rule: a default in microseconds, and the subject that a request may override it
-    with.
-    """
+    """A packed `Timed`: a default in microseconds, and the subject and unit that may override it."""
 
     default: int
     subject: tuple[str, str] | None
@@ -59,7 +56,7 @@
 
 
 class PackedPart(Struct, array_like=True, frozen=True):
-    """One alternative of a rule's tenant or key: a subject, a path segment, or a literal."""
+    """A packed `Part` of a rule's tenant or key: a subject, a path segment, or a literal."""
 
     subject: tuple[str, str] | None
     segment: int
@@ -67,7 +64,7 @@
 
 
 class PackedRule(Struct, array_like=True, frozen=True):
-    """One rule; `when` is a nested list that starts with the `Form` of the condition."""
+    """A packed `Rule`; `when` is a nested list that starts with the `Form` of the condition."""
 
     name: str
     when: list[Any]
@@ -81,14 +78,14 @@
 
 
 class PackedRules(Struct, array_like=True, frozen=True):
-    """All rules of a set, each encoded by itself, and their index by path."""
+    """All rules of a set, each encoded separately, and their index by path."""
 
     paths: PathIndex
     rules: list[Raw]
 
 
 def pack_rules(table: Table) -> bytes:
-    """Return a checked table as bytes."""
+    """Return the rules of a checked table as a compressed packed set."""
     rules = [Raw(msgspec.msgpack.encode(_pack_rule(rule))) for rule in table.rules]
     content = msgspec.msgpack.encode(PackedRules(path_index(table.rules), rules))
     packer = zlib.compressobj(COMPRESSION_LEVEL, zdict=COMPRESSION_DICTIONARY)
@@ -101,7 +98,7 @@
 
 
 def _typical_rule() -> bytes:
-    """A packed rule with the strings that most rules have: a set that repeats them compresses better."""
+    """Return an encoded rule with the strings that most rules have, as a compression dictionary."""
     predicate = Form.PREDICATE
     header = ("header", "x-tenant")
     has_attribute = [predicate, "attribute", "", "has", []]
@@ -132,7 +129,7 @@
     return msgspec.msgpack.encode(rule)
 
 
-# Part of the store's form: another dictionary needs another `view_store.FORM`.
+# Part of the format of the store: a change requires another `view_store.FORMAT_VERSION`.
 COMPRESSION_DICTIONARY = _typical_rule()
 
 
@@ -215,7 +212,7 @@
 
 
 class _LazySequence(Sequence[Item], ABC, Generic[Item]):
-    """A list whose items are made at their first use."""
+    """A sequence whose items are made at their first use."""
 
     def __init__(self, length: int) -> None:
         self.items: list[Item | None] = [None] * length
@@ -239,17 +236,17 @@
 
 
 class PackedRuleList(_LazySequence[Rule]):
-    """The rules of a set. `cost` is their memory in bytes, estimated, by the rules that are read so far."""
+    """The rules of a set, each read at its first use; `cost` is their estimated memory, in bytes."""
 
     def __init__(self, packed: list[Raw], on_rule_compiled: Callable[[PackedRuleList], None] | None) -> None:
-        """Read `packed` rule by rule; `on_rule_compiled` is called at each rule that is read."""
+        """Start with no rule read; `on_rule_compiled` is called for each rule that is read."""
         super().__init__(len(packed))
         self.packed = packed
         self.on_rule_compiled = on_rule_compiled
         self.cost = ENTRY_BYTES * len(packed)
 
     def make(self, number: int) -> Rule:
-        """Read a rule and count its memory."""
+        """Read a rule and add its memory to `cost`."""
         self.cost += RULE_BYTES
         if self.on_rule_compiled is not None:
             self.on_rule_compiled(self)
@@ -257,7 +254,7 @@
 
 
 class _Conditions(_LazySequence[Callable[[Request], bool]]):
-    """The compiled conditions of the rules."""
+    """The conditions of the rules, each compiled at its first use."""
 
     def __init__(self, rules: PackedRuleList) -> None:
         super().__init__(len(rules))
@@ -269,9 +266,9 @@
 
 
 class PackedTable(Table):
-    """The routing table of one service, read from a packed set rule by rule as requests need them.
+    """The routing table of one service, which reads the rules of a packed set at their first use.
 
-    It is in no reference cycle, so its memory is free as soon as the last reference goes.
+    The table is in no reference cycle, so its memory is freed with its last reference.
     """
 
     rules: PackedRuleList
@@ -295,7 +292,7 @@
 
     @property
     def cost(self) -> int:
-        """The estimated memory of the table, in bytes."""
+        """Return the estimated memory of the table, in bytes."""
         return self.fixed_cost + self.rules.cost
 
     def _candidates(self, request: Request) -> Sequence[int]:
--- a/linenbridge/distribution/view/serving.py
+++ b/linenbridge/distribution/view/serving.py
@@ -1,8 +1,8 @@
-"""A view as the external processor and the decision module take it.
+"""Adapters of a view for the external processor and the decision module.
 
-`RoutesByAuthority` is a routing table over all authorities, `TenantQuotas` a mapping of the tenants' quotas.
-Where the view has no value, the gateway's own settings apply. Each look-up reads the view at that moment; no
-I/O.
+`RoutesByAuthority` is a routing table of all authorities, `TenantQuotas` a mapping of the tenants' quotas.
+Where the view has no value, the gateway's own settings apply. Each look-up reads the present content of the
+view.
 """
 
 from __future__ import annotations
@@ -15,9 +15,7 @@
 
 
 class RoutesByAuthority:
-    """A routing table that looks up the rule set of a request's authority; without one, the settings'
-    table.
-    """
+    """A routing table that uses the rule set of a request's authority, or else the table of the settings."""
 
     def __init__(self, view: View, settings: Table) -> None:
         """Combine a view with the table of the gateway's own settings."""
@@ -26,11 +24,11 @@
         self.methods: Mapping[str, Method] = settings.methods
 
     def find(self, request: Request) -> MatchedRequest | None:
-        """Return the RPC that the first matching rule makes of the request; None if no rule matches."""
+        """Return the RPC that the first matching rule gives; None if no rule matches."""
         return self._table(request).find(request)
 
     def explain(self, request: Request) -> list[Step]:
-        """Return each rule of the authority in its order, up to the one that matches."""
+        """Return the rules of the authority in their order, up to the first that matches."""
         return self._table(request).explain(request)
 
     def _table(self, request: Request) -> Table:
@@ -50,14 +48,14 @@
         self.settings = settings
 
     def __getitem__(self, name: str) -> float:
-        """Return the view's quota of a tenant, else that of the settings, else raise KeyError."""
+        """Return the quota of a tenant in the view or else in the settings; raise KeyError without either."""
         quota = self.view.tenant_quota(name)
         return self.settings[name] if quota is None else quota
 
     def __len__(self) -> int:
-        """Return the number of tenants in the view."""
+        """Return the number of the view's records of tenants."""
         return len(self.view.tenant_table)
 
     def __iter__(self) -> Iterator[str]:
-        """Raise TypeError: the view does not hold the names."""
-        raise TypeError("tenants are kept by the hashes of their names")
+        """Raise TypeError: the view does not store the names."""
+        raise TypeError("tenant quotas cannot be iterated: the view stores only hashes of the names")
--- a/linenbridge/distribution/view/tenants.py
+++ b/linenbridge/distribution/view/tenants.py
@@ -1,8 +1,8 @@
-"""All tenants' quotas in sorted packed pages: one page for each range of keys, 28 bytes a tenant.
+"""All tenants' quotas in sorted packed pages: one page for each range of keys, 28 bytes for each tenant.
 
-Names are stored as hashes of 80 bits, and the range adds 10 more: 350,000 names are all different but for one
-chance in 10**16. A change moves the bytes of one page, 10 KB with 350,000 tenants. The table owns the quotas,
-not what a tenant uses of them.
+Names are stored as hashes of 80 bits, and the range adds 10 more: the probability that two of 350,000 names
+collide is 1 in 10**16. A change moves the bytes of one page, 10 KB with 350,000 tenants. The table owns the
+quotas, not their use.
 """
 
 from __future__ import annotations
@@ -29,17 +29,18 @@
 
 
 def hash_of(name: str) -> bytes:
-    """Return the hash that stands for a tenant's name."""
+    """Return the hash that is stored in place of a tenant's name."""
     return blake2b(name.encode(), digest_size=HASH_BYTES).digest()
 
 
 class TenantTable:
-    """Quotas by tenant; a `tables.RecordTable`. A page is a bytearray from its first change to the
-    `commit`.
+    """Quotas by tenant; a `tables.RecordTable`.
+
+    A page is a bytearray from its first change until the next `commit`.
     """
 
     def __init__(self, regions: Regions) -> None:
-        """Create an empty table; `regions` names the region of an index."""
+        """Create an empty table; `regions` gives the region of an index."""
         self.regions = regions
         self.pages: list[Page] = [b""] * RANGES
         self.unpacked: set[int] = set()
@@ -52,7 +53,7 @@
     # ---- look-ups --------------------------------------------------------------------------------
 
     def quota(self, name: str) -> float | None:
-        """Return the share of the load that a tenant may take, 0 to 1; None if the table does not have it."""
+        """Return the share of the load that a tenant may use, 0 to 1; None if there is no quota."""
         page = self.pages[range_of(Kind.TENANT, name)]
         shares: dict[int, float] = {}
         for offset in _row_offsets(page, hash_of(name)):
@@ -129,10 +130,10 @@
             yield StoredPage(PageKind.TENANT, "", number, bytes(self.pages[number]) or None)
 
     def load(self, page: StoredPage) -> None:
-        """Set one page as stored; ValueError if it is not a whole number of rows."""
+        """Set one stored page; raise ValueError if its size is not a multiple of the size of a row."""
         body = page.body or b""
         if len(body) % ROW_BYTES:
-            raise ValueError(f"{len(body)} bytes in a page of tenants, {ROW_BYTES} each")
+            raise ValueError(f"{len(body)} bytes in a page of tenants, but rows of {ROW_BYTES} bytes each")
         self.pages[page.number] = body
 
     def finish_loading(self) -> None:
@@ -140,7 +141,7 @@
 
 
 def _insertion_offset(page: Page, hashed: bytes) -> int:
-    """The offset of the first row of that hash, or of the place where it belongs."""
+    """Return the offset of the first row of that hash, or the offset at which to insert the row."""
     low = 0
     high = len(page) // ROW_BYTES
     while low < high:
@@ -154,7 +155,7 @@
 
 
 def _row_offsets(page: Page, hashed: bytes) -> Iterator[int]:
-    """The offsets of the rows of that hash: one for each region that has the tenant."""
+    """Yield the offsets of the rows of that hash: one for each region that has the tenant."""
     offset = _insertion_offset(page, hashed)
     while page[offset : offset + HASH_BYTES] == hashed:
         yield offset
--- a/linenbridge/distribution/view/validation.py
+++ b/linenbridge/distribution/view/validation.py
@@ -1,6 +1,6 @@
 """Validation of changes, in steps and ahead of the batch that applies them.
 
-Owns the results of changes that were validated ahead, a bounded number of them.
+The module owns a bounded number of results of changes that were validated ahead.
 """
 
 from __future__ import annotations
@@ -13,29 +13,27 @@
 from linenbridge.distribution.view.tenants import MAX_EPOCH, MAX_SEQUENCE
 from linenbridge.distribution.view.values import Value, ValueChecks
 
-ValidatedValue = Value | ChangeRejected | None  # the value as read, the rejection, or None for a deletion
+ValidatedValue = Value | ChangeRejected | None  # the decoded value, the rejection, or None for a deletion
 
 
 class ChangeValidator:
-    """Validates changes with `checks`; keeps the last `max_ahead` results of changes validated ahead."""
+    """Validates changes with `checks`; keeps at most `max_ahead` results of changes validated ahead."""
 
     def __init__(self, checks: ValueChecks, max_ahead: int) -> None:
-        """Create a validator without results."""
+        """Create a validator that has no results."""
         self.checks = checks
         self.max_ahead = max_ahead
         self.ahead: OrderedDict[int, ValidatedValue] = OrderedDict()  # by the change's digest
 
     def steps_ahead(self, change: Change) -> Iterator[None]:
-        """Validate a change in steps of about a millisecond; `take` then returns the result without a
-        check.
-        """
+        """Validate a change in steps of about a millisecond, so that `take` returns the result at once."""
         validated = yield from self._steps(change)
         self.ahead[digest_of(change)] = validated
         if len(self.ahead) > self.max_ahead:
             self.ahead.popitem(last=False)
 
     def take(self, change: Change) -> ValidatedValue:
-        """Return the result for a change, validated now unless it was validated ahead."""
+        """Return and forget the result of a change; validate it now if it was not validated ahead."""
         found = self.ahead.pop(digest_of(change), None)
         return self._validate(change) if found is None else found
 
@@ -51,7 +49,9 @@
         if not change.value:
             return None
         if not (0 <= change.epoch < MAX_EPOCH and 0 <= change.sequence < MAX_SEQUENCE):
-            return ChangeRejected(f"epoch below {MAX_EPOCH}, sequence below {MAX_SEQUENCE}", change.name)
+            return ChangeRejected(
+                f"an epoch is below {MAX_EPOCH} and a sequence below {MAX_SEQUENCE}, both from 0", change.name
+            )
         try:
             return (yield from self.checks.read_in_steps(change.kind, change.name, change.value))
         except ChangeRejected as error:
--- a/linenbridge/distribution/view/values.py
+++ b/linenbridge/distribution/view/values.py
@@ -1,7 +1,8 @@
-"""Whether the value of a change can be read and passes its checks.
+"""Decoding and checks of the value of a change.
 
-Publishers run the same checks before they accept a change, so a gateway seldom rejects one: it may run an
-earlier release, or lack a method in its settings. Pure functions of the value and the settings' methods.
+Publishers run the same checks before they accept a change, so a gateway rejects one only if it runs an
+earlier release or lacks a method in its settings. The result depends on the value and the settings' methods
+alone.
 """
 
 from __future__ import annotations
@@ -26,14 +27,14 @@
 from linenbridge.routes.table import RoutesError, checked_table
 
 MAX_TEXT_LENGTH = 256  # characters of the name of a zone, a cell or a host
-MAX_INTEGER = 1 << 53  # the first integer that JSON readers may round
+MAX_INTEGER = 1 << 53  # exclusive; JSON readers may round larger integers
 MAX_PORT = 65_535
 
 Value = bytes | TenantValue | InstanceValue | ZoneValue
 
 
 class ValueChecks:
-    """The checks of a value, against the methods of this gateway."""
+    """The checks of a value, with the methods of this gateway."""
 
     def __init__(self, methods: Iterable[Method], max_deadline: int) -> None:
         """Check against these methods; `max_deadline` is the longest deadline of a route, in microseconds."""
@@ -41,7 +42,7 @@
         self.max_deadline = max_deadline
 
     def __call__(self, kind: int, name: str, value: bytes) -> str:
-        """Return the reason why a value would be rejected; "" if it would not be."""
+        """Return the reason to reject a value; "" if it passes the checks."""
         try:
             self.read(kind, name, value)
         except ChangeRejected as error:
@@ -49,7 +50,7 @@
         return ""
 
     def read(self, kind: int, name: str, value: bytes) -> Value:
-        """Return the value in its table's form, a rule set packed; ChangeRejected if it fails a check."""
+        """Return the decoded value, or the packed rule set; raise ChangeRejected if it fails a check."""
         steps = self.read_in_steps(kind, name, value)
         while True:
             try:
@@ -60,12 +61,14 @@
     def read_in_steps(self, kind: int, name: str, value: bytes) -> Generator[None, None, Value]:
         """Return the same as `read`, in steps of about a millisecond.
 
-        A rule set takes some milliseconds: a step parses one rule, or checks all rules against each other.
+        A rule set takes several milliseconds: a step parses one rule, or checks all rules against each other.
         """
         if not 0 < len(name) <= MAX_NAME_CHARACTERS:
-            raise ChangeRejected(f"a name has 1 to {MAX_NAME_CHARACTERS} characters", name[:MAX_TEXT_LENGTH])
+            raise ChangeRejected(
+                f"a key's name has 1 to {MAX_NAME_CHARACTERS} characters", name[:MAX_TEXT_LENGTH]
+            )
         if len(value) > MAX_VALUE_BYTES:
-            raise ChangeRejected(f"{len(value)} bytes, {MAX_VALUE_BYTES} at most", name)
+            raise ChangeRejected(f"{len(value)} bytes of value, {MAX_VALUE_BYTES} at most", name)
         try:
             match kind:
                 case Kind.ROUTES:
@@ -98,25 +101,25 @@
     if not 0.0 <= found.share <= 1.0:
         raise ValueError(f"a share is 0 to 1, not {found.share}")
     if msgspec.msgpack.encode(found) != value:
-        raise ValueError("a share is written as one 64-bit float")
+        raise ValueError("a share is encoded as one 64-bit float")
     return found
 
 
 def _instance(name: str, value: bytes) -> InstanceValue:
     service, _, instance = name.partition("/")
     if not service or not instance:
-        raise ValueError("an instance's name is service/instance")
+        raise ValueError("an instance's name has the form service/instance")
     found = msgspec.msgpack.decode(value, type=InstanceValue)
     if found.state not in (InstanceState.REMOVED, InstanceState.READY, InstanceState.DRAINING):
-        raise ValueError(f"no state is numbered {found.state}")
+        raise ValueError(f"no state of an instance is numbered {found.state}")
     if not (isfinite(found.size) and found.size > 0.0):
         raise ValueError(f"a size is above 0, not {found.size}")
     if not (0 <= found.build < MAX_INTEGER and 0 <= found.started < MAX_INTEGER):
-        raise ValueError("build and start are whole numbers from 0")
+        raise ValueError("build and start are whole numbers from 0 to 2**53 - 1")
     longest = max(len(found.zone), len(found.cell), len(found.host))
     if longest > MAX_TEXT_LENGTH or not found.host:
         raise ValueError(
-            f"zone, cell and host have {MAX_TEXT_LENGTH} characters at most, and there is a host"
+            f"zone, cell and host have {MAX_TEXT_LENGTH} characters at most, and the host is not empty"
         )
     if not 0 < found.port <= MAX_PORT:
         raise ValueError(f"no port is numbered {found.port}")
--- a/linenbridge/distribution/view/view.py
+++ b/linenbridge/distribution/view/view.py
@@ -1,9 +1,10 @@
-"""All that a gateway holds of the installation: versioned routes, tenants, instances and zones.
+"""A gateway's view of the installation: versioned routes, tenants, instances and zones.
 
-A host calls `apply` and `replace` between two requests, so that a request sees one version, and gives the
-pages of `take_changed_pages` to the store. A change that cannot be read or fails its checks leaves the last
-good version of its key in force, is named in `ApplyResult.rejected`, and counts as seen: the position and the
-digests advance as at every other gateway. The view owns its tables; it performs no I/O.
+A host calls `apply` and `replace` between two requests, so that a request uses one version, and writes the
+pages of `take_changed_pages` to the store. A change that cannot be decoded or fails its checks is listed in
+`ApplyResult.rejected` and leaves the last good version of its key in force. The position and the digests
+include the change nevertheless, so that they are the same as at every other gateway. The view owns its
+tables; it performs no I/O.
 """
 
 from __future__ import annotations
@@ -45,11 +46,11 @@
 from linenbridge.startup import LONG_AGO
 
 MICROSECONDS_PER_MILLISECOND = 1000
-STATES = tuple(InstanceState)  # by number: `values` lets no other number through
+STATES = tuple(InstanceState)  # by number; `values` rejects any other number
 
 
 class _ResultBuilder:
-    """The result of one call while it runs."""
+    """Collects the result of one `apply` or `replace`."""
 
     def __init__(self) -> None:
         self.applied = 0
@@ -83,8 +84,8 @@
     ) -> None:
         """Create an empty view.
 
-        `max_deadline` is the longest deadline of a route, and `unix_offset` is what is added to Unix time to
-        get the gateway's clock, both in microseconds.
+        `max_deadline` is the longest deadline of a route. `unix_offset` is added to Unix time to get the time
+        of the gateway's clock. Both are in microseconds.
         """
         methods = list(methods)
         limits = limits or ViewLimits()
@@ -113,12 +114,13 @@
         return self.route_table.find(authority)
 
     def tenant_quota(self, name: str) -> float | None:
-        """Return the share of the load that a tenant may take, 0 to 1; None if the view does not have it."""
+        """Return the share of the load that a tenant may use, 0 to 1; None if there is no quota."""
         return self.tenant_table.quota(name)
 
     def instances(self, service: str) -> list[EndpointEntry]:
-        """Return the instances of a service, in no particular order. Those of a lost zone are in the state
-        REMOVED.
+        """Return the instances of a service, in no particular order.
+
+        The instances of a lost zone are in the state REMOVED.
         """
         return [self._entry(name, value) for name, value in self.instance_table.find(service).items()]
 
@@ -127,8 +129,9 @@
         return [self._endpoint(name, value) for name, value in self.instance_table.find(service).items()]
 
     def use(self, service: str) -> list[Endpoint]:
-        """Keep a service unpacked and report its changes in `ApplyResult.instances`, from the returned list
-        on.
+        """Keep a service unpacked, and return its endpoints.
+
+        `ApplyResult.instances` has the later changes of the service until `release`.
         """
         self.instance_table.use(service)
         return self.endpoints(service)
@@ -155,13 +158,11 @@
     # ---- positions and digests -------------------------------------------------------------------
 
     def positions(self) -> list[Position]:
-        """Return the version vector: the position in the log of each region that the view has received
-        from.
-        """
+        """Return the version vector: the position in the log of each region known to the view."""
         return [region.stored_position() for region in self.regions.by_index]
 
     def digest(self, region: str) -> int | None:
-        """Return the digest of a region's complete table, as in `ApplyResult.digest`."""
+        """Return the digest of a region's complete content, as in `ApplyResult.digest`."""
         return self.regions.get(region).digest()
 
     def range_digests(self, region: str) -> bytes:
@@ -169,7 +170,7 @@
         return pack(f">{RANGES}Q", *self.regions.get(region).digests)
 
     def rejected(self) -> list[RejectedChange]:
-        """Return the keys whose newest version is not the one in force."""
+        """Return the rejected changes that are the newest version of their key."""
         return list(self.rejections.all())
 
     # ---- changes ---------------------------------------------------------------------------------
@@ -177,21 +178,21 @@
     def prevalidate(self, change: Change) -> None:
         """Validate a change ahead of its batch.
 
-        Validation is what takes time: a host that has many changes to apply together calls this for each,
-        serves requests between, and then calls `apply`.
+        Validation takes most of the time of `apply`: a host that has many changes to apply together calls
+        this method for each, serves requests in between, and then calls `apply`.
         """
         for _ in self.validation_steps(change):
             pass
 
     def validation_steps(self, change: Change) -> Iterator[None]:
-        """Do the same in steps of about a millisecond, between which requests may be served."""
+        """Validate ahead in steps of about a millisecond, between which requests may be served."""
         region = self.regions.by_name.get(change.region)
         if region is not None and self._digest(region, change.kind, change.name) == digest_of(change):
             return
         yield from self.validator.steps_ahead(change)
 
     def apply(self, batch: Apply) -> ApplyResult:
-        """Apply the changes after the position together; the position is `batch.upto` afterwards.
+        """Apply the changes after the position and advance the position to `batch.upto`.
 
         Changes outside of (position, upto], or of a range that was replaced by newer content, are skipped.
         """
@@ -223,13 +224,13 @@
     def _apply_change(
         self, region: Region, change: Change, validated: ValidatedValue, result: _ResultBuilder
     ) -> None:
-        """Put one change into its table, or among the rejections, and correct the digests."""
+        """Put one change into its table, or into the rejections, and update the digests."""
         before = self._digest(region, change.kind, change.name)
         self._put(region, change, validated, result)
         region.add(range_of(change.kind, change.name), digest_of(change) - before)
 
     def _digest(self, region: Region, kind: int, name: str) -> int:
-        """The digest of the newest version seen of a key; 0 if there is none."""
+        """Return the digest of the newest version of a key, rejected or not; 0 if there is none."""
         rejected = self.rejections.digest(region, kind, name)
         if rejected is not None:
             return rejected
@@ -254,10 +255,10 @@
         result.count(change)
 
     def replace(self, content: ReplaceRange) -> ApplyResult:
-        """Replace a range of a region's keys completely: keys that the content does not name are removed.
+        """Replace a range of a region's keys; keys that the content does not have are removed.
 
-        The content may have been read later than at `upto` and then names newer versions: the range is
-        complete up to the newest that it names. Content that is older than the range is skipped.
+        Content that was read later than at `upto` has newer versions; the range is then complete up to the
+        newest of them. Content that is older than the range is skipped.
         """
         region = self.regions.get(content.region)
         result = _ResultBuilder()
@@ -325,7 +326,7 @@
     # ---- storage ---------------------------------------------------------------------------------
 
     def take_changed_pages(self) -> list[StoredPage]:
-        """Return the pages that changed since the last call, with the positions that they are at.
+        """Return the pages that changed since the last call, including those of the positions.
 
         The store has to write all of them or none.
         """
@@ -336,10 +337,10 @@
         return found
 
     def load(self, pages: Iterable[StoredPage]) -> None:
-        """Load stored pages into a new view, sorted by kind, range, name and number.
+        """Load stored pages, sorted by kind, range, name and number, into a new view.
 
-        ValueError or a msgspec error if they do not fit together. An iterator is read page by page, so that
-        no page is in memory twice.
+        Raises ValueError or a msgspec error if the pages do not fit together. An iterator is read page by
+        page, so that no page is in memory twice.
         """
         regions = []
         for page in pages:
--- a/linenbridge/distribution/view/zones.py
+++ b/linenbridge/distribution/view/zones.py
@@ -1,6 +1,6 @@
-"""Zones that a region declares lost: one change takes all instances of a zone out of service.
+"""Zones that a region declares lost: one change removes all instances of a zone from service.
 
-The table owns which zones are lost, unpacked: there are few.
+The table owns the records of the zones. They are not packed, because there are few.
 """
 
 from __future__ import annotations
@@ -30,13 +30,13 @@
     """Records of zones, by name and region index; a `tables.RecordTable`."""
 
     def __init__(self, regions: Regions) -> None:
-        """Create an empty table; `regions` names the region of an index."""
+        """Create an empty table; `regions` gives the region of an index."""
         self.regions = regions
         self.records: dict[str, dict[int, ZoneRecord]] = {}
         self.changed: set[str] = set()
 
     def lost(self, name: str) -> bool:
-        """Return whether a zone is lost: none of its instances is ready then."""
+        """Return whether a zone is lost; none of its instances is ready then."""
         record = first_by_region(self.records.get(name, {}), self.regions.by_index)
         return record is not None and record.lost
 
@@ -78,7 +78,7 @@
             yield StoredPage(PageKind.ZONE, name, 0, msgspec.msgpack.encode(records) if records else None)
 
     def load(self, page: StoredPage) -> None:
-        """Add the records of one zone; a msgspec error if the page cannot be read."""
+        """Add the records of one zone; raise a msgspec error if the page cannot be decoded."""
         records = msgspec.msgpack.decode(page.body or b"", type=list[ZoneRecord])
         self.records[page.name] = {record.region: record for record in records}
 
