--- a/linenbridge/distribution/view/validation.py
+++ b/linenbridge/distribution/view/validation.py
@@ -17,7 +17,7 @@
 
 
 class ChangeValidator:
-    """Validates changes with `checks`; keeps at most `max_ahead` results of changes validated ahead."""
+    """Validates changes with `checks`; keeps the newest `max_ahead` results of changes validated ahead."""
 
     def __init__(self, checks: ValueChecks, max_ahead: int) -> None:
         """Create a validator that has no results."""
@@ -50,7 +50,8 @@
             return None
         if not (0 <= change.epoch < MAX_EPOCH and 0 <= change.sequence < MAX_SEQUENCE):
             return ChangeRejected(
-                f"an epoch is below {MAX_EPOCH} and a sequence below {MAX_SEQUENCE}, both from 0", change.name
+                f"an epoch is from 0 to below {MAX_EPOCH}, a sequence from 0 to below {MAX_SEQUENCE}",
+                change.name,
             )
         try:
             return (yield from self.checks.read_in_steps(change.kind, change.name, change.value))
--- a/linenbridge/distribution/view/values.py
+++ b/linenbridge/distribution/view/values.py
@@ -1,8 +1,7 @@
 """Decoding and checks of the value of a change.
 
-Publishers run the same checks before they accept a change, so a gateway rejects one only if it runs an
-earlier release or lacks a method in its settings. The result depends on the value and the settings' methods
-alone.
+Publishers run the same checks before they accept a change, so a gateway seldom rejects one: it may run an
+earlier release, or lack a method in its settings. Pure functions of the value and the settings' methods.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 from linenbridge.routes.table import RoutesError, checked_table
 
 MAX_TEXT_LENGTH = 256  # characters of the name of a zone, a cell or a host
-MAX_INTEGER = 1 << 53  # exclusive; JSON readers may round larger integers
+MAX_INTEGER = 1 << 53  # exclusive: JSON readers may round integers from here on
 MAX_PORT = 65_535
 
 Value = bytes | TenantValue | InstanceValue | ZoneValue
@@ -64,11 +63,9 @@
         A rule set takes several milliseconds: a step parses one rule, or checks all rules against each other.
         """
         if not 0 < len(name) <= MAX_NAME_CHARACTERS:
-            raise ChangeRejected(
-                f"a key's name has 1 to {MAX_NAME_CHARACTERS} characters", name[:MAX_TEXT_LENGTH]
-            )
+            raise ChangeRejected(f"a name has 1 to {MAX_NAME_CHARACTERS} characters", name[:MAX_TEXT_LENGTH])
         if len(value) > MAX_VALUE_BYTES:
-            raise ChangeRejected(f"{len(value)} bytes of value, {MAX_VALUE_BYTES} at most", name)
+            raise ChangeRejected(f"{len(value)} bytes, {MAX_VALUE_BYTES} at most", name)
         try:
             match kind:
                 case Kind.ROUTES:
@@ -101,25 +98,25 @@
     if not 0.0 <= found.share <= 1.0:
         raise ValueError(f"a share is 0 to 1, not {found.share}")
     if msgspec.msgpack.encode(found) != value:
-        raise ValueError("a share is encoded as one 64-bit float")
+        raise ValueError("a share is written as one 64-bit float")
     return found
 
 
 def _instance(name: str, value: bytes) -> InstanceValue:
     service, _, instance = name.partition("/")
     if not service or not instance:
-        raise ValueError("an instance's name has the form service/instance")
+        raise ValueError("an instance's name is service/instance")
     found = msgspec.msgpack.decode(value, type=InstanceValue)
     if found.state not in (InstanceState.REMOVED, InstanceState.READY, InstanceState.DRAINING):
-        raise ValueError(f"no state of an instance is numbered {found.state}")
+        raise ValueError(f"no state is numbered {found.state}")
     if not (isfinite(found.size) and found.size > 0.0):
         raise ValueError(f"a size is above 0, not {found.size}")
     if not (0 <= found.build < MAX_INTEGER and 0 <= found.started < MAX_INTEGER):
-        raise ValueError("build and start are whole numbers from 0 to 2**53 - 1")
+        raise ValueError("build and start are whole numbers from 0")
     longest = max(len(found.zone), len(found.cell), len(found.host))
     if longest > MAX_TEXT_LENGTH or not found.host:
         raise ValueError(
-            f"zone, cell and host have {MAX_TEXT_LENGTH} characters at most, and the host is not empty"
+            f"zone, cell and host have {MAX_TEXT_LENGTH} characters at most, and there is a host"
         )
     if not 0 < found.port <= MAX_PORT:
         raise ValueError(f"no port is numbered {found.port}")
--- a/linenbridge/routes/language.py
+++ b/linenbridge/routes/language.py
@@ -311,7 +311,7 @@
     if isinstance(error, UnexpectedCharacters):
         return place, f"unexpected character {error.char!r}"
     found = getattr(error, "token", "")
-    return place, f"{str(found)!r} is not allowed here"
+    return place, f"{str(found)!r} does not fit here"
 
 
 def predicates(condition: Condition) -> Iterator[Predicate]:
