--- a/linenbridge/distribution/view/instances.py
+++ b/linenbridge/distribution/view/instances.py
@@ -162,9 +162,7 @@
         self.unpacked: dict[str, UnpackedService] = {}
         self.changed: set[tuple[str, int]] = set()
         self.in_use: dict[str, dict[str, InstanceValue]] = {}
-        self.last_values: dict[
-            str, dict[str, InstanceValue]
-        ] = {}  # of instances changed since `take_updates`
+        self.last_values: dict[str, dict[str, InstanceValue]] = {}  # of instances to report as changed
         self._loading_service = ""
         self._loading_pages: list[bytes] = []
 
--- a/linenbridge/distribution/view/results.py
+++ b/linenbridge/distribution/view/results.py
@@ -56,8 +56,8 @@
     `upto` is the position after the call. `digest` is the digest of the region's complete content at that
     position, None while a range is ahead of the position. `applied` is the number of applied changes,
     `skipped` that of changes that the view has already or that do not belong to the batch. `routes` and
-    `zones` have the names of the changed keys, `tenants` their number. `instances` has the changed endpoints
-    of the services in use, removed ones in the state REMOVED.
+    `zones` have the names of the changed keys, `tenants` is the number of changed tenants. `instances` has
+    the changed endpoints of the services in use, removed ones in the state REMOVED.
     """
 
     region: str
--- a/linenbridge/distribution/view/view.py
+++ b/linenbridge/distribution/view/view.py
@@ -192,7 +192,7 @@
         yield from self.validator.steps_ahead(change)
 
     def apply(self, batch: Apply) -> ApplyResult:
-        """Apply the changes after the position and advance the position to `batch.upto`.
+        """Apply the changes after the position together; set the position to `batch.upto`.
 
         Changes outside of (position, upto], or of a range that was replaced by newer content, are skipped.
         """
--- a/linenbridge/routes/table.py
+++ b/linenbridge/routes/table.py
@@ -36,21 +36,13 @@
     predicates,
 )
 
-MAX_VALUE_LENGTH = (
-    4096  # characters of a value that a regular expression searches; a longer value does not match
-)
+MAX_VALUE_LENGTH = 4096  # characters that a regular expression searches; a longer value does not match
 MAX_NAME_LENGTH = 256  # characters of a tenant's or a key's name
 MAX_TIME_DIGITS = 12  # digits of a duration in a request
 PAIR = 2  # parts of the most frequent conjunction, which is compiled to a shorter function
 SEGMENT_SLASHES = 2  # in a path prefix that contains the complete first segment
-GRPC_UNITS = {
-    "n": 0.001,
-    "u": 1,
-    "m": 1_000,
-    "S": 1_000_000,
-    "M": 60_000_000,
-    "H": 3_600_000_000,
-}  # microseconds
+# The microseconds of each unit of a gRPC timeout.
+GRPC_UNITS = {"n": 0.001, "u": 1, "m": 1_000, "S": 1_000_000, "M": 60_000_000, "H": 3_600_000_000}
 
 
 @dataclass
@@ -101,9 +93,7 @@
     method: str
     tenant: str
     key: str | None
-    latency_objective: int = msgspec.field(
-        name="soft_deadline"
-    )  # the name that `route explain --json` prints
+    latency_objective: int = msgspec.field(name="soft_deadline")  # as `route explain --json` prints it
     deadline: int
     cost: int | None
 
