--- a/linenbridge/distribution/view/paths.py
+++ b/linenbridge/distribution/view/paths.py
@@ -1,8 +1,8 @@
 """An index of a rule set by the leading segments of a request's path.
 
-A rule whose every alternative asks for a path is filed under the leading segments that it asks for; any other
-rule is filed under the root, "". A look-up returns every rule that can match the request, and possibly more.
-Pure functions over parsed rules.
+A rule is indexed under the leading segments that its conjunctions require, or under the root, "", if one of
+them requires none. A look-up returns every rule that can match the request, and possibly more. Pure functions
+of parsed rules.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 from msgspec import Struct
 
-from linenbridge.routes.checks import Conjunction, choice, possible
+from linenbridge.routes.checks import Conjunction, conjunctions_of, is_satisfiable
 from linenbridge.routes.language import Predicate, Rule
 
-MAX_DEPTH = 4  # path segments that the index looks at
+MAX_DEPTH = 4  # leading path segments that are indexed
 
 NO_RULES: list[int] = []
 
@@ -22,21 +22,22 @@
 
 
 class PathIndex(Struct, array_like=True):
-    """Rule numbers by path prefix, in the order of the rules. A prefix is some leading segments, each after a
-    `/`.
+    """Rule numbers by path prefix, in the order of the rules.
+
+    A prefix consists of leading segments, each after a `/`; the prefix of the root is "".
     """
 
-    places: dict[str, list[int]]
+    rules_by_prefix: dict[str, list[int]]
 
     def candidates(self, segments: Sequence[str]) -> Sequence[int]:
         """Return the numbers of all rules under any prefix of these segments, in the order of the rules."""
-        places = self.places
+        rules_by_prefix = self.rules_by_prefix
         prefix = ""
-        found = places.get(prefix, NO_RULES)
+        found = rules_by_prefix.get(prefix, NO_RULES)
         merged = False
         for segment in segments[:MAX_DEPTH]:
             prefix = f"{prefix}/{segment}"
-            rules_here = places.get(prefix)
+            rules_here = rules_by_prefix.get(prefix)
             if rules_here is not None:
                 merged = merged or bool(found)
                 found = [*found, *rules_here]
@@ -45,24 +46,24 @@
 
 def path_index(rules: Sequence[Rule]) -> PathIndex:
     """Return the index of a rule set."""
-    places: dict[str, list[int]] = {}
+    rules_by_prefix: dict[str, list[int]] = {}
     for number, rule in enumerate(rules):
         for segments in _prefixes(rule):
-            places.setdefault("".join(f"/{segment}" for segment in segments), []).append(number)
-    return PathIndex(places)
+            rules_by_prefix.setdefault("".join(f"/{segment}" for segment in segments), []).append(number)
+    return PathIndex(rules_by_prefix)
 
 
 def _prefixes(rule: Rule) -> set[Segments]:
-    """The prefixes that a rule is filed under: the root alone if one of its alternatives asks for no path."""
+    """Return the prefixes to index a rule under: the root alone if a conjunction requires no path."""
     found: set[Segments] = set()
-    for conjunction in choice(rule.when, rule.place):
-        if possible(conjunction):
+    for conjunction in conjunctions_of(rule.when, rule.place):
+        if is_satisfiable(conjunction):
             found |= _longest_prefixes(conjunction)
     return {()} if () in found else found
 
 
 def _longest_prefixes(conjunction: Conjunction) -> set[Segments]:
-    """The prefixes that a conjunction asks for, by the question that gives the longest ones."""
+    """Return the prefixes that a conjunction requires, from the predicate that gives the longest ones."""
     alternatives: list[set[Segments]] = [{()}]
     alternatives.extend(
         _leading_segments(literal.predicate)
@@ -73,7 +74,7 @@
 
 
 def _leading_segments(predicate: Predicate) -> set[Segments]:
-    """The complete segments that a path begins with if it passes the test."""
+    """Return the complete leading segments of the paths that satisfy the predicate."""
     if predicate.operator in ("is", "in"):
         return {_segments(path) for path in predicate.operands}
     if predicate.operator == "starts":
--- a/linenbridge/distribution/view/values.py
+++ b/linenbridge/distribution/view/values.py
@@ -1,4 +1,4 @@
-"""Whether the value of a change can be read and passes its checks.
+"""Decoding and checks of the value of a change.
 
 Publishers run the same checks before they accept a change, so a gateway seldom rejects one: it may run an
 earlier release, or lack a method in its settings. Pure functions of the value and the settings' methods.
@@ -26,14 +26,14 @@
 from linenbridge.routes.table import RoutesError, checked_table
 
 MAX_TEXT_LENGTH = 256  # characters of the name of a zone, a cell or a host
-MAX_INTEGER = 1 << 53  # the first integer that JSON readers may round
+MAX_INTEGER = 1 << 53  # exclusive: JSON readers may round integers from here on
 MAX_PORT = 65_535
 
 Value = bytes | TenantValue | InstanceValue | ZoneValue
 
 
 class ValueChecks:
-    """The checks of a value, against the methods of this gateway."""
+    """The checks of a value, with the methods of this gateway."""
 
     def __init__(self, methods: Iterable[Method], max_deadline: int) -> None:
         """Check against these methods; `max_deadline` is the longest deadline of a route, in microseconds."""
@@ -41,7 +41,7 @@
         self.max_deadline = max_deadline
 
     def __call__(self, kind: int, name: str, value: bytes) -> str:
-        """Return the reason why a value would be rejected; "" if it would not be."""
+        """Return the reason to reject a value; "" if it passes the checks."""
         try:
             self.read(kind, name, value)
         except ChangeRejected as error:
@@ -49,7 +49,7 @@
         return ""
 
     def read(self, kind: int, name: str, value: bytes) -> Value:
-        """Return the value in its table's form, a rule set packed; ChangeRejected if it fails a check."""
+        """Return the decoded value, or the packed rule set; raise ChangeRejected if it fails a check."""
         steps = self.read_in_steps(kind, name, value)
         while True:
             try:
@@ -60,7 +60,7 @@
     def read_in_steps(self, kind: int, name: str, value: bytes) -> Generator[None, None, Value]:
         """Return the same as `read`, in steps of about a millisecond.
 
-        A rule set takes some milliseconds: a step parses one rule, or checks all rules against each other.
+        A rule set takes several milliseconds: a step parses one rule, or checks all rules against each other.
         """
         if not 0 < len(name) <= MAX_NAME_CHARACTERS:
             raise ChangeRejected(f"a name has 1 to {MAX_NAME_CHARACTERS} characters", name[:MAX_TEXT_LENGTH])
--- a/linenbridge/routes/table.py
+++ b/linenbridge/routes/table.py
@@ -1,8 +1,8 @@
 """The routing table: finds the RPC that a request belongs to.
 
 A table is compiled once from checked rules and is immutable: each condition becomes one function, and rules
-that require a first path segment are indexed by it, so that a look-up evaluates few rules. A look-up does no
-I/O and accepts any request: a property that the request lacks has no value and satisfies no predicate.
+that require a first path segment are indexed by it, so that a look-up evaluates few rules. A look-up accepts
+any request: a property that the request lacks has no value and satisfies no predicate.
 """
 
 from __future__ import annotations
@@ -19,22 +19,35 @@
 from msgspec import Struct
 
 from linenbridge.interface import Method
-from linenbridge.routes.checks import check, choice, possible
+from linenbridge.routes.checks import check, conjunctions_of, is_satisfiable
 from linenbridge.routes.language import (
-    All, Any, Condition, Not, Part, RouteError, Rule, Subject, Predicate, Timed, UNITS, parse, predicates,
-)  # fmt: skip
-
-MAX_VALUE_LENGTH = 4096  # characters of a value that an expression searches; a longer value does not match
+    UNITS,
+    All,
+    Any,
+    Condition,
+    Not,
+    Part,
+    Predicate,
+    RouteError,
+    Rule,
+    Subject,
+    Timed,
+    parse,
+    predicates,
+)
+
+MAX_VALUE_LENGTH = 4096  # characters that a regular expression searches; a longer value does not match
 MAX_NAME_LENGTH = 256  # characters of a tenant's or a key's name
-MAX_TIME_DIGITS = 12  # digits of a time in a request
-BINARY = 2  # operands of the usual conjunction, which has a shorter function
-SEGMENT_SLASHES = 2  # slashes in a prefix of a path that holds its whole first segment
+MAX_TIME_DIGITS = 12  # digits of a duration in a request
+PAIR = 2  # parts of the most frequent conjunction, which is compiled to a shorter function
+SEGMENT_SLASHES = 2  # in a path prefix that contains the complete first segment
+# The microseconds of each unit of a gRPC timeout.
 GRPC_UNITS = {"n": 0.001, "u": 1, "m": 1_000, "S": 1_000_000, "M": 60_000_000, "H": 3_600_000_000}
 
 
 @dataclass
 class Request:
-    """The properties of one request that a proxy reports; names of headers in lower case."""
+    """The properties of one request that a proxy reports; header names are in lower case."""
 
     authority: str = ""
     path: str = "/"
@@ -49,7 +62,7 @@
 
     @cached_property
     def query(self) -> dict[str, str]:
-        """The parameters of the query; of several with one name the first counts."""
+        """Return the parameters of the query; of several with the same name, the first."""
         found: dict[str, str] = {}
         try:
             pairs = parse_qsl(self.path.partition("?")[2], keep_blank_values=True, max_num_fields=64)
@@ -74,25 +87,26 @@
 
 
 class MatchedRequest(Struct, frozen=True):
-    """The RPC of a request. Times are microseconds; `cost` is an estimate of the work, None if unknown."""
+    """The RPC of a request. Times are in microseconds; `cost` is an estimate of the work, None if unknown."""
 
     rule: str
     method: str
     tenant: str
     key: str | None
-    latency_objective: int = msgspec.field(
-        name="soft_deadline"
-    )  # the name that `route explain --json` prints
+    latency_objective: int = msgspec.field(name="soft_deadline")  # as `route explain --json` prints it
     deadline: int
     cost: int | None
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """One rule in an explanation: whether it matched, and each predicate with the value and the result."""
+    """One rule in an explanation: whether it matched, and its predicates.
+
+    `answers` has the text of each predicate, the value of its subject, and whether the value satisfies it.
+    """
 
     rule: str
-    took: bool
+    matched: bool
     answers: tuple[tuple[str, str | None, bool], ...]
 
 
@@ -107,27 +121,27 @@
 
 
 class Table:
-    """All routes of one gateway, compiled."""
+    """All routes of one gateway, compiled; `max_deadline` is the longest deadline, in microseconds."""
 
-    def __init__(self, rules: list[Rule], methods: Iterable[Method], longest: int) -> None:
+    def __init__(self, rules: list[Rule], methods: Iterable[Method], max_deadline: int) -> None:
         self.rules: Sequence[Rule] = rules
         self.methods = {method.name: method for method in methods}
-        self.longest = longest
+        self.max_deadline = max_deadline
         self.conditions: Sequence[Callable[[Request], bool]] = [compiled(rule.when) for rule in rules]
-        self.everywhere: list[int] = []
-        self.under: dict[str, list[int]] = {}
-        self._sort_in()
+        self.rules_for_other_segments: list[int] = []
+        self.rules_by_segment: dict[str, list[int]] = {}
+        self._index_rules()
 
-    def _sort_in(self) -> None:
-        """Index each rule by the first segments that it requires; a rule that requires none is under all."""
+    def _index_rules(self) -> None:
+        """Index each rule by the first segments that it requires; others are under all segments."""
         firsts = [_first_segments(rule) for rule in self.rules]
         named = sorted({segment for found in firsts if found is not None for segment in found})
-        self.under = {segment: [] for segment in named}
+        self.rules_by_segment = {segment: [] for segment in named}
         for number, found in enumerate(firsts):
             if found is None:
-                self.everywhere.append(number)
+                self.rules_for_other_segments.append(number)
             for segment in named if found is None else sorted(found):
-                self.under[segment].append(number)
+                self.rules_by_segment[segment].append(number)
 
     def find(self, request: Request) -> MatchedRequest | None:
         """Return the RPC that the first matching rule gives; None if no rule matches."""
@@ -139,25 +153,25 @@
     def _candidates(self, request: Request) -> Sequence[int]:
         """Return the numbers of the rules that can match, in their order, by the path's first segment."""
         first = request.segments[0] if request.segments else ""
-        return self.under.get(first, self.everywhere)
+        return self.rules_by_segment.get(first, self.rules_for_other_segments)
 
     def explain(self, request: Request) -> list[Step]:
-        """Return each rule in its order up to the one that matches."""
+        """Return the rules in their order up to the first that matches."""
         steps = []
         for number, rule in enumerate(self.rules):
             answers = tuple(
                 (str(predicate), request.value(predicate.subject), compiled(predicate)(request))
                 for predicate in predicates(rule.when)
             )
-            took = self.conditions[number](request)
-            steps.append(Step(rule.name, took, answers))
-            if took:
+            matched = self.conditions[number](request)
+            steps.append(Step(rule.name, matched, answers))
+            if matched:
                 break
         return steps
 
     def _match(self, rule: Rule, request: Request) -> MatchedRequest:
         method = self.methods[rule.method]
-        deadline = min(_time(rule.deadline, request) or self.longest, self.longest)
+        deadline = min(_time(rule.deadline, request) or self.max_deadline, self.max_deadline)
         latency_objective = min(rule.latency_objective or method.latency_objective, deadline)
         cost = _time(rule.cost, request) if rule.cost is not None else None
         tenant = _value(rule.tenant, request) or ""
@@ -165,21 +179,24 @@
         return MatchedRequest(rule.name, rule.method, tenant, key, latency_objective, deadline, cost)
 
 
-def table(text: str, methods: Iterable[Method], longest: int) -> Table:
-    """Return the table of a text; RouteError or RoutesError say what is wrong with it."""
-    return checked_table(parse(text), methods, longest)
+def table(text: str, methods: Iterable[Method], max_deadline: int) -> Table:
+    """Return the table of a text; `max_deadline` is the longest deadline, in microseconds.
+
+    Raises RouteError if the text cannot be parsed, RoutesError if its rules fail the checks.
+    """
+    return checked_table(parse(text), methods, max_deadline)
 
 
-def checked_table(rules: list[Rule], methods: Iterable[Method], longest: int) -> Table:
-    """Return the table of these rules; RoutesError holds every error of the checks."""
+def checked_table(rules: list[Rule], methods: Iterable[Method], max_deadline: int) -> Table:
+    """Return the table of these rules; raise RoutesError with every error of the checks."""
     methods = list(methods)
     if errors := check(rules, [method.name for method in methods]):
         raise RoutesError(errors)
-    return Table(rules, methods, longest)
+    return Table(rules, methods, max_deadline)
 
 
 class RoutesError(ValueError):
-    """All errors that the checks find in a set of rules, one a line."""
+    """All errors that the checks find in a set of rules; `str` has one per line."""
 
     def __init__(self, errors: list[RouteError]) -> None:
         super().__init__("\n".join(str(error) for error in errors))
@@ -190,7 +207,7 @@
 
 
 def compiled(condition: Condition) -> Callable[[Request], bool]:
-    """Return the condition as one function of a request."""
+    """Return a function that evaluates the condition for a request."""
     match condition:
         case Not(part):
             inner = compiled(part)
@@ -198,15 +215,13 @@
         case All(parts):
             every = [compiled(part) for part in parts]
             return (
-                _both(*every)
-                if len(every) == BINARY
-                else lambda request: all(part(request) for part in every)
+                _both(*every) if len(every) == PAIR else lambda request: all(part(request) for part in every)
             )
         case Any(parts):
             some = [compiled(part) for part in parts]
             return lambda request: any(part(request) for part in some)
         case Predicate():
-            return _question(condition)
+            return _compiled_predicate(condition)
     raise AssertionError(condition)
 
 
@@ -214,8 +229,8 @@
     return lambda request: first(request) and second(request)
 
 
-def _question(predicate: Predicate) -> Callable[[Request], bool]:
-    value_of = _reader(predicate.subject)
+def _compiled_predicate(predicate: Predicate) -> Callable[[Request], bool]:
+    value_of = _value_reader(predicate.subject)
     operand = predicate.operands[0] if predicate.operands else ""
     match predicate.operator:
         case "has":
@@ -240,8 +255,8 @@
     return matches
 
 
-def _reader(subject: Subject) -> Callable[[Request], str | None]:
-    """`Request.value` of one subject, decided once."""
+def _value_reader(subject: Subject) -> Callable[[Request], str | None]:
+    """Return a function that gives the same value as `Request.value` of one subject."""
     name = subject.name
     match subject.kind:
         case "path":
@@ -256,7 +271,7 @@
 
 
 def _value(parts: tuple[Part, ...], request: Request) -> str | None:
-    """Return the first part that the request has, cut at MAX_NAME_LENGTH."""
+    """Return the value of the first part that the request has, at most MAX_NAME_LENGTH characters of it."""
     for part in parts:
         if part.literal is not None:
             return part.literal
@@ -270,14 +285,14 @@
 
 
 def _time(timed: Timed | None, request: Request) -> int:
-    """Return microseconds; a value that is no time counts as absent."""
+    """Return the duration in microseconds; a value of the request that is not a duration counts as absent."""
     if timed is None:
         return 0
     text = (request.value(timed.subject) or "") if timed.subject is not None else ""
     if timed.unit == "grpc":
         digits = text[:-1]
         unit = GRPC_UNITS.get(text[-1:], 0)
-        # Eight digits at most (gRPC over HTTP/2, "TimeoutValue"); a literal costs a look-up nothing.
+        # gRPC over HTTP/2 limits "TimeoutValue" to 8 digits; a literal is faster than a global constant.
         if unit and digits.isascii() and digits.isdigit() and len(digits) <= 8:  # noqa: PLR2004
             return max(1, round(int(digits) * unit))
     elif text.isascii() and text.isdigit() and len(text) <= MAX_TIME_DIGITS:
@@ -286,10 +301,10 @@
 
 
 def _first_segments(rule: Rule) -> set[str] | None:
-    """Return the first segments that the conjunctions of a rule require; None if one requires none."""
+    """Return the first path segments that the conjunctions of a rule require; None if one requires none."""
     found: set[str] = set()
-    for conjunction in choice(rule.when, rule.place):
-        if not possible(conjunction):
+    for conjunction in conjunctions_of(rule.when, rule.place):
+        if not is_satisfiable(conjunction):
             continue
         named = [_segments_of(literal.predicate) for literal in conjunction if literal.expected]
         if not (required := [segments for segments in named if segments is not None]):
@@ -299,6 +314,7 @@
 
 
 def _segments_of(predicate: Predicate) -> set[str] | None:
+    """Return the first path segments that the predicate allows; None if it allows any."""
     if predicate.subject.kind != "path":
         return None
     if predicate.operator in ("is", "in"):
