--- a/linenbridge/distribution/changes.py
+++ b/linenbridge/distribution/changes.py
@@ -1,9 +1,9 @@
 """Versioned changes: what is published, which region owns it, and how its bytes are checked.
 
-Pure functions and values. A change names one key, owned by one region, and its new value. Versions of one
-region are ordered by (epoch, sequence): the epoch is the term of the publisher's lease, the sequence the
-place in the region's log, dense from 1. Only what a majority of the region's relays has on disk reaches a
-follower, so two changes of a region never share a sequence outside its relays.
+Pure functions and values. A change sets a new value for one key, which one region owns. The versions of a
+region are ordered by (epoch, sequence): the epoch is the term of the publisher's lease, and the sequence is
+the place in the region's log, without gaps from 1. Followers receive only changes that a majority of the
+region's relays has on disk, so that no two changes with the same sequence leave the region's relays.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Struct
 
-RANGES = 1024  # number of parts of a region's keys, for digests and for complete transfers
+RANGES = 1024  # parts into which a region's keys are divided for digests and for complete transfers
 MAX_VALUE_BYTES = 48_000  # of one value: a change has to fit into one message of a link
 MAX_NAME_CHARACTERS = 256  # of one key's name
 DIGEST_BYTES = 8  # of a key, a range or a table
@@ -23,9 +23,9 @@
 
 
 class Kind(IntEnum):
-    """What a key is about, and with it the form of its value."""
+    """The type of a key, which determines the format of its value."""
 
-    LOG = 0  # an entry of the log about itself, always empty, for relays alone (log/region_log.py)
+    LOG = 0  # an entry about the log itself, always empty, for relays only (log/region_log.py)
     ROUTES = 1  # name: a service (authority); value: its rules in the routes' language, UTF-8
     TENANT = 2  # name: a tenant; value: TenantValue
     INSTANCE = 3  # name: service/instance; value: InstanceValue
@@ -39,8 +39,10 @@
 
 
 class InstanceValue(Struct, array_like=True, frozen=True):
-    """An endpoint of a service, with its address. `state` as in interface.py; `started` is Unix time in
-    milliseconds. The names of the fields are those of the JSON object that `publish` reads."""
+    """An endpoint of a service, with its address.
+
+    The values of `state` are defined in `interface.py`; `started` is Unix time in milliseconds. The names of
+    the fields are those of the JSON object that the command `publish` reads."""
 
     build: int
     zone: str
@@ -53,8 +55,8 @@
 
 
 class ZoneValue(Struct, array_like=True, frozen=True):
-    """Whether a zone is lost. No instance of a lost zone is ready, whatever its own entry says: one
-    change."""
+    """Whether a zone is lost. No instance of a lost zone is ready, whatever the state in its own entry, so
+    that one change takes the whole zone out."""
 
     lost: bool
 
@@ -70,7 +72,7 @@
 
 
 class Position(Struct, array_like=True, frozen=True):
-    """How far a follower is in one region's log. All positions of a follower are its version vector."""
+    """A follower's newest version of one region. All positions of a follower are its version vector."""
 
     region: str
     epoch: int
@@ -78,12 +80,13 @@
 
     @property
     def version(self) -> Version:
-        """The place in the region's log."""
+        """Epoch and sequence of the position."""
         return Version(self.epoch, self.sequence)
 
 
 class Change(Struct, array_like=True, frozen=True):
-    """One key's new value; an empty one deletes it. `checksum` is the publisher's, over all other fields."""
+    """A new value for one key; an empty value deletes the key. `checksum` is computed by the publisher over
+    all other fields."""
 
     region: str
     epoch: int
@@ -95,12 +98,12 @@
 
     @property
     def version(self) -> Version:
-        """The place in the region's log."""
+        """Epoch and sequence of the change."""
         return Version(self.epoch, self.sequence)
 
     @property
     def key(self) -> tuple[int, str]:
-        """What the change is about: kind and name."""
+        """Kind and name, which identify the key that the change sets."""
         return self.kind, self.name
 
 
@@ -109,29 +112,31 @@
 
 
 def sealed(region: str, version: Version, kind: int, name: str, value: bytes) -> Change:
-    """A change with its checksum."""
+    """Return a change with its checksum."""
     change = Change(region, version.epoch, version.sequence, kind, name, value)
     return msgspec.structs.replace(change, checksum=_checksum(change))
 
 
 def intact(change: Change) -> bool:
-    """Whether the bytes are those that the publisher sealed."""
+    """Return whether the change matches the checksum that its publisher computed."""
     return change.checksum == _checksum(change)
 
 
 def group_of(kind: int, name: str) -> str:
-    """What is stored and transferred together: the instances of one service, else each key by itself."""
+    """Return the group of keys that are stored and transferred together: all instances of one service have
+    one group, every other key has its own."""
     return name.partition("/")[0] if kind == Kind.INSTANCE else name
 
 
 def range_of(kind: int, name: str) -> int:
-    """Which of a region's RANGES a key belongs to."""
+    """Return the index of a key's range, from 0 to RANGES - 1."""
     return crc32(f"{kind}/{group_of(kind, name)}".encode()) % RANGES
 
 
 def digest_of(change: Change) -> int:
-    """64 bits that stand for one key at one version and value. A table's digest is their sum modulo 2**64, in
-    any order; a deletion adds nothing."""
+    """Return the digest, 64 bits, of one key at one version and value; it is 0 for a deletion.
+
+    A table's digest is the sum of its keys' digests modulo 2**64, and so does not depend on their order."""
     if not change.value:
         return 0
     key = (change.region, change.epoch, change.sequence, change.kind, change.name)
@@ -140,10 +145,10 @@
 
 
 def added(digest: int, change: Change) -> int:
-    """A table's digest once it holds this change."""
+    """Return a table's digest after this change was added to the table."""
     return (digest + digest_of(change)) & DIGEST_MASK
 
 
 def removed(digest: int, change: Change) -> int:
-    """A table's digest once it no longer holds this change."""
+    """Return a table's digest after this change was removed from the table."""
     return (digest - digest_of(change)) & DIGEST_MASK
--- a/linenbridge/distribution/configuration.py
+++ b/linenbridge/distribution/configuration.py
@@ -1,7 +1,7 @@
-"""The element `distribution` of the settings, from checked XML to typed values.
+"""Read the element `distribution` of the settings from validated XML into typed values.
 
-Checks what the schema can't express, such as values that exclude each other. Each fault is one line,
-`file:line:column: what; what to do`. Defaults stand in the schema, not here.
+This module checks what the schema can't express, such as values that exclude each other. Each fault is one
+line, `file:line:column: what; what to do`. The schema has the defaults.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from linenbridge.configuration.values import Address, flag, socket_address
 from linenbridge.errors import FileFaultError
 
-MIN_HEARTBEATS_IN_SILENCE = 2  # a peer is silent once it has missed at least so many heartbeats
+MIN_HEARTBEATS_IN_SILENCE = 2  # missed at least, before a peer counts as silent
 
 
 class Role(StrEnum):
-    """What a process does in the distribution."""
+    """The role of a process in the distribution."""
 
     GATEWAY = "gateway"
     RELAY = "relay"
@@ -34,14 +34,14 @@
 
 
 class DistributionSettingsError(FileFaultError):
-    """One fault in the element `distribution`."""
+    """A fault in the element `distribution`."""
 
     advice = "mend the settings; the process does not start with them"
 
 
 @dataclass(frozen=True, slots=True)
 class Region:
-    """A region's relays and the candidates for its publisher, by name."""
+    """Addresses of a region's relays and of the candidates for its publisher, by name."""
 
     relays: dict[str, Address]
     publishers: dict[str, Address]
@@ -49,12 +49,13 @@
 
 @dataclass(frozen=True, slots=True)
 class DistributionSettings:
-    """The element `distribution`. Times in microseconds, rates in bytes a second.
+    """The element `distribution`, with times in microseconds and rates in bytes a second.
 
-    The names of the fields are those that `settings show` prints. "" is no store, or no configuration of the
-    platform. A relay's `store` is a folder, a gateway's a file. `gather` is how long a relay collects changes
-    for one batch; `followers` and `authors` are the most followers of a relay and change clients of a
-    publisher.
+    The names of the fields are those that `settings show` prints. `store` is a folder for a relay and a file
+    for a gateway; it is "" if there is no store. `platform` is "" if there is no configuration of the
+    platform. `trusted` is set if the operator assures that the store never goes back to an earlier state.
+    `gather` is how long a relay collects changes for one batch. `followers` is the most followers of a relay,
+    `authors` the most change clients of a publisher.
     """
 
     role: Role
@@ -76,11 +77,11 @@
 
     @property
     def home(self) -> Region:
-        """The region of the process itself."""
+        """Region of this process."""
         return self.regions[self.region]
 
     def relay_address(self, relay: str) -> Address | None:
-        """Where a relay of any region listens; None where no region has it."""
+        """Return the address of a relay of any region; None if no region has a relay of that name."""
         for region in self.regions.values():
             if relay in region.relays:
                 return region.relays[relay]
@@ -88,12 +89,15 @@
 
 
 def publishers_task(region: str) -> str:
-    """The fleet's task whose holder is the region's publisher; its term is the epoch."""
+    """Return the name of the fleet's task whose holder is the region's publisher; the task's term is the
+    epoch."""
     return f"publish-{region}"
 
 
 def distribution(configuration: Configuration) -> DistributionSettings | None:
-    """The element, or None if there is none. ConfigurationError names every fault, one a line."""
+    """Return the element's values, or None if the settings have no such element.
+
+    Raises ConfigurationError, which names every fault, one a line."""
     element = configuration.part("distribution")
     if element is None:
         return None
@@ -143,7 +147,8 @@
 
 
 def _peers(region: etree._Element, kind: str, names: set[str], faults: SettingsFaults) -> dict[str, Address]:
-    """The processes of one kind in a region; a name is one process's in all regions."""
+    """Return the addresses of a region's processes of one kind, by name; names are unique across all
+    regions."""
     found = dict[str, Address]()
     for row in region.iterchildren(SPACE + kind):
         name = row.get("name")
@@ -157,7 +162,7 @@
 
 def _check_times(element: etree._Element, settings: DistributionSettings, faults: SettingsFaults) -> None:
     if settings.gather > settings.heartbeat:
-        faults.add(element, "changes are gathered longer than a heartbeat", "shorten `gather`")
+        faults.add(element, "`gather` is longer than `heartbeat`", "shorten `gather`")
     if settings.silence < MIN_HEARTBEATS_IN_SILENCE * settings.heartbeat:
         what = f"`silence` is shorter than {MIN_HEARTBEATS_IN_SILENCE} heartbeats"
         faults.add(element, what, "shorten `heartbeat` or lengthen `silence`")
@@ -169,13 +174,13 @@
         faults.add(element, f"no region is named {settings.region}", "add the region with its relays")
         return
     if settings.role != Role.GATEWAY and faults.configuration.part("processor") is not None:
-        what = f"a {settings.role} serves no proxies"
-        faults.add(element, what, "give the processor a process of its own")
+        what = f"a {settings.role} cannot have the element `processor`"
+        faults.add(element, what, "run the processor in a process of its own")
     if settings.role == Role.GATEWAY:
         _check_gateway(element, settings, faults)
         return
     if settings.listen is None:
-        faults.add(element, f"a {settings.role} is connected to by others", "add `listen`")
+        faults.add(element, f"a {settings.role} has no `listen`", "add `listen`, the address for its peers")
     if settings.role == Role.RELAY:
         _check_relay(element, settings, home, faults)
     else:
@@ -194,35 +199,35 @@
     element: etree._Element, settings: DistributionSettings, home: Region, faults: SettingsFaults
 ) -> None:
     if settings.name not in home.relays:
-        what = f"{settings.name} is no relay of {settings.region}"
+        what = f"{settings.name} is not a relay of region {settings.region}"
         faults.add(element, what, "add it to the region's relays")
     if not settings.store:
-        what = "a relay without a disk accepts nothing"
-        faults.add(element, what, "add `store`, a folder on a disk that lasts")
+        what = "a relay has no `store`"
+        faults.add(element, what, "add `store`, a folder on a persistent disk")
 
 
 def _check_publisher(
     element: etree._Element, settings: DistributionSettings, home: Region, faults: SettingsFaults
 ) -> None:
     if settings.name not in home.publishers:
-        what = f"{settings.name} is no publisher of {settings.region}"
-        do = f"add it among the publishers of {settings.region}, so that change clients find it"
+        what = f"{settings.name} is not a publisher of region {settings.region}"
+        do = f"add it to the publishers of {settings.region}, so that change clients find it"
         faults.add(element, what, do)
 
 
 def _check_publishers_task(
     element: etree._Element, settings: DistributionSettings, faults: SettingsFaults
 ) -> None:
-    """The element `fleet` has the region's task, for one holder at a time."""
+    """Check that the element `fleet` has the region's task, with one holder at a time."""
     task = publishers_task(settings.region)
     fleet = faults.configuration.part("fleet")
     if fleet is None:
-        do = f"add the element fleet with a task {task}"
-        faults.add(element, "a publisher holds a lease of the fleet", do)
+        do = f"add the element `fleet` with a task {task}"
+        faults.add(element, "a publisher requires the element `fleet`, for its lease", do)
         return
     rows = [row for row in fleet.iterchildren(f"{SPACE}task") if row.get("name") == task]
     if not rows:
         do = "add the task: its holder is the region's publisher"
         faults.add(fleet, f"no task is named {task}", do)
     elif attributes(rows[0], "task")["places"] != "1":
-        faults.add(rows[0], "a region has one publisher at a time", "set `places` to 1")
+        faults.add(rows[0], "`places` is not 1: a region has one publisher at a time", "set `places` to 1")
--- a/linenbridge/distribution/decisions.py
+++ b/linenbridge/distribution/decisions.py
@@ -1,7 +1,8 @@
-"""What a state machine of the distribution decides, as typed values.
+"""Decisions of the distribution's state machines, as typed values.
 
-A host calls a state machine's `on_...` inputs, then pulls `next_decision(now)` until it is None, executes
-each decision in order, and calls again at `wake_at()`. Times are whole microseconds.
+The host passes inputs to a state machine's `on_...` methods. It then calls `next_decision(now)` until the
+result is None, executes each decision in order, and calls `next_decision` again at the time `wake_at()`.
+Times are whole microseconds.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class Send(Struct, frozen=True):
-    """Send a message to the process of a name; it is lost where that process cannot be reached."""
+    """Send a message to the process named `to`; the message is lost if that process cannot be reached."""
 
     to: str
     message: Message | EncodedBatch | EncodedRangeSnapshot
@@ -22,10 +23,11 @@
 class Persist(Struct, frozen=True):
     """Write a replica's log to disk.
 
-    Entries behind `truncate_after` are removed first (None: none are), then `changes` are appended and the
-    sequences `superseded` removed; `epoch` with the `publisher` that it was promised to, `committed`,
-    `incarnation` and `purged_up_to` are stored with them. Once all is on disk, `then` is sent and
-    `Replica.on_persisted(now, number)` called; on an error, `Replica.on_store_failed(now, error)`.
+    The host first removes the entries after the sequence `truncate_after` (none if it is None), then appends
+    `changes` and removes the entries at the sequences `superseded`. It stores `epoch` with the `publisher`
+    that the epoch was promised to, `committed`, `incarnation` and `purged_up_to` in the same write. Once all
+    of it is on disk, the host sends `then` and calls `Replica.on_persisted(now, number)`; on an error it
+    calls `Replica.on_store_failed(now, error)`.
     """
 
     number: int
@@ -41,17 +43,17 @@
 
 
 class Committed(Struct, frozen=True):
-    """Pass entries that a majority has, in order, to the relay's feed."""
+    """Pass committed entries, in order, to the relay's feed."""
 
     region: str
     changes: list[Change]
 
 
 class Apply(Struct, frozen=True):
-    """Apply changes to the view, together between two requests; then the follower is at `upto`.
+    """Apply changes to the view, all between the same two requests; the follower is then at `upto`.
 
-    The host responds with `Follower.on_applied`. `digest` is the relay's at `upto`, where it gave one;
-    `horizon` is for a table that passes the changes on.
+    The host responds with `Follower.on_applied`. `digest` is the relay's digest at `upto`, or None if the
+    relay sent none; `horizon` is used by a table that passes the changes on.
     """
 
     region: str
@@ -62,10 +64,11 @@
 
 
 class ReplaceRange(Struct, frozen=True):
-    """Replace one range of a region's keys by its complete content at `upto`.
+    """Replace one range of a region's keys by the range's complete content at `upto`.
 
-    Keys at versions up to it that are not named are deleted; newer versions than `upto` may be named. With
-    `final` the follower is at `upto`. The host responds to each with `Follower.on_applied`.
+    Keys at versions up to `upto` that are not in `changes` are deleted; `changes` may contain versions newer
+    than `upto`. After the replacement with `final` set, the follower is at `upto`. The host responds to each
+    replacement with `Follower.on_applied`.
     """
 
     region: str
@@ -77,20 +80,20 @@
 
 
 class SubtreeProgress(Struct, frozen=True):
-    """Pass how far all below a relay are in the other regions to `on_progress_below` of each follower that
-    the relay hosts."""
+    """Pass the progress of all followers below a relay, in the other regions, to `on_progress_below` of each
+    follower that the relay hosts."""
 
     summaries: list[SubtreeSummary]
 
 
 class Dial(Struct, frozen=True):
-    """Connect to this relay, and again whenever the connection is lost."""
+    """Connect to this relay, and reconnect whenever the connection is lost."""
 
     relay: str
 
 
 class Disconnect(Struct, frozen=True):
-    """End the connection to this relay."""
+    """Close the connection to this relay."""
 
     relay: str
 
--- a/linenbridge/distribution/errors.py
+++ b/linenbridge/distribution/errors.py
@@ -1,7 +1,7 @@
-"""Errors of the distribution: what happened, where, and what an operator can do.
+"""Errors of the distribution, each with advice for the operator.
 
-A subclass of `Rejection` has a code, which stands in log lines and in responses on the wire; the others are
-local.
+A subclass of `Rejection` has a code, which is written to log lines and sent in responses. The other errors
+are not sent to other processes.
 """
 
 from __future__ import annotations
@@ -10,21 +10,22 @@
 
 
 class OlderEpoch(Rejection):
-    """The message is of a publisher that has been replaced; relays accept nothing of it any more."""
+    """The message is from a publisher that has been replaced; relays accept nothing more from that
+    publisher."""
 
     code = "older_epoch"
     advice = "none: its successor goes on; a change client asks again and reaches the successor"
 
 
 class LogGap(Rejection):
-    """The entries do not follow on what the relay has."""
+    """The entry before the sent entries is missing in the relay's log, or differs from the publisher's."""
 
     code = "gap"
     advice = "none: the publisher sends from where both agree"
 
 
 class RelayFull(Rejection):
-    """The relay serves as many followers as its settings allow."""
+    """The relay already serves as many followers as its settings allow."""
 
     code = "full"
     advice = "start more relays in this region, or raise `followers` where the machine has room"
@@ -38,7 +39,8 @@
 
 
 class SilentFollower(Rejection):
-    """The follower has sent nothing for long, or the relay has no session with it."""
+    """The follower has sent nothing for longer than `silence`, or the relay has no session with the
+    follower."""
 
     code = "silent"
     advice = "none if it is rare: the follower begins anew; else look at its machine's load and its links"
@@ -73,7 +75,8 @@
 
 
 class QuorumUnreached(Rejection):
-    """No majority of the region's relays has the change on disk in time; it may still be accepted later."""
+    """No majority of the region's relays had the change on disk by its deadline; the change may still be
+    accepted later."""
 
     code = "unconfirmed"
     advice = "bring back relays of this region; then publish it again: the newest version counts"
@@ -86,7 +89,7 @@
 
 
 class ViewStoreError(ControlPlaneError):
-    """A gateway's store cannot be used; the gateway goes on without one and requests everything from its
-    relay at a start."""
+    """A gateway's store cannot be used. The gateway continues without a store, and requests all tables from
+    its relay at the next start."""
 
     advice = "mend the disk or delete the file; nothing is lost but bytes at the next start"
--- a/linenbridge/distribution/messages.py
+++ b/linenbridge/distribution/messages.py
@@ -1,10 +1,11 @@
 """Messages of the distribution: publisher and relays, relays and their followers, change clients and
 publisher.
 
-Each is an array whose first element is its tag (MessagePack, by msgspec). Names of classes and fields are not
-on the wire; tags, the order of fields and their types are. Unknown fields at the end are ignored, and those
-with a default may be absent. Decoding checks the form alone: bounds are checked by the state machines. Every
-list is bounded by what fits into one message of a link (`linenbridge/peering`).
+Each message is a MessagePack array, encoded by msgspec, whose first element is the message's tag. The tags,
+the order of the fields and their types are on the wire; the names of classes and fields are not. Unknown
+fields at the end are ignored, and fields with a default may be absent. Decoding checks only the types; the
+state machines check the bounds. The length of every list is limited by what fits into one message of a link
+(`linenbridge/peering`).
 """
 
 from __future__ import annotations
@@ -20,19 +21,21 @@
 
 
 class Prepare(Struct, array_like=True, frozen=True, tag="prepare"):
-    """A new publisher requests a relay's promise to reject every earlier epoch, and the end of its log."""
+    """A new publisher requests a relay's promise to reject every earlier epoch, and the relay's newest
+    version."""
 
     region: str
     epoch: int
 
 
 class Prepared(Struct, array_like=True, frozen=True, tag="prepared"):
-    """The relay's promise, on its disk before this leaves, or its rejection.
+    """The relay's promise, which is on its disk before this message is sent, or its rejection.
 
-    `last` is its newest entry, `committed` the newest that it knows a majority to have. `code` is not empty
-    where the promise is rejected; `epoch` is then the one that it has promised. `incarnation` is another
-    number once the relay may have lost entries; it is a `member` where its committed log names this
-    incarnation. `purged_up_to`: tombstones up to there were purged.
+    `last` is the version of the relay's newest entry. `committed` is the newest sequence that, as far as the
+    relay knows, a majority has on disk. `code` is not empty if the promise is rejected; `epoch` is then the
+    epoch that the relay has promised. `incarnation` gets a new number when the relay may have lost entries;
+    `member` is set if the relay's committed log names this incarnation. Tombstones up to the sequence
+    `purged_up_to` were purged.
     """
 
     region: str
@@ -47,7 +50,7 @@
 
 
 class Fetch(Struct, array_like=True, frozen=True, tag="fetch"):
-    """A new publisher reads a relay's log behind a sequence."""
+    """A new publisher requests the entries of a relay's log after the sequence `after`."""
 
     region: str
     epoch: int
@@ -55,7 +58,8 @@
 
 
 class Fetched(Struct, array_like=True, frozen=True, tag="fetched"):
-    """A part of a relay's log behind `after`, in order; `more` where the log goes on."""
+    """Consecutive entries of a relay's log after the sequence `after`; `more` is set if further entries
+    follow."""
 
     region: str
     epoch: int
@@ -66,12 +70,12 @@
 
 
 class Append(Struct, array_like=True, frozen=True, tag="append"):
-    """Entries that follow on `previous`; a heartbeat where there are none.
+    """Entries that follow the entry `previous`; a heartbeat if there are none.
 
-    `committed` is the newest sequence that a majority has on disk. Committed entries that newer ones of their
-    key have superseded may be left out; `committed` then stays behind them until the relay has all the
-    others. Every relay of the region has committed everything up to `purged_up_to`, so that tombstones up to
-    there are purged.
+    `committed` is the newest sequence that a majority has on disk. Committed entries may be left out if newer
+    entries of the same key have superseded them; `committed` then stays below the sequences left out until
+    the relay has all other entries. Tombstones up to `purged_up_to` are purged, since every relay of the
+    region has committed all entries up to that sequence.
     """
 
     region: str
@@ -83,10 +87,11 @@
 
 
 class Appended(Struct, array_like=True, frozen=True, tag="appended"):
-    """The relay's log agrees with the publisher's up to `upto`, on disk.
+    """The relay's log agrees with the publisher's up to the sequence `upto`, and is on disk.
 
-    With a code it does not: `upto` is then the newest sequence that surely agrees, `epoch` the one that the
-    relay has promised. `incarnation` as in Prepared.
+    If `code` is not empty, the relay has rejected the append: `upto` is then the newest sequence at which the
+    logs are known to agree, and `epoch` is the epoch that the relay has promised. `incarnation` is as in
+    `Prepared`.
     """
 
     region: str
@@ -103,8 +108,9 @@
 class Follow(Struct, array_like=True, frozen=True, tag="follow"):
     """A follower starts a session with a relay.
 
-    It gives its version vector, the `rate` that it accepts (bytes a second, 0: unbounded), and the regions
-    that it wants (none named: all). `session` is another number each time.
+    `positions` is the follower's version vector. `rate` is the most that it accepts, in bytes a second; 0 is
+    unlimited. `regions` are those that it follows; an empty list stands for all. `session` is a new number
+    for each session.
     """
 
     follower: str
@@ -115,8 +121,8 @@
 
 
 class FollowRejected(Struct, array_like=True, frozen=True, tag="refused"):
-    """The relay ends or rejects a follower's session. `after` is how long the follower avoids the relay, in
-    microseconds."""
+    """The relay ends or rejects a follower's session. For `after` microseconds the follower tries other
+    relays."""
 
     session: int
     code: str
@@ -124,13 +130,13 @@
 
 
 class Batch(Struct, array_like=True, frozen=True, tag="batch"):
-    """All keys whose newest version lies behind `after`, up to `upto`, each at that version; a heartbeat
-    where there are none.
+    """All keys whose newest version is after the sequence `after` and not after `upto`, each at that version;
+    a heartbeat if there are none.
 
-    `digest` is that of the relay's complete table of the region, present where `upto` is its head. A follower
-    behind `horizon` requests ranges, by `Digests`. `checksum` is `batch_checksum`'s. `number` counts the
-    session's `Batch` and `RangeSnapshot` messages from 1, so that a lost, repeated or reordered one is
-    noticed.
+    `digest` is the digest of the relay's complete table of the region; it is present if `upto` is the newest
+    version of the table. A follower whose position is below `horizon` requests ranges with `Digests`.
+    `checksum` is computed by `batch_checksum`. `number` counts the session's `Batch` and `RangeSnapshot`
+    messages from 1, so that the follower detects a lost, duplicated or reordered message.
     """
 
     session: int
@@ -145,8 +151,8 @@
 
 
 class EncodedBatch(Struct, array_like=True, frozen=True, tag="batch"):
-    """A `Batch` whose changes are encoded once for all followers at a position: the same bytes on the link,
-    where it is decoded as a `Batch`."""
+    """A `Batch` whose changes are encoded once for all followers at the same position. Its bytes on the link
+    are those of a `Batch`, and the receiver decodes them as one."""
 
     session: int
     region: str
@@ -160,12 +166,12 @@
 
 
 class RangeSnapshot(Struct, array_like=True, frozen=True, tag="whole"):
-    """A part of one range of a region's keys, complete at `upto` with its `last` part: keys that the range
-    does not name are deleted.
+    """A part of one range of a region's keys. With the part that has `last` set, the range is complete at
+    `upto`, and keys that are in none of its parts are deleted.
 
-    It may name newer versions than `upto`, which is the same in all ranges of a transfer. `final` is set in
-    the last part of the last range that the relay sends: then the follower is at `upto`. `horizon` is the
-    relay's, `checksum` is `range_checksum`'s, `number` counts as in `Batch`.
+    `upto` is the same in all ranges of a transfer; a range may contain newer versions. `final` is set in the
+    last part of the last range that the relay sends: the follower is then at `upto`. `horizon` is the
+    relay's horizon, `checksum` is computed by `range_checksum`, and `number` counts as in `Batch`.
     """
 
     session: int
@@ -182,7 +188,8 @@
 
 
 class EncodedRangeSnapshot(Struct, array_like=True, frozen=True, tag="whole"):
-    """A `RangeSnapshot` whose changes are already encoded: the same bytes on the link."""
+    """A `RangeSnapshot` whose changes are already encoded. Its bytes on the link are those of a
+    `RangeSnapshot`."""
 
     session: int
     region: str
@@ -200,8 +207,9 @@
 class Digests(Struct, array_like=True, frozen=True, tag="digests"):
     """A follower requests the ranges whose digests differ from its own.
 
-    It sends its digests from the range `first` on, 8 bytes each, the highest byte first; without any it
-    requests all ranges. `at` is its position.
+    `digests` are the follower's digests from the range `first` on, 8 bytes each, big-endian; if it is empty,
+    the follower requests all ranges. `last` is set in the last message of a request. `at` is the follower's
+    position.
     """
 
     session: int
@@ -213,10 +221,11 @@
 
 
 class Progress(Struct, array_like=True, frozen=True, tag="progress"):
-    """How far a follower is, on change and as its heartbeat.
+    """A follower's positions, sent when they change and as its heartbeat.
 
-    `below` summarizes its own followers. `received` counts the session's `Batch` and `RangeSnapshot` messages
-    that it has processed. Session 0: the follower is alive and follows another relay.
+    `below` summarizes the follower's own followers. `received` counts the session's `Batch` and
+    `RangeSnapshot` messages that the follower has processed. Session 0 means that the follower is alive and
+    follows another relay.
     """
 
     follower: str
@@ -227,10 +236,11 @@
 
 
 class SubtreeSummary(Struct, array_like=True, frozen=True):
-    """How far all followers below a relay are in one region.
+    """Progress of all followers below a relay in one region.
 
-    Their number, the lowest sequence in force, names of the slowest (bounded), names of those that are
-    unreached (bounded) and their number, and a histogram of the lag in powers of two milliseconds.
+    `followers` is their number and `min_sequence` the lowest sequence in force. `slowest` and `unreached` are
+    limited lists of names; `unreached_count` counts all unreached followers. `lag_histogram` counts followers
+    by their lag in powers of two milliseconds.
     """
 
     region: str
@@ -246,7 +256,7 @@
 
 
 class Publish(Struct, array_like=True, frozen=True, tag="publish"):
-    """A change client requests one change; `request` is the client's own number for it."""
+    """A change client requests one change; the client chooses the number `request`."""
 
     request: int
     region: str
@@ -256,16 +266,17 @@
 
 
 class ChangeState(StrEnum):
-    """What became of a change, as `Published.state` has it on the wire."""
+    """The outcome of a change; its values are sent as `Published.state`."""
 
     ACCEPTED = "accepted"  # a majority has it on disk
-    IN_FORCE = "in_force"  # everywhere that is reached; the others are named
-    REFUSED = "refused"  # with a code: it is stored nowhere and will not be
-    UNCONFIRMED = "unconfirmed"  # it may be stored; `accepted` may still follow
+    IN_FORCE = "in_force"  # at all followers that are reached; the response names the others
+    REFUSED = "refused"  # with a code: the change is not stored and will not be
+    UNCONFIRMED = "unconfirmed"  # the change may be stored; `accepted` may still follow
 
 
 class Published(Struct, array_like=True, frozen=True, tag="published"):
-    """The response to a change client. `state` is one of ChangeState's values, or one of a later version."""
+    """The response to a change client. `state` is a value of ChangeState, or a value that a later release
+    adds."""
 
     request: int
     state: str
@@ -276,15 +287,15 @@
 
 
 def batch_checksum(region: str, after: int, upto: Version, encoded: bytes) -> int:
-    """Over a batch's place in the log and its encoded list of changes, so that a truncated or exchanged list
-    is noticed; each change has a checksum of its own besides."""
+    """Return the CRC-32 of a batch's place in the log and of its encoded list of changes. It detects a
+    truncated or exchanged list; the checksum of each change does not."""
     return crc32(encoded, crc32(f"{region} {after} {upto.epoch} {upto.sequence}".encode()))
 
 
 def range_checksum(
     region: str, upto: Version, range_index: int, part: int, last: bool, encoded: bytes
 ) -> int:
-    """The same for a part of a range."""
+    """Return the CRC-32 of a range part's place and of its encoded list of changes, as for a batch."""
     place = f"{region} {upto.epoch} {upto.sequence} {range_index} {part} {last:d}"
     return crc32(encoded, crc32(place.encode()))
 
