--- a/linenbridge/distribution/log/change_requests.py
+++ b/linenbridge/distribution/log/change_requests.py
@@ -1,7 +1,7 @@
 """Requests of change clients at a publisher, from their arrival to their last response.
 
-Keeps state without I/O. Every accepted request gets a response; requests that wait are bounded in number and
-bytes. A change that a relay may have stored is reported as `unconfirmed`, never as `refused`.
+A state machine without I/O. Every request gets a response; the number and the bytes of queued requests are
+limited. A change that a relay may have stored is reported as `unconfirmed`, never as `refused`.
 """
 
 from __future__ import annotations
@@ -16,18 +16,18 @@
 from linenbridge.distribution.messages import ChangeState, Publish, Published
 from linenbridge.errors import Rejection
 
-MAX_QUEUED_CHANGES = 4_000  # changes that wait to be appended
-MAX_QUEUED_BYTES = 16_000_000  # of their values
-MAX_AWAITING_IN_FORCE = 20_000  # accepted changes whose client waits for `in_force`; the oldest is dropped
+MAX_QUEUED_CHANGES = 4_000  # changes that are not appended yet
+MAX_QUEUED_BYTES = 16_000_000  # of the values of these changes
+MAX_AWAITING_IN_FORCE = 20_000  # changes; above it, the client of the oldest gets no `in_force`
 MAX_UNREACHED_NAMES = 32  # names in one response
 
 
 @dataclass(slots=True)
 class PendingChange:
-    """One change of a change client that awaits a response.
+    """A change client's request that still gets a response.
 
-    `deadline` is in microseconds. `version` is START until the
-    change is appended. `reported_unconfirmed` is set once the client has the response `unconfirmed`.
+    `deadline` is in microseconds. `version` is START until the change is appended. `reported_unconfirmed` is
+    set once the response `unconfirmed` was sent.
     """
 
     client: str
@@ -39,7 +39,7 @@
     def response(
         self, state: ChangeState, code: str = "", unreached: list[str] | None = None, unreached_count: int = 0
     ) -> Send:
-        """The message that reports a state to the change's client."""
+        """Return the message that reports a state to the change's client."""
         names = (unreached or [])[:MAX_UNREACHED_NAMES]
         published = Published(self.request, state, self.version, code, names, unreached_count)
         return Send(self.client, published)
@@ -54,18 +54,18 @@
 
 
 class ChangeRequests:
-    """The requests of one publisher. `responses` holds what is to be sent, in order."""
+    """The requests of one publisher. `responses` holds the messages to send, in order."""
 
     def __init__(self) -> None:
         self.responses: deque[Send] = deque()
-        self.dropped_in_force = 0  # changes whose client gets no `in_force`, for want of space
+        self.dropped_in_force = 0  # changes over MAX_AWAITING_IN_FORCE, whose clients get no `in_force`
         self._queue: deque[QueuedChange] = deque()
         self._queued_bytes = 0
         self._appended: deque[PendingChange] = deque()
         self._accepted: deque[PendingChange] = deque()
 
     def enqueue(self, client: str, publish: Publish, deadline: int) -> None:
-        """Add a valid change to the queue, or reject it where the queue is full."""
+        """Add a valid change to the queue, or reject the change if the queue is full."""
         size = len(publish.value)
         if len(self._queue) >= MAX_QUEUED_CHANGES or self._queued_bytes + size > MAX_QUEUED_BYTES:
             self.reject(client, publish, PublisherBusy)
@@ -74,22 +74,22 @@
         self._queued_bytes += size
 
     def reject(self, client: str, publish: Publish, error: type[Rejection]) -> None:
-        """Report a change that is not appended and will not be."""
+        """Respond that a change is rejected: it is not appended and will not be."""
         change = PendingChange(client, publish.request, deadline=0)
         self.responses.append(change.response(ChangeState.REFUSED, error.code))
 
     def next_to_append(self) -> Publish | None:
-        """The oldest queued change; None where there is none."""
+        """Return the oldest queued change, or None."""
         return self._queue[0].publish if self._queue else None
 
     def on_append(self, version: Version) -> None:
-        """The oldest queued change is in the publisher's log at this version."""
+        """Record that the oldest queued change is in the publisher's log, at this version."""
         change = self._pop_queue()
         change.version = version
         self._appended.append(change)
 
     def on_committed(self, sequence: int) -> None:
-        """A majority has everything up to this sequence on disk."""
+        """Respond `accepted` for the changes up to this sequence, which a majority has on disk."""
         while self._appended and self._appended[0].version.sequence <= sequence:
             change = self._appended.popleft()
             self.responses.append(change.response(ChangeState.ACCEPTED))
@@ -99,7 +99,7 @@
             self.dropped_in_force += 1
 
     def on_in_force(self, sequence: int, unreached: list[str], unreached_count: int) -> None:
-        """Everything up to this sequence is in force wherever anybody is reached."""
+        """Respond `in_force` for the changes up to this sequence, with the followers that are unreached."""
         while self._accepted and self._accepted[0].version.sequence <= sequence:
             change = self._accepted.popleft()
             self.responses.append(change.response(ChangeState.IN_FORCE, "", unreached, unreached_count))
@@ -114,7 +114,7 @@
             self._report_unconfirmed(change)
 
     def on_lease_lost(self) -> None:
-        """Respond to all requests: this publisher can do no more for them."""
+        """Respond to all requests, because this publisher can no longer commit changes."""
         for queued in self._queue:
             self.responses.append(queued.pending.response(ChangeState.REFUSED, NotPublisher.code))
         for change in self._appended:
@@ -125,11 +125,11 @@
         self._queued_bytes = 0
 
     def awaits_in_force(self) -> bool:
-        """Whether the client of an accepted change waits for `in_force`."""
+        """Return whether a client still gets `in_force` for an accepted change."""
         return bool(self._accepted)
 
     def wake_at(self) -> int | None:
-        """The next deadline in microseconds; None where there is none."""
+        """Return the next deadline in microseconds, or None."""
         deadlines = [self._queue[0].pending.deadline] if self._queue else []
         unreported = (change.deadline for change in self._appended if not change.reported_unconfirmed)
         return min([*deadlines, *islice(unreported, 1)], default=None)
--- a/linenbridge/distribution/log/propagation.py
+++ b/linenbridge/distribution/log/propagation.py
@@ -1,7 +1,8 @@
-"""How far a region's changes are in force everywhere, as its relays report for all followers below them.
+"""Up to which sequence a region's changes are in force, as its relays report for all followers below them.
 
-Keeps state without I/O. A relay that has not reported for a while counts as unreached, and so do the
-followers that it names. Silence never counts as being in force: whoever is unreached is named instead.
+A state machine without I/O. A relay that has not reported for `silence` microseconds counts as unreached, and
+so do the followers that a relay reports as unreached. No change counts as in force at an unreached process:
+the result names and counts these processes instead.
 """
 
 from __future__ import annotations
@@ -11,12 +12,15 @@
 from linenbridge.distribution.messages import Progress, SubtreeSummary
 
 MAX_UNREACHED_NAMES = 64  # names in one `Propagation`
-NO_BOUND = 1 << 62  # the lowest sequence in force where nobody follows
+NO_BOUND = 1 << 62  # the lowest sequence in force if there are no followers
 
 
 @dataclass(slots=True)
 class Propagation:
-    """All that are reached have everything up to `sequence` in force; the others are named and counted."""
+    """All reached relays and followers have the changes up to `sequence` in force.
+
+    `unreached` names the other ones, up to a limit; `unreached_count` counts all of them.
+    """
 
     sequence: int
     unreached: list[str] = field(default_factory=list)
@@ -24,7 +28,7 @@
 
 
 class PropagationProgress:
-    """The latest report of each relay of a region. `silence` is in microseconds."""
+    """The latest report of each relay of a region; `silence` is in microseconds."""
 
     def __init__(self, region: str, relays: tuple[str, ...], silence: int) -> None:
         self.region = region
@@ -35,13 +39,14 @@
         self._wake_at: int | None = None
 
     def start_epoch(self, now: int) -> None:
-        """Discard all reports; each relay has the time of one silence to report again."""
+        """Discard all reports. Each relay counts as reached until `silence` has passed without a new
+        report."""
         self._last_report_at = dict.fromkeys(self._last_report_at, now)
         self._positions.clear()
         self._subtrees.clear()
 
     def on_progress(self, now: int, relay: str, message: Progress) -> None:
-        """A relay's report on itself and on all below it."""
+        """Record a relay's report on itself and on all followers below it."""
         self._last_report_at[relay] = now
         for position in message.positions:
             if position.region == self.region:
@@ -51,7 +56,10 @@
                 self._subtrees[relay] = summary
 
     def current(self, now: int) -> Propagation | None:
-        """How far changes are in force; None while a relay may still report, or none has."""
+        """Return up to where changes are in force.
+
+        The result is None if all relays are silent, or if a relay that is not silent has not reported yet.
+        """
         silent = [relay for relay, at in self._last_report_at.items() if now - at >= self.silence]
         reached = [relay for relay in self._last_report_at if relay not in silent]
         self._wake_at = min((self._last_report_at[relay] + self.silence for relay in reached), default=None)
@@ -67,12 +75,13 @@
         return found
 
     def wake_at(self) -> int | None:
-        """When another relay counts as silent, as of the last call of `current`, in microseconds."""
+        """Return the time at which the next relay counts as silent, in microseconds, as of the last call of
+        `current`."""
         return self._wake_at
 
     def _sequences_in_force(self, relay: str) -> list[int]:
-        """The relay's own sequence, where it reports one, and the lowest of its followers, where it has
-        any."""
+        """Return the relay's own sequence, if it reported one, and the lowest sequence of its followers, if
+        it has any."""
         summary = self._subtrees.get(relay)
         own = [self._positions[relay]] if relay in self._positions else []
         return own + ([summary.min_sequence] if summary is not None and summary.followers else [])
--- a/linenbridge/distribution/log/publisher.py
+++ b/linenbridge/distribution/log/publisher.py
@@ -1,8 +1,10 @@
-"""The publisher of a region: it recovers the log from its relays first, then appends changes in order.
+"""The publisher of a region: it first recovers the log from the region's relays, then appends changes in
+order.
 
-Decides without I/O. Its epoch is the term of a lease, which the host gives before every pull of decisions;
-without the lease it sends nothing to relays. A change is committed once a majority of the region's relays, or
-all of them, have it on disk together with an entry of this epoch (docs/distribution.md, "The log").
+A state machine without I/O. The publisher's epoch is the term of a lease, which the host passes in before
+each call of `next_decision`; without the lease, the publisher sends nothing to relays. A change is committed
+once a majority of the region's relays, or all of them, have it on disk together with an entry of this epoch
+(docs/distribution.md, "The log").
 """
 
 from __future__ import annotations
@@ -21,17 +23,17 @@
 from linenbridge.distribution.log.replication import Peer, PublisherTiming
 from linenbridge.distribution.messages import Appended, Fetched, Prepared, Progress, Publish
 
-MAX_UNCOMMITTED_ENTRIES = 256  # clients' entries in the log that no majority has yet; further ones wait
+MAX_UNCOMMITTED_ENTRIES = 256  # in the log; further changes wait in the queue
 MAX_NAME_BYTES = 4 * MAX_NAME_CHARACTERS  # of a key's name in UTF-8
 
-Check = Callable[[int, str, bytes], str]  # what is wrong with a kind, name and value; "" where nothing is
+Check = Callable[[int, str, bytes], str]  # returns what is wrong with a kind, name and value, or ""
 
 
 class Publisher:
-    """One candidate for a region's publisher. `relays` are those of the region; `check` validates a value.
+    """One candidate for a region's publisher.
 
-    `epoch` is the newest that this publisher had. `deposed` is set once a relay has promised an epoch to a
-    successor.
+    `relays` names the relays of the region, and `check` validates a value. `epoch` is the newest epoch for
+    which this candidate held the lease. `deposed` is set once a relay has promised an epoch to a successor.
     """
 
     def __init__(
@@ -61,18 +63,18 @@
 
     @property
     def leading(self) -> bool:
-        """Whether changes are appended."""
+        """Whether the publisher appends changes: it holds the lease and the log is recovered."""
         return self._active and self.recovery is None
 
     @property
     def _active(self) -> bool:
-        """Whether messages may be sent to relays."""
+        """Whether the publisher may send messages to relays."""
         return self.holds_lease and not self.deposed
 
     # ---- inputs ------------------------------------------------------------------------------------------
 
     def on_term(self, now: int, term: int | None) -> None:
-        """The lease's term at this moment, None where it is not held."""
+        """Set the lease's term at this moment; None if the lease is not held."""
         if term is not None and term > self.epoch:
             self._start_epoch(now, term)
         holds_lease = term is not None and term == self.epoch
@@ -81,7 +83,7 @@
         self.holds_lease = holds_lease
 
     def on_prepared(self, now: int, message: Prepared) -> None:
-        """A relay's promise, or its rejection of this epoch."""
+        """Handle a relay's promise, or its rejection of this epoch."""
         if not self._concerns(message.region, message.relay):
             return
         if message.code:
@@ -91,14 +93,14 @@
             self._finish_recovery(now)
 
     def on_fetched(self, now: int, message: Fetched) -> None:
-        """A page of the log that is recovered."""
+        """Handle a page of the log during recovery."""
         concerns = self._concerns(message.region, message.relay)
         if concerns and message.epoch == self.epoch and self.recovery is not None:
             self.recovery.on_fetched(now, message)
             self._finish_recovery(now)
 
     def on_appended(self, now: int, message: Appended) -> None:
-        """A relay's response to an append."""
+        """Handle a relay's response to an append."""
         if not self._concerns(message.region, message.relay):
             return
         if message.code == OlderEpoch.code:
@@ -116,7 +118,7 @@
         self._advance_commit()
 
     def on_publish(self, now: int, client: str, message: Publish) -> None:
-        """A client's change. An invalid one is rejected at once."""
+        """Queue a client's change, or reject it at once if it is invalid."""
         if not self._active:
             self.change_requests.reject(client, message, NotPublisher)
         elif message.region != self.region:
@@ -129,14 +131,17 @@
             self.change_requests.enqueue(client, message, now + self.timing.answer_within)
 
     def on_progress(self, now: int, relay: str, message: Progress) -> None:
-        """A relay's report on how far all below it are."""
+        """Record a relay's report on the progress of all followers below it."""
         if relay in self.peers:
             self.propagation.on_progress(now, relay, message)
 
     # ---- decisions ---------------------------------------------------------------------------------------
 
     def next_decision(self, now: int) -> Decision | None:
-        """The next event, response to a client or message to a relay; call `on_term` before each call."""
+        """Return the next event, response to a client or message to a relay, or None.
+
+        The host calls `on_term` before each call.
+        """
         self.change_requests.on_time(now)
         if self.leading:
             self._append_queued()
@@ -150,7 +155,7 @@
         return None
 
     def wake_at(self) -> int | None:
-        """When `next_decision` is due again without another input, in microseconds."""
+        """Return the time, in microseconds, at which `next_decision` is due without another input."""
         times = [self.change_requests.wake_at()]
         if self.leading:
             times += [peer.timer_at for peer in self.peers.values()]
@@ -166,7 +171,7 @@
         return region == self.region and relay in self.peers
 
     def _start_epoch(self, now: int, term: int) -> None:
-        """A new epoch starts with the recovery of the log."""
+        """Start a new epoch with the recovery of the log."""
         self._stop("lease_renewed")
         self.epoch = term
         self.holds_lease = True
@@ -189,14 +194,15 @@
         self._advance_commit()
 
     def _stop(self, reason: str) -> None:
-        """Send nothing more to relays; report what is known to the clients."""
+        """Stop sending to relays, and respond to all pending requests of change clients."""
         if self.holds_lease:
             self._event("stopped", epoch=self.epoch, why=reason)
         self._sends.clear()
         self.change_requests.on_lease_lost()
 
     def _on_epoch_rejected(self, relay: str, epoch: int) -> None:
-        """A relay has promised a newer epoch, or this one to another publisher."""
+        """Stop publishing: a relay has promised a newer epoch, or has promised this epoch to another
+        publisher."""
         if epoch < self.epoch or self.deposed or not self.holds_lease:
             return
         self._stop("replaced")
@@ -206,14 +212,14 @@
     # ---- appending ---------------------------------------------------------------------------------------
 
     def _rejection_reason(self, message: Publish) -> str:
-        """What is wrong with a change; "" where nothing is."""
+        """Return what is wrong with a change, or "" if it is valid."""
         if message.kind not in Kind.__members__.values() or message.kind == Kind.LOG:
-            return f"unknown kind {message.kind}"
+            return f"unknown kind {message.kind}; 1 (routes) to 4 (zone) are allowed"
         length = len(message.name)
         if not 0 < length <= MAX_NAME_CHARACTERS or len(message.name.encode()) > MAX_NAME_BYTES:
-            return f"its name has {length} characters, 1 to {MAX_NAME_CHARACTERS} are taken"
+            return f"the name has {length} characters; 1 to {MAX_NAME_CHARACTERS} are allowed"
         if len(message.value) > MAX_VALUE_BYTES:
-            return f"its value has {len(message.value)} bytes, {MAX_VALUE_BYTES} are taken"
+            return f"the value has {len(message.value)} bytes; at most {MAX_VALUE_BYTES} are allowed"
         return self.check(message.kind, message.name, message.value) if message.value else ""
 
     def _append(self, kind: int, name: str, value: bytes) -> Version:
@@ -229,7 +235,8 @@
             self.change_requests.on_append(self._append(message.kind, message.name, message.value))
 
     def _append_incarnations(self) -> None:
-        """A relay that may have lost entries counts again behind an entry that names its new incarnation."""
+        """Append an entry for each new incarnation of a relay. Once the entry is committed, a relay that may
+        have lost entries counts towards majorities again."""
         for peer in self.peers.values():
             record = self.log.incarnations.get(peer.name)
             if peer.incarnation and (record is None or record.number != peer.incarnation):
@@ -246,8 +253,11 @@
     # ---- committing --------------------------------------------------------------------------------------
 
     def _advance_commit(self) -> None:
-        """Commit the entries that enough relays have, together with one of this epoch. A committed
-        incarnation of a relay counts from then on, so relays are counted again after each commit."""
+        """Commit the entries that enough relays have, if the newest of them is of this epoch.
+
+        A relay's incarnation counts once the entry that names it is committed, so the relays are counted
+        again after each commit.
+        """
         self._append_incarnations()
         while (sequence := self._replicated_by_quorum()) > self.log.committed:
             if not self._is_of_this_epoch(sequence):
@@ -259,18 +269,18 @@
             self.log.purge_tombstones(purge_up_to)
 
     def _committed_everywhere(self) -> int:
-        """What every relay surely has committed, on its disk."""
+        """Return the newest sequence that every relay is known to have committed on its disk."""
         return min(peer.confirmed_committed for peer in self.peers.values())
 
     def _is_of_this_epoch(self, sequence: int) -> bool:
-        """Whether the entry at a sequence is of this epoch. Another publisher may still replace an entry of
-        an earlier epoch that a majority has."""
+        """Return whether the entry at a sequence is of this epoch. An entry of an earlier epoch is not
+        committed by its own majority, because another publisher may still replace it."""
         version = self.log.version_at(sequence)
         return version is not None and version.epoch == self.epoch
 
     def _replicated_by_quorum(self) -> int:
-        """The newest sequence that a majority of all relays has, of those whose incarnation counts, or that
-        all relays have in any incarnation."""
+        """Return the newest sequence that is on the disks of a quorum. A quorum is a majority of all relays,
+        made up of relays whose incarnation counts, or all relays in any known incarnation."""
         by_all = min((peer.acknowledged if peer.incarnation else 0) for peer in self.peers.values())
         acknowledged = sorted(
             (
--- a/linenbridge/distribution/log/recovery.py
+++ b/linenbridge/distribution/log/recovery.py
@@ -1,7 +1,9 @@
-"""How a new publisher recovers its region's log before it appends: promises first, then the newest log.
+"""Recovery of a region's log by a new publisher, before it appends: it collects promises, then reads the
+newest log.
 
-Decides without I/O. A recovery needs the promises of a majority of members, or of all relays of the region.
-The promise of an incarnation that the recovered log shows to be retired does not count.
+A state machine without I/O. A recovery requires promises from members that are a majority of the region's
+relays, or from all relays. The promise of an incarnation that the recovered log shows to be retired does not
+count.
 """
 
 from __future__ import annotations
@@ -14,18 +16,19 @@
 from linenbridge.distribution.log.replication import JITTER, Peer, PublisherTiming
 from linenbridge.distribution.messages import Fetch, Fetched, Prepare, Prepared
 
-MAX_UNANSWERED_FETCHES = 5  # sent to one relay; then the log of another is read
+MAX_UNANSWERED_FETCHES = 5  # to one relay; its promise is then discarded
 
 
 def majority(relay_count: int) -> int:
-    """How many of a region's relays are a majority."""
+    """Return the number of relays that is a majority of `relay_count`."""
     return relay_count // 2 + 1
 
 
 class LogRecovery:
-    """The recovery of one epoch into `log`, which holds what this publisher had as committed before.
+    """The recovery of one epoch into `log`, which starts from the entries that this publisher knew as
+    committed.
 
-    `done` is set once the log holds all that may have been committed.
+    `done` is set once the log holds all entries that may have been committed.
     """
 
     def __init__(
@@ -53,7 +56,7 @@
         log.truncate(log.committed)
 
     def on_prepared(self, now: int, message: Prepared) -> None:
-        """A relay's promise."""
+        """Handle a relay's promise."""
         peer = self.peers[message.relay]
         incarnation_before = peer.incarnation
         if not peer.accepts_incarnation(message.incarnation):
@@ -65,7 +68,7 @@
             self._choose_source(now)
 
     def on_fetched(self, now: int, message: Fetched) -> None:
-        """A page of the log that is read; one that is not awaited is ignored."""
+        """Append a page of the log that is being read; any other page is ignored."""
         awaited = self._source is not None and message.relay == self._source.name
         if not awaited or message.after != self.log.last.sequence:
             return
@@ -80,7 +83,7 @@
             self._finish()
 
     def messages(self, now: int) -> list[Send]:
-        """The messages that are due. Missing promises are requested again and again."""
+        """Return the messages that are due. Requests for missing promises are repeated."""
         due = list[Send]()
         if now >= self._prepare_at:
             self._prepare_at = now + self._retry_delay()
@@ -91,14 +94,14 @@
         return due
 
     def wake_at(self) -> int:
-        """When the next message is due, in microseconds."""
+        """Return the time at which the next message is due, in microseconds."""
         return min(self._prepare_at, self._fetch_at) if self._source is not None else self._prepare_at
 
     def _retry_delay(self) -> int:
         return round(self.timing.retry * (1 + JITTER * self.random.random()))
 
     def _choose_source(self, now: int) -> None:
-        """Read the newest log, once enough relays have promised."""
+        """Start to read the newest log once enough relays have promised."""
         promised = [peer for peer in self.peers.values() if peer.prepared is not None]
         members = [peer for peer in promised if peer.promise.member]
         if len(members) >= majority(len(self.peers)):
@@ -109,7 +112,7 @@
             return
         newest = max(self._quorum, key=lambda peer: peer.promise.last)
         if self.log.committed < self._purged_up_to():
-            self.log.clear()  # what is in it may have been deleted since
+            self.log.clear()  # its keys may have been deleted since, and the tombstones purged
         if newest.promise.last.sequence <= self.log.committed:
             self._finish()
             return
@@ -126,8 +129,8 @@
         return [Send(source.name, Fetch(self.region, self.epoch, self.log.last.sequence))]
 
     def _abandon_source(self) -> None:
-        """The relay that is read does not respond, or sent other entries than were published: it has to
-        promise again."""
+        """Discard the promise of the relay whose log is read, and restart the recovery: the relay does not
+        respond, or sent an entry with a wrong checksum."""
         if self._source is not None:
             self._source.prepared = None
         self._restart_recovery()
@@ -138,7 +141,8 @@
         self.log.truncate(self.log.committed)
 
     def _finish(self) -> None:
-        """The log is read. Promises of incarnations that it shows to be retired do not count."""
+        """Complete the recovery, or restart it if the log shows that an incarnation of the quorum is
+        retired."""
         retired = [peer for peer in self._quorum if self._is_retired(peer)]
         for peer in retired:
             peer.retire_incarnation()
--- a/linenbridge/distribution/log/region_log.py
+++ b/linenbridge/distribution/log/region_log.py
@@ -1,11 +1,12 @@
-"""A region's log in memory, as its relays and its publisher hold it: a compacted part, then a dense one.
+"""A region's log in memory, as its relays and its publisher hold it: a compacted part, then a dense part.
 
-Keeps state without I/O. Up to `committed` only the newest entry of each key is held, in order of sequence;
-behind it every entry. So the log grows with the number of keys, not with time. A deletion is an entry without
-a value (a tombstone); once every relay of the region has committed it, it is purged, the oldest first.
+It does no I/O. Up to `committed` the log holds only the newest entry of each key, in order of sequence; after
+`committed` it holds every entry. The log therefore grows with the number of keys, not with time. A deletion
+is an entry without a value (a tombstone). Once every relay of the region has committed a tombstone, it is
+purged, the oldest first.
 
-Entries of kind LOG are about the log itself. One with an empty name starts a publisher's epoch. One named
-RELAY/NUMBER (hexadecimal) says which incarnation of a relay counts from there on.
+Entries of kind LOG are about the log itself. An entry with an empty name starts a publisher's epoch. An entry
+named RELAY/NUMBER (hexadecimal) makes that incarnation of the relay count towards majorities.
 """
 
 from __future__ import annotations
@@ -17,57 +18,60 @@
 
 from linenbridge.distribution.changes import START, Change, Kind, Version
 
-MAX_PAGE_BYTES = 48_000  # of entries in one message; a single larger entry goes alone
-MAX_ENTRY_OVERHEAD_BYTES = 64  # of an entry in a message beside its name and value
-MIN_HOLES = 64  # sequences of removed entries before the order is rebuilt
-MAX_TOMBSTONES = 50_000  # held; then the older half of them is purged
+MAX_PAGE_BYTES = 48_000  # of entries in one message; a larger entry is sent alone
+MAX_ENTRY_OVERHEAD_BYTES = 64  # of an entry in a message, without its name and value
+MIN_HOLES = 64  # sequences of removed entries in the order before it is rebuilt
+MAX_TOMBSTONES = 50_000  # above which the older half of them is purged
 
 
 class IncarnationRecord(NamedTuple):
-    """Which incarnation of a relay counts, and the sequence of the entry that says so."""
+    """The incarnation of a relay that counts, and the sequence of the entry that names it."""
 
     number: int
     sequence: int
 
 
 class CommitResult(NamedTuple):
-    """`committed` are the entries that a commit added and that are still the newest of their keys, in order;
-    `superseded` the sequences of entries that were removed for newer ones."""
+    """Result of a commit.
+
+    `committed` are the newly committed entries that are the newest of their keys, in order. `superseded` are
+    the sequences of the entries that were removed because newer ones replace them.
+    """
 
     committed: list[Change]
     superseded: list[int]
 
 
 class LogPage(NamedTuple):
-    """Consecutive entries of a log, and whether it goes on behind them."""
+    """Consecutive entries of a log; `more` is set if further entries follow."""
 
     changes: list[Change]
     more: bool
 
 
 def max_bytes_of(change: Change) -> int:
-    """What an entry takes in a message, at most."""
+    """Return the most bytes that an entry takes in a message."""
     return len(change.name.encode()) + len(change.value) + MAX_ENTRY_OVERHEAD_BYTES
 
 
 def incarnation_entry_name(relay: str, incarnation: int) -> str:
-    """The name of the entry that makes a relay's incarnation count."""
+    """Return the name of the entry that makes a relay's incarnation count."""
     return f"{relay}/{incarnation:x}"
 
 
 def _compaction_key(change: Change) -> tuple[int, str]:
-    """Which entries replace each other: for entries about the log, the newest one about a relay replaces
-    those before."""
+    """Return the key by which a newer entry replaces an older one. For an entry that names an incarnation, it
+    is the relay's name, so that the newest such entry of a relay replaces the earlier ones."""
     if change.kind == Kind.LOG:
         return change.kind, change.name.rpartition("/")[0]
     return change.key
 
 
 class Log:
-    """Entries by sequence.
+    """The entries of a log, by sequence.
 
     `committed` is the newest sequence that a majority is known to have. Tombstones up to `purged_up_to` were
-    purged. `incarnations` is by relay and includes entries that are not committed.
+    purged. `incarnations` is keyed by relay and includes entries that are not committed.
     """
 
     max_tombstones = MAX_TOMBSTONES
@@ -76,43 +80,44 @@
         self.clear()
 
     def clear(self) -> None:
-        """Remove all entries and start from nothing."""
+        """Reset the log to an empty one."""
         self.committed = 0
         self.purged_up_to = 0
         self.incarnations: dict[str, IncarnationRecord] = {}
         self._entries: dict[int, Change] = {}
-        self._order: list[int] = []  # sequences, with those of removed entries until it is rebuilt
-        self._newest: dict[tuple[int, str], int] = {}  # the committed entry of each key
-        self._tombstones: deque[int] = deque()  # committed ones, with some that were superseded
+        self._order: list[int] = []  # all sequences; those of removed entries stay until it is rebuilt
+        self._newest: dict[tuple[int, str], int] = {}  # sequence of each key's committed entry
+        self._tombstones: deque[int] = deque()  # committed tombstones, and some that were superseded
 
     def __len__(self) -> int:
         return len(self._entries)
 
     @property
     def last(self) -> Version:
-        """The newest entry's version."""
+        """Version of the newest entry."""
         return self._entries[self._order[-1]].version if self._order else START
 
     def version_at(self, sequence: int) -> Version | None:
-        """The version of the entry at a sequence, if it is held."""
+        """Return the version of the entry at a sequence; None if the log does not hold it."""
         entry = self._entries.get(sequence)
         return entry.version if entry is not None else None
 
     def agrees_at(self, version: Version) -> bool:
-        """Whether this log equals, up to `version`, one that holds it or has committed up to its sequence."""
+        """Return whether this log agrees, up to `version`, with a log that holds `version` or has committed up
+        to its sequence."""
         return version.sequence <= self.committed or self.version_at(version.sequence) == version
 
     def append(self, change: Change) -> None:
-        """Add an entry behind all others."""
+        """Append an entry; its sequence is higher than that of all others."""
         self._entries[change.sequence] = change
         self._order.append(change.sequence)
         self._note_incarnation(change)
 
     def truncate(self, after: int) -> None:
-        """Remove all entries behind a sequence. ValueError where that would remove committed ones."""
+        """Remove all entries after a sequence. Raises ValueError if some of them are committed."""
         if after < self.committed:
             raise ValueError(
-                f"entries up to {self.committed} are committed; cannot drop those behind {after}"
+                f"entries up to {self.committed} are committed; cannot remove those after {after}"
             )
         while self._order and self._order[-1] > after:
             del self._entries[self._order.pop()]
@@ -121,7 +126,7 @@
             self._note_incarnation(entry)
 
     def commit(self, upto: int) -> CommitResult:
-        """Mark the entries up to a sequence as committed, and remove those that they supersede."""
+        """Mark the entries up to a sequence as committed, and remove the entries that they supersede."""
         committed = list[Change]()
         superseded = list[int]()
         upto = min(upto, self.last.sequence)
@@ -144,7 +149,10 @@
         return CommitResult([entry for entry in committed if entry.sequence not in removed], superseded)
 
     def purge_tombstones(self, upto: int) -> list[int]:
-        """Remove the tombstones up to a sequence that is behind the newest committed one; their sequences."""
+        """Remove the tombstones up to the sequence `upto`, and return their sequences.
+
+        Nothing is removed unless `upto` is below the committed sequence.
+        """
         removed = list[int]()
         while self._tombstones and self._tombstones[0] <= upto < self.committed:
             entry = self._entries.pop(self._tombstones.popleft(), None)
@@ -156,7 +164,10 @@
         return removed
 
     def purge_target(self) -> int:
-        """Up to where tombstones should be purged: no further than they were while there are few."""
+        """Return the sequence up to which tombstones should be purged.
+
+        It is the present `purged_up_to` unless there are more than `max_tombstones`.
+        """
         if len(self._tombstones) > self.max_tombstones:
             self._tombstones = deque(sequence for sequence in self._tombstones if sequence in self._entries)
         if len(self._tombstones) <= self.max_tombstones:
@@ -164,7 +175,7 @@
         return self._tombstones[len(self._tombstones) - self.max_tombstones // 2 - 1]
 
     def page_after(self, sequence: int, max_bytes: int = MAX_PAGE_BYTES) -> LogPage:
-        """The entries behind a sequence, in order, as many as one message takes."""
+        """Return the entries after a sequence, in order, as many as fit into one message."""
         page = list[Change]()
         size = 0
         for place in range(bisect_right(self._order, sequence), len(self._order)):
@@ -178,11 +189,12 @@
         return LogPage(page, more=False)
 
     def newest_of_each_key(self) -> list[Change]:
-        """All that is committed, in order."""
+        """Return all committed entries that the log holds, in order."""
         return [entry for entry in self._entries.values() if entry.sequence <= self.committed]
 
     def incarnation_counts(self, relay: str, incarnation: int) -> bool:
-        """Whether the committed log says that this incarnation of a relay counts."""
+        """Return whether the committed log names this incarnation of a relay, so that it counts towards
+        majorities."""
         record = self.incarnations.get(relay)
         return record is not None and record.number == incarnation and record.sequence <= self.committed
 
--- a/linenbridge/distribution/log/replica.py
+++ b/linenbridge/distribution/log/replica.py
@@ -1,10 +1,10 @@
-"""A relay's copy of its region's log: it promises epochs, stores entries, and delivers what is committed.
+"""A relay's replica of its region's log: it promises epochs, stores entries, and delivers committed changes.
 
-Decides without I/O. Majority replication as in Raft (Ongaro and Ousterhout, 2014), with the term of a lease
-(`epoch`) in place of elections. What a relay promises or accepts is on its disk before the response leaves. A
-relay that may have lost entries starts a new incarnation; it counts towards majorities again once its
-committed log names that incarnation, which a publisher brings about without it (docs/distribution.md, "The
-log").
+A state machine without I/O. It replicates to a majority as in Raft (Ongaro and Ousterhout, 2014), with the
+term of a lease (`epoch`) in place of elections. A promise and accepted entries are on the relay's disk before
+the response is sent. A relay that may have lost entries starts a new incarnation. It counts towards
+majorities again once its committed log names that incarnation; the publisher commits that entry without
+counting the relay (docs/distribution.md, "The log").
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from linenbridge.distribution.log.region_log import Log
 from linenbridge.distribution.messages import Append, Appended, Fetch, Fetched, Message, Prepare, Prepared
 
-INCARNATION_BITS = 62  # of the random number that stands for one incarnation of a relay
+INCARNATION_BITS = 62  # of the random number that identifies one incarnation of a relay
 
 
 class StoredLog(Struct, frozen=True):
-    """What a relay's disk held when it started. `incarnation` 0: nothing was ever stored there."""
+    """Content of a relay's disk when the relay starts. `incarnation` is 0 if nothing was ever stored."""
 
     incarnation: int = 0
     epoch: int = 0
@@ -36,7 +36,7 @@
 
 
 class LogUpdate(NamedTuple):
-    """What a message changes in a log: entries behind `truncate_after` are removed first (None: none are),
+    """Update of a log by one message: the entries after `truncate_after` are removed (none if it is None),
     then `changes` are appended."""
 
     truncate_after: int | None
@@ -47,11 +47,11 @@
 
 
 class Replica:
-    """One relay's replica. `stored` is what the disk held.
+    """The replica of one relay, started from `stored`, the content of its disk.
 
     `trusted` is the operator's assurance that the disk never goes back to an earlier state; without it, each
-    start begins a new incarnation. `failed` is set once the disk cannot be used: then the replica answers
-    nobody.
+    start begins a new incarnation. `failed` is set once the disk cannot be used; the replica then responds to
+    no message.
     """
 
     def __init__(self, region: str, name: str, stored: StoredLog, random: Random, *, trusted: bool) -> None:
@@ -62,7 +62,7 @@
         self.failed = False
         self.log = Log()
         self._decisions: deque[Decision] = deque()
-        self._issued = 0  # number of the newest Persist that was issued
+        self._issued = 0  # number of the newest Persist
         self._persisted = 0  # number of the newest Persist that is on disk
         for change in stored.changes:
             self.log.append(change)
@@ -75,13 +75,13 @@
 
     @property
     def member(self) -> bool:
-        """Whether this relay counts towards majorities, by its own log."""
+        """Whether this relay counts towards majorities, according to its own log."""
         return self.log.incarnation_counts(self.name, self.incarnation)
 
     # ---- inputs ------------------------------------------------------------------------------------------
 
     def on_prepare(self, now: int, publisher: str, message: Prepare) -> None:  # noqa: ARG002  # as all inputs
-        """A new publisher requests the promise to accept nothing of earlier epochs."""
+        """Handle a new publisher's request for the promise to reject earlier epochs."""
         if self.failed or message.region != self.region:
             return
         if not self._accepts_epoch(publisher, message.epoch):
@@ -91,7 +91,7 @@
         self._respond(publisher, self._prepared(), promised=promised)
 
     def on_fetch(self, now: int, publisher: str, message: Fetch) -> None:  # noqa: ARG002  # as all inputs
-        """The publisher that holds the promise reads the log."""
+        """Send a page of the log, if the publisher is the one that the epoch was promised to."""
         if self.failed or message.region != self.region:
             return
         if (message.epoch, publisher) != (self.epoch, self.publisher):
@@ -102,7 +102,7 @@
         self._respond(publisher, fetched)
 
     def on_append(self, now: int, publisher: str, message: Append) -> None:
-        """Entries or a heartbeat of a publisher."""
+        """Handle entries or a heartbeat from a publisher."""
         if self.failed or message.region != self.region:
             return
         if not self._accepts_epoch(publisher, message.epoch):
@@ -123,11 +123,11 @@
             self._respond(publisher, gap, promised=promised)
 
     def on_persisted(self, now: int, number: int) -> None:  # noqa: ARG002  # as all inputs
-        """The host has everything up to this Persist on disk."""
+        """Record that the Persist decisions up to `number` are on disk."""
         self._persisted = max(self._persisted, number)
 
     def on_store_failed(self, now: int, error: RelayStoreError) -> None:  # noqa: ARG002  # as all inputs
-        """The disk cannot be used: this replica answers nobody until it is started again."""
+        """Stop the replica because its disk cannot be used; it responds to no message until a restart."""
         if self.failed:
             return
         self.failed = True
@@ -137,22 +137,24 @@
     # ---- decisions ---------------------------------------------------------------------------------------
 
     def next_decision(self, now: int) -> Decision | None:  # noqa: ARG002  # as all inputs
-        """The next decision, in order; None where there is none."""
+        """Return the next decision in order, or None."""
         return self._decisions.popleft() if self._decisions else None
 
     def wake_at(self) -> int | None:
-        """None: a replica has no timer."""
+        """Return None, because a replica has no timer."""
         return None
 
     # ---- promises ----------------------------------------------------------------------------------------
 
     def _accepts_epoch(self, publisher: str, epoch: int) -> bool:
-        """Whether the epoch is the promised one, of the same publisher, or a newer one."""
+        """Return whether the epoch is newer than the promised one, or was promised to the same publisher."""
         return epoch > self.epoch or (epoch, publisher) == (self.epoch, self.publisher)
 
     def _promise(self, publisher: str, epoch: int) -> bool:
-        """Accept nothing below this epoch, nor of another publisher in it. Whether that is new, and has to be
-        stored."""
+        """Promise to reject earlier epochs, and other publishers in this epoch.
+
+        Returns whether the promise is new and has to be stored.
+        """
         if (epoch, publisher) == (self.epoch, self.publisher):
             return False
         self.epoch = epoch
@@ -182,7 +184,7 @@
     # ---- entries -----------------------------------------------------------------------------------------
 
     def _malformed_reason(self, message: Append) -> str | None:
-        """What is wrong with the form of a message; None where nothing is."""
+        """Return what is malformed in a message, or None."""
         before = Version(0, message.previous.sequence)
         for change in message.changes:
             if change.region != self.region or change.epoch > message.epoch:
@@ -190,12 +192,13 @@
             if change.sequence <= before.sequence or change.epoch < before.epoch:
                 return f"entry {change.sequence} of epoch {change.epoch} is out of order"
             if not intact(change):
-                return f"entry {change.sequence} is not as its publisher sealed it"
+                return f"entry {change.sequence} does not match its checksum"
             before = change.version
         return None
 
     def _accept_entries(self, publisher: str, message: Append, *, promised: bool) -> None:
-        """Entries that are new here replace what differs from them; what is committed is delivered."""
+        """Store the entries that this log lacks in place of those that differ, and deliver newly committed
+        ones."""
         upto = message.changes[-1].sequence if message.changes else message.previous.sequence
         update = self._entries_to_append(message)
         if update.truncate_after is not None:
@@ -218,8 +221,11 @@
         self._deliver_committed(committed)
 
     def _entries_to_append(self, message: Append) -> LogUpdate:
-        """Which entries of a message are new, and behind which sequence this log differs from them. Entries
-        that agree are never removed: an earlier response may have counted towards a majority."""
+        """Return which entries of a message are new, and after which sequence this log differs from them.
+
+        Entries that agree are never removed, because a majority may have been counted with an earlier
+        response about them.
+        """
         if self._refills_from_start(message):
             return LogUpdate(0, message.changes)
         agreed = max(message.previous.sequence, self.log.committed)
@@ -232,22 +238,27 @@
         return NO_UPDATE
 
     def _refills_from_start(self, message: Append) -> bool:
-        """Whether the region is sent from its start to a relay that has a part of it alone: keys of that part
-        may have been deleted since."""
+        """Return whether the log is sent from its start to a relay that has only uncommitted entries. The
+        relay's entries are then replaced, because their keys may have been deleted since."""
         from_start = message.previous.sequence == 0 and message.purged_up_to > 0
         return from_start and bool(message.changes) and self.log.committed == 0 and len(self.log) > 0
 
     def _predates_purge(self, message: Append) -> bool:
-        """Whether this log ends before tombstones that were purged once every relay had them."""
+        """Return whether this log has not committed all tombstones that were purged once every relay had
+        them."""
         return 0 < self.log.committed < message.purged_up_to
 
     def _fail_restored_disk(self, now: int, purged_up_to: int) -> None:
-        """Every relay had everything up to `purged_up_to` on its disk; this disk has less."""
-        what = f"the disk ends at {self.log.committed}, all relays had {purged_up_to}: it was put back"
+        """Stop the replica: every relay had committed the entries up to `purged_up_to`, and this disk has
+        fewer."""
+        what = (
+            f"the log on disk is committed up to {self.log.committed}, all relays had {purged_up_to}: "
+            f"an older disk was restored"
+        )
         self.on_store_failed(now, RelayStoreError(what, self.name))
 
     def _deliver_committed(self, changes: list[Change]) -> None:
-        """Hand committed changes, without entries about the log itself, to the relay's feed."""
+        """Pass committed changes, without entries about the log itself, to the relay's feed."""
         changes = [change for change in changes if change.kind != Kind.LOG]
         if changes:
             self._decisions.append(Committed(self.region, changes))
@@ -255,7 +266,8 @@
     # ---- the disk ----------------------------------------------------------------------------------------
 
     def _begin_incarnation(self, random: Random) -> None:
-        """The disk may have lost something: this relay is another one for its publisher."""
+        """Begin a new incarnation, because the disk may have lost entries; the publisher treats it as another
+        relay."""
         self.incarnation = random.getrandbits(INCARNATION_BITS) | 1
         entries = len(self.log)
         committed = self.log.committed
@@ -263,7 +275,7 @@
         self._persist()
 
     def _respond(self, to: str, message: Message, *, promised: bool = False) -> None:
-        """Send a response once everything before it, and a new promise, is on disk."""
+        """Send a response once all earlier decisions and a new promise are on disk."""
         send = Send(to, message)
         if promised or self._issued > self._persisted:
             self._persist(then=[send])
--- a/linenbridge/distribution/log/replication.py
+++ b/linenbridge/distribution/log/replication.py
@@ -1,9 +1,9 @@
-"""Replication to one relay: what the publisher knows of the relay, and what it sends it next.
+"""Replication to one relay: the relay's state as the publisher knows it, and the next messages to the relay.
 
-Keeps state without I/O. Appends are pipelined within a window while the relay accepts them. After a gap or a
-timeout the publisher probes: one message at a time is in flight, an empty one after silence, so that a dead
-relay costs a few bytes. A relay gets a committed sequence only once it has everything that the log holds up
-to there.
+A state machine without I/O. Appends are pipelined within a window while the relay accepts them. After a gap
+or a timeout the publisher probes: one message at a time is in flight, and after a timeout it is an empty one,
+so that a dead relay costs few bytes. A committed sequence is announced to a relay only after all entries that
+the log holds up to that sequence were sent to it.
 """
 
 from __future__ import annotations
@@ -19,25 +19,28 @@
 from linenbridge.distribution.messages import Append, Prepared
 
 MAX_MESSAGES_IN_FLIGHT = 8  # to one relay
-MAX_WINDOW_BYTES = 256_000  # of entries in flight to one relay; one more message may exceed it
-MAX_FORMER_INCARNATIONS = 64  # of one relay that are remembered as retired
-JITTER = 0.5  # part by which waits are longer at random
-NO_GAP = -1  # no gap was reported
+MAX_WINDOW_BYTES = 256_000  # of entries in flight to one relay; the last message may exceed it
+MAX_FORMER_INCARNATIONS = 64  # of one relay that are stored as retired
+JITTER = 0.5  # largest random addition to a delay, as a fraction of the delay
+NO_GAP = -1  # value of `last_gap` if the relay has reported no gap
 
 
 class PublisherTiming(Struct, frozen=True):
     """Times of a publisher, in microseconds."""
 
-    heartbeat: int = 500_000  # between two messages to a relay
-    retry: int = 300_000  # without a response; doubles up to `max_retry`
+    heartbeat: int = 500_000  # longest time between two messages to a relay
+    retry: int = 300_000  # first wait for a response; doubles up to `max_retry`
     max_retry: int = 2_000_000
-    answer_within: int = 10_000_000  # then a change client gets `unconfirmed`
-    silence: int = 5_000_000  # without progress from a relay; then it is unreached
+    answer_within: int = 10_000_000  # deadline of a change; its client then gets `unconfirmed`
+    silence: int = 5_000_000  # a relay without a progress report for this long is unreached
 
 
 class InFlightMessage(NamedTuple):
-    """A message without a response: the version of its last entry, the bytes of its entries, and the
-    committed sequence that it announces."""
+    """A message that has no response yet.
+
+    `last` is the version of its last entry, `size` the bytes of its entries, and `announced_committed` the
+    committed sequence that it announces.
+    """
 
     last: Version
     size: int
@@ -45,10 +48,11 @@
 
 
 class Peer:
-    """One relay.
+    """Replication state of one relay.
 
-    `incarnation` is the relay's present one, 0 while it is unknown. `acknowledged` is the newest sequence
-    that its disk holds as the publisher's log does. `timer_at` is when it is due again, in microseconds.
+    `incarnation` is the relay's current incarnation, 0 while it is unknown. `acknowledged` is the newest
+    sequence up to which the relay's disk agrees with the publisher's log. `timer_at` is the time, in
+    microseconds, at which the next message to the relay is due without another input.
     """
 
     def __init__(self, name: str, timing: PublisherTiming, random: Random) -> None:
@@ -60,14 +64,14 @@
         self.start_epoch(0)
 
     def start_epoch(self, now: int) -> None:
-        """Forget everything but the retired incarnations."""
+        """Reset all state except the incarnations."""
         self.prepared: Prepared | None = None
         self.acknowledged = 0
-        self.matched = START  # the newest version that it acknowledged: sending goes on there after silence
-        self.sent = START  # the last entry sent, or where sending goes on
+        self.matched = START  # the newest version that it acknowledged; sending resumes after it
+        self.sent = START  # the last entry sent, or the entry after which sending resumes
         self.announced_committed = 0  # the committed sequence in the newest message
         self.confirmed_committed = (
-            0  # up to here it surely has committed, on its disk, all that the log holds
+            0  # up to here the relay is known to have committed, on its disk, all entries of the log
         )
         self.in_flight: deque[InFlightMessage] = deque()
         self.probing = True
@@ -77,14 +81,17 @@
 
     @property
     def promise(self) -> Prepared:
-        """The relay's promise of this epoch. RuntimeError where it has given none."""
+        """The relay's promise of this epoch. Raises RuntimeError if the relay has not promised it."""
         if self.prepared is None:
-            raise RuntimeError(f"{self.name} has not promised this epoch")
+            raise RuntimeError(f"relay {self.name} has not promised this epoch")
         return self.prepared
 
     def accepts_incarnation(self, incarnation: int) -> bool:
-        """Whether a message of this incarnation counts. A new one means that the relay may have lost what it
-        acknowledged."""
+        """Return whether to handle a message of this incarnation.
+
+        A new incarnation resets the state, because the relay may have lost entries that it acknowledged.
+        Messages of earlier incarnations are ignored.
+        """
         if incarnation in self.former_incarnations:
             return False
         if self.incarnation not in (0, incarnation):
@@ -94,7 +101,7 @@
         return True
 
     def retire_incarnation(self) -> None:
-        """The recovered log shows that this incarnation of the relay is retired."""
+        """Retire the relay's current incarnation, because the recovered log names another one."""
         self.former_incarnations.append(self.incarnation)
         self.incarnation = 0
         self.start_epoch(0)
@@ -102,7 +109,7 @@
     # ---- responses ---------------------------------------------------------------------------------------
 
     def on_agreed(self, now: int, upto: int, log: Log) -> None:
-        """The relay's disk agrees with the log up to a sequence."""
+        """Handle a response that the relay's disk agrees with the log up to the sequence `upto`."""
         while self.in_flight and self.in_flight[0].last.sequence <= upto:
             message = self.in_flight.popleft()
             confirmed = min(message.announced_committed, message.last.sequence)
@@ -120,7 +127,10 @@
         self._schedule(now)
 
     def on_gap(self, now: int, upto: int) -> None:
-        """The relay's log surely agrees up to `upto` alone. Each message of a window gets this response."""
+        """Handle a response that the relay's log is known to agree only up to the sequence `upto`.
+
+        Each message of a window gets this response; only the first one has an effect.
+        """
         if self.probing and self.in_flight and self.last_gap == upto:
             return
         self.probing = True
@@ -128,8 +138,8 @@
         self._resume_from_committed(now, upto)
 
     def start_sending(self, now: int, end: Version) -> None:
-        """Start behind what the relay has committed; where that is unknown, offer the log's `end`, and the
-        relay's response says where to go on."""
+        """Start sending after the relay's committed sequence. If that is unknown, probe at the log's `end`;
+        the relay's response then names the sequence to resume after."""
         if self.prepared is not None:
             self._resume_from_committed(now, self.prepared.committed)
         else:
@@ -140,7 +150,7 @@
     # ---- messages ----------------------------------------------------------------------------------------
 
     def messages(self, now: int, region: str, epoch: int, log: Log) -> list[Append]:
-        """The messages that are due."""
+        """Return the messages that are due."""
         due = list[Append]()
         if now >= self.timer_at and self.in_flight:
             self._on_timeout()
@@ -170,14 +180,14 @@
         return len(self.in_flight) < MAX_MESSAGES_IN_FLIGHT and size < MAX_WINDOW_BYTES
 
     def _on_timeout(self) -> None:
-        """Without a response: go on from where both logs surely agree, with one message at a time."""
+        """Resume from where both logs are known to agree, with one message at a time."""
         self.probing = True
         self.last_gap = NO_GAP
         self._rewind(self.matched)
         self.retry_delay = min(2 * self.retry_delay, self.timing.max_retry)
 
     def _probe(self, now: int, region: str, epoch: int, log: Log) -> Append:
-        """An empty message: a heartbeat, or a probe whose response is awaited."""
+        """Return an empty message: a heartbeat, or a probe that is in flight until its response."""
         message = self._empty(region, epoch, log)
         if self.probing:
             self.in_flight.append(InFlightMessage(self.sent, 0, message.committed))
@@ -188,14 +198,14 @@
         return Append(region, epoch, self.sent, self._announce_committed(log), [], log.purged_up_to)
 
     def _announce_committed(self, log: Log) -> int:
-        """The committed sequence for the next message. Superseded entries are left out of the log's committed
-        part, so the relay gets the new sequence once it has all the others."""
+        """Return the committed sequence for the next message. The log has no superseded entries in its
+        committed part, so the relay gets the new sequence only after all other entries were sent."""
         if self.sent.sequence >= log.committed:
             self.announced_committed = log.committed
         return self.announced_committed
 
     def _resume_from_committed(self, now: int, sequence: int) -> None:
-        """The relay has committed up to `sequence`: send what lies behind it."""
+        """Resume after `sequence`, up to which the relay has committed the log."""
         self.confirmed_committed = sequence
         self.matched = Version(0, sequence)
         self._rewind(self.matched)
@@ -207,6 +217,6 @@
         self.announced_committed = self.confirmed_committed
 
     def _schedule(self, now: int) -> None:
-        """Set the timer: until a response is overdue, or until the next heartbeat."""
+        """Set the timer to the time at which a response is overdue, or to the next heartbeat."""
         delay = self.retry_delay if self.in_flight else self.timing.heartbeat
         self.timer_at = now + round(delay * (1 + JITTER * self.random.random()))
--- a/linenbridge/distribution/storage/__init__.py
+++ b/linenbridge/distribution/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What the distribution stores on disk, each in one SQLite file: a relay's log, and a gateway's view."""
+"""Stores of the distribution, one SQLite file each: a relay's log and a gateway's view."""
--- a/linenbridge/distribution/storage/log_store.py
+++ b/linenbridge/distribution/storage/log_store.py
@@ -1,9 +1,9 @@
 """A relay's log on disk: one SQLite file, written before the relay responds.
 
-Owns the file and every transaction on it. Each entry carries its publisher's checksum; the state has one over
-itself, and says how many entries there are and what their checksums add up to. Nothing is repaired or
-guessed: a file that cannot be read as a whole is an error, and the relay starts with an emptied folder or not
-at all.
+This module owns the file and every transaction on it. Each entry has its publisher's checksum. The state has
+a checksum of its own, and contains the number of entries and the sum of their checksums. Nothing is repaired:
+a file that cannot be read completely is an error, and the relay starts only once the operator has emptied the
+folder.
 """
 
 from __future__ import annotations
@@ -34,11 +34,11 @@
 DELETE_BEHIND = "delete from entry where sequence > ? returning checksum"
 DELETE_ENTRY = "delete from entry where sequence = ? returning checksum"
 
-Row = tuple[Any, ...]  # of a table: SQLite's types vary by column
+Row = tuple[Any, ...]  # of a table; the types vary by column
 
 
 class State(Struct, array_like=True, frozen=True):
-    """The row beside the entries: `entries` is their number, `checksums` the sum of theirs."""
+    """The state row: `entries` is the number of entries, and `checksums` the sum of their checksums."""
 
     region: str = ""
     incarnation: int = 0
@@ -51,14 +51,16 @@
 
 
 class RelayLog:
-    """The file of one relay of a region, in a folder that exists. Every method raises RelayStoreError where
-    the file cannot be read or written."""
+    """The file of one relay of a region, in a folder that exists.
+
+    Every method raises RelayStoreError if the file cannot be read or written.
+    """
 
     def __init__(self, folder: str, region: str) -> None:
         self.region = region
         self.path = os.path.join(folder, FILE_NAME)
         if not os.path.isdir(folder):
-            raise RelayStoreError(f"no folder {folder}", self.path)
+            raise RelayStoreError(f"folder {folder} does not exist", self.path)
         self._state = State(region)
         try:
             self._connection = apsw.Connection(self.path)
@@ -70,8 +72,11 @@
             raise self._failed(error) from error
 
     def read(self) -> StoredLog:
-        """What the file holds; a new one holds nothing. The file is written to once, so that a disk that
-        cannot be written is noticed before anything is promised."""
+        """Return the content of the file; that of a new file is empty.
+
+        The file is also written to once, so that a disk that cannot be written is an error before the relay
+        promises anything.
+        """
         try:
             self._check_format()
             with self._transaction():
@@ -88,7 +93,7 @@
         )
 
     def persist(self, writes: Sequence[Persist]) -> None:
-        """Write all of them in one transaction, in order, or nothing of them."""
+        """Write all of the given decisions, in order, in one transaction."""
         before = self._state
         try:
             with self._transaction():
@@ -105,7 +110,8 @@
 
     @contextmanager
     def _transaction(self) -> Iterator[None]:
-        """All of it or nothing. SQLite itself has rolled back where the disk is full."""
+        """Commit all statements of the block, or roll all of them back. SQLite itself has rolled back if the
+        disk is full."""
         self._execute("begin immediate")
         try:
             yield
@@ -124,9 +130,11 @@
     def _check_format(self) -> None:
         (version,), *_ = self._execute("pragma user_version")
         if version not in (0, FORMAT_VERSION):
-            raise RelayStoreError(f"form {version} instead of {FORMAT_VERSION}", self.path)
+            raise RelayStoreError(
+                f"the file has format version {version}; this release reads {FORMAT_VERSION}", self.path
+            )
         if self._execute("pragma integrity_check") != [("ok",)]:
-            raise RelayStoreError("its pages do not fit together", self.path)
+            raise RelayStoreError("the integrity check of SQLite failed", self.path)
 
     # ---- reading -----------------------------------------------------------------------------------------
 
@@ -136,10 +144,12 @@
             return
         encoded, checksum = rows[0]
         if crc32(encoded) != checksum:
-            raise RelayStoreError("the state is not as it was written", self.path)
+            raise RelayStoreError("the state does not match its checksum", self.path)
         self._state = msgspec.msgpack.decode(encoded, type=State)
         if self._state.region != self.region:
-            raise RelayStoreError(f"it is the log of {self._state.region}, not of {self.region}", self.path)
+            raise RelayStoreError(
+                f"the file is the log of region {self._state.region}, not of {self.region}", self.path
+            )
 
     def _read_entries(self) -> list[Change]:
         changes = list[Change]()
@@ -148,11 +158,14 @@
         for sequence, epoch, kind, name, value, checksum in rows:
             change = Change(self.region, epoch, sequence, kind, name, value, checksum)
             if not intact(change):
-                raise RelayStoreError(f"entry {sequence} is not as it was written", self.path)
+                raise RelayStoreError(f"entry {sequence} does not match its checksum", self.path)
             changes.append(change)
             checksums += checksum
         if (len(changes), checksums) != (self._state.entries, self._state.checksums):
-            raise RelayStoreError(f"it has {len(changes)} entries of {self._state.entries}", self.path)
+            raise RelayStoreError(
+                f"{len(changes)} of {self._state.entries} entries were read, or an entry was replaced",
+                self.path,
+            )
         return changes
 
     # ---- writing -----------------------------------------------------------------------------------------
--- a/linenbridge/distribution/storage/view_store.py
+++ b/linenbridge/distribution/storage/view_store.py
@@ -1,11 +1,11 @@
-"""A view on disk: one SQLite file, from which a restarted gateway serves its last good version and requests
-from its relay only what it missed.
-
-Owns the file and every transaction on it. Pages and the positions that they are at are written together or
-not at all. Each row carries a checksum of itself, and the state row the number of rows and the sum of their
-checksums, so that a row that is changed, lost or replaced by an older one is noticed. A file that cannot be
-used is set aside: it costs the bytes of a complete transfer, never a wrong answer, and never stops the
-gateway.
+"""A gateway's view on disk: one SQLite file. A restarted gateway serves the last good version from it, and
+requests from its relay only the changes since.
+
+This module owns the file and every transaction on it. Pages and their positions are written in one
+transaction. Each row has a checksum, and the state row contains the number of rows and the sum of their
+checksums, so that a changed or lost row, or one replaced by an older one, is detected. A file that cannot be
+used is set aside. The gateway then starts without it, at the cost of a complete transfer, and serves nothing
+from a damaged file.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
 from linenbridge.distribution.view.results import PageKind, StoredPage
 from linenbridge.distribution.view.view import View
 
-FORMAT_VERSION = 1  # of the tables and of all pages; a file with another is set aside
-CACHE_KB = 1024  # KiB that SQLite may cache
+FORMAT_VERSION = 1  # of the tables and of all pages; a file with another version is set aside
+CACHE_KB = 1024  # KiB of SQLite's page cache
 CHECKSUM_BYTES = 8
 SET_ASIDE_SUFFIX = ".damaged"
-COMPANION_SUFFIXES = ("-wal", "-shm")  # of files that SQLite keeps beside its own
+COMPANION_SUFFIXES = ("-wal", "-shm")  # of the files that SQLite writes beside the database
 TABLES = """
 create table if not exists page (
   kind integer, part integer, name text, number integer, body blob, sum blob,
@@ -42,7 +42,7 @@
 DELETE_PAGE = f"delete from page {KEY}"
 INSERT_PAGE = "insert or replace into page values (?, ?, ?, ?, ?, ?)"
 
-# Errors that say nothing against the file itself: there is no place for it, or another process has it.
+# Errors that do not mean a damaged file: the disk is full, for example, or another process has the file open.
 UNAVAILABLE = (
     apsw.BusyError,
     apsw.LockedError,
@@ -54,21 +54,22 @@
     apsw.NoMemError,
     OSError,
 )
-# Errors of a file whose content cannot be used.
+# Errors that mean that the content of the file cannot be used.
 UNUSABLE = (apsw.Error, msgspec.MsgspecError, ValueError, TypeError, LookupError, ChangeRejected)
 
-WriteEvent = Callable[..., None]  # an event's name and its fields
+WriteEvent = Callable[..., None]  # called with an event's name and fields
 Load = Callable[[Iterator[StoredPage]], None]
 
 
 def check_only(pages: Iterator[StoredPage]) -> None:
-    """Read all pages, which checks them, and load none."""
+    """Read all pages, which checks them, without loading them."""
     for _ in pages:
         pass
 
 
 class State(Struct, array_like=True, frozen=True):
-    """The state row: number of rows, the sum of their checksums, and what the pages were checked against."""
+    """The state row: the number of rows, the sum of their checksums, and the fingerprint of the methods that
+    the pages were checked against."""
 
     row_count: int
     checksums: int
@@ -76,14 +77,14 @@
 
 
 class _UnusableStoreError(Exception):
-    """The file does not hold what was written, or was written for other settings."""
+    """The content of the file is damaged, or was written for other methods."""
 
 
 class ViewStore:
-    """One file.
+    """The store of one view, in one file.
 
-    `write_event` writes a line of the log. `error` is why there is no store (any more), None while there is
-    one. `write` may be called from another thread, one call at a time.
+    `write_event` writes a log line. `error` is the reason why the gateway runs without a store; it is None
+    while the store is in use. `write` may be called from another thread, one call at a time.
     """
 
     def __init__(self, path: str, fingerprint: str, write_event: WriteEvent) -> None:
@@ -96,7 +97,10 @@
 
     def open(self, load: Load = check_only) -> bool:
         """Open the file and pass all pages of the last complete write to `load`, range by range, as they are
-        read. False where the file cannot be used; what was loaded of it is to be discarded then."""
+        read.
+
+        Returns False if the file cannot be used; the caller then discards everything that was loaded.
+        """
         try:
             self._open(load)
         except UNAVAILABLE as error:
@@ -115,7 +119,9 @@
         connection.pragma("cache_size", -CACHE_KB)
         version = connection.pragma("user_version")
         if version not in (0, FORMAT_VERSION):
-            raise _UnusableStoreError(f"its form is {version}, this is {FORMAT_VERSION}")
+            raise _UnusableStoreError(
+                f"the file has format version {version}; this release reads {FORMAT_VERSION}"
+            )
         load(self._read(connection) if version else iter(()))
         try:
             connection.pragma("journal_mode", "wal")
@@ -125,32 +131,34 @@
                 connection.pragma("user_version", FORMAT_VERSION)
                 self._write_state(connection)
         except UNAVAILABLE as error:
-            self._give_up(error)  # What it holds is good; nothing more can be written.
+            self._give_up(error)  # The loaded pages are good, but nothing can be written.
 
     def _read(self, connection: apsw.Connection) -> Iterator[StoredPage]:
-        """Every page. Only at the end is it known whether they are all, and of one time."""
+        """Yield every page. Whether pages are missing or older than the others is known only at the end."""
         self.state = _read_state(connection)
         if self.state.fingerprint != self.fingerprint:
-            raise _UnusableStoreError("its routes were checked against other methods")
+            raise _UnusableStoreError("the routes in the file were checked against other methods")
         row_count = 0
         checksums = 0
         for kind, name, number, body, checksum in connection.execute(SELECT_PAGES):
             page = StoredPage(kind, name, number, body)
             if checksum != _checksum_of_page(page):
                 raise _UnusableStoreError(
-                    f"row {page.kind}/{page.name}/{page.number} is not as it was written"
+                    f"row {page.kind}/{page.name}/{page.number} does not match its checksum"
                 )
             row_count += 1
             checksums += int.from_bytes(checksum, "big")
             yield page
         if (row_count, checksums & DIGEST_MASK) != (self.state.row_count, self.state.checksums):
             raise _UnusableStoreError(
-                f"{row_count} rows of {self.state.row_count}, or one of them from another time"
+                f"{row_count} of {self.state.row_count} rows were read, or a row was replaced by an older one"
             )
 
     def write(self, pages: Sequence[StoredPage]) -> bool:
-        """Write all pages or none; False where there is no store (any more). After an error nothing more is
-        written: the file then still holds an earlier version as a whole."""
+        """Write all pages in one transaction; return False if there is no store.
+
+        After an error nothing more is written, so that the file holds a complete earlier version.
+        """
         connection = self.connection
         if connection is None:
             return False
@@ -184,7 +192,7 @@
         connection.execute("insert or replace into state values (1, ?, ?)", (encoded, _checksum(encoded)))
 
     def _set_aside(self, cause: Exception) -> None:
-        """The file cannot be used: rename it, in place of an earlier one, and begin a new one."""
+        """Rename the unusable file, which replaces one that was set aside earlier, and start a new file."""
         self.close()
         self.state = State(0, 0, self.fingerprint)
         try:
@@ -203,7 +211,7 @@
             self._give_up(error)
 
     def _give_up(self, error: BaseException) -> None:
-        """Go on without a store."""
+        """Close the store; the gateway runs without one."""
         self.close()
         self.error = ViewStoreError(f"{type(error).__name__}: {error}", self.path)
         self.write_event("distribution.store_lost", **self.error.fields())
@@ -218,7 +226,8 @@
 
 @contextmanager
 def _transaction(connection: apsw.Connection) -> Iterator[None]:
-    """All of it or nothing. SQLite itself has rolled back where the disk is full."""
+    """Commit all statements of the block, or roll all of them back. SQLite itself has rolled back if the disk
+    is full."""
     connection.execute("begin immediate")
     try:
         yield
@@ -232,10 +241,10 @@
 def _read_state(connection: apsw.Connection) -> State:
     rows = connection.execute("select words, sum from state where one = 1").fetchall()
     if not rows:
-        raise _UnusableStoreError("the state is not as it was written")
+        raise _UnusableStoreError("the state is missing")
     encoded = cast("bytes", rows[0][0])
     if rows[0][1] != _checksum(encoded):
-        raise _UnusableStoreError("the state is not as it was written")
+        raise _UnusableStoreError("the state does not match its checksum")
     return msgspec.msgpack.decode(encoded, type=State)
 
 
@@ -249,16 +258,18 @@
 
 
 def _part(page: StoredPage) -> int:
-    """Pages that are kept together in memory are read together: those of one range."""
+    """Return the range of a page, by which the pages are ordered: the pages of a range are together in
+    memory, and so are read together. It is 0 for pages that belong to no range."""
     return range_of(page.kind, page.name) if page.kind in (PageKind.ROUTES, PageKind.INSTANCE) else 0
 
 
 def fingerprint(methods: Iterable[str]) -> str:
-    """What a view's packed routes depend on beside their text: the methods that they may name."""
+    """Return a digest of the methods that routes may name. The packed routes of a view depend on them, and
+    not only on the text of the routes."""
     return blake2b("\n".join(sorted(methods)).encode(), digest_size=CHECKSUM_BYTES).hexdigest()
 
 
 def restored(store: ViewStore, new_view: Callable[[], View]) -> View:
-    """The view that the store holds, or a new one where it holds none that can be used."""
+    """Return the view that the store holds, or a new one if the store cannot be used."""
     view = new_view()
     return view if store.open(view.load) else new_view()
