--- a/linenbridge/distribution/log/region_log.py
+++ b/linenbridge/distribution/log/region_log.py
@@ -103,8 +103,8 @@
         return entry.version if entry is not None else None
 
     def agrees_at(self, version: Version) -> bool:
-        """Return whether this log agrees, up to `version`, with a log that holds `version` or has committed up
-        to its sequence."""
+        """Return whether this log agrees, up to `version`, with a log that holds `version` or has committed
+        up to its sequence."""
         return version.sequence <= self.committed or self.version_at(version.sequence) == version
 
     def append(self, change: Change) -> None:
