--- a/tests/scale/measure/instances.py
+++ b/tests/scale/measure/instances.py
@@ -14,7 +14,7 @@
 SIZES = (20, 200, 2_000, 20_000, 200_000)
 ZONES = 19
 LONG_AGO = -1_000_000_000_000  # microseconds; long enough before 0 that no instance is in slow start
-# Typical arguments of the decision module.
+# Values that the decision module passes.
 RESPONSE_GAP = 400_000.0  # microseconds
 CONCURRENCY_LIMIT = 3.0  # attempts in flight
 
