--- a/linenbridge/processor/external_processor.py
+++ b/linenbridge/processor/external_processor.py
@@ -399,5 +399,5 @@
         """Let a failed response pass, with headers that carry the module's decision."""
         session.release()
         session.call.send(codec.continue_response(MessageKind.RESPONSE_HEADERS, headers))
-        if session.call.half:
+        if session.call.half_closed:
             session.on_half_closed()
--- a/linenbridge/processor/http2/__init__.py
+++ b/linenbridge/processor/http2/__init__.py
@@ -7,15 +7,40 @@
 """
 
 from linenbridge.processor.http2.connection import Connection
-from linenbridge.processor.http2.server import LAST_STREAM, LEAVE, SWEEP, Server
+from linenbridge.processor.http2.server import LAST_STREAM, FINAL_GOAWAY_DELAY, SWEEP_INTERVAL, Server
 from linenbridge.processor.http2.status import (
-    CANCELLED, DEADLINE_EXCEEDED, FAILED_PRECONDITION, INTERNAL, INVALID_ARGUMENT, NOT_FOUND, OK,
-    PERMISSION_DENIED, RESOURCE_EXHAUSTED, UNAVAILABLE, UNIMPLEMENTED,
-)  # fmt: skip
+    CANCELLED,
+    DEADLINE_EXCEEDED,
+    FAILED_PRECONDITION,
+    INTERNAL,
+    INVALID_ARGUMENT,
+    NOT_FOUND,
+    OK,
+    PERMISSION_DENIED,
+    RESOURCE_EXHAUSTED,
+    UNAVAILABLE,
+    UNIMPLEMENTED,
+)
 from linenbridge.processor.http2.stream import Call, Peer, Receiver
 
 __all__ = [
-    "CANCELLED", "DEADLINE_EXCEEDED", "FAILED_PRECONDITION", "INTERNAL", "INVALID_ARGUMENT", "LAST_STREAM",
-    "LEAVE", "NOT_FOUND", "OK", "PERMISSION_DENIED", "RESOURCE_EXHAUSTED", "SWEEP", "UNAVAILABLE",
-    "UNIMPLEMENTED", "Call", "Connection", "Peer", "Receiver", "Server",
-]  # fmt: skip
+    "CANCELLED",
+    "DEADLINE_EXCEEDED",
+    "FAILED_PRECONDITION",
+    "FINAL_GOAWAY_DELAY",
+    "INTERNAL",
+    "INVALID_ARGUMENT",
+    "LAST_STREAM",
+    "NOT_FOUND",
+    "OK",
+    "PERMISSION_DENIED",
+    "RESOURCE_EXHAUSTED",
+    "SWEEP_INTERVAL",
+    "UNAVAILABLE",
+    "UNIMPLEMENTED",
+    "Call",
+    "Connection",
+    "Peer",
+    "Receiver",
+    "Server",
+]
--- a/linenbridge/processor/http2/connection.py
+++ b/linenbridge/processor/http2/connection.py
@@ -24,10 +24,10 @@
 from linenbridge.processor.http2.stream import Call, MessageError, Peer, Receiver, framed
 from linenbridge.processor.connection_limits import ConnectionBudget, ConnectionLimits, ControlFrame
 
-WINDOW = 1 << 20  # bytes that a whole connection may send before they are read
-GOAWAYS_MOST = 8
+CONNECTION_WINDOW = 1 << 20  # bytes that a whole connection may send before they are read
+MAX_GOAWAYS = 8
 
-HEAD = [(b":status", b"200"), (b"content-type", b"application/grpc")]
+RESPONSE_HEADERS = [(b":status", b"200"), (b"content-type", b"application/grpc")]
 
 
 class ConnectionOwner(Interface):
@@ -38,13 +38,13 @@
     services: dict[bytes, Callable[[Call], Receiver]]
     names: Callable[[Any], tuple[str, ...]]  # by the transport: the names in the peer's certificate
     now: Callable[[], int]  # microseconds
-    silent: dict[Call, None]  # streams on which no message has come yet
+    awaiting_first_message: dict[Call, None]  # streams on which no message has come yet
     dirty: list[Connection]  # connections with something to write
-    leaving: bool
+    draining: bool
 
     def flush_soon(self) -> None: ...
-    def closed(self, connection: Connection) -> None: ...
-    def left(self, connection: Connection) -> None: ...
+    def connection_closed(self, connection: Connection) -> None: ...
+    def close_drained(self, connection: Connection) -> None: ...
 
 
 class Connection(Protocol):
@@ -56,8 +56,8 @@
         self.server = server
         self.calls: dict[int, Call] = {}
         self.stalled: dict[int, Call] = {}
-        self.paused = self.lost = self.dirty = self.ending = self.greeted = False
-        self.born = server.now()
+        self.paused = self.lost = self.dirty = self.ending = self.settings_received = False
+        self.connected_at = server.now()
         self.budget = ConnectionBudget(server.limits, server.now())
         self.goaways = GoAwayFilter(PREFACE)
         config = h2.config.H2Configuration(client_side=False, header_encoding=None)
@@ -80,22 +80,22 @@
         self.peer = Peer(self.transport.getPeer().host)
         self.transport.registerProducer(self, True)
         self.h2.initiate_connection()
-        self.h2.increment_flow_control_window(WINDOW)
+        self.h2.increment_flow_control_window(CONNECTION_WINDOW)
         self.flush()
 
     def dataReceived(self, data: bytes) -> None:
         if self.ending:
             return
         try:
-            read = self.goaways.feed(data)
+            frames = self.goaways.feed(data)
             if self.goaways.oversized:
                 self.end("a frame is longer than was allowed", h2.errors.ErrorCodes.FRAME_SIZE_ERROR)
                 return
-            for event in self.h2.receive_data(read):
+            for event in self.h2.receive_data(frames):
                 if self.ending:
                     break
-                self._event(event)
-            if len(self.goaways.last_streams) > GOAWAYS_MOST:
+                self._handle_event(event)
+            if len(self.goaways.last_streams) > MAX_GOAWAYS:
                 self.end("it says goodbye again and again")
         except h2.exceptions.ProtocolError as error:
             self.server.log.event_sampled(
@@ -112,14 +112,14 @@
     # Twisted's producer: a peer that does not read is not read from either.
     def pauseProducing(self) -> None:
         self.paused = True
-        if not self.lost and self.greeted:  # A handshake's writes wait for its reads.
+        if not self.lost and self.settings_received:  # A handshake's writes wait for its reads.
             self.transport.pauseProducing()
 
     def resumeProducing(self) -> None:
         self.paused = False
         if not self.lost and not self.ending:
             self.transport.resumeProducing()
-            self.budget.on_written(self._queued(), self.server.now())
+            self.budget.on_written(self._unsent_bytes(), self.server.now())
 
     def stopProducing(self) -> None:
         self.paused = True
@@ -128,8 +128,8 @@
         """The one place where a connection and all of its streams are given back."""
         self.lost = self.ending = True
         for call in list(self.calls.values()):
-            self._over(call, gone=True)
-        self.server.closed(self)
+            self._release(call, notify=True)
+        self.server.connection_closed(self)
 
     def end(self, why: str, code: int | None = None) -> None:
         """Tell the peer why, as far as it reads, and close. Streams are told of their end at once."""
@@ -143,95 +143,95 @@
             self.h2.close_connection(error, why.encode())
         except h2.exceptions.ProtocolError:
             pass  # It has ended by itself; what it had to say lies in its buffer.
-        rest = self.h2.data_to_send()
+        unsent = self.h2.data_to_send()
         for call in list(self.calls.values()):
-            self._over(call, gone=True)
+            self._release(call, notify=True)
         if not self.lost:
             self.transport.unregisterProducer()
             if self.paused:
                 self.transport.abortConnection()
             else:
-                self.transport.write(rest)
+                self.transport.write(unsent)
                 self.transport.loseConnection()
 
     # ---- what comes in ---------------------------------------------------------------------------
 
-    def _event(self, event: Any) -> None:
+    def _handle_event(self, event: Any) -> None:
         now = self.server.now()
         match event:
             case h2.events.DataReceived():
-                self._data(event, now)
+                self._handle_data(event, now)
             case h2.events.RequestReceived():
-                self._opened(event, now)
+                self._handle_request(event, now)
             case h2.events.StreamEnded():
                 if (call := self.calls.get(event.stream_id)) is not None:
-                    call.half = True
-                    if call.rest:
+                    call.half_closed = True
+                    if call.partial_message:
                         self.finish(call, INVALID_ARGUMENT, "the stream ends within a message")
                     elif call.receiver is not None:
                         call.receiver.on_half_closed()
             case h2.events.StreamReset():
                 if (call := self.calls.get(event.stream_id)) is not None:
-                    self._bound(self.budget.on_stream_reset(now))
-                    self._over(call, gone=True, counted=True)
+                    self._enforce(self.budget.on_stream_reset(now))
+                    self._release(call, notify=True, reset_counted=True)
             case h2.events.WindowUpdated():
-                self._bound(self.budget.on_control_frame(ControlFrame.WINDOW, now))
-                self._unstall(event.stream_id)
+                self._enforce(self.budget.on_control_frame(ControlFrame.WINDOW, now))
+                self._resume_stalled(event.stream_id)
             case h2.events.PingReceived():
-                self._bound(self.budget.on_control_frame(ControlFrame.PING, now))
+                self._enforce(self.budget.on_control_frame(ControlFrame.PING, now))
             case h2.events.RemoteSettingsChanged():
-                self.greeted = True
-                self._bound(self.budget.on_control_frame(ControlFrame.SETTINGS, now))
-                self._unstall(0)
+                self.settings_received = True
+                self._enforce(self.budget.on_control_frame(ControlFrame.SETTINGS, now))
+                self._resume_stalled(0)
             case h2.events.PriorityUpdated():
-                self._bound(self.budget.on_control_frame(ControlFrame.PRIORITY, now))
+                self._enforce(self.budget.on_control_frame(ControlFrame.PRIORITY, now))
             case h2.events.UnknownFrameReceived():
-                self._bound(self.budget.on_control_frame(ControlFrame.UNKNOWN, now))
+                self._enforce(self.budget.on_control_frame(ControlFrame.UNKNOWN, now))
             case h2.events.TrailersReceived():
                 if (call := self.calls.get(event.stream_id)) is not None:
                     self.finish(call, INVALID_ARGUMENT, "a request has no trailers here")
 
-    def _bound(self, why: str | None) -> None:
+    def _enforce(self, why: str | None) -> None:
         if why is not None:
             self.end(why)
 
-    def _opened(self, event: Any, now: int) -> None:
+    def _handle_request(self, event: Any, now: int) -> None:
         call = self.calls[event.stream_id] = Call(self, event.stream_id, now)
-        call.half = event.stream_ended is not None
+        call.half_closed = event.stream_ended is not None
         if (why := self.budget.on_stream_opened()) is not None:
             self.end(why)
             return
-        self.server.silent[call] = None
+        self.server.awaiting_first_message[call] = None
         if self.peer.names is None:  # Not before: a certificate is known once the handshake is over.
             self.peer.names = self.server.names(self.transport)
-        named = dict(event.headers)
-        content = named.get(b"content-type", b"")
-        if named.get(b":method") != b"POST" or not content.startswith(b"application/grpc"):
-            self._plain(call, 415)
+        headers = dict(event.headers)
+        content = headers.get(b"content-type", b"")
+        if headers.get(b":method") != b"POST" or not content.startswith(b"application/grpc"):
+            self._respond_without_grpc(call, 415)
             return
-        if self.server.leaving:
+        if self.server.draining:
             self.finish(call, UNAVAILABLE, "this gateway is about to stop")
             return
-        service = self.server.services.get(named.get(b":path", b""))
+        service = self.server.services.get(headers.get(b":path", b""))
         if service is None:
             self.finish(call, UNIMPLEMENTED, "no such service here")
             return
         call.receiver = service(call)
 
-    def _data(self, event: Any, now: int) -> None:
+    def _handle_data(self, event: Any, now: int) -> None:
         size = event.flow_controlled_length
         if size:
             self.h2.acknowledge_received_data(size, event.stream_id)
         call = self.calls.get(event.stream_id)
         if not event.data and event.stream_ended is None:
-            self._bound(self.budget.on_control_frame(ControlFrame.EMPTY, now))
+            self._enforce(self.budget.on_control_frame(ControlFrame.EMPTY, now))
         if call is None or call.ended or not event.data:
             return
         try:
             for message in call.read(event.data, self.server.limits.max_message_bytes):
-                if not call.spoke:
-                    call.spoke = True
-                    self.server.silent.pop(call, None)
+                if not call.received_message:
+                    call.received_message = True
+                    self.server.awaiting_first_message.pop(call, None)
                 call.receiver.on_message(message)
                 if call.ended:
                     return
@@ -243,100 +243,102 @@
     def send(self, call: Call, data: bytes) -> None:
         message = framed(data)
         try:
-            self._start(call)
-            if call.queue or len(message) > self._window(call):
-                call.queue.append(message)
-                call.queued += len(message)
+            self._send_headers(call)
+            if call.unsent or len(message) > self._send_window(call):
+                call.unsent.append(message)
+                call.unsent_bytes += len(message)
                 self.stalled[call.id] = call
             else:
                 self.h2.send_data(call.id, message)
         except h2.exceptions.ProtocolError:
-            self._over(call, gone=True)
+            self._release(call, notify=True)
             return
-        self._soon()
+        self._schedule_flush()
 
-    def _start(self, call: Call) -> None:
-        if not call.started:
-            call.started = True
-            self.h2.send_headers(call.id, HEAD)
+    def _send_headers(self, call: Call) -> None:
+        if not call.headers_sent:
+            call.headers_sent = True
+            self.h2.send_headers(call.id, RESPONSE_HEADERS)
 
-    def _window(self, call: Call) -> int:
+    def _send_window(self, call: Call) -> int:
         return min(self.h2.local_flow_control_window(call.id), self.h2.max_outbound_frame_size)
 
-    def _unstall(self, stream: int) -> None:
+    def _resume_stalled(self, stream: int) -> None:
         """What waited for the peer's window goes on, in pieces where it must."""
         for call in list(self.stalled.values()) if stream == 0 else [self.stalled.get(stream)]:
             if call is not None and not call.ended:
                 try:
                     self._drain(call)
                 except h2.exceptions.ProtocolError:
-                    self._over(call, gone=True)
+                    self._release(call, notify=True)
 
     def _drain(self, call: Call) -> None:
-        while call.queue and (room := self._window(call)) > 0:
-            piece = call.queue.popleft()
-            if len(piece) > room:
-                call.queue.appendleft(piece[room:])
-                piece = piece[:room]
-            call.queued -= len(piece)
-            self.h2.send_data(call.id, piece)
-        if not call.queue:
+        while call.unsent and (available := self._send_window(call)) > 0:
+            chunk = call.unsent.popleft()
+            if len(chunk) > available:
+                call.unsent.appendleft(chunk[available:])
+                chunk = chunk[:available]
+            call.unsent_bytes -= len(chunk)
+            self.h2.send_data(call.id, chunk)
+        if not call.unsent:
             self.stalled.pop(call.id, None)
 
     def finish(self, call: Call, status: int, text: str) -> None:
         """The status ends the stream on our side. Where the peer has not ended its own, it is reset without
         blame, so that nothing more is sent on it. What a stalled peer has not taken is dropped."""
-        end = [(b"grpc-status", b"%d" % status)]
+        trailers = [(b"grpc-status", b"%d" % status)]
         if text:
-            end.append((b"grpc-message", percent_encoded(text)))
+            trailers.append((b"grpc-message", percent_encoded(text)))
         self.server.log.count("stream.status", str(status))
         try:
-            if call.queue:
+            if call.unsent:
                 self.h2.reset_stream(call.id, h2.errors.ErrorCodes.CANCEL)
             else:
-                self.h2.send_headers(call.id, end if call.started else HEAD + end, end_stream=True)
-                if not call.half:
+                self.h2.send_headers(
+                    call.id, trailers if call.headers_sent else RESPONSE_HEADERS + trailers, end_stream=True
+                )
+                if not call.half_closed:
                     self.h2.reset_stream(call.id, h2.errors.ErrorCodes.NO_ERROR)
         except h2.exceptions.ProtocolError:
             pass  # The peer has ended it meanwhile.
-        self._over(call, gone=False)
-        self._soon()
+        self._release(call, notify=False)
+        self._schedule_flush()
 
-    def _plain(self, call: Call, code: int) -> None:
+    def _respond_without_grpc(self, call: Call, code: int) -> None:
         self.h2.send_headers(call.id, [(b":status", b"%d" % code)], end_stream=True)
-        if not call.half:
+        if not call.half_closed:
             self.h2.reset_stream(call.id, h2.errors.ErrorCodes.NO_ERROR)
-        self._over(call, gone=False)
+        self._release(call, notify=False)
 
-    def _over(self, call: Call, gone: bool, counted: bool = False) -> None:
-        """The one place where a stream is given back; `gone` where its service has yet to be told."""
+    def _release(self, call: Call, notify: bool, reset_counted: bool = False) -> None:
+        """The one place where a stream is given back; `notify` where its service has yet to be told."""
         if call.ended:
             return
         call.ended = True
         self.calls.pop(call.id, None)
         self.stalled.pop(call.id, None)
-        self.server.silent.pop(call, None)
-        call.queue.clear()
-        call.rest = b""
-        if not counted:
+        self.server.awaiting_first_message.pop(call, None)
+        call.unsent.clear()
+        call.partial_message = b""
+        if not reset_counted:
             self.budget.on_stream_ended(self.server.now())
-        if gone and call.receiver is not None:
+        if notify and call.receiver is not None:
             call.receiver.on_closed()
         call.receiver = None
-        if self.server.leaving and not self.calls:
-            self._soon()
-            self.server.left(self)
+        if self.server.draining and not self.calls:
+            self._schedule_flush()
+            self.server.close_drained(self)
 
-    def _soon(self) -> None:
+    def _schedule_flush(self) -> None:
         """One write for all that a turn brings."""
         if not self.dirty and not self.lost:
             self.dirty = True
             self.server.dirty.append(self)
             self.server.flush_soon()
 
-    def _queued(self) -> int:
+    def _unsent_bytes(self) -> int:
         waiting = getattr(self.transport, "_tempDataLen", 0) + len(getattr(self.transport, "dataBuffer", b""))
-        return waiting + sum(call.queued for call in self.stalled.values())
+        return waiting + sum(call.unsent_bytes for call in self.stalled.values())
 
     def flush(self) -> None:
         self.dirty = False
@@ -344,16 +346,16 @@
             return
         if data := self.h2.data_to_send():
             self.transport.write(data)
-        self._bound(self.budget.on_written(self._queued(), self.server.now()))
+        self._enforce(self.budget.on_written(self._unsent_bytes(), self.server.now()))
 
     # ---- the planned end -------------------------------------------------------------------------
 
-    def say_leaving(self, last: int) -> None:
+    def send_goaway(self, last: int) -> None:
         """GOAWAY without h2's own, which would end its state: streams that are open run to their end."""
         if not self.ending and not self.lost:
             frame = GoAwayFrame(0, last_stream_id=last, error_code=h2.errors.ErrorCodes.NO_ERROR)
             self.flush()
             self.transport.write(frame.serialize())
 
-    def highest(self) -> int:
+    def highest_stream_id(self) -> int:
         return self.h2.highest_inbound_stream_id
--- a/linenbridge/processor/http2/server.py
+++ b/linenbridge/processor/http2/server.py
@@ -19,8 +19,8 @@
 from linenbridge.processor.connection_limits import ConnectionLimits
 
 LAST_STREAM = (1 << 31) - 1  # in a first GOAWAY: streams that are under way are still taken
-SWEEP = 0.5  # seconds between two looks at what is overdue
-LEAVE = 0.1  # seconds between the two GOAWAYs of a planned end
+SWEEP_INTERVAL = 0.5  # seconds between two looks at what is overdue
+FINAL_GOAWAY_DELAY = 0.1  # seconds between the two GOAWAYs of a planned end
 
 
 class Server(Factory):
@@ -29,98 +29,109 @@
     noisy = False
 
     def __init__(
-        self, reactor: Any, now: Callable[[], int], limits: ConnectionLimits, connections: int, log: Log,
+        self,
+        reactor: Any,
+        now: Callable[[], int],
+        limits: ConnectionLimits,
+        connections: int,
+        log: Log,
         names: Callable[[Any], tuple[str, ...]] = lambda transport: (),
-    ) -> None:  # fmt: skip
-        self.reactor, self.now, self.limits, self.most, self.log = reactor, now, limits, connections, log
+    ) -> None:
+        self.reactor, self.now, self.limits, self.max_connections, self.log = (
+            reactor,
+            now,
+            limits,
+            connections,
+            log,
+        )
         self.names = names
         self.services: dict[bytes, Callable[[Call], Receiver]] = {}
         self.open: dict[Connection, None] = {}
-        self.silent: dict[Call, None] = {}
+        self.awaiting_first_message: dict[Call, None] = {}
         self.dirty: list[Connection] = []
-        self.flushing: Any = None
-        self.sweeping: Any = None
+        self.flush_timer: Any = None
+        self.sweep_timer: Any = None
         self.port: Any = None
-        self.leaving = False
+        self.draining = False
         self.stopped: Callable[[], None] | None = None
 
     def buildProtocol(self, addr: Any) -> Connection | None:
-        if len(self.open) >= self.most or self.leaving:
+        if len(self.open) >= self.max_connections or self.draining:
             self.log.count("proxy.turned_away")
             return None
         connection = Connection(self)
         self.open[connection] = None
         self.log.count("proxy.connected")
-        if self.sweeping is None:
-            self.sweeping = self.reactor.callLater(SWEEP, self._sweep)
+        if self.sweep_timer is None:
+            self.sweep_timer = self.reactor.callLater(SWEEP_INTERVAL, self._sweep)
         return connection
 
-    def closed(self, connection: Connection) -> None:
+    def connection_closed(self, connection: Connection) -> None:
         self.open.pop(connection, None)
-        self._last()
+        self._report_stopped()
 
     def flush_soon(self) -> None:
-        if self.flushing is None:
-            self.flushing = self.reactor.callLater(0, self.flush)
+        if self.flush_timer is None:
+            self.flush_timer = self.reactor.callLater(0, self.flush)
 
     def flush(self) -> None:
         """Each connection's answers of a turn in one write."""
-        if self.flushing is not None:
-            if self.flushing.active():
-                self.flushing.cancel()
-            self.flushing = None
+        if self.flush_timer is not None:
+            if self.flush_timer.active():
+                self.flush_timer.cancel()
+            self.flush_timer = None
         dirty, self.dirty = self.dirty, []
         for connection in dirty:
             connection.flush()
 
     def _sweep(self) -> None:
         """Streams on which nothing was said, connections that are idle or do not read."""
-        self.sweeping, now = None, self.now()
-        before = now - self.limits.first_message_timeout
-        for call in [call for call in self.silent if call.opened <= before]:
+        self.sweep_timer, now = None, self.now()
+        opened_before = now - self.limits.first_message_timeout
+        for call in [call for call in self.awaiting_first_message if call.opened <= opened_before]:
             self.log.count("stream.silent")
             call.finish(DEADLINE_EXCEEDED, "nothing was said on this stream in time")
         for connection in list(self.open):
             if (why := connection.budget.check_timeouts(now)) is not None:
                 connection.end(why, h2.errors.ErrorCodes.NO_ERROR if why == "idle" else None)
-            elif not connection.greeted and connection.born <= before:
+            elif not connection.settings_received and connection.connected_at <= opened_before:
                 connection.end("it does not begin as HTTP/2 does")
         self.flush()
         if self.open:
-            self.sweeping = self.reactor.callLater(SWEEP, self._sweep)
+            self.sweep_timer = self.reactor.callLater(SWEEP_INTERVAL, self._sweep)
 
     # ---- the planned end -------------------------------------------------------------------------
 
-    def leave(self, within: float, stopped: Callable[[], None]) -> None:
+    def drain(self, within: float, stopped: Callable[[], None]) -> None:
         """No new connections; each peer is told to go elsewhere, what is open ends within its time."""
-        self.leaving, self.stopped = True, stopped
+        self.draining, self.stopped = True, stopped
         for connection in list(self.open):
-            connection.say_leaving(LAST_STREAM)
-        self.reactor.callLater(LEAVE, self._leave_now)
-        self.cut = self.reactor.callLater(within, self._cut)
+            connection.send_goaway(LAST_STREAM)
+        self.reactor.callLater(FINAL_GOAWAY_DELAY, self._send_final_goaways)
+        self.cut_timer = self.reactor.callLater(within, self._end_remaining)
 
-    def _leave_now(self) -> None:
+    def _send_final_goaways(self) -> None:
         for connection in list(self.open):
-            connection.say_leaving(connection.highest())
+            connection.send_goaway(connection.highest_stream_id())
             if not connection.calls:
-                self.left(connection)
-        self._last()
+                self.close_drained(connection)
+        self._report_stopped()
 
-    def left(self, connection: Connection) -> None:
+    def close_drained(self, connection: Connection) -> None:
         """Its last stream has ended."""
         connection.flush()
         if not connection.lost:
             connection.transport.loseConnection()
 
-    def _cut(self) -> None:
+    def _end_remaining(self) -> None:
         for connection in list(self.open):
             connection.end("this gateway stops", h2.errors.ErrorCodes.NO_ERROR)
-        self._last()
+        self._report_stopped()
 
-    def _last(self) -> None:
-        if self.leaving and not self.open and self.stopped is not None:
+    def _report_stopped(self) -> None:
+        if self.draining and not self.open and self.stopped is not None:
             stopped, self.stopped = self.stopped, None
-            for timer in (self.cut, self.sweeping):
+            for timer in (self.cut_timer, self.sweep_timer):
                 if timer is not None and timer.active():
                     timer.cancel()
             stopped()
--- a/linenbridge/processor/http2/status.py
+++ b/linenbridge/processor/http2/status.py
@@ -6,17 +6,17 @@
 PERMISSION_DENIED, RESOURCE_EXHAUSTED, FAILED_PRECONDITION, UNIMPLEMENTED = 7, 8, 9, 12
 INTERNAL, UNAVAILABLE = 13, 14
 
-MESSAGE_MOST = 1024  # bytes of a status message before it is encoded
+MAX_MESSAGE_BYTES = 1024  # bytes of a status message before it is encoded
 
 
-FIRST_PLAIN = 0x20  # of ASCII, printable
-LAST_PLAIN = 0x7E
+FIRST_PRINTABLE = 0x20  # of ASCII, printable
+LAST_PRINTABLE = 0x7E
 PERCENT = 0x25
 
 
 def percent_encoded(text: str) -> bytes:
     """A status message as gRPC words it: plain ASCII, the rest by percent."""
     return b"".join(
-        bytes((byte,)) if FIRST_PLAIN <= byte <= LAST_PLAIN and byte != PERCENT else b"%%%02X" % byte
-        for byte in text.encode()[:MESSAGE_MOST]
+        bytes((byte,)) if FIRST_PRINTABLE <= byte <= LAST_PRINTABLE and byte != PERCENT else b"%%%02X" % byte
+        for byte in text.encode()[:MAX_MESSAGE_BYTES]
     )
--- a/linenbridge/processor/http2/stream.py
+++ b/linenbridge/processor/http2/stream.py
@@ -11,7 +11,7 @@
 
 from linenbridge.processor.http2.status import RESOURCE_EXHAUSTED, UNIMPLEMENTED
 
-PREFIX = 5  # bytes before each message: whether it is compressed, and its length
+PREFIX_BYTES = 5  # bytes before each message: whether it is compressed, and its length
 
 
 class MessageError(Exception):
@@ -26,7 +26,7 @@
 
 def framed(data: bytes) -> bytes:
     """A message with its prefix, as it goes out."""
-    return b"\0" + len(data).to_bytes(PREFIX - 1, "big") + data
+    return b"\0" + len(data).to_bytes(PREFIX_BYTES - 1, "big") + data
 
 
 class Receiver(Protocol):
@@ -67,17 +67,26 @@
     """One gRPC stream: opened by a peer, ended once, by either side."""
 
     __slots__ = (
-        "connection", "ended", "half", "id", "opened", "queue", "queued", "receiver", "rest", "spoke",
-        "started",
-    )  # fmt: skip
+        "connection",
+        "ended",
+        "half_closed",
+        "headers_sent",
+        "id",
+        "opened",
+        "partial_message",
+        "received_message",
+        "receiver",
+        "unsent",
+        "unsent_bytes",
+    )
 
     def __init__(self, connection: Sender, stream: int, opened: int) -> None:
         self.connection, self.id, self.opened = connection, stream, opened
         self.receiver: Receiver | None = None
-        self.rest = b""  # the beginning of a message whose end has not come
-        self.queue: deque[bytes] = deque()
-        self.queued = 0
-        self.started = self.ended = self.half = self.spoke = False
+        self.partial_message = b""  # the beginning of a message whose end has not come
+        self.unsent: deque[bytes] = deque()
+        self.unsent_bytes = 0
+        self.headers_sent = self.ended = self.half_closed = self.received_message = False
 
     @property
     def peer(self) -> Peer:
@@ -94,18 +103,18 @@
         if not self.ended:
             self.connection.finish(self, status, text)
 
-    def read(self, data: bytes, longest: int) -> Iterator[memoryview]:
+    def read(self, data: bytes, max_bytes: int) -> Iterator[memoryview]:
         """Each message that is whole by now, one at a time; MessageError for one that is not taken."""
-        buffer = self.rest + data if self.rest else data
+        buffer = self.partial_message + data if self.partial_message else data
         view, start = memoryview(buffer), 0
-        while len(buffer) - start >= PREFIX:
-            length = int.from_bytes(view[start + 1 : start + PREFIX], "big")
+        while len(buffer) - start >= PREFIX_BYTES:
+            length = int.from_bytes(view[start + 1 : start + PREFIX_BYTES], "big")
             if buffer[start]:
                 raise MessageError(UNIMPLEMENTED, "messages are taken as they are, not compressed")
-            if length > longest:
-                raise MessageError(RESOURCE_EXHAUSTED, f"a message is longer than {longest}")
-            if len(buffer) - start < PREFIX + length:
+            if length > max_bytes:
+                raise MessageError(RESOURCE_EXHAUSTED, f"a message is longer than {max_bytes}")
+            if len(buffer) - start < PREFIX_BYTES + length:
                 break
-            yield view[start + PREFIX : start + PREFIX + length]
-            start += PREFIX + length
-        self.rest = buffer[start:]
+            yield view[start + PREFIX_BYTES : start + PREFIX_BYTES + length]
+            start += PREFIX_BYTES + length
+        self.partial_message = buffer[start:]
--- a/linenbridge/processor/server.py
+++ b/linenbridge/processor/server.py
@@ -155,7 +155,7 @@
             return
         self.health.set_serving(serving=False)
         self.server.port.stopListening()
-        self.server.leave(self.longest_deadline / 1e6 + STOP_MARGIN, partial(self._on_streams_ended, stopped))
+        self.server.drain(self.longest_deadline / 1e6 + STOP_MARGIN, partial(self._on_streams_ended, stopped))
 
     def _on_streams_ended(self, stopped: Any) -> None:
         if self.processor is not None:
--- a/linenbridge/processor/stream_session.py
+++ b/linenbridge/processor/stream_session.py
@@ -110,7 +110,7 @@
         self.call.send(answer)
         for kind in deferred:
             self.call.send(codec.continue_response(kind))
-        if self.call.half:
+        if self.call.half_closed:
             self.on_half_closed()
 
     def reject(self, answer: bytes) -> None:
