--- a/linenbridge/processor/http2/__init__.py
+++ b/linenbridge/processor/http2/__init__.py
@@ -1,9 +1,9 @@
-"""gRPC over HTTP/2 for proxies: connections, their streams, and messages in and out.
+"""A gRPC server over HTTP/2, to which proxies connect.
 
-`status` holds gRPC's statuses, `stream` one gRPC stream, `connection` one peer's connection with its HTTP/2
-state (by `h2`), `server` the listening side with all connections. No part reads a message: a service is
-handed each whole one and gives back bytes and a status. Whatever a peer sends or withholds costs its own
-connection.
+`status` holds the gRPC status codes, `stream` one gRPC stream, `connection` one connection with its HTTP/2
+state (kept by `h2`), and `server` the listening port with all connections. No module decodes a message: a
+service receives each complete message as bytes and returns bytes and a status. A peer that breaks the
+protocol or stops reading affects only its own connection.
 """
 
 from linenbridge.processor.http2.connection import Connection
--- a/linenbridge/processor/http2/connection.py
+++ b/linenbridge/processor/http2/connection.py
@@ -1,7 +1,8 @@
-"""One peer's HTTP/2 connection: its streams from their opening to their status, and what waits to be written.
+"""One peer's HTTP/2 connection: its streams from opening to status, and the data that is not yet written.
 
-Owns the connection's HTTP/2 state (by `h2`) and its budget for what the peer costs. It must never read a
-message: a service is handed each whole one. Whatever a peer sends or withholds costs this connection alone.
+A connection owns its HTTP/2 state (kept by `h2`) and its budget, which limits the resources that a peer uses.
+It never decodes a message: a service receives each complete one. A peer that breaks the protocol, floods the
+connection or stops reading affects only this connection.
 """
 
 from __future__ import annotations
@@ -24,31 +25,42 @@
 from linenbridge.processor.http2.stream import Call, MessageError, Peer, Receiver, framed
 from linenbridge.processor.connection_limits import ConnectionBudget, ConnectionLimits, ControlFrame
 
-CONNECTION_WINDOW = 1 << 20  # bytes that a whole connection may send before they are read
+CONNECTION_WINDOW = (
+    1 << 20
+)  # bytes that a peer may send unacknowledged, over all streams, beyond HTTP/2's default
 MAX_GOAWAYS = 8
 
 RESPONSE_HEADERS = [(b":status", b"200"), (b"content-type", b"application/grpc")]
 
 
 class ConnectionOwner(Interface):
-    """What a connection needs of its server."""
+    """The part of a server that a connection uses."""
 
     log: Log
     limits: ConnectionLimits
     services: dict[bytes, Callable[[Call], Receiver]]
-    names: Callable[[Any], tuple[str, ...]]  # by the transport: the names in the peer's certificate
+    names: Callable[[Any], tuple[str, ...]]  # returns the names in the certificate of a transport's peer
     now: Callable[[], int]  # microseconds
-    awaiting_first_message: dict[Call, None]  # streams on which no message has come yet
-    dirty: list[Connection]  # connections with something to write
+    awaiting_first_message: dict[Call, None]  # in the order of opening
+    dirty: list[Connection]  # connections with unwritten data
     draining: bool
 
-    def flush_soon(self) -> None: ...
-    def connection_closed(self, connection: Connection) -> None: ...
-    def close_drained(self, connection: Connection) -> None: ...
+    def flush_soon(self) -> None:
+        """Schedule a flush of the dirty connections for the next turn of the reactor."""
+
+    def connection_closed(self, connection: Connection) -> None:
+        """Handle a connection whose transport is lost."""
+
+    def close_drained(self, connection: Connection) -> None:
+        """Close a connection whose last stream has ended while the server drains."""
 
 
 class Connection(Protocol):
-    """One peer's connection."""
+    """One peer's HTTP/2 connection, as a Twisted protocol and as the producer of its own transport.
+
+    `ending` is set once the connection is being closed, `lost` once its transport is lost, `paused` while the
+    peer does not read, and `settings_received` once the peer's first SETTINGS frame has arrived.
+    """
 
     peer: Peer
 
@@ -76,6 +88,7 @@
     # ---- the connection --------------------------------------------------------------------------
 
     def connectionMade(self) -> None:
+        """Send the server's SETTINGS and enlarge the connection's window."""
         self.transport.setTcpNoDelay(True)
         self.peer = Peer(self.transport.getPeer().host)
         self.transport.registerProducer(self, True)
@@ -84,6 +97,7 @@
         self.flush()
 
     def dataReceived(self, data: bytes) -> None:
+        """Handle the frames in `data`; close the connection if the peer breaks HTTP/2 or exceeds a limit."""
         if self.ending:
             return
         try:
@@ -109,30 +123,37 @@
             return
         self.flush()
 
-    # Twisted's producer: a peer that does not read is not read from either.
+    # Twisted's producer interface. While a peer does not read, nothing is read from it either.
     def pauseProducing(self) -> None:
+        """Stop reading from the peer because the transport's write buffer is full."""
         self.paused = True
-        if not self.lost and self.settings_received:  # A handshake's writes wait for its reads.
+        if not self.lost and self.settings_received:  # during a TLS handshake, writes depend on reads
             self.transport.pauseProducing()
 
     def resumeProducing(self) -> None:
+        """Read from the peer again: the transport's write buffer is empty."""
         self.paused = False
         if not self.lost and not self.ending:
             self.transport.resumeProducing()
             self.budget.on_written(self._unsent_bytes(), self.server.now())
 
     def stopProducing(self) -> None:
+        """Stop for good; connectionLost follows."""
         self.paused = True
 
-    def connectionLost(self, reason: Any) -> None:
-        """The one place where a connection and all of its streams are given back."""
+    def connectionLost(self, _reason: Any) -> None:
+        """Release the connection and all of its streams; nothing else releases a connection."""
         self.lost = self.ending = True
         for call in list(self.calls.values()):
             self._release(call, notify=True)
         self.server.connection_closed(self)
 
     def end(self, why: str, code: int | None = None) -> None:
-        """Tell the peer why, as far as it reads, and close. Streams are told of their end at once."""
+        """Close the connection with a GOAWAY that carries `why`, and release its streams at once.
+
+        `code` is an HTTP/2 error code, ENHANCE_YOUR_CALM by default. If the peer does not read, the transport
+        is aborted without the GOAWAY.
+        """
         if self.ending:
             return
         self.ending = True
@@ -142,7 +163,7 @@
             error = h2.errors.ErrorCodes.ENHANCE_YOUR_CALM if code is None else code
             self.h2.close_connection(error, why.encode())
         except h2.exceptions.ProtocolError:
-            pass  # It has ended by itself; what it had to say lies in its buffer.
+            pass  # h2 has closed the connection; its buffer holds h2's own GOAWAY
         unsent = self.h2.data_to_send()
         for call in list(self.calls.values()):
             self._release(call, notify=True)
@@ -154,7 +175,7 @@
                 self.transport.write(unsent)
                 self.transport.loseConnection()
 
-    # ---- what comes in ---------------------------------------------------------------------------
+    # ---- received frames ---------------------------------------------------------------------------
 
     def _handle_event(self, event: Any) -> None:
         now = self.server.now()
@@ -202,17 +223,17 @@
             self.end(why)
             return
         self.server.awaiting_first_message[call] = None
-        if self.peer.names is None:  # Not before: a certificate is known once the handshake is over.
+        if self.peer.names is None:  # the certificate is known only after the handshake
             self.peer.names = self.server.names(self.transport)
-        headers = dict(event.headers)
-        content = headers.get(b"content-type", b"")
-        if headers.get(b":method") != b"POST" or not content.startswith(b"application/grpc"):
+        request_headers = dict(event.headers)
+        content = request_headers.get(b"content-type", b"")
+        if request_headers.get(b":method") != b"POST" or not content.startswith(b"application/grpc"):
             self._respond_without_grpc(call, 415)
             return
         if self.server.draining:
             self.finish(call, UNAVAILABLE, "this gateway is about to stop")
             return
-        service = self.server.services.get(headers.get(b":path", b""))
+        service = self.server.services.get(request_headers.get(b":path", b""))
         if service is None:
             self.finish(call, UNIMPLEMENTED, "no such service here")
             return
@@ -238,9 +259,10 @@
         except MessageError as error:
             self.finish(call, error.status, error.text)
 
-    # ---- what goes out ---------------------------------------------------------------------------
+    # ---- sent frames ---------------------------------------------------------------------------
 
     def send(self, call: Call, data: bytes) -> None:
+        """Send a message on a stream; queue it if it exceeds the peer's flow-control window."""
         message = framed(data)
         try:
             self._send_headers(call)
@@ -264,7 +286,7 @@
         return min(self.h2.local_flow_control_window(call.id), self.h2.max_outbound_frame_size)
 
     def _resume_stalled(self, stream: int) -> None:
-        """What waited for the peer's window goes on, in pieces where it must."""
+        """Send queued messages as far as the windows allow: of one stream, or of all if `stream` is 0."""
         for call in list(self.stalled.values()) if stream == 0 else [self.stalled.get(stream)]:
             if call is not None and not call.ended:
                 try:
@@ -284,8 +306,12 @@
             self.stalled.pop(call.id, None)
 
     def finish(self, call: Call, status: int, text: str) -> None:
-        """The status ends the stream on our side. Where the peer has not ended its own, it is reset without
-        blame, so that nothing more is sent on it. What a stalled peer has not taken is dropped."""
+        """End the stream with a gRPC status.
+
+        If the peer has not half-closed the stream, it is reset with NO_ERROR so that the peer sends nothing
+        more. Messages queued for the peer's flow-control window are dropped, and the stream is reset with
+        CANCEL in place of a status.
+        """
         trailers = [(b"grpc-status", b"%d" % status)]
         if text:
             trailers.append((b"grpc-message", percent_encoded(text)))
@@ -300,7 +326,7 @@
                 if not call.half_closed:
                     self.h2.reset_stream(call.id, h2.errors.ErrorCodes.NO_ERROR)
         except h2.exceptions.ProtocolError:
-            pass  # The peer has ended it meanwhile.
+            pass  # the peer has reset the stream meanwhile
         self._release(call, notify=False)
         self._schedule_flush()
 
@@ -311,7 +337,11 @@
         self._release(call, notify=False)
 
     def _release(self, call: Call, notify: bool, reset_counted: bool = False) -> None:
-        """The one place where a stream is given back; `notify` where its service has yet to be told."""
+        """Release a stream; nothing else releases one.
+
+        `notify` calls the service's `on_closed`. `reset_counted` says that the budget has already counted the
+        end of the stream, as a reset.
+        """
         if call.ended:
             return
         call.ended = True
@@ -330,7 +360,7 @@
             self.server.close_drained(self)
 
     def _schedule_flush(self) -> None:
-        """One write for all that a turn brings."""
+        """Schedule one write for all frames of the current turn of the reactor."""
         if not self.dirty and not self.lost:
             self.dirty = True
             self.server.dirty.append(self)
@@ -341,6 +371,7 @@
         return waiting + sum(call.unsent_bytes for call in self.stalled.values())
 
     def flush(self) -> None:
+        """Write the unwritten frames; close the connection if too much stays unsent."""
         self.dirty = False
         if self.lost or self.ending:
             return
@@ -348,14 +379,18 @@
             self.transport.write(data)
         self._enforce(self.budget.on_written(self._unsent_bytes(), self.server.now()))
 
-    # ---- the planned end -------------------------------------------------------------------------
+    # ---- draining -------------------------------------------------------------------------
 
     def send_goaway(self, last: int) -> None:
-        """GOAWAY without h2's own, which would end its state: streams that are open run to their end."""
+        """Send a GOAWAY with the last stream id `last` while open streams continue.
+
+        The frame does not pass through `h2`, which would close the whole connection.
+        """
         if not self.ending and not self.lost:
             frame = GoAwayFrame(0, last_stream_id=last, error_code=h2.errors.ErrorCodes.NO_ERROR)
             self.flush()
             self.transport.write(frame.serialize())
 
     def highest_stream_id(self) -> int:
+        """Return the highest stream id that the peer has opened."""
         return self.h2.highest_inbound_stream_id
--- a/linenbridge/processor/http2/server.py
+++ b/linenbridge/processor/http2/server.py
@@ -1,7 +1,7 @@
-"""The listening side: all proxies' connections of one gateway, their bounds in time, and the planned end.
+"""The listening side of the gRPC server: all connections of proxies, their timeouts, and draining.
 
-Owns the connections that are open, one timer for writes and one for what is overdue. It must never look into
-a stream.
+A server owns its open connections, one timer for writes and one for timeouts. It leaves the frames and
+messages of a stream to the stream's connection.
 """
 
 from __future__ import annotations
@@ -18,13 +18,16 @@
 from linenbridge.processor.http2.stream import Call, Receiver
 from linenbridge.processor.connection_limits import ConnectionLimits
 
-LAST_STREAM = (1 << 31) - 1  # in a first GOAWAY: streams that are under way are still taken
-SWEEP_INTERVAL = 0.5  # seconds between two looks at what is overdue
-FINAL_GOAWAY_DELAY = 0.1  # seconds between the two GOAWAYs of a planned end
+LAST_STREAM = (1 << 31) - 1  # of the first GOAWAY, so that streams already sent are still accepted
+SWEEP_INTERVAL = 0.5  # seconds between two checks of the timeouts
+FINAL_GOAWAY_DELAY = 0.1  # seconds between the two GOAWAYs of draining
 
 
 class Server(Factory):
-    """All proxies' connections of one gateway."""
+    """All connections of proxies to one gateway, as a Twisted factory.
+
+    `services` maps a gRPC path to a function that starts a receiver for a stream. `now` returns microseconds.
+    """
 
     noisy = False
 
@@ -35,7 +38,7 @@
         limits: ConnectionLimits,
         connections: int,
         log: Log,
-        names: Callable[[Any], tuple[str, ...]] = lambda transport: (),
+        names: Callable[[Any], tuple[str, ...]] = lambda _transport: (),
     ) -> None:
         self.reactor, self.now, self.limits, self.max_connections, self.log = (
             reactor,
@@ -55,7 +58,8 @@
         self.draining = False
         self.stopped: Callable[[], None] | None = None
 
-    def buildProtocol(self, addr: Any) -> Connection | None:
+    def buildProtocol(self, _addr: Any) -> Connection | None:
+        """Return a connection, or None (the socket is closed) if too many are open or the server drains."""
         if len(self.open) >= self.max_connections or self.draining:
             self.log.count("proxy.turned_away")
             return None
@@ -67,15 +71,17 @@
         return connection
 
     def connection_closed(self, connection: Connection) -> None:
+        """Remove a connection whose transport is lost."""
         self.open.pop(connection, None)
         self._report_stopped()
 
     def flush_soon(self) -> None:
+        """Schedule a flush of the dirty connections for the next turn of the reactor."""
         if self.flush_timer is None:
             self.flush_timer = self.reactor.callLater(0, self.flush)
 
     def flush(self) -> None:
-        """Each connection's answers of a turn in one write."""
+        """Write the unwritten frames of each dirty connection, with one write per connection."""
         if self.flush_timer is not None:
             if self.flush_timer.active():
                 self.flush_timer.cancel()
@@ -85,7 +91,7 @@
             connection.flush()
 
     def _sweep(self) -> None:
-        """Streams on which nothing was said, connections that are idle or do not read."""
+        """End streams without a first message, and connections that are idle, stalled or without SETTINGS."""
         self.sweep_timer, now = None, self.now()
         opened_before = now - self.limits.first_message_timeout
         for call in [call for call in self.awaiting_first_message if call.opened <= opened_before]:
@@ -100,10 +106,13 @@
         if self.open:
             self.sweep_timer = self.reactor.callLater(SWEEP_INTERVAL, self._sweep)
 
-    # ---- the planned end -------------------------------------------------------------------------
+    # ---- draining -------------------------------------------------------------------------
 
     def drain(self, within: float, stopped: Callable[[], None]) -> None:
-        """No new connections; each peer is told to go elsewhere, what is open ends within its time."""
+        """Accept no new connections, send each peer a GOAWAY, and call `stopped` once all are closed.
+
+        Connections that are still open after `within` seconds are ended.
+        """
         self.draining, self.stopped = True, stopped
         for connection in list(self.open):
             connection.send_goaway(LAST_STREAM)
@@ -118,7 +127,7 @@
         self._report_stopped()
 
     def close_drained(self, connection: Connection) -> None:
-        """Its last stream has ended."""
+        """Close a connection whose last stream has ended."""
         connection.flush()
         if not connection.lost:
             connection.transport.loseConnection()
--- a/linenbridge/processor/http2/status.py
+++ b/linenbridge/processor/http2/status.py
@@ -1,4 +1,4 @@
-"""The statuses of gRPC, as published, and how a status message is written into its trailer."""
+"""The gRPC status codes that are used here, and the encoding of a status message for its trailer."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 MAX_MESSAGE_BYTES = 1024  # bytes of a status message before it is encoded
 
 
-FIRST_PRINTABLE = 0x20  # of ASCII, printable
+FIRST_PRINTABLE = 0x20  # printable ASCII
 LAST_PRINTABLE = 0x7E
 PERCENT = 0x25
 
 
 def percent_encoded(text: str) -> bytes:
-    """A status message as gRPC words it: plain ASCII, the rest by percent."""
+    """Return a status message for the trailer: printable ASCII as it is, all other bytes percent-encoded."""
     return b"".join(
         bytes((byte,)) if FIRST_PRINTABLE <= byte <= LAST_PRINTABLE and byte != PERCENT else b"%%%02X" % byte
         for byte in text.encode()[:MAX_MESSAGE_BYTES]
--- a/linenbridge/processor/http2/stream.py
+++ b/linenbridge/processor/http2/stream.py
@@ -1,6 +1,6 @@
-"""One gRPC stream: its messages as they are cut from HTTP/2 data, its state, and the service behind it.
+"""One gRPC stream: splits HTTP/2 data into messages, and holds the stream's state and its service.
 
-Owns what has come of a message so far and what waits to be sent. It must never look into a message.
+A stream owns its partially received message and its unsent messages. It never decodes a message.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 
 from linenbridge.processor.http2.status import RESOURCE_EXHAUSTED, UNIMPLEMENTED
 
-PREFIX_BYTES = 5  # bytes before each message: whether it is compressed, and its length
+PREFIX_BYTES = 5  # before each message: one byte for compression, four for the length
 
 
 class MessageError(Exception):
-    """A message that is not taken; the stream ends with `status` and `text`."""
+    """A message is compressed or too long; the stream ends with `status` and `text`."""
 
     advice = "the proxy sends uncompressed messages within the settings' `bounds message`"
 
@@ -25,25 +25,25 @@
 
 
 def framed(data: bytes) -> bytes:
-    """A message with its prefix, as it goes out."""
+    """Return a message with its length prefix, ready to be sent."""
     return b"\0" + len(data).to_bytes(PREFIX_BYTES - 1, "big") + data
 
 
 class Receiver(Protocol):
-    """What a service makes of one stream."""
+    """A service's handler of the events of one stream."""
 
     def on_message(self, data: memoryview) -> None:
-        """Take in a message."""
+        """Handle a complete message."""
 
     def on_half_closed(self) -> None:
-        """Take in that the peer sends no more."""
+        """Handle the end of the peer's messages; the stream can still send."""
 
     def on_closed(self) -> None:
-        """Take in that the stream has closed."""
+        """Handle a stream that the peer has reset or whose connection is lost."""
 
 
 class Peer:
-    """Who is at the other end: the address, and the names that its certificate gives it."""
+    """The peer of a connection: its address, and the names in its certificate (None before the handshake)."""
 
     __slots__ = ("address", "names")
 
@@ -52,19 +52,22 @@
 
 
 class Sender(Protocol):
-    """What a stream needs of its connection."""
+    """The part of a connection that a stream uses."""
 
     peer: Peer
 
     def send(self, call: Call, data: bytes) -> None:
-        """Send a message on a stream."""
+        """Send a message on the stream `call`."""
 
     def finish(self, call: Call, status: int, text: str) -> None:
-        """End a stream with a status."""
+        """End the stream `call` with a gRPC status and a status message."""
 
 
 class Call:
-    """One gRPC stream: opened by a peer, ended once, by either side."""
+    """One gRPC stream, opened by the peer and ended once by either side.
+
+    `opened` is in microseconds. `half_closed` is set once the peer sends no more.
+    """
 
     __slots__ = (
         "connection",
@@ -83,28 +86,34 @@
     def __init__(self, connection: Sender, stream: int, opened: int) -> None:
         self.connection, self.id, self.opened = connection, stream, opened
         self.receiver: Receiver | None = None
-        self.partial_message = b""  # the beginning of a message whose end has not come
+        self.partial_message = b""  # the received part of an incomplete message
         self.unsent: deque[bytes] = deque()
         self.unsent_bytes = 0
         self.headers_sent = self.ended = self.half_closed = self.received_message = False
 
     @property
     def peer(self) -> Peer:
-        """Who is at the other end."""
+        """The peer of the stream's connection."""
         return self.connection.peer
 
     def send(self, data: bytes) -> None:
-        """One message to the peer; nothing after the stream's end."""
+        """Send one message to the peer; do nothing if the stream has ended."""
         if not self.ended:
             self.connection.send(self, data)
 
     def finish(self, status: int, text: str = "") -> None:
-        """The stream's one status; what was sent goes out before it."""
+        """End the stream with a status, after all messages sent before; do nothing if it has ended.
+
+        If the peer's flow-control window holds messages back, the stream is reset and they are dropped.
+        """
         if not self.ended:
             self.connection.finish(self, status, text)
 
     def read(self, data: bytes, max_bytes: int) -> Iterator[memoryview]:
-        """Each message that is whole by now, one at a time; MessageError for one that is not taken."""
+        """Yield each message that `data` completes.
+
+        Raises MessageError for a message that is compressed or longer than `max_bytes`.
+        """
         buffer = self.partial_message + data if self.partial_message else data
         view, start = memoryview(buffer), 0
         while len(buffer) - start >= PREFIX_BYTES:
