--- a/linenbridge/processor/http2/connection.py
+++ b/linenbridge/processor/http2/connection.py
@@ -47,12 +47,15 @@
 
     def flush_soon(self) -> None:
         """Schedule a flush of the dirty connections for the next turn of the reactor."""
+        ...
 
     def connection_closed(self, connection: Connection) -> None:
         """Handle a connection whose transport is lost."""
+        ...
 
     def close_drained(self, connection: Connection) -> None:
         """Close a connection whose last stream has ended while the server drains."""
+        ...
 
 
 class Connection(Protocol):
