--- a/linenbridge/cli/fault_commands.py
+++ b/linenbridge/cli/fault_commands.py
@@ -24,9 +24,9 @@
 
     Prints decisions, the rules, and the added latency beside an empty processor. Exit 1: a rule broke.
     """
-    from linenbridge.faults.processor import run_drill
+    from linenbridge.faults.processor import run_fault_days
 
-    report = run_drill(seed, quick)
+    report = run_fault_days(seed, quick)
     print(json.dumps(report.as_dict()) if as_json else report.as_text())
     if report.broken():
         raise typer.Exit(FOUND)
--- a/linenbridge/faults/__init__.py
+++ b/linenbridge/faults/__init__.py
@@ -1,1 +1,1 @@
-"""Drills: stand-ins on loopback, seeded days with faults, and checkers of the rules."""
+"""Fault injection: fake servers on loopback, seeded days of requests with faults, and a rule checker."""
--- a/linenbridge/faults/checker.py
+++ b/linenbridge/faults/checker.py
@@ -1,7 +1,8 @@
-"""Checks the rules on what a stand-in world and its proxies have recorded. Decides without I/O.
+"""Checks the rules on the records of a fake world and its proxies, without I/O.
 
-An independent reckoning: it knows the record alone and nothing of how the gateway decides. Each broken rule
-is one line with the request or node that it broke on. It must never pass over what it cannot explain.
+The checker is independent: it uses only the records, and no code with which the gateway decides. Each broken
+rule is one line with the request or node on which it broke. An event that the rules don't explain counts as
+broken.
 """
 
 from __future__ import annotations
@@ -15,128 +16,161 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """The figures of the rules: seconds, and picks beyond the cap's share; `slack` is the proxy's delay."""
+class RuleLimits:
+    """Limits of the rules, with times in seconds.
 
-    spare: float
-    span: float
+    `spare_attempts` is the number of reservations allowed beyond the cap's share. `grace` is how long
+    the gateway may still act on the state before a change, and `proxy_delay` the time that a request may take
+    from the proxy to the gateway.
+    """
+
+    spare_attempts: float
+    window: float
     grace: float
-    slack: float
+    proxy_delay: float
     closed_stages: int
 
 
-def check(world: World, records: list[RequestRecord], terms: Terms) -> list[str]:
-    """Every broken rule of a day that has ended."""
+def check(world: World, records: list[RequestRecord], limits: RuleLimits) -> list[str]:
+    """Return every violation of a rule during a day that has ended."""
     return [
-        *one_final_answer(records),
-        *no_effect_twice(world, records),
-        *drains_kept(world),
-        *exposure_within_cap(world, records, terms),
-        *nothing_for_nothing(records),
+        *check_one_final_response(records),
+        *check_single_executions(world, records),
+        *check_no_requests_after_drain(world),
+        *check_exposure_within_cap(world, records, limits),
+        *check_no_unexpected_responses(records),
     ]
 
 
-def one_final_answer(records: list[RequestRecord]) -> list[str]:
-    """Each request ends once at its proxy, within its deadline."""
-    broken = []
-    for one in records:
-        if len(one.final_responses) != 1:
-            broken.append(
-                f"{one.planned.id}: {len(one.final_responses)} final answers "
-                f"{[what for _, what in one.final_responses]}"
+def check_one_final_response(records: list[RequestRecord]) -> list[str]:
+    """Check that each request has exactly one final response at its proxy."""
+    violations = []
+    for record in records:
+        if len(record.final_responses) != 1:
+            violations.append(
+                f"{record.planned.id}: {len(record.final_responses)} final responses "
+                f"{[what for _, what in record.final_responses]}"
             )
-    return broken
+    return violations
 
 
-def nothing_for_nothing(records: list[RequestRecord]) -> list[str]:
-    """No message is answered twice, and nothing is said that was not asked."""
-    return [f"{one.planned.id}: answers beyond what was owed" for one in records if one.unexpected_responses]
+def check_no_unexpected_responses(records: list[RequestRecord]) -> list[str]:
+    """Check that no message has two responses and that each response belongs to a message."""
+    return [
+        f"{record.planned.id}: more responses than messages sent"
+        for record in records
+        if record.unexpected_responses
+    ]
 
 
-def no_effect_twice(world: World, records: list[RequestRecord]) -> list[str]:
-    """A method that must never run twice is handed out once, and not after its proxy sent it alone."""
-    broken = []
-    runs = Counter(execution.request for execution in world.executions)
-    for one in records:
-        if world.methods[one.planned.method].idempotent:
+def check_single_executions(world: World, records: list[RequestRecord]) -> list[str]:
+    """Check that a request that is not idempotent is dispatched and executed at most once.
+
+    After its proxy has sent it without the processor, such a request must not be dispatched at all.
+    """
+    violations = []
+    execution_counts = Counter(execution.request for execution in world.executions)
+    for record in records:
+        if world.methods[record.planned.method].idempotent:
             continue
-        handed = [n for n, (_, _, _, by_ticket) in enumerate(one.sent) if by_ticket]
-        alone = [n for n, (_, _, _, by_ticket) in enumerate(one.sent) if not by_ticket]
-        if handed and alone and max(handed) > min(alone):
-            broken.append(f"{one.planned.id}: handed out after its proxy had sent it without asking")
-        if len(handed) > 1 and runs[one.planned.id] > 1:
-            broken.append(
-                f"{one.planned.id}: handed out {len(handed)} times, run {runs[one.planned.id]} times"
+        dispatched = [n for n, (_, _, _, reserved) in enumerate(record.sent) if reserved]
+        bypassed = [n for n, (_, _, _, reserved) in enumerate(record.sent) if not reserved]
+        if dispatched and bypassed and max(dispatched) > min(bypassed):
+            violations.append(
+                f"{record.planned.id}: dispatched after its proxy had sent it without the processor"
+            )
+        if len(dispatched) > 1 and execution_counts[record.planned.id] > 1:
+            violations.append(
+                f"{record.planned.id}: dispatched {len(dispatched)} times, "
+                f"run {execution_counts[record.planned.id]} times"
             )
-        if runs[one.planned.id] > 1 and not alone:
-            broken.append(f"{one.planned.id}: run {runs[one.planned.id]} times")
-    return broken
+        if execution_counts[record.planned.id] > 1 and not bypassed:
+            violations.append(f"{record.planned.id}: run {execution_counts[record.planned.id]} times")
+    return violations
 
 
-def drains_kept(world: World) -> list[str]:
+def check_no_requests_after_drain(world: World) -> list[str]:
+    """Check that no request reaches a node later than the grace after the start of its draining."""
     return [
         f"{request}: sent to {node} {late * 1000:.0f} ms after it drained"
         for request, node, late in world.sent_after_drain
     ]
 
 
-def exposure_within_cap(world: World, records: list[RequestRecord], terms: Terms) -> list[str]:
-    """In every window, tickets used at the build on trial stay within the cap of what was taken."""
+def check_exposure_within_cap(world: World, records: list[RequestRecord], limits: RuleLimits) -> list[str]:
+    """Check that in every window, dispatches to the build in rollout stay within its cap.
+
+    In a closed stage, no request that is not idempotent may go to the build.
+    """
     if not world.rollout_changes:
         return []
     build = world.rollout_changes[-1][1]
-    trials = sorted(at for one in records for at, _, b, by_ticket in one.sent if by_ticket and b == build)
-    taken = sorted(one.planned.at for one in records)
-    broken = []
-    for at in trials:
-        cap = _cap(world, build, at, terms)
+    trial_times = sorted(
+        at
+        for record in records
+        for at, _, sent_build, reserved in record.sent
+        if reserved and sent_build == build
+    )
+    received_times = sorted(record.planned.at for record in records)
+    violations = []
+    for at in trial_times:
+        cap = _cap(world, build, at, limits)
         if cap is None:
             continue
-        used = bisect_right(trials, at) - bisect_left(trials, at - terms.span)
-        took = bisect_right(taken, at) - bisect_left(taken, at - terms.span - terms.slack)
-        if used > terms.spare + cap * took + 2:
-            broken.append(
-                f"{used} tickets at build {build} within {terms.span:g} s of {took} taken, cap {cap:g}"
+        used = bisect_right(trial_times, at) - bisect_left(trial_times, at - limits.window)
+        received = bisect_right(received_times, at) - bisect_left(
+            received_times, at - limits.window - limits.proxy_delay
+        )
+        if used > limits.spare_attempts + cap * received + 2:
+            violations.append(
+                f"{used} reservations at build {build} within {limits.window:g} s of {received} requests, "
+                f"cap {cap:g}"
             )
-    for one in records:
-        for at, _, b, by_ticket in one.sent:
-            stage = _stage_closed(world, b, at, terms)
-            if by_ticket and stage and not world.methods[one.planned.method].idempotent:
-                broken.append(f"{one.planned.id}: {one.planned.method} went to build {b} in a closed stage")
-    return broken
-
-
-def _cap(world: World, build: int, at: float, terms: Terms) -> float | None:
-    """The highest cap that was in force for the build within the grace before that time."""
+    for record in records:
+        for at, _, sent_build, reserved in record.sent:
+            stage = _stage_closed(world, sent_build, at, limits)
+            if reserved and stage and not world.methods[record.planned.method].idempotent:
+                violations.append(
+                    f"{record.planned.id}: {record.planned.method} went to build {sent_build} "
+                    "in a closed stage"
+                )
+    return violations
+
+
+def _cap(world: World, build: int, at: float, limits: RuleLimits) -> float | None:
+    """Return the highest cap of the build in force during the grace before `at`; None if it had no cap."""
     caps = []
     for n, (since, version, cap, status) in enumerate(world.rollout_changes):
         until = world.rollout_changes[n + 1][0] if n + 1 < len(world.rollout_changes) else float("inf")
-        if version == build and since <= at <= until + terms.grace:
+        if version == build and since <= at <= until + limits.grace:
             caps.append(None if status == "live" else cap)
     if not caps or None in caps:
         return None
     return max(caps)
 
 
-def _stage_closed(world: World, build: int, at: float, terms: Terms) -> bool:
-    """Whether the build had been in its first, closed stage for all of the grace before that time."""
-    if not terms.closed_stages or not world.rollout_changes or build != world.rollout_changes[0][1]:
+def _stage_closed(world: World, build: int, at: float, limits: RuleLimits) -> bool:
+    """Return whether the build was in its first, closed stage for the whole grace before `at`."""
+    if not limits.closed_stages or not world.rollout_changes or build != world.rollout_changes[0][1]:
         return False
     first, second = (
         world.rollout_changes[0][0],
         world.rollout_changes[1][0] if len(world.rollout_changes) > 1 else float("inf"),
     )
-    return first + terms.grace < at < second
+    return first + limits.grace < at < second
 
 
 def utility_ratio(records: list[RequestRecord], methods: dict[str, FakeMethod]) -> float:
-    """Utility answered within the soft deadline over the utility asked for, from the intended times on."""
-    asked = sum(methods[one.planned.method].utility for one in records)
+    """Return the utility answered within the soft deadline, over the utility of all requests.
+
+    Times count from the intended time of a request, so that a late start counts as latency.
+    """
+    requested = sum(methods[record.planned.method].utility for record in records)
     served = sum(
-        methods[one.planned.method].utility
-        for one in records
-        if one.final_responses
-        and one.final_responses[0][1] == "ok"
-        and one.final_responses[0][0] - one.planned.at <= methods[one.planned.method].soft
+        methods[record.planned.method].utility
+        for record in records
+        if record.final_responses
+        and record.final_responses[0][1] == "ok"
+        and record.final_responses[0][0] - record.planned.at <= methods[record.planned.method].soft_deadline
     )
-    return served / asked if asked else 0.0
+    return served / requested if requested else 0.0
--- a/linenbridge/faults/deployment.py
+++ b/linenbridge/faults/deployment.py
@@ -1,7 +1,6 @@
-"""The deployment that drills are played on: its methods, its settings, and what the platform tells a gateway
-of it.
+"""The deployment of fault runs: its methods and settings, and the configuration of a gateway.
 
-Holds plain data alone. It must never start anything.
+The module holds plain data only and starts nothing.
 """
 
 from __future__ import annotations
@@ -37,32 +36,55 @@
   </processor>
 </linenbridge>
 """
-TERMS = checker.Terms(spare=3.0, span=2.0, grace=0.6, slack=0.15, closed_stages=1)
+RULE_LIMITS = checker.RuleLimits(spare_attempts=3.0, window=2.0, grace=0.6, proxy_delay=0.15, closed_stages=1)
 
 
 def configuration(world: World, listen: int) -> dict[str, Any]:
-    """What the platform would tell a gateway of this deployment."""
+    """Return the configuration that the platform would give a gateway of this deployment."""
     profiles = [
-        {"name": method.name, "aim": method.soft, "give_up": method.deadline, "worth": method.utility,
-         "idempotency": "repeatable" if method.idempotent else "once"}
+        {
+            "name": method.name,
+            "aim": method.soft_deadline,
+            "give_up": method.deadline,
+            "worth": method.utility,
+            "idempotency": "repeatable" if method.idempotent else "once",
+        }
         for method in METHODS.values()
-    ]  # fmt: skip
+    ]
     return {
-        "name": "drill", "listen": f"{LOOPBACK}:{listen}", "discovery": world.discovery, "seed": "2a",
+        "name": "drill",
+        "listen": f"{LOOPBACK}:{listen}",
+        "discovery": world.discovery,
+        "seed": "2a",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "platform": {"address": world.platform, "news": world.state()},
-        "known": world.listing(True),
+        "platform": {"address": world.platform, "news": world.rollout_state()},
+        "known": world.endpoint_list(True),
         "settings": {
-            "discovery": "push", "profiles": profiles, "balancers": 1, "slot_no": 0,
+            "discovery": "push",
+            "profiles": profiles,
+            "balancers": 1,
+            "slot_no": 0,
             "family_info": {
-                "gate_mode": "share", "style": "beside", "shares": [0.2, 1.0], "caps": [0.2, 1.0],
-                "closed_stages": 1, "per": "all", "spare_tries": 3.0, "forward_only": False,
-                "vote_stands": 6.0, "answer_wait": 1.0,
+                "gate_mode": "share",
+                "style": "beside",
+                "shares": [0.2, 1.0],
+                "caps": [0.2, 1.0],
+                "closed_stages": 1,
+                "per": "all",
+                "spare_tries": 3.0,
+                "forward_only": False,
+                "vote_stands": 6.0,
+                "answer_wait": 1.0,
             },
             "permissions": {
-                "max_attempts": 3, "second_copies": False, "may_cancel": True, "retry_after": True,
-                "max_retry_after": 1.0, "idle_close": 15.0, "connect_timeout": 0.25,
+                "max_attempts": 3,
+                "second_copies": False,
+                "may_cancel": True,
+                "retry_after": True,
+                "max_retry_after": 1.0,
+                "idle_close": 15.0,
+                "connect_timeout": 0.25,
             },
             "rules": {"cold_from": 0.4, "cold": 2.0, "fall_multiple": 3.0},
         },
-    }  # fmt: skip
+    }
--- a/linenbridge/faults/fake_grpc.py
+++ b/linenbridge/faults/fake_grpc.py
@@ -1,5 +1,8 @@
-"""An empty processor on `grpcio`, to weigh the transport: its asyncio server, which keeps to one thread of
-Python beside the library's own. It decides nothing; a development dependency alone."""
+"""An empty processor on `grpcio`, for comparing the cost of transports.
+
+It runs the library's asyncio server, which uses one Python thread beside the library's own, and makes no
+decisions. `grpcio` is a development dependency only.
+"""
 
 from __future__ import annotations
 
@@ -13,15 +16,16 @@
 
 
 async def serve(port: int, endpoint: str) -> None:
+    """Send every request to `endpoint` until the process ends."""
     headers = {"x-gateway-destination-endpoint": endpoint}
 
-    async def process(messages, context):  # noqa: ANN001, ANN202
+    async def process(messages, _context):
         async for data in messages:
-            heard = codec.decode(data)
-            if heard.kind == MessageKind.REQUEST_HEADERS:
+            message = codec.decode(data)
+            if message.kind == MessageKind.REQUEST_HEADERS:
                 yield codec.dispatch_response(headers, ("envoy.lb", headers), False)
             else:
-                yield codec.continue_response(heard.kind or MessageKind.RESPONSE_HEADERS)
+                yield codec.continue_response(message.kind or MessageKind.RESPONSE_HEADERS)
 
     server = grpc.aio.server()
     handler = grpc.stream_stream_rpc_method_handler(process)
--- a/linenbridge/faults/fake_processor.py
+++ b/linenbridge/faults/fake_processor.py
@@ -1,7 +1,7 @@
-"""An empty processor on the same transport: it decides nothing and answers each message at once.
+"""An empty processor on the same transport: makes no decisions and responds at once.
 
-What it costs is the transport's cost, which the drill takes off. It must never look at a message beyond its
-kind.
+Its cost is the cost of the transport, which fault runs compare with the gateway's. It uses only the kind of
+a message.
 """
 
 from __future__ import annotations
@@ -22,27 +22,31 @@
 
 
 class Echo:
-    """Sends every request to one address."""
+    """The handler of a stream, which sends every request to one address."""
 
     def __init__(self, call: http2.Call, endpoint: str) -> None:
         self.call, self.endpoint = call, endpoint
 
     def on_message(self, data: memoryview) -> None:
-        heard = codec.decode(data)
-        if heard.kind == MessageKind.REQUEST_HEADERS:
+        """Send a request to the endpoint, and any other message onward unchanged."""
+        message = codec.decode(data)
+        if message.kind == MessageKind.REQUEST_HEADERS:
             headers = {"x-gateway-destination-endpoint": self.endpoint}
             self.call.send(codec.dispatch_response(headers, ("envoy.lb", headers), False))
         else:
-            self.call.send(codec.continue_response(heard.kind or MessageKind.RESPONSE_HEADERS))
+            self.call.send(codec.continue_response(message.kind or MessageKind.RESPONSE_HEADERS))
 
     def on_half_closed(self) -> None:
+        """End the stream with OK."""
         self.call.finish(http2.OK)
 
-    def on_closed(self) -> None: ...
+    def on_closed(self) -> None:
+        """Do nothing."""
+        ...
 
 
 def main(port: int, endpoint: str) -> None:
-    """Serve on a loopback port until the end of the process."""
+    """Listen on a loopback port until the process ends."""
     reactor = Reactor()
     installReactor(reactor)
     log = Log(sys.stderr.buffer)
--- a/linenbridge/faults/plan.py
+++ b/linenbridge/faults/plan.py
@@ -1,4 +1,4 @@
-"""The requests of a day, drawn from a seed. Decides without I/O."""
+"""Draws the requests of a day from a seed, without I/O."""
 
 from __future__ import annotations
 
@@ -12,12 +12,15 @@
 
 
 def plan(seed: int, rate: float, seconds: float, fault_share: float) -> list[PlannedRequest]:
-    """A day's requests: open loop, exponential gaps, faults by share."""
-    chance, at, requests = Random(f"day/{seed}"), 0.0, []
+    """Return a day's requests, in the order of their times in seconds.
+
+    The load is an open loop with exponential gaps; `fault_share` of the requests have a fault.
+    """
+    generator, at, requests = Random(f"day/{seed}"), 0.0, []
     names, shares = list(SHARES), list(SHARES.values())
-    while (at := at + chance.expovariate(rate)) < seconds:
-        method = chance.choices(names, shares)[0]
-        fault = chance.choice(FAULTS) if chance.random() < fault_share else ""
+    while (at := at + generator.expovariate(rate)) < seconds:
+        method = generator.choices(names, shares)[0]
+        fault = generator.choice(FAULTS) if generator.random() < fault_share else ""
         path, verb = PATHS[method]
-        requests.append(PlannedRequest(f"{chance.getrandbits(64):016x}", method, at, path, verb, fault))
+        requests.append(PlannedRequest(f"{generator.getrandbits(64):016x}", method, at, path, verb, fault))
     return requests
--- a/linenbridge/faults/processor.py
+++ b/linenbridge/faults/processor.py
@@ -1,8 +1,9 @@
-"""The drill of the external processor: seeded days on loopback, and what they show.
+"""The fault run of the external processor: seeded days on loopback, and a report on them.
 
-Owns the processes it starts (a gateway, an empty processor), each ended by its own id, and the folder they
-write to. It plays the same day over the processor, over the empty one and over RESP2, then a day of faults,
-and has the checker go over each. It must never judge a run by itself, nor leave a process behind.
+A fault run owns the processes that it starts (a gateway, an empty processor) and the folder to which they
+write. It plays the same day over the processor, over the empty processor and over RESP2, then two days with
+faults, and runs the checker on each. The checker alone judges a day. Each process is ended by its own id, and
+none outlives the run.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 from twisted.internet.task import deferLater
 
 from linenbridge.faults import checker
-from linenbridge.faults.deployment import METHODS, SETTINGS, TERMS, configuration
+from linenbridge.faults.deployment import METHODS, SETTINGS, RULE_LIMITS, configuration
 from linenbridge.faults.plan import plan
 from linenbridge.faults.process import Process, free_port
 from linenbridge.faults.report import PERCENTILES, Day, Report
@@ -33,8 +34,8 @@
 from linenbridge.faults.fake_world import RolloutStatus, World
 
 
-class Drill:
-    """One drill with its folder and processes."""
+class FaultRun:
+    """One fault run with its folder and processes."""
 
     def __init__(self, seed: int, quick: bool) -> None:
         self.seed, self.quick = seed, quick
@@ -43,64 +44,80 @@
         self.failure: Any = None
         self.processes: list[Process] = []
 
-    def world(self) -> World:
+    def start_world(self) -> World:
+        """Start a fake world with eight nodes of build 1."""
         world = World(reactor, self.seed, METHODS, time.monotonic)
         world.listen([(f"n{number}", 1) for number in range(8)], cores=4)
         return world
 
-    def gateway(self, world: World, command: str, fail_open: bool = False) -> tuple[Process, int, int]:
+    def start_gateway(self, world: World, command: str, fail_open: bool = False) -> tuple[Process, int, int]:
+        """Start a gateway with `command`; return its process, its RESP2 port and its processor port."""
         folder = Path(tempfile.mkdtemp(dir=self.folder))
         listen, port = free_port(), free_port()
-        process_file = folder / "config.json"
-        process_file.write_text(json.dumps(configuration(world, listen)))
+        configuration_file = folder / "config.json"
+        configuration_file.write_text(json.dumps(configuration(world, listen)))
         (folder / "settings.xml").write_text(SETTINGS.format(port=port, fail_open=str(fail_open).lower()))
         environ = {"LB_CONFIG": str(folder / "config.json"), "LB_SETTINGS": str(folder / "settings.xml")}
         process = Process([sys.executable, "-m", "linenbridge", command], environ, folder, command)
-        # What the platform tells at a start is the list as it stands then.
-        process.anew = lambda: process_file.write_text(json.dumps(configuration(world, listen)))
+        # At each start, the gateway receives the current endpoint list.
+        process.before_start = lambda: configuration_file.write_text(json.dumps(configuration(world, listen)))
         self.processes.append(process)
         return process, listen, port
 
     @inlineCallbacks
-    def up(self, process: Process, times: int = 1) -> Iterator[Deferred]:
+    def wait_until_started(self, process: Process, times: int = 1) -> Iterator[Deferred]:
+        """Wait until the process has logged `times` starts.
+
+        Raises RuntimeError with the end of the log if that takes longer than ten seconds.
+        """
         for _ in range(200):
             if len(process.events("started")) >= times:
                 return
             yield deferLater(reactor, 0.05)
-        raise RuntimeError(f"the gateway did not start: {process.lines.read_text()[-2000:]}")
+        raise RuntimeError(f"the gateway did not start: {process.log_path.read_text()[-2000:]}")
 
     @inlineCallbacks
     def play(
-        self, requests: list[PlannedRequest], asked: Any, script: list[tuple[float, Callable[[], None]]]
+        self, requests: list[PlannedRequest], target: Any, script: list[tuple[float, Callable[[], None]]]
     ) -> Iterator[Deferred]:
-        """Open loop: each request at its intended time, whatever came of those before."""
+        """Start each request at its intended time, as an open loop, and run the script's actions.
+
+        The times of the script are in seconds from the start of the day.
+        """
         began = time.monotonic() + 0.1
         for request in requests:
             request.at += began
             reactor.callLater(
-                max(0.0, request.at - time.monotonic()), asked.start_request, request, request.at
+                max(0.0, request.at - time.monotonic()), target.start_request, request, request.at
             )
-        for at, what in script:
-            reactor.callLater(max(0.0, began + at - time.monotonic()), what)
+        for at, action in script:
+            reactor.callLater(max(0.0, began + at - time.monotonic()), action)
         last = max([request.at for request in requests], default=began) - began
         yield deferLater(reactor, last + 0.5)
         for _ in range(80):
-            if all(one.final_responses for one in asked.records):
+            if all(record.final_responses for record in target.records):
                 break
             yield deferLater(reactor, 0.05)
         yield deferLater(reactor, 0.3)
 
-    def day(self, name: str, world: World, records: list[RequestRecord], cpu: float, memory: float) -> Day:
+    def add_day(
+        self, name: str, world: World, records: list[RequestRecord], cpu: float, memory: float
+    ) -> Day:
+        """Check a day and add its figures to the report; `cpu` is in seconds, `memory` in mebibytes."""
         day = Day(
             name,
             len(records),
             dict(
-                sorted(Counter(one.final_responses[0][1] for one in records if one.final_responses).items())
+                sorted(
+                    Counter(
+                        record.final_responses[0][1] for record in records if record.final_responses
+                    ).items()
+                )
             ),
         )
         day.g = checker.utility_ratio(records, METHODS)
-        day.broken = checker.check(world, records, TERMS)
-        waits = [wait for one in records for wait in one.decision_times]
+        day.broken = checker.check(world, records, RULE_LIMITS)
+        waits = [wait for record in records for wait in record.decision_times]
         if waits:
             histogram = HdrHistogram(1, 60_000_000, 3)
             for wait in waits:
@@ -108,7 +125,7 @@
             day.waits_ms = {
                 f"p{p:g}": round(histogram.get_value_at_percentile(p) / 1000, 3) for p in PERCENTILES
             }
-        streams = sum(one.streams for one in records) or len(records)
+        streams = sum(record.streams for record in records) or len(records)
         if cpu:
             day.cpu_us, day.streams_per_core = cpu / max(1, len(records)) * 1e6, streams / cpu
         day.memory_mb = round(memory, 1)
@@ -116,9 +133,9 @@
         return day
 
     @inlineCallbacks
-    def plain(self, name: str, rate: float, seconds: float) -> Iterator[Deferred]:
-        """The same day without faults, over one of the three."""
-        world = self.world()
+    def play_without_faults(self, name: str, rate: float, seconds: float) -> Iterator[Deferred]:
+        """Play the day without faults over the empty processor, the processor or RESP2."""
+        world = self.start_world()
         if name == "empty":
             port = free_port()
             node = world.nodes["n0"].address
@@ -130,78 +147,83 @@
             )
             self.processes.append(process)
         elif name == "resp2":
-            process, port, _ = self.gateway(world, "serve")
+            process, port, _ = self.start_gateway(world, "serve")
         else:
-            process, _, port = self.gateway(world, "processor")
-        yield self.up(process)
-        asked: Any = Client(world, port) if name == "resp2" else Proxy(world, port, 4)
+            process, _, port = self.start_gateway(world, "processor")
+        yield self.wait_until_started(process)
+        target: Any = Client(world, port) if name == "resp2" else Proxy(world, port, 4)
         if name != "resp2":
-            asked.dial()
+            target.dial()
             yield deferLater(reactor, 0.3)
         before = process.cpu()
-        yield self.play(plan(self.seed, rate, seconds, 0.0), asked, [])
-        day = self.day(name, world, asked.records, process.cpu() - before, process.memory_mb())
+        yield self.play(plan(self.seed, rate, seconds, 0.0), target, [])
+        day = self.add_day(name, world, target.records, process.cpu() - before, process.memory_mb())
         if name == "empty":
-            day.broken = []  # It decides nothing: only its time counts.
-        asked.close()
+            day.broken = []  # it makes no decisions; only its cost is measured
+        target.close()
         process.end()
         process.wait()
         world.close()
 
     @inlineCallbacks
-    def faults(self, fail_open: bool, rate: float, seconds: float) -> Iterator[Deferred]:
-        """Streams reset at every point, nodes that fail, drain and die, a build on trial, a gateway restarted
-        as planned and one killed in the middle of streams."""
-        world = self.world()
-        process, _, port = self.gateway(world, "processor", fail_open)
-        yield self.up(process)
+    def play_with_faults(self, fail_open: bool, rate: float, seconds: float) -> Iterator[Deferred]:
+        """Play a day with faults.
+
+        Streams are reset at every point; nodes fail, drain and crash; a build is rolled out and recalled;
+        and the gateway is restarted twice, once as planned and once by a kill in the middle of streams.
+        """
+        world = self.start_world()
+        process, _, port = self.start_gateway(world, "processor", fail_open)
+        yield self.wait_until_started(process)
         proxy = Proxy(world, port, 4, fail_open=fail_open, patience=0.6)
         proxy.dial()
         yield deferLater(reactor, 0.3)
         world.fails = {(1, "quote"): 0.02, (1, "confirm"): 0.02, (2, "quote"): 0.4}
 
-        def trial() -> None:
-            world.add("n8", 2, 4)
-            world.add("n9", 2, 4)
+        def start_trial() -> None:
+            world.add_node("n8", 2, 4)
+            world.add_node("n9", 2, 4)
             world.set_rollout(RolloutStatus(2, 0, "testing", 0.2))
 
-        def killed() -> None:
+        def kill_and_restart() -> None:
             process.end(signal.SIGKILL)
             process.wait()
             process.start()
 
-        def planned() -> None:
+        def terminate_and_restart() -> None:
             process.end(signal.SIGTERM)
-            reactor.callLater(0.05, again)
+            reactor.callLater(0.05, restart_when_ended)
 
-        def again() -> None:
+        def restart_when_ended() -> None:
             if process.process is not None and process.process.poll() is None:
-                reactor.callLater(0.05, again)
+                reactor.callLater(0.05, restart_when_ended)
             else:
                 process.start()
 
         script = [
-            (seconds * 0.1, trial),
+            (seconds * 0.1, start_trial),
             (seconds * 0.25, lambda: world.drain("n1")),
-            (seconds * 0.3, world.nodes["n2"].die),
-            (seconds * 0.4, killed),
+            (seconds * 0.3, world.nodes["n2"].crash),
+            (seconds * 0.4, kill_and_restart),
             (seconds * 0.55, lambda: world.set_rollout(RolloutStatus(2, 0, "recalling", 0.0))),
-            (seconds * 0.6, planned),
+            (seconds * 0.6, terminate_and_restart),
             (seconds * 0.8, lambda: world.drain("n3")),
         ]
         yield self.play(plan(self.seed + 1, rate, seconds, 0.06), proxy, script)
-        day = self.day(
+        day = self.add_day(
             f"faults, {'open' if fail_open else 'closed'}", world, proxy.records, 0.0, process.memory_mb()
         )
         recalled = [event["ids"] for event in process.events("store.recalled")]
         day.notes.append(f"ids recalled at each start: {recalled}")
         day.notes.append(f"votes: {dict(Counter(vote for _, _, _, vote in world.votes))}")
         if len(recalled) != 3 or not any(recalled[1:]):
-            day.broken.append(f"a start did not recall what an earlier life handed out: {recalled}")
+            day.broken.append(
+                f"a start did not recall the ids that the gateway dispatched before: {recalled}"
+            )
         proxy.close()
         process.end()
         if process.wait() != 0:
-            day.broken.append("the gateway did not end in time")
+            day.broken.append("the gateway did not exit with code 0 in time")
         if failed := process.events("failed"):
             day.broken.append(
                 f"{len(failed)} exceptions, the first: {failed[0]['where']}: {failed[0]['error']}"
@@ -209,16 +231,18 @@
         world.close()
 
     @inlineCallbacks
-    def all(self) -> Iterator[Deferred]:
+    def play_all(self) -> Iterator[Deferred]:
+        """Play the days without faults, then those with faults."""
         rate, seconds = (150.0, 4.0) if self.quick else (200.0, 20.0)
         for name in ("empty", "processor", "resp2"):
-            yield self.plain(name, rate, seconds)
+            yield self.play_without_faults(name, rate, seconds)
         for fail_open in (False, True):
-            yield self.faults(fail_open, rate, 7.0 if self.quick else 20.0)
+            yield self.play_with_faults(fail_open, rate, 7.0 if self.quick else 20.0)
 
     def run(self) -> Report:
+        """Play all days and return the report; keep the folder if a rule broke or the run failed."""
         try:
-            done = self.all()
+            done = self.play_all()
             done.addErrback(lambda failure: setattr(self, "failure", failure))
             done.addBoth(lambda _: reactor.callLater(0, reactor.stop))
             reactor.run()
@@ -233,6 +257,6 @@
         return self.report
 
 
-def run_drill(seed: int, quick: bool) -> Report:
-    """One whole drill; the caller's process is its own, as the reactor runs once."""
-    return Drill(seed, quick).run()
+def run_fault_days(seed: int, quick: bool) -> Report:
+    """Run all days once; call it once per process, because the reactor cannot be restarted."""
+    return FaultRun(seed, quick).run()
--- a/linenbridge/faults/report.py
+++ b/linenbridge/faults/report.py
@@ -1,4 +1,4 @@
-"""What the days of a drill showed: figures of each day, ratios between days, as text and as plain data."""
+"""The report of a fault run: figures of each day and ratios between days, as text and as plain data."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass
 class Day:
-    """What one day showed."""
+    """The figures of one day. `g` is the utility ratio; `cpu_us` is microseconds per request."""
 
     name: str
     requests: int = 0
@@ -18,7 +18,7 @@
     g: float = 0.0
     broken: list[str] = field(default_factory=list)
     waits_ms: dict[str, float] = field(default_factory=dict)
-    cpu_us: float = 0.0  # of the process asked, for each request
+    cpu_us: float = 0.0  # of the process under test, for each request
     streams_per_core: float = 0.0
     memory_mb: float = 0.0
     notes: list[str] = field(default_factory=list)
@@ -26,18 +26,21 @@
 
 @dataclass
 class Report:
-    """All days of a drill."""
+    """The figures of all days of a fault run."""
 
     seed: int
     days: list[Day] = field(default_factory=list)
 
     def broken(self) -> bool:
+        """Return whether a rule broke on any day."""
         return any(day.broken for day in self.days)
 
     def as_dict(self) -> dict[str, Any]:
+        """Return the report as plain data."""
         return {"seed": self.seed, "days": [vars(day) for day in self.days], "ratios": self.ratios()}
 
     def ratios(self) -> dict[str, float]:
+        """Return the ratios of the processor's figures to those of the empty processor and of RESP2."""
         days = {day.name: day for day in self.days}
         found: dict[str, float] = {}
         if "processor" in days and "empty" in days:
@@ -52,7 +55,8 @@
         return found
 
     def as_text(self) -> str:
-        lines = [f"simulated servers and a stand-in proxy on loopback, seed {self.seed}", ""]
+        """Return the report as text, with the first 20 broken rules of each day."""
+        lines = [f"simulated servers and a fake proxy on loopback, seed {self.seed}", ""]
         head = f"{'day':14}{'requests':>9}{'G':>8}{'broken':>8}" + "".join(
             f"{f'p{p:g} ms':>10}" for p in PERCENTILES
         )
--- a/linenbridge/faults/transport.py
+++ b/linenbridge/faults/transport.py
@@ -1,8 +1,8 @@
-"""Weighs transports for the external processor: the same dialogue against an empty processor on each.
+"""Compares transports for the external processor: the same dialogue against an empty processor on each.
 
-Owns the server processes that it starts. Closed loop, so many streams at a time; what counts is the server's
-processor time for a stream, its memory and its start. It must never be read as a gateway's figure: nothing is
-decided here.
+A run owns the server processes that it starts. The load is a closed loop of CONCURRENT_STREAMS streams; it
+measures the server's processor time for a stream, its memory and its start. The figures are not a gateway's,
+because an empty processor makes no decisions.
 """
 
 from __future__ import annotations
@@ -30,12 +30,12 @@
     "h2 on Twisted": "linenbridge.faults.fake_processor",
     "grpcio (asyncio)": "linenbridge.faults.fake_grpc",
 }
-AT_ONCE = 32
+CONCURRENT_STREAMS = 32
 
 
 @dataclass
 class TransportCosts:
-    """One transport's figures: streams for a processor second of the server, and so on."""
+    """The figures of one transport; `streams_per_core_s` counts streams per second of processor time."""
 
     name: str
     streams: int
@@ -45,36 +45,40 @@
     memory_mb: float
 
 
-class Crowd(Proxy):
-    """A proxy that asks anew whenever one has ended, until it is told to stop."""
+class ClosedLoopProxy(Proxy):
+    """A proxy that starts a request whenever one has ended, while `running` is set."""
 
     running = False
-    asked = 0
+    started_requests = 0
 
-    def more(self) -> None:
+    def start_next(self) -> None:
+        """Start the next request while running."""
         if self.running:
-            self.asked += 1
+            self.started_requests += 1
             path, verb = PATHS["lookup"]
             self.start_request(
-                PlannedRequest(f"t{self.asked}", "lookup", self.world.clock(), path, verb), self.world.clock()
+                PlannedRequest(f"t{self.started_requests}", "lookup", self.world.clock(), path, verb),
+                self.world.clock(),
             )
 
-    def final(self, record: RequestRecord, outcome: str) -> None:
-        super().final(record, outcome)
-        self.world.reactor.callLater(0, self.more)
+    def record_final_response(self, record: RequestRecord, outcome: str) -> None:
+        """Record the outcome and start the next request."""
+        super().record_final_response(record, outcome)
+        self.world.reactor.callLater(0, self.start_next)
 
 
-class Quick:
-    """A node that serves at once, so that the transport alone is waited for."""
+class InstantNode:
+    """A node that responds at once, so that only the transport adds latency."""
 
     name, build = "quick", 1
 
-    def serve(self, request: str, method: str, done: Any) -> None:
+    def serve(self, _request: str, _method: str, done: Any) -> None:
+        """Call `done` with `ok`."""
         done("ok")
 
 
 def measure_transports(seconds: float) -> list[TransportCosts]:
-    """Each transport in turn, in one run."""
+    """Measure each transport for `seconds`, one after the other."""
     folder, rows, failures = (
         Path(tempfile.mkdtemp(prefix="linenbridge-transport-")),
         list[TransportCosts](),
@@ -82,31 +86,31 @@
     )
 
     @inlineCallbacks
-    def one(name: str, module: str) -> Iterator[Deferred]:
+    def measure_transport(name: str, module: str) -> Iterator[Deferred]:
         world, port = World(reactor, 1, METHODS, time.monotonic), free_port()
-        world.by_address["127.0.0.1:9"] = Quick()  # type: ignore[assignment]
+        world.by_address["127.0.0.1:9"] = InstantNode()  # type: ignore[assignment]
         began = time.monotonic()
         process = Process([sys.executable, "-m", module, str(port), "127.0.0.1:9"], {}, folder, module)
         try:
             while not process.events("started"):
                 yield deferLater(reactor, 0.02)
             start = time.monotonic() - began
-            proxy = Crowd(world, port, 4, patience=5.0)
+            proxy = ClosedLoopProxy(world, port, 4, patience=5.0)
             proxy.dial()
             yield deferLater(reactor, 0.5)
             before, proxy.running = process.cpu(), True
-            for _ in range(AT_ONCE):
-                proxy.more()
+            for _ in range(CONCURRENT_STREAMS):
+                proxy.start_next()
             yield deferLater(reactor, seconds)
             proxy.running = False
-            used = process.cpu() - before
+            cpu_seconds = process.cpu() - before
             done = [record for record in proxy.records if record.final_responses]
             waits = sorted(record.decision_times[0] for record in done if record.decision_times)
             rows.append(
                 TransportCosts(
                     name,
                     len(done),
-                    len(done) / max(used, 1e-3),
+                    len(done) / max(cpu_seconds, 1e-3),
                     waits[len(waits) // 2] * 1e3,
                     start,
                     process.memory_mb(),
@@ -118,11 +122,11 @@
             process.wait()
 
     @inlineCallbacks
-    def every() -> Iterator[Deferred]:
+    def measure_all() -> Iterator[Deferred]:
         for name, module in SERVERS.items():
-            yield one(name, module)
+            yield measure_transport(name, module)
 
-    done = every()
+    done = measure_all()
     done.addErrback(failures.append)
     done.addBoth(lambda _: reactor.callLater(0, reactor.stop))
     reactor.run()
--- a/linenbridge/processor/http2/connection.py
+++ b/linenbridge/processor/http2/connection.py
@@ -144,7 +144,7 @@
         """Stop for good; connectionLost follows."""
         self.paused = True
 
-    def connectionLost(self, _reason: Any) -> None:
+    def connectionLost(self, reason: Any) -> None:  # noqa: ARG002  # Twisted's signature
         """Release the connection and all of its streams; nothing else releases a connection."""
         self.lost = self.ending = True
         for call in list(self.calls.values()):
--- a/linenbridge/processor/http2/server.py
+++ b/linenbridge/processor/http2/server.py
@@ -58,7 +58,7 @@
         self.draining = False
         self.stopped: Callable[[], None] | None = None
 
-    def buildProtocol(self, _addr: Any) -> Connection | None:
+    def buildProtocol(self, addr: Any) -> Connection | None:  # noqa: ARG002  # Twisted's signature
         """Return a connection, or None (the socket is closed) if too many are open or the server drains."""
         if len(self.open) >= self.max_connections or self.draining:
             self.log.count("proxy.turned_away")
