--- a/linenbridge/faults/fake_proxy.py
+++ b/linenbridge/faults/fake_proxy.py
@@ -222,35 +222,36 @@
             self.timer.cancel()
         self.timer = None
 
-    def handle_response(self, response: wire.ProcessingResponse) -> None:
+    def handle_response(self, processing_response: wire.ProcessingResponse) -> None:
         """Handle a response of the processor to the request's headers or to the report."""
         self.pending_responses -= 1
         if self.pending_responses < 0:
             self.record.unexpected_responses.append(self.pending_responses)
-        kind = response.WhichOneof("response")
+        kind = processing_response.WhichOneof("response")
         if self.phase == "asking":
             self._stop_timer()
             self.record.decision_times.append(self.proxy.world.clock() - self.intended)
             if kind == "immediate_response":
                 self.phase = "refused"
                 self.proxy.record_final_response(
-                    self.record, f"immediate {response.immediate_response.status.code}"
+                    self.record, f"immediate {processing_response.immediate_response.status.code}"
                 )
             elif kind == "request_headers":
-                self._send_upstream(response)
+                self._send_upstream(processing_response)
         elif self.phase == "reporting":
             self.phase = "over"
             header_names = {
-                o.header.key for o in response.response_headers.response.header_mutation.set_headers
+                o.header.key
+                for o in processing_response.response_headers.response.header_mutation.set_headers
             }
             if self.connection is not None:
                 self.connection.half_close(self)
             self.proxy.on_report_acknowledged(self, MORE_ATTEMPTS_HEADER in header_names)
 
-    def _send_upstream(self, response: wire.ProcessingResponse) -> None:
+    def _send_upstream(self, processing_response: wire.ProcessingResponse) -> None:
         header_values = {
             option.header.key: option.header.raw_value.decode()
-            for option in response.request_headers.response.header_mutation.set_headers
+            for option in processing_response.request_headers.response.header_mutation.set_headers
         }
         self.phase = "upstream"
         fault = self.record.planned.fault if self.attempt == 1 else ""
@@ -334,7 +335,7 @@
         fail_open: bool = False,
         always_reports_success: bool = False,
     ) -> None:
-        self.world, self.port, self.connection_count = world, port, connection_count
+        self.world, self.port, self.target_count = world, port, connection_count
         self.patience, self.attempts, self.fail_open, self.always_reports_success = (
             patience,
             attempts,
@@ -351,7 +352,7 @@
 
     def dial(self) -> None:
         """Open all connections."""
-        for _ in range(self.connection_count):
+        for _ in range(self.target_count):
             self._dial()
 
     def _dial(self) -> None:
@@ -364,7 +365,7 @@
     def _on_connected(self, connection: ProxyConnection) -> None:
         self.connecting -= 1
         self.connections.append(connection)
-        if self.ready is not None and len(self.connections) == self.connection_count:
+        if self.ready is not None and len(self.connections) == self.target_count:
             ready, self.ready = self.ready, None
             ready()
 
@@ -377,7 +378,7 @@
         """Replace a connection that is lost or draining."""
         if connection in self.connections:
             self.connections.remove(connection)
-            if not self.closed and len(self.connections) + self.connecting < self.connection_count:
+            if not self.closed and len(self.connections) + self.connecting < self.target_count:
                 self._dial()
 
     def close(self) -> None:
