--- a/linenbridge/processor/http2/server.py
+++ b/linenbridge/processor/http2/server.py
@@ -117,7 +117,7 @@
         for connection in list(self.open):
             connection.send_goaway(LAST_STREAM)
         self.reactor.callLater(FINAL_GOAWAY_DELAY, self._send_final_goaways)
-        self.cut_timer = self.reactor.callLater(within, self._end_remaining)
+        self.drain_timer = self.reactor.callLater(within, self._end_remaining)
 
     def _send_final_goaways(self) -> None:
         for connection in list(self.open):
@@ -140,7 +140,7 @@
     def _report_stopped(self) -> None:
         if self.draining and not self.open and self.stopped is not None:
             stopped, self.stopped = self.stopped, None
-            for timer in (self.cut_timer, self.sweep_timer):
+            for timer in (self.drain_timer, self.sweep_timer):
                 if timer is not None and timer.active():
                     timer.cancel()
             stopped()
