--- a/linenbridge/configuration/read.py
+++ b/linenbridge/configuration/read.py
@@ -51,10 +51,10 @@
         """`file:line:column` of an element, for errors."""
         line, name = element.sourceline, etree.QName(element).localname
         text = self.lines[line - 1] if 0 < line <= len(self.lines) else b""
-        alike = [other for other in self.root.iter(element.tag) if other.sourceline == line]
-        starts = [found.start() for found in re.finditer(rb"<%b[\s/>]" % name.encode(), text + b" ")]
-        nth = alike.index(element)
-        return f"{self.path}:{line}:{starts[nth] + 1 if nth < len(starts) else 1}"
+        on_line = [other for other in self.root.iter(element.tag) if other.sourceline == line]
+        offsets = [found.start() for found in re.finditer(rb"<%b[\s/>]" % name.encode(), text + b" ")]
+        index = on_line.index(element)
+        return f"{self.path}:{line}:{offsets[index] + 1 if index < len(offsets) else 1}"
 
     def error_at(self, element: etree._Element, what: str) -> ConfigurationError:
         """The error for an element that is valid by the schema and wrong all the same."""
