--- a/linenbridge/configuration/__init__.py
+++ b/linenbridge/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The settings file of an installation: its schema, its reading, and its values and faults.
+"""The settings file of an installation: its schema, the parser, shared value types and collected faults.
 
-The platform's own configuration is read by `linenbridge.process.configuration`.
+The platform's configuration is read by `linenbridge.process.configuration`.
 """
--- a/linenbridge/configuration/read.py
+++ b/linenbridge/configuration/read.py
@@ -1,8 +1,8 @@
-"""The settings file, from XML to checked elements; each part of the program reads its own element of it.
+"""Parse the settings file and validate it against `schema.xsd`.
 
-Owns the file's form (`schema.xsd`) and the meaning of its plain values (times, sizes). Document types,
+This module also converts durations and sizes, and adds the schema's defaults to attributes. Document types,
 entities, includes and references to other files are rejected before the file is validated. Defaults are in
-the schema, where operators can read them; what an element is for is known by the part that reads it.
+the schema, where operators can read them. Each component of the program interprets its own element.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 
 
 class ConfigurationError(ValueError):
-    """The settings are wrong; the text has one line for each place, `file:line: element: what`."""
+    """The settings file is invalid; the text has one line for each fault: `file:line: element: reason`."""
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """A settings file that is valid by the schema; `path` is given in errors."""
+    """A settings file that conforms to the schema; errors start with `path`."""
 
     path: str
     root: etree._Element
@@ -36,19 +36,19 @@
 
     @property
     def folder(self) -> str:
-        """The folder of the file, to which paths in it are relative."""
+        """The absolute path of the file's folder; paths in the settings are relative to it."""
         return os.path.dirname(os.path.abspath(self.path))
 
     def part(self, name: str) -> etree._Element | None:
-        """The element of one part of the program; None where the file has none."""
+        """Return the top-level element `name`, which configures one component; None if it is left out."""
         return self.root.find(SPACE + name)
 
     def beside(self, file: str) -> str:
-        """The path of a file named in the settings, relative to the settings' folder; "" for ""."""
+        """Resolve a path in the settings against the folder of the settings file; "" stays ""."""
         return os.path.join(self.folder, file) if file else ""
 
     def place(self, element: etree._Element) -> str:
-        """`file:line:column` of an element, for errors."""
+        """Return `file:line:column` of an element, for errors."""
         line, name = element.sourceline, etree.QName(element).localname
         text = self.lines[line - 1] if 0 < line <= len(self.lines) else b""
         on_line = [other for other in self.root.iter(element.tag) if other.sourceline == line]
@@ -57,35 +57,35 @@
         return f"{self.path}:{line}:{offsets[index] + 1 if index < len(offsets) else 1}"
 
     def error_at(self, element: etree._Element, what: str) -> ConfigurationError:
-        """The error for an element that is valid by the schema and wrong all the same."""
+        """Return the error for an element that conforms to the schema but is invalid for another reason."""
         name = etree.QName(element).localname
         return ConfigurationError(f"{self.path}:{element.sourceline}: element '{name}': {what}")
 
 
 @cache
 def schema() -> etree.XMLSchema:
-    """The schema, compiled."""
+    """Return the compiled schema."""
     return etree.XMLSchema(etree.fromstring(schema_text()))
 
 
 def schema_text() -> bytes:
-    """The schema as it stands in the package."""
+    """Return the content of `schema.xsd`."""
     return resources.files(__package__).joinpath("schema.xsd").read_bytes()
 
 
 def duration(text: str) -> int:
-    """A time such as `3s`, in microseconds."""
+    """Return a duration such as `3s` in microseconds."""
     digits = text.rstrip("umsh")
     return int(digits) * TIMES[text[len(digits) :]]
 
 
 def size(text: str) -> int:
-    """A size such as `64K`, in bytes."""
+    """Return a size such as `64K` in bytes."""
     return int(text.rstrip("KM")) * SIZES.get(text[-1], 1)
 
 
 def read(path: str) -> Configuration:
-    """The file at `path`; ConfigurationError where it can't be read or is wrong."""
+    """Read and parse the file at `path`; raise ConfigurationError if it can't be read or is invalid."""
     try:
         with open(path, "rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
@@ -95,9 +95,12 @@
 
 
 def parse(data: bytes, path: str) -> Configuration:
-    """The settings in `data`, which came from `path`; ConfigurationError names every place that is wrong."""
+    """Parse `data`, the content of the file at `path`.
+
+    ConfigurationError names every element that does not conform to the schema.
+    """
     if len(data) > MAX_FILE_BYTES:
-        raise ConfigurationError(f"{path}: the file is longer than {MAX_FILE_BYTES} bytes")
+        raise ConfigurationError(f"{path}: the file is longer than {MAX_FILE_BYTES} bytes, the maximum")
     parser = etree.XMLParser(
         resolve_entities=False,
         load_dtd=False,
@@ -123,35 +126,46 @@
 
 
 def _reject_references(root: etree._Element, path: str) -> None:
-    """Rejects whatever refers to other files, or expands to more than the file holds."""
+    """Raise ConfigurationError for nodes that refer to other files or expand to a larger text."""
     if root.getroottree().docinfo.doctype:
-        raise ConfigurationError(f"{path}:1: document types and entities are not taken")
+        raise ConfigurationError(f"{path}:1: document types and entities are not allowed; remove <!DOCTYPE>")
     for node in root.iter():
         if node.tag is etree.Entity:
-            raise ConfigurationError(f"{path}:{node.sourceline}: entities are not taken")
+            raise ConfigurationError(
+                f"{path}:{node.sourceline}: entities are not allowed; write the text itself"
+            )
         if node.tag is etree.PI:
-            raise ConfigurationError(f"{path}:{node.sourceline}: processing instructions are not taken")
+            raise ConfigurationError(
+                f"{path}:{node.sourceline}: processing instructions are not allowed; remove them"
+            )
         if isinstance(node.tag, str) and node.tag.startswith("{http://www.w3.org/2001/XInclude}"):
-            raise ConfigurationError(f"{path}:{node.sourceline}: include: includes are not taken")
+            raise ConfigurationError(
+                f"{path}:{node.sourceline}: include: XInclude is not allowed; write the elements here"
+            )
         for name in node.attrib:
             if name.startswith("{http://www.w3.org/2001/XMLSchema-instance}"):
                 where = f"{path}:{node.sourceline}"
-                raise ConfigurationError(f"{where}: references to other schemas are not taken")
+                raise ConfigurationError(
+                    f"{where}: references to other schemas are not allowed; remove the attribute"
+                )
 
 
 def _plain(message: str) -> str:
-    """The validator's message without the namespace."""
+    """Return the validator's message without the namespace."""
     return message.replace(SPACE, "").replace("Element '", "element '").rstrip(".")
 
 
 def child_attributes(parent: etree._Element, name: str) -> dict[str, str]:
-    """A child element's attributes with the schema's defaults, also where the element is left out."""
+    """Return the attributes of the child element `name`, with the schema's defaults for those left out.
+
+    If the child element is left out, all values are defaults.
+    """
     element = parent.find(SPACE + name)
     return {**_defaults(name), **(dict(element.attrib) if element is not None else {})}
 
 
 def attributes(element: etree._Element, kind: str) -> dict[str, str]:
-    """An element's own attributes with the schema's defaults for its kind."""
+    """Return the attributes of `element`, and for those left out the defaults of the schema's type `kind`."""
     return {**_defaults(kind), **dict(element.attrib)}
 
 
--- a/linenbridge/configuration/values.py
+++ b/linenbridge/configuration/values.py
@@ -1,4 +1,7 @@
-"""Values of attributes that several elements of the settings share, from text that passed the schema."""
+"""Parsers of attribute values that several elements of the settings share.
+
+The schema has validated the text that they get.
+"""
 
 from __future__ import annotations
 
@@ -8,10 +11,10 @@
 
 
 def flag(text: str | None) -> bool:
-    """A boolean of XML; False where the attribute is left out."""
+    """Return the value of an XML boolean; False for an attribute that is left out."""
     return text in ("true", "1")
 
 
 def socket_address(text: str) -> Address:
-    """Host and port of `host:port`, or of `[address]:port` for an IPv6 address."""
+    """Return host and port of `host:port`, or of `[address]:port` for an IPv6 address."""
     return host_port(text.replace("[", "").replace("]", ""))
