--- a/linenbridge/configuration/read.py
+++ b/linenbridge/configuration/read.py
@@ -53,8 +53,8 @@
         text = self.lines[line - 1] if 0 < line <= len(self.lines) else b""
         on_line = [other for other in self.root.iter(element.tag) if other.sourceline == line]
         offsets = [found.start() for found in re.finditer(rb"<%b[\s/>]" % name.encode(), text + b" ")]
-        index = on_line.index(element)
-        return f"{self.path}:{line}:{offsets[index] + 1 if index < len(offsets) else 1}"
+        occurrence = on_line.index(element)
+        return f"{self.path}:{line}:{offsets[occurrence] + 1 if occurrence < len(offsets) else 1}"
 
     def error_at(self, element: etree._Element, what: str) -> ConfigurationError:
         """Return the error for an element that conforms to the schema but is invalid for another reason."""
