--- a/linenbridge/simulator/messages.py
+++ b/linenbridge/simulator/messages.py
@@ -193,7 +193,7 @@
         return found
 
 
-NAMES: dict[type[Struct], str] = {
+MESSAGE_NAMES: dict[type[Struct], str] = {
     get_args(kind)[0]: row.encode_name
     for kind, row in zip(get_type_hints(Event).values(), fields(Event), strict=True)
 }  # the simulator's names of the messages
