--- a/linenbridge/simulator/__init__.py
+++ b/linenbridge/simulator/__init__.py
@@ -1,4 +1,5 @@
-"""The simulator's host: messages on standard input and output before the decisions of `linenbridge.policy`.
+"""The interface to the simulator, which exchanges messages over standard input and output.
 
-`messages` holds the form of every message, `adapter` makes calls of events and messages of decisions.
+`messages` has the type of every message. `adapter` converts events to calls of the decision module in
+`linenbridge.policy`, and its decisions to messages.
 """
