--- a/linenbridge/cli/commands.py
+++ b/linenbridge/cli/commands.py
@@ -13,7 +13,7 @@
 import typer
 
 from linenbridge.cli import fault_commands, logs, route_commands, serving, settings_commands
-from linenbridge.cli.options import AsJson, SettingsFile, unusable
+from linenbridge.cli.options import AsJson, SettingsFile, invalid_input
 from linenbridge.configuration.read import ConfigurationError, read
 
 app = typer.Typer(
@@ -61,7 +61,7 @@
     try:
         code = publish(read(str(settings_file)), options, as_json=as_json)
     except (ConfigurationError, ValueError, OSError) as error:
-        raise unusable(error) from error
+        raise invalid_input(error) from error
     raise typer.Exit(code)
 
 
--- a/linenbridge/cli/event_names.py
+++ b/linenbridge/cli/event_names.py
@@ -96,25 +96,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sentence:
+class DecisionText:
     """One form of a decision's text in earlier versions, and the row that it is counted under."""
 
-    form: re.Pattern[str]
+    pattern: re.Pattern[str]
     row: str
 
 
-SENTENCES: Final = (
-    Sentence(re.compile(r"shun .*"), "eject"),
-    Sentence(re.compile(r"alarm (?P<method>\S+) (?P<statistic>.+) build (?P<build>\S+) W .*"), "alarm"),
-    Sentence(
+DECISION_TEXTS: Final = (
+    DecisionText(re.compile(r"shun .*"), "eject"),
+    DecisionText(re.compile(r"alarm (?P<method>\S+) (?P<statistic>.+) build (?P<build>\S+) W .*"), "alarm"),
+    DecisionText(
         re.compile(r"clear (?P<method>\S+) (?P<statistic>.+) build (?P<build>\S+) W .*"), "alarm_cleared"
     ),
-    Sentence(re.compile(r"vote (?P<vote>[0-3]) build (?P<build>\S+) stage (?P<stage>\S+) told .*"), "vote"),
-    Sentence(
+    DecisionText(
+        re.compile(r"vote (?P<vote>[0-3]) build (?P<build>\S+) stage (?P<stage>\S+) told .*"), "vote"
+    ),
+    DecisionText(
         re.compile(r"build (?P<build>\S+) stage (?P<stage>\S+) phase (?P<phase>[0-3]) cap .*"), "rollout"
     ),
-    Sentence(re.compile(r"set aside .+"), "proxy.distrusted"),
-    Sentence(re.compile(r"hold .* build (?P<build>\S+) stage (?P<stage>\S+) cap .*"), "rollout_freeze"),
+    DecisionText(re.compile(r"set aside .+"), "proxy.distrusted"),
+    DecisionText(re.compile(r"hold .* build (?P<build>\S+) stage (?P<stage>\S+) cap .*"), "rollout_freeze"),
 )
 
 
@@ -142,11 +144,11 @@
     return " ".join([str(fields.get("kind")), *values, *named])
 
 
-def sentence_row(text: str) -> str:
-    """The row of a decision that an earlier version wrote as a sentence, or the text of an unknown form."""
-    for sentence in SENTENCES:
-        if found := sentence.form.fullmatch(text):
-            fields: dict[str, object] = {"kind": sentence.row, **found.groupdict()}
+def decision_text_row(text: str) -> str:
+    """The row of a decision that an earlier version wrote as a text, or the text of an unknown form."""
+    for decision_text in DECISION_TEXTS:
+        if found := decision_text.pattern.fullmatch(text):
+            fields: dict[str, object] = {"kind": decision_text.row, **found.groupdict()}
             if "vote" in fields:
                 fields["vote"] = VOTES[int(str(fields["vote"]))]
             if "phase" in fields:
--- a/linenbridge/cli/fault_commands.py
+++ b/linenbridge/cli/fault_commands.py
@@ -9,7 +9,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from linenbridge.cli.options import FOUND, AsJson
+from linenbridge.cli.options import CHECK_FAILED, AsJson
 
 app = typer.Typer(no_args_is_help=True, help="Play days with faults against fake servers on loopback.")
 
@@ -29,7 +29,7 @@
     report = run_drill(seed, quick)
     print(json.dumps(report.as_dict()) if as_json else report.as_text())
     if report.broken():
-        raise typer.Exit(FOUND)
+        raise typer.Exit(CHECK_FAILED)
 
 
 @app.command("transport")
--- a/linenbridge/cli/logs.py
+++ b/linenbridge/cli/logs.py
@@ -14,7 +14,7 @@
 from rich.console import Console
 from rich.table import Table
 
-from linenbridge.cli.options import AsJson, unusable
+from linenbridge.cli.options import AsJson, invalid_input
 from linenbridge.cli.sums import Sums
 
 
@@ -40,7 +40,7 @@
     try:
         sums = sum_folder(folder, every)
     except (OSError, ValueError) as error:
-        raise unusable(error) from error
+        raise invalid_input(error) from error
     rows, counters = sums.rows()[:max_rows], dict(sorted(sums.counters.items()))
     if as_json:
         table = [
--- a/linenbridge/cli/options.py
+++ b/linenbridge/cli/options.py
@@ -15,8 +15,8 @@
     from linenbridge.process.configuration import ProcessConfiguration
     from linenbridge.routes.table import Table
 
-FOUND: Final = 1  # exit code: a check or a day of faults found something
-UNUSABLE: Final = 2  # exit code: what was given can't be used
+CHECK_FAILED: Final = 1  # exit code: a check or a day of faults found something
+INVALID_INPUT: Final = 2  # exit code: what was given can't be used
 
 SettingsFile = Annotated[
     Path, typer.Option("--settings", "-s", help="Settings of our own, in XML.", envvar="LB_SETTINGS")
@@ -30,10 +30,10 @@
 AsJson = Annotated[bool, typer.Option("--json", help="Print one JSON object.")]
 
 
-def unusable(error: Exception) -> typer.Exit:
+def invalid_input(error: Exception) -> typer.Exit:
     """Prints the error in one line; the exit to raise for input that can't be used."""
     print(f"linenbridge: {error}", file=sys.stderr)
-    return typer.Exit(UNUSABLE)
+    return typer.Exit(INVALID_INPUT)
 
 
 def load_platform(config: Path) -> ProcessConfiguration:
@@ -56,4 +56,4 @@
         methods = list(startup(platform.settings).methods)
         return routes(settings, methods, platform.settings.max_deadline())
     except (ConfigurationError, ValueError, OSError) as error:
-        raise unusable(error) from error
+        raise invalid_input(error) from error
--- a/linenbridge/cli/publish.py
+++ b/linenbridge/cli/publish.py
@@ -47,8 +47,8 @@
 
 
 KINDS = {"routes": Kind.ROUTES, "tenant": Kind.TENANT, "instance": Kind.INSTANCE, "zone": Kind.ZONE}
-FORMS = {Kind.TENANT: TenantValue, Kind.INSTANCE: InstanceValue, Kind.ZONE: ZoneValue}
-REJECTIONS: dict[str, type[Rejection]] = {
+VALUE_TYPES = {Kind.TENANT: TenantValue, Kind.INSTANCE: InstanceValue, Kind.ZONE: ZoneValue}
+REJECTION_TYPES: dict[str, type[Rejection]] = {
     kind.code: kind
     for kind in (ChangeRejected, ForeignKey, NotPublisher, OlderEpoch, PublisherBusy, QuorumUnreached)
 }
@@ -81,34 +81,34 @@
     if region is None or not region.publishers:
         raise ConfigurationError(f"{configuration.path}: no publisher of {name}; add it to the region")
     change = Publish(
-        secrets.randbelow(MAX_REQUEST_ID), name, _kind(options.kind), options.name, _value(options)
+        secrets.randbelow(MAX_REQUEST_ID), name, _parse_kind(options.kind), options.name, _read_value(options)
     )
-    _check(settings, change)
+    _check_value(settings, change)
     printer = ResponsePrinter(name, as_json=as_json)
-    outcome = _exchange(region, change, options, printer)
+    outcome = _send_change(region, change, options, printer)
     return printer.finish(outcome)
 
 
-def _kind(name: str) -> Kind:
+def _parse_kind(name: str) -> Kind:
     if name not in KINDS:
         raise ValueError(f"no kind is named {name}; name one of {', '.join(KINDS)}")
     return KINDS[name]
 
 
-def _value(options: ChangeOptions) -> bytes:
-    """The value's bytes: routes as text, others from a JSON object that holds every field of their form."""
+def _read_value(options: ChangeOptions) -> bytes:
+    """The value's bytes: routes as text, others from a JSON object that holds every field of their type."""
     if options.delete and options.value is None:
         return b""
     if options.delete or options.value is None:
         raise ValueError("a change has a value or deletes its key; give one of --value and --delete")
     data = options.value.read_bytes()
-    kind = _kind(options.kind)
+    kind = _parse_kind(options.kind)
     if kind == Kind.ROUTES:
         return data
-    form = FORMS[kind]
+    value_type = VALUE_TYPES[kind]
     try:
         found = msgspec.json.decode(data, type=dict[str, Any])
-        value = msgspec.convert([found.pop(field) for field in form.__struct_fields__], form)
+        value = msgspec.convert([found.pop(field) for field in value_type.__struct_fields__], value_type)
     except KeyError as error:
         raise ValueError(f"{options.value}: it has no field {error.args[0]}; add it") from None
     except msgspec.MsgspecError as error:
@@ -118,7 +118,7 @@
     return msgspec.msgpack.encode(value)
 
 
-def _check(settings: DistributionSettings, change: Publish) -> None:
+def _check_value(settings: DistributionSettings, change: Publish) -> None:
     """Makes the publisher's checks ahead of it, since they name the place of a fault.
 
     Routes are checked only where the settings name the platform's configuration.
@@ -130,7 +130,9 @@
         raise ValueError(f"{change.name}: {fault}; {ChangeRejected.advice}")
 
 
-def _exchange(region: Region, change: Publish, options: ChangeOptions, printer: ResponsePrinter) -> Outcome:
+def _send_change(
+    region: Region, change: Publish, options: ChangeOptions, printer: ResponsePrinter
+) -> Outcome:
     """Runs a reactor for as long as the change takes."""
     reactor = Reactor()
     installReactor(reactor)
@@ -173,7 +175,7 @@
             print(f"in force    {place}", flush=True)
             self._print_unreached(published)
         else:
-            print(f"{published.state:<12}{_advised(published.code)}", flush=True)
+            print(f"{published.state:<12}{_with_advice(published.code)}", flush=True)
 
     def _print_unreached(self, published: Published) -> None:
         if published.unreached_count:
@@ -201,6 +203,6 @@
             print(line, flush=True)
 
 
-def _advised(code: str) -> str:
-    kind = REJECTIONS.get(code)
+def _with_advice(code: str) -> str:
+    kind = REJECTION_TYPES.get(code)
     return code if kind is None else f"{code}: {kind.advice}"
--- a/linenbridge/cli/route_commands.py
+++ b/linenbridge/cli/route_commands.py
@@ -8,7 +8,7 @@
 import msgspec
 import typer
 
-from linenbridge.cli.options import FOUND, AsJson, ConfigFile, SettingsFile, load_routes
+from linenbridge.cli.options import CHECK_FAILED, AsJson, ConfigFile, SettingsFile, load_routes
 from linenbridge.routes.table import MatchedRequest, Request, Step
 
 app = typer.Typer(no_args_is_help=True, help="Look at the routes: which RPC a request at a proxy is.")
@@ -45,7 +45,7 @@
     else:
         _print_text(match, steps)
     if match is None:
-        raise typer.Exit(FOUND)
+        raise typer.Exit(CHECK_FAILED)
 
 
 def _pairs(texts: list[str] | None, separator: str) -> list[tuple[str, str]]:
--- a/linenbridge/cli/serving.py
+++ b/linenbridge/cli/serving.py
@@ -8,7 +8,7 @@
 
 import typer
 
-from linenbridge.cli.options import ConfigFile, OptionalConfigFile, SettingsFile, load_platform, unusable
+from linenbridge.cli.options import ConfigFile, OptionalConfigFile, SettingsFile, invalid_input, load_platform
 from linenbridge.configuration.read import Configuration, ConfigurationError, read
 
 
@@ -55,7 +55,7 @@
             os.environ["LB_CONFIG"] = str(config)  # a reload reads the same file
             code = run(configuration, platform, serve_clients)
     except (ConfigurationError, ValueError, OSError) as error:
-        raise unusable(error) from error
+        raise invalid_input(error) from error
     raise typer.Exit(code)
 
 
--- a/linenbridge/cli/settings_commands.py
+++ b/linenbridge/cli/settings_commands.py
@@ -11,12 +11,12 @@
 from rich.console import Console
 from rich.table import Table
 
-from linenbridge.cli.options import AsJson, SettingsFile, load_routes, unusable
+from linenbridge.cli.options import AsJson, SettingsFile, invalid_input, load_routes
 from linenbridge.configuration.read import Configuration, ConfigurationError, read, schema_text
 from linenbridge.processor.configuration import processor_settings
 from linenbridge.processor.responses import ResponseFormat
 
-SHOWN_LIMITS = {  # names of the settings, as `settings show` prints them, and of the attributes
+SHOWN_BOUNDS = {  # names of the settings, as `settings show` prints them, and of the attributes
     "streams": "max_streams",
     "message": "max_message_bytes",
     "headers": "max_header_bytes",
@@ -25,7 +25,7 @@
     "unread": "unsent_timeout",
     "idle": "idle_timeout",
 }
-SHOWN_TERMS = {
+SHOWN_TICKETS = {
     "use_within": "use_within",
     "retry_within": "retry_within",
     "remember": "remember_for",
@@ -52,7 +52,7 @@
         found = processor_settings(configuration)
         distribution(configuration)
     except ConfigurationError as error:
-        raise unusable(error) from error
+        raise invalid_input(error) from error
     if config is not None and found is not None:
         load_routes(settings_file, config)
     print(f"{settings_file}: no fault")
@@ -64,7 +64,7 @@
     try:
         rows = shown(read(str(settings_file)))
     except ConfigurationError as error:
-        raise unusable(error) from error
+        raise invalid_input(error) from error
     if as_json:
         print(json.dumps(rows))
         return
@@ -85,8 +85,8 @@
     }
     rows["tls"] = None if found.tls is None else found.tls.certificate
     rows["bounds.connections"] = found.connections
-    rows |= {f"bounds.{name}": getattr(found.limits, attribute) for name, attribute in SHOWN_LIMITS.items()}
-    rows |= {f"tickets.{name}": getattr(found.terms, attribute) for name, attribute in SHOWN_TERMS.items()}
+    rows |= {f"bounds.{name}": getattr(found.limits, attribute) for name, attribute in SHOWN_BOUNDS.items()}
+    rows |= {f"tickets.{name}": getattr(found.terms, attribute) for name, attribute in SHOWN_TICKETS.items()}
     rows["store"] = None if found.store is None else " ".join(found.store)
     rows |= {f"answer.{name}": getattr(found.response_format, name) for name in ResponseFormat.__slots__}
     for known in found.peers:
--- a/linenbridge/cli/sums.py
+++ b/linenbridge/cli/sums.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from linenbridge.cli.event_names import SOURCES, counter_name, decision_row, event_name, sentence_row
+from linenbridge.cli.event_names import SOURCES, counter_name, decision_row, decision_text_row, event_name
 
 MAX_KINDS: Final = 10_000  # further kinds share a row
 OTHER: Final = "other"
@@ -100,7 +100,7 @@
     if event == "decision":
         return decision_row(fields)
     if event == "mode":
-        return sentence_row(str(fields.get("text", "")))
+        return decision_text_row(str(fields.get("text", "")))
     source = fields.get("source", fields.get("of"))
     name = event_name(event)
     return f"{name} {SOURCES.get(source, source)}" if isinstance(source, str) else name
