--- a/linenbridge/cli/commands.py
+++ b/linenbridge/cli/commands.py
@@ -1,8 +1,8 @@
-"""The command line: its commands and groups on `typer`, each in the module that its concern names.
+"""The commands and command groups of the command line, built with `typer`.
 
-Exit codes: 0 done, 1 a check or a day of faults found something, 2 what was given can't be used; `publish`
-has its own. Commands import what they run when they are called, so that none waits for the libraries of
-another.
+Exit codes: 0 for success, 1 if a check or a test with faults fails, 2 for invalid input; `publish` has its
+own. A command imports its implementation when it is called, so that its start isn't delayed by the libraries
+of other commands.
 """
 
 from __future__ import annotations
@@ -42,18 +42,24 @@
     name: Annotated[str, typer.Option(help="The key: a service, tenant, service/instance, or zone.")],
     value: Annotated[
         Path | None,
-        typer.Option(help="A file: routes as text, all else as a JSON object."),
+        typer.Option(help="A file with the value: routes as text, other kinds as a JSON object."),
     ] = None,
     delete: Annotated[bool, typer.Option("--delete", help="Delete the key.")] = False,
-    region: Annotated[str, typer.Option(help="Which owns the key; without it, the settings' own.")] = "",
-    accepted_within: Annotated[float, typer.Option(help="Seconds to wait until it is accepted.")] = 30.0,
-    in_force_within: Annotated[float, typer.Option(help="Seconds more until it is in force.")] = 10.0,
+    region: Annotated[
+        str, typer.Option(help="The region that owns the key; by default the region in the settings.")
+    ] = "",
+    accepted_within: Annotated[
+        float, typer.Option(help="Seconds to wait until the change is accepted.")
+    ] = 30.0,
+    in_force_within: Annotated[
+        float, typer.Option(help="Further seconds to wait until the change is in force.")
+    ] = 10.0,
     as_json: AsJson = False,
 ) -> None:
-    """Publish one change: prints when it is accepted and when it is in force, and who is not reached.
+    """Publish one change; print when it is accepted and in force, and which processes it has not reached.
 
-    Exit codes: 0 in force everywhere, 1 accepted but not known to be in force everywhere, 2 refused or not
-    published, 3 unknown: it may be accepted later.
+    Exit codes: 0 in force everywhere, 1 accepted but not known to be in force everywhere, 2 rejected or not
+    published, 3 unknown: the change may be accepted later.
     """
     from linenbridge.cli.publish import ChangeOptions, publish
 
@@ -66,7 +72,7 @@
 
 
 def run() -> int:
-    """Runs the command line as a program and returns its exit code."""
+    """Run the command line and return its exit code."""
     try:
         app(prog_name="linenbridge", standalone_mode=True)
     except SystemExit as end:
--- a/linenbridge/cli/event_names.py
+++ b/linenbridge/cli/event_names.py
@@ -1,7 +1,8 @@
-"""Names of log events and decisions: those of earlier versions, and the present ones.
+"""Names of log events, counters and decisions in earlier versions, and their present names.
 
-A fleet that is upgraded one process at a time writes both. `linenbridge logs` counts a line of an earlier
-version under the present name, so that both add up in one row. Names that are not listed stay as they are.
+While a fleet is upgraded one process at a time, its logs have both. `linenbridge logs` counts lines of
+earlier versions under the present names, so that each event has one row. Names that are not listed are the
+same in all versions.
 """
 
 from __future__ import annotations
@@ -51,7 +52,7 @@
 SOURCES: Final[Mapping[str, str]] = {
     "feed": "rollout_feed",
     "may_have_run": "maybe_executed",
-}  # of an event, in the field `of` of earlier versions and `source` of the present one
+}  # sources of events: values of the field `source`, which earlier versions call `of`
 COUNTERS: Final[Mapping[str, str]] = {
     "act": "task_action",
     "admitted.again": "admitted.retry",
@@ -75,8 +76,8 @@
     "vote.moot": "vote.stale",
 } | {
     earlier: present for earlier, present in EVENTS.items() if earlier.startswith("link.")
-}  # by the start of a counter's name, up to a dot
-OUTCOME_COUNTERS: Final = ("answered", "ended", "reported")  # whose last part is an outcome
+}  # leading parts of counter names, up to a dot
+OUTCOME_COUNTERS: Final = ("answered", "ended", "reported")  # counters whose last part is an outcome
 OUTCOMES: Final[Mapping[str, str]] = {
     "aborted": "failed",
     "broken": "connection_lost",
@@ -91,13 +92,13 @@
     "failed much": "failure_burst",
     "slow": "latency",
 }
-VOTES: Final = ("none", "promote", "hold", "roll_back")  # by the number that earlier versions wrote
+VOTES: Final = ("none", "promote", "hold", "roll_back")  # by their number in earlier versions
 PHASES: Final = ("on_trial", "rolling_back", "released", "withdrawn")
 
 
 @dataclass(frozen=True, slots=True)
 class DecisionText:
-    """One form of a decision's text in earlier versions, and the row that it is counted under."""
+    """A pattern of decision texts in earlier versions, and the kind that they are counted under."""
 
     pattern: re.Pattern[str]
     row: str
@@ -121,12 +122,12 @@
 
 
 def event_name(event: str) -> str:
-    """The present name of an event."""
+    """Return the present name of an event."""
     return EVENTS.get(event, event)
 
 
 def counter_name(counter: str) -> str:
-    """The present name of a counter, whose later parts (a method, a code) stay, but for an outcome."""
+    """Return the present name of a counter; of its later parts (a method, a code), only outcomes change."""
     first = counter.partition(".")[0]
     last = counter.rpartition(".")[2]
     if first in OUTCOME_COUNTERS:
@@ -138,14 +139,14 @@
 
 
 def decision_row(fields: Mapping[str, object]) -> str:
-    """The row that a decision is counted under: its kind and what it is about, without its figures."""
+    """Return the row that a decision is counted under: its kind and subject, without its figures."""
     values = [str(fields[name]) for name in ("method", "statistic", "vote", "phase") if name in fields]
     named = [f"{name} {fields[name]}" for name in ("build", "stage") if name in fields]
     return " ".join([str(fields.get("kind")), *values, *named])
 
 
 def decision_text_row(text: str) -> str:
-    """The row of a decision that an earlier version wrote as a text, or the text of an unknown form."""
+    """Return the row of a decision that an earlier version wrote as text; an unknown text is its own row."""
     for decision_text in DECISION_TEXTS:
         if found := decision_text.pattern.fullmatch(text):
             fields: dict[str, object] = {"kind": decision_text.row, **found.groupdict()}
--- a/linenbridge/cli/fault_commands.py
+++ b/linenbridge/cli/fault_commands.py
@@ -1,4 +1,4 @@
-"""`linenbridge faults`: days with injected faults against fake servers on loopback."""
+"""`linenbridge faults`: tests and measurements with fake servers on loopback."""
 
 from __future__ import annotations
 
@@ -11,18 +11,22 @@
 
 from linenbridge.cli.options import CHECK_FAILED, AsJson
 
-app = typer.Typer(no_args_is_help=True, help="Play days with faults against fake servers on loopback.")
+app = typer.Typer(
+    no_args_is_help=True,
+    help="Run tests with injected faults, and measurements, against fake servers on loopback.",
+)
 
 
 @app.command("processor")
 def processor(
-    quick: Annotated[bool, typer.Option("--quick", help="Under forty seconds.")] = False,
-    seed: Annotated[int, typer.Option(help="Of the day that is played.")] = 1,
+    quick: Annotated[bool, typer.Option("--quick", help="A shorter run, under forty seconds.")] = False,
+    seed: Annotated[int, typer.Option(help="The seed of the run.")] = 1,
     as_json: AsJson = False,
 ) -> None:
-    """Play fake nodes, platform, discovery and proxy around a processor, with and without faults.
+    """Test a processor with a fake proxy, fake instances, discovery and platform, with and without faults.
 
-    Prints decisions, the rules, and the added latency beside an empty processor. Exit 1: a rule broke.
+    Prints the decisions, the checked rules, and the added latency compared with an empty processor. Exit code
+    1 if a rule is violated.
     """
     from linenbridge.faults.processor import run_drill
 
@@ -34,10 +38,10 @@
 
 @app.command("transport")
 def transport(
-    seconds: Annotated[float, typer.Option(help="For how long each transport is asked.")] = 3.0,
+    seconds: Annotated[float, typer.Option(help="Seconds of requests to each transport.")] = 3.0,
     as_json: AsJson = False,
 ) -> None:
-    """The same dialogue against an empty processor on each transport: what each costs for a stream."""
+    """Measure the cost of a stream on each transport, with the same requests to an empty processor."""
     from linenbridge.faults.transport import measure_transports
 
     rows = measure_transports(seconds)
@@ -47,7 +51,11 @@
     grid = Table("transport", "streams", "streams a core second", "p50 ms", "start s", "memory MB")
     for row in rows:
         grid.add_row(
-            row.name, str(row.streams), f"{row.streams_per_core_s:.0f}", f"{row.p50_ms:.2f}",
-            f"{row.start_s:.2f}", f"{row.memory_mb:.1f}",
-        )  # fmt: skip
+            row.name,
+            str(row.streams),
+            f"{row.streams_per_core_s:.0f}",
+            f"{row.p50_ms:.2f}",
+            f"{row.start_s:.2f}",
+            f"{row.memory_mb:.1f}",
+        )
     Console().print(grid)
--- a/linenbridge/cli/logs.py
+++ b/linenbridge/cli/logs.py
@@ -1,6 +1,6 @@
-"""`linenbridge logs`: the sums of a folder of gateways' logs.
+"""`linenbridge logs`: a summary of the log files in a folder.
 
-Owns the files while they are read; `sums` says what their lines mean.
+This module reads the files and prints the summary; `sums` interprets their lines.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 
 def sum_folder(folder: Path, interval: float) -> Sums:
-    """The sums of all files of the folder, one gateway a file, over intervals of `interval` seconds.
+    """Sum all files of the folder, each the log of one gateway, over intervals of `interval` seconds.
 
-    OSError where a file can't be read, ValueError where the interval is not positive.
+    Raise OSError if a file can't be read, ValueError if the interval is not positive.
     """
     sums = Sums(interval)
     for file in sorted(path for path in folder.iterdir() if path.is_file()):
@@ -32,11 +32,11 @@
 
 def logs(
     folder: Annotated[Path, typer.Argument(help="A folder with one gateway's log in each file.")],
-    every: Annotated[float, typer.Option(help="Seconds in each stretch of the table.")] = 5.0,
-    max_rows: Annotated[int, typer.Option("--most", help="Rows to show.")] = 40,
+    every: Annotated[float, typer.Option(help="Seconds in each interval of the table.")] = 5.0,
+    max_rows: Annotated[int, typer.Option("--most", help="The maximum number of rows.")] = 40,
     as_json: AsJson = False,
 ) -> None:
-    """Add up a whole fleet's logs: lines of each kind by stretch of time, and all counters."""
+    """Summarize the logs of a fleet: the lines of each kind by interval of time, and all counters."""
     try:
         sums = sum_folder(folder, every)
     except (OSError, ValueError) as error:
@@ -57,4 +57,4 @@
     for name, count in counters.items():
         print(f"{name} {count}")
     if sums.unread:
-        print(f"{sums.unread} lines were no gateway's", file=sys.stderr)
+        print(f"{sums.unread} lines skipped, which are not log lines of a gateway", file=sys.stderr)
--- a/linenbridge/cli/options.py
+++ b/linenbridge/cli/options.py
@@ -1,4 +1,4 @@
-"""What the commands share: options, exit codes, and the reading of the files that options name."""
+"""Options and exit codes that commands share, and functions that read the files given in options."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     from linenbridge.process.configuration import ProcessConfiguration
     from linenbridge.routes.table import Table
 
-CHECK_FAILED: Final = 1  # exit code: a check or a day of faults found something
-INVALID_INPUT: Final = 2  # exit code: what was given can't be used
+CHECK_FAILED: Final = 1  # exit code: a check failed, or no route matches
+INVALID_INPUT: Final = 2  # exit code: an option, a setting or a file is invalid
 
 SettingsFile = Annotated[
-    Path, typer.Option("--settings", "-s", help="Settings of our own, in XML.", envvar="LB_SETTINGS")
+    Path, typer.Option("--settings", "-s", help="The settings file, in XML.", envvar="LB_SETTINGS")
 ]
 ConfigFile = Annotated[
     Path, typer.Option("--config", "-c", help="The platform's configuration, in JSON.", envvar="LB_CONFIG")
@@ -31,20 +31,23 @@
 
 
 def invalid_input(error: Exception) -> typer.Exit:
-    """Prints the error in one line; the exit to raise for input that can't be used."""
+    """Print the error to standard error; return the exception that exits with the code `INVALID_INPUT`."""
     print(f"linenbridge: {error}", file=sys.stderr)
     return typer.Exit(INVALID_INPUT)
 
 
 def load_platform(config: Path) -> ProcessConfiguration:
-    """The platform's configuration at a path; ValueError where it can't be used."""
-    from linenbridge.process.configuration import load  # Twisted, which most commands don't need
+    """Read the platform's configuration from the file `config`; raise ValueError if it is invalid."""
+    from linenbridge.process.configuration import load  # imports Twisted, which most commands don't need
 
     return load({**os.environ, "LB_CONFIG": str(config)})
 
 
 def load_routes(settings_file: Path, config: Path) -> Table:
-    """The routing table of the settings, checked against the platform's methods; exits with 2 on a fault."""
+    """Return the routing table of the settings, checked against the platform's methods.
+
+    If a file is invalid, print the error and exit with the code `INVALID_INPUT`.
+    """
     from linenbridge.processor.configuration import processor_settings, routes
     from linenbridge.startup import startup
 
@@ -52,7 +55,9 @@
         platform = load_platform(config)
         settings = processor_settings(read(str(settings_file)))
         if settings is None:
-            raise ConfigurationError(f"{settings_file}: it has no processor, and so no routes")
+            raise ConfigurationError(
+                f"{settings_file}: the element `processor`, which has the routes, is missing; add it"
+            )
         methods = list(startup(platform.settings).methods)
         return routes(settings, methods, platform.settings.max_deadline())
     except (ConfigurationError, ValueError, OSError) as error:
--- a/linenbridge/cli/publish.py
+++ b/linenbridge/cli/publish.py
@@ -1,7 +1,7 @@
-"""`linenbridge publish`: one change to its region's publisher, and the publisher's responses as text.
+"""`linenbridge publish`: send one change to its region's publisher and print the responses.
 
-Owns the options, the printed lines, the exit codes and the forms of values as files hold them. Which
-publisher a change goes to is decided by `ChangeClient` (distribution/hosting/change_client.py).
+This module defines the options, the printed lines, the exit codes, and the format of values in files.
+`ChangeClient` (distribution/hosting/change_client.py) selects the publisher that a change is sent to.
 """
 
 from __future__ import annotations
@@ -38,12 +38,12 @@
 
 
 class ExitCode(IntEnum):
-    """What `publish` ends with."""
+    """Exit codes of `publish`."""
 
     IN_FORCE = 0
-    ACCEPTED = 1  # and not known to be in force everywhere
+    ACCEPTED = 1  # but not known to be in force everywhere
     REJECTED = 2  # or not published
-    UNKNOWN = 3  # it may be accepted later
+    UNKNOWN = 3  # the change may be accepted later
 
 
 KINDS = {"routes": Kind.ROUTES, "tenant": Kind.TENANT, "instance": Kind.INSTANCE, "zone": Kind.ZONE}
@@ -52,12 +52,12 @@
     kind.code: kind
     for kind in (ChangeRejected, ForeignKey, NotPublisher, OlderEpoch, PublisherBusy, QuorumUnreached)
 }
-MAX_REQUEST_ID = 1 << 53  # whole numbers up to here are exact in JSON
+MAX_REQUEST_ID = 1 << 53  # larger integers are not exact in JSON
 
 
 @dataclass(frozen=True, slots=True)
 class ChangeOptions:
-    """The options of the command line. Times are seconds."""
+    """The options of the command. Times are in seconds."""
 
     kind: str
     name: str
@@ -69,17 +69,19 @@
 
 
 def publish(configuration: Configuration, options: ChangeOptions, *, as_json: bool) -> int:
-    """Publishes a change, waits until it is in force or time is up, and returns the exit code.
+    """Publish a change, wait until it is in force or a timeout ends, and return the exit code.
 
-    ConfigurationError, ValueError and OSError where the settings or the options can't be used.
+    Raise ConfigurationError, ValueError or OSError if the settings, the options or the value are invalid.
     """
     settings = distribution(configuration)
     if settings is None:
-        raise ConfigurationError(f"{configuration.path}: it has no element distribution; add it")
+        raise ConfigurationError(f"{configuration.path}: the element `distribution` is missing; add it")
     name = options.region or settings.region
     region = settings.regions.get(name)
     if region is None or not region.publishers:
-        raise ConfigurationError(f"{configuration.path}: no publisher of {name}; add it to the region")
+        raise ConfigurationError(
+            f"{configuration.path}: no publisher in region {name}; add one, or correct --region"
+        )
     change = Publish(
         secrets.randbelow(MAX_REQUEST_ID), name, _parse_kind(options.kind), options.name, _read_value(options)
     )
@@ -91,16 +93,19 @@
 
 def _parse_kind(name: str) -> Kind:
     if name not in KINDS:
-        raise ValueError(f"no kind is named {name}; name one of {', '.join(KINDS)}")
+        raise ValueError(f"unknown kind {name}; set --kind to one of {', '.join(KINDS)}")
     return KINDS[name]
 
 
 def _read_value(options: ChangeOptions) -> bytes:
-    """The value's bytes: routes as text, others from a JSON object that holds every field of their type."""
+    """Return the encoded value of the change; b"" to delete the key.
+
+    Routes are text; a value of another kind is a JSON object with every field of its type.
+    """
     if options.delete and options.value is None:
         return b""
     if options.delete or options.value is None:
-        raise ValueError("a change has a value or deletes its key; give one of --value and --delete")
+        raise ValueError("a change requires either --value or --delete; give exactly one of the two")
     data = options.value.read_bytes()
     kind = _parse_kind(options.kind)
     if kind == Kind.ROUTES:
@@ -110,18 +115,18 @@
         found = msgspec.json.decode(data, type=dict[str, Any])
         value = msgspec.convert([found.pop(field) for field in value_type.__struct_fields__], value_type)
     except KeyError as error:
-        raise ValueError(f"{options.value}: it has no field {error.args[0]}; add it") from None
+        raise ValueError(f"{options.value}: the field {error.args[0]} is missing; add it") from None
     except msgspec.MsgspecError as error:
-        raise ValueError(f"{options.value}: {error}; mend the value") from None
+        raise ValueError(f"{options.value}: {error}; correct the value") from None
     if found:
         raise ValueError(f"{options.value}: unknown fields {', '.join(found)}; remove them")
     return msgspec.msgpack.encode(value)
 
 
 def _check_value(settings: DistributionSettings, change: Publish) -> None:
-    """Makes the publisher's checks ahead of it, since they name the place of a fault.
+    """Make the publisher's checks before the change is sent; unlike its response, the error has the place.
 
-    Routes are checked only where the settings name the platform's configuration.
+    Routes are checked only if the settings name the platform's configuration.
     """
     if not change.value or (change.kind == Kind.ROUTES and not settings.platform):
         return
@@ -133,10 +138,10 @@
 def _send_change(
     region: Region, change: Publish, options: ChangeOptions, printer: ResponsePrinter
 ) -> Outcome:
-    """Runs a reactor for as long as the change takes."""
+    """Send the change and run the reactor until the last response or a timeout."""
     reactor = Reactor()
     installReactor(reactor)
-    log = Log(io.BytesIO())  # lines about connections are not printed
+    log = Log(io.BytesIO())  # log lines about connections are not printed
     deadline: list[Any] = []
 
     def on_response(published: Published) -> None:
@@ -163,7 +168,7 @@
         self.as_json = as_json
 
     def print_response(self, published: Published) -> None:
-        """Prints one response, as text or as a JSON object."""
+        """Print one response, as text or as a JSON object."""
         if self.as_json:
             row = msgspec.structs.asdict(published)
             print(json.dumps({**row, "version": msgspec.structs.asdict(published.version)}), flush=True)
@@ -184,11 +189,13 @@
             print(f"unreached   {published.unreached_count}: {names}", flush=True)
 
     def finish(self, outcome: Outcome) -> ExitCode:
-        """Prints a last line where the outcome is open, and returns the exit code."""
+        """Print a last line if no final response was received, and return the exit code."""
         if outcome.in_force is not None:
             return ExitCode.ACCEPTED if outcome.in_force.unreached_count else ExitCode.IN_FORCE
         if outcome.accepted is not None:
-            self._print_last("not known to be in force everywhere yet; it stays accepted: look at the relays")
+            self._print_last(
+                "not known to be in force everywhere yet; the change stays accepted: check the relays"
+            )
             return ExitCode.ACCEPTED
         if outcome.rejected is not None:
             return ExitCode.REJECTED
--- a/linenbridge/cli/route_commands.py
+++ b/linenbridge/cli/route_commands.py
@@ -1,4 +1,4 @@
-"""`linenbridge route`: checks of the routes, and which route a request takes."""
+"""`linenbridge route`: check the routes, and find the route that matches a request."""
 
 from __future__ import annotations
 
@@ -11,12 +11,14 @@
 from linenbridge.cli.options import CHECK_FAILED, AsJson, ConfigFile, SettingsFile, load_routes
 from linenbridge.routes.table import MatchedRequest, Request, Step
 
-app = typer.Typer(no_args_is_help=True, help="Look at the routes: which RPC a request at a proxy is.")
+app = typer.Typer(
+    no_args_is_help=True, help="Check the routes, and find the one that matches a request of a proxy."
+)
 
 
 @app.command("check")
 def check(settings_file: SettingsFile, config: ConfigFile) -> None:
-    """Check the routes against each other and against the methods: exit 2 names each place that is wrong."""
+    """Check the routes against each other and against the methods. Exit code 2 if a route is invalid."""
     table = load_routes(settings_file, config)
     print(f"{len(table.rules)} routes, no fault")
 
@@ -27,14 +29,14 @@
     config: ConfigFile,
     path: Annotated[str, typer.Argument(help="The request's path, with its query if it has one.")],
     verb: Annotated[str, typer.Option("--verb", "-X", help="GET, POST and so on.")] = "GET",
-    authority: Annotated[str, typer.Option(help="The host that is asked.")] = "",
+    authority: Annotated[str, typer.Option(help="The host of the request (`:authority`).")] = "",
     header: Annotated[
         list[str] | None, typer.Option("--header", "-H", help="`name: value`, repeatable.")
     ] = None,
     attribute: Annotated[list[str] | None, typer.Option("--attribute", "-A", help="`name=value`.")] = None,
     as_json: AsJson = False,
 ) -> None:
-    """Say which route takes a request and why: exit 1 where none does."""
+    """Print which route matches a request, and why. Exit code 1 if no route matches."""
     table = load_routes(settings_file, config)
     headers = {name.strip().lower(): value.strip() for name, value in _pairs(header, ":")}
     request = Request(authority, path, verb, "http", headers, dict(_pairs(attribute, "=")))
--- a/linenbridge/cli/serving.py
+++ b/linenbridge/cli/serving.py
@@ -1,4 +1,4 @@
-"""The commands that serve: a gateway with its processor, a processor, the simulator's host, the demo."""
+"""Commands that start a gateway with a processor, a processor alone, the simulator's adapter, or the demo."""
 
 from __future__ import annotations
 
@@ -13,31 +13,31 @@
 
 
 def serve(settings_file: SettingsFile, config: OptionalConfigFile = None) -> None:
-    """Serve clients by RESP2 and proxies by external processing, from one process.
+    """Serve clients over RESP2 and proxies over external processing, from one process.
 
-    Without a configuration, settings of a fleet or a distribution alone run a process that serves no RPCs.
+    Without --config, run a process of the fleet or the distribution, which serves no RPCs.
     """
     _run(settings_file, config, serve_clients=True)
 
 
 def processor(settings_file: SettingsFile, config: ConfigFile) -> None:
-    """Serve proxies alone: they ask on a stream for each request where it goes.
+    """Serve only proxies, which open a stream for each request and receive its endpoint.
 
-    SIGTERM sends proxies elsewhere and ends once nothing is open; SIGHUP reads keys, discovery and platform
-    again; SIGUSR1 prints the counters.
+    SIGTERM drains the processor and ends it once no stream is open; SIGHUP reloads keys, discovery and
+    platform; SIGUSR1 prints the counters.
     """
     _run(settings_file, config, serve_clients=False)
 
 
 def sim() -> None:
-    """Run the decision module on the simulator's messages, on standard input and output."""
+    """Run the decision module with the simulator, by messages on standard input and output."""
     from linenbridge.simulator.adapter import serve as serve_simulator
 
     raise typer.Exit(serve_simulator(sys.stdin.buffer, sys.stdout.buffer))
 
 
 def try_out() -> None:
-    """Start a gateway before fake servers on loopback, send some requests and show what comes back."""
+    """Start a gateway with fake servers on loopback, send some requests and print the responses."""
     from linenbridge.faults.demo import run_demo
 
     raise typer.Exit(run_demo())
@@ -52,7 +52,7 @@
             code = _run_without_platform(configuration)
         else:
             platform = load_platform(config)
-            os.environ["LB_CONFIG"] = str(config)  # a reload reads the same file
+            os.environ["LB_CONFIG"] = str(config)  # so that a reload reads the same file
             code = run(configuration, platform, serve_clients)
     except (ConfigurationError, ValueError, OSError) as error:
         raise invalid_input(error) from error
@@ -60,7 +60,7 @@
 
 
 def _run_without_platform(configuration: Configuration) -> int:
-    """Runs a process of the fleet or the distribution, which serves no RPCs; its exit code."""
+    """Run a process of the fleet or the distribution, which serves no RPCs; return its exit code."""
     from linenbridge.distribution.hosting.server import run as run_distribution
     from linenbridge.fleet.configuration import fleet_settings
     from linenbridge.fleet.hosting.quorum_member import run as run_quorum_member
@@ -69,5 +69,7 @@
         return run_distribution(configuration)
     settings = fleet_settings(configuration)
     if settings is None or configuration.part("processor") is not None:
-        raise ConfigurationError(f"{configuration.path}: only a fleet alone runs without --config")
+        raise ConfigurationError(
+            f"{configuration.path}: --config is required unless the file has `distribution`, or `fleet` alone"
+        )
     return run_quorum_member(configuration, settings)
--- a/linenbridge/cli/settings_commands.py
+++ b/linenbridge/cli/settings_commands.py
@@ -1,4 +1,4 @@
-"""`linenbridge settings`: checks of the settings file, and the values that it comes to."""
+"""`linenbridge settings`: check the settings file, and print the values in force and the schema."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from linenbridge.processor.configuration import processor_settings
 from linenbridge.processor.responses import ResponseFormat
 
-SHOWN_BOUNDS = {  # names of the settings, as `settings show` prints them, and of the attributes
+SHOWN_BOUNDS = {  # name in `settings show` -> attribute of the limits
     "streams": "max_streams",
     "message": "max_message_bytes",
     "headers": "max_header_bytes",
@@ -25,7 +25,7 @@
     "unread": "unsent_timeout",
     "idle": "idle_timeout",
 }
-SHOWN_TICKETS = {
+SHOWN_TICKETS = {  # name in `settings show` -> attribute of the terms
     "use_within": "use_within",
     "retry_within": "retry_within",
     "remember": "remember_for",
@@ -33,7 +33,7 @@
     "remember_most": "max_remembered",
 }
 
-app = typer.Typer(no_args_is_help=True, help="Look at the settings file (XML).")
+app = typer.Typer(no_args_is_help=True, help="Check and print the settings file (XML).")
 
 
 @app.command("check")
@@ -41,10 +41,15 @@
     settings_file: SettingsFile,
     config: Annotated[
         Path | None,
-        typer.Option("--config", "-c", help="Check the routes' methods against it.", envvar="LB_CONFIG"),
+        typer.Option(
+            "--config",
+            "-c",
+            help="The platform's configuration, to check the routes against its methods.",
+            envvar="LB_CONFIG",
+        ),
     ] = None,
 ) -> None:
-    """Check the file by its schema and its parts, and its routes where a configuration is given."""
+    """Check the file against the schema and further rules; with --config, check its routes too."""
     from linenbridge.distribution.configuration import distribution  # most commands don't need it
 
     try:
@@ -60,7 +65,7 @@
 
 @app.command("show")
 def show(settings_file: SettingsFile, as_json: AsJson = False) -> None:
-    """Show what the file comes to, defaults and all."""
+    """Print the settings in force, with defaults."""
     try:
         rows = shown(read(str(settings_file)))
     except ConfigurationError as error:
@@ -75,7 +80,7 @@
 
 
 def shown(configuration: Configuration) -> dict[str, object]:
-    """The settings in force, by dotted names; times in microseconds."""
+    """Return the settings in force by their dotted names; times are in microseconds."""
     rows: dict[str, object] = {"log.level": configuration.log_level, **_distribution_rows(configuration)}
     if (found := processor_settings(configuration)) is None:
         return rows
@@ -98,7 +103,7 @@
 
 
 def _distribution_rows(configuration: Configuration) -> dict[str, object]:
-    """The element `distribution`, where there is one: rates in bytes a second."""
+    """Return the settings of the element `distribution`, if there is one; rates are in bytes per second."""
     from linenbridge.distribution.configuration import distribution
 
     found = distribution(configuration)
--- a/linenbridge/cli/sums.py
+++ b/linenbridge/cli/sums.py
@@ -1,7 +1,7 @@
-"""Sums of the logs of a fleet: lines by kind and interval of time, and counters of all gateways.
+"""Sums over the logs of a fleet: lines by kind and interval of time, and counters of all gateways.
 
-Owns the meaning of log lines and their sums; it does no I/O. A line that is not a gateway's is counted as
-unread. Lines of earlier versions count under the present names (`event_names`).
+This module parses log lines and does no I/O. Lines that are not log lines of a gateway are counted as unread.
+Lines of earlier versions are counted under the present names (`event_names`).
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from linenbridge.cli.event_names import SOURCES, counter_name, decision_row, decision_text_row, event_name
 
-MAX_KINDS: Final = 10_000  # further kinds share a row
+MAX_KINDS: Final = 10_000  # further kinds share the row `OTHER`
 OTHER: Final = "other"
 
 
@@ -30,7 +30,10 @@
 
 @dataclass(frozen=True, slots=True)
 class KindRow:
-    """The lines of one kind: how many, of how many gateways, and by interval since the first line of all."""
+    """The lines of one kind: their number, that of their gateways, and that of lines by interval.
+
+    Intervals are numbered from the one of the first line of all kinds.
+    """
 
     kind: str
     lines: int
@@ -42,9 +45,9 @@
     """The sums of all gateways' lines, over intervals of `interval` seconds."""
 
     def __init__(self, interval: float) -> None:
-        """ValueError where the interval is not positive."""
+        """Start with empty sums; raise ValueError if `interval` is not positive."""
         if interval <= 0:
-            raise ValueError("a stretch of time must be longer than nothing")
+            raise ValueError(f"the interval is {interval:g} s; it must be greater than 0")
         self.interval = interval
         self.kinds: Counter[tuple[str, int]] = Counter()
         self.gateways: dict[str, set[str]] = {}
@@ -52,10 +55,10 @@
         self.unread = 0
 
     def read(self, gateway: str, lines: Iterable[str]) -> None:
-        """Adds the lines of one gateway, in their order.
+        """Add the lines of one gateway, in their order.
 
-        A process writes its counters on request and at its end: its last ones count, and those of earlier
-        processes of the same gateway are added.
+        A process writes its counters on request and at its end, so only the last counters of each process are
+        used. Those of successive processes of a gateway are added.
         """
         counters: dict[str, int] = {}
         for text in lines:
@@ -83,7 +86,7 @@
         self.gateways.setdefault(name, set()).add(gateway)
 
     def rows(self) -> list[KindRow]:
-        """A row for each kind, the most frequent first."""
+        """Return a row for each kind, the most frequent first."""
         by_kind: dict[str, dict[int, int]] = {}
         first = min((interval_index for _, interval_index in self.kinds), default=0)
         for (name, interval_index), number in self.kinds.items():
@@ -96,7 +99,7 @@
 
 
 def kind(event: str, fields: Mapping[str, Any]) -> str:
-    """The name that a line is counted under: a decision's kind and subject, or the event and its source."""
+    """Return the row that a line is counted under: that of its decision, or its event and source."""
     if event == "decision":
         return decision_row(fields)
     if event == "mode":
@@ -114,7 +117,10 @@
 
 
 def _parse(text: str) -> LogLine | None:
-    """The line; None where it is not a gateway's. A supervisor may have put a stamp before the object."""
+    """Parse a log line; return None if it is not one of a gateway.
+
+    A supervisor may have written a timestamp before the JSON object.
+    """
     begin = text.find("{")
     if begin < 0:
         return None
