--- a/linenbridge/cli/options.py
+++ b/linenbridge/cli/options.py
@@ -25,7 +25,8 @@
     Path, typer.Option("--config", "-c", help="The platform's configuration, in JSON.", envvar="LB_CONFIG")
 ]
 OptionalConfigFile = Annotated[
-    Path | None, typer.Option("--config", "-c", help="The platform's configuration.", envvar="LB_CONFIG")
+    Path | None,
+    typer.Option("--config", "-c", help="The platform's configuration, in JSON.", envvar="LB_CONFIG"),
 ]
 AsJson = Annotated[bool, typer.Option("--json", help="Print one JSON object.")]
 
@@ -46,7 +47,7 @@
 def load_routes(settings_file: Path, config: Path) -> Table:
     """Return the routing table of the settings, checked against the platform's methods.
 
-    If a file is invalid, print the error and exit with the code `INVALID_INPUT`.
+    If a file is invalid, print the error and exit with code 2 (`INVALID_INPUT`).
     """
     from linenbridge.processor.configuration import processor_settings, routes
     from linenbridge.startup import startup
--- a/linenbridge/cli/route_commands.py
+++ b/linenbridge/cli/route_commands.py
@@ -18,7 +18,10 @@
 
 @app.command("check")
 def check(settings_file: SettingsFile, config: ConfigFile) -> None:
-    """Check the routes against each other and against the methods. Exit code 2 if a route is invalid."""
+    """Check the routes against each other and against the methods.
+
+    Prints the line and column of each fault. Exit code 2 if there is one.
+    """
     table = load_routes(settings_file, config)
     print(f"{len(table.rules)} routes, no fault")
 
@@ -33,7 +36,9 @@
     header: Annotated[
         list[str] | None, typer.Option("--header", "-H", help="`name: value`, repeatable.")
     ] = None,
-    attribute: Annotated[list[str] | None, typer.Option("--attribute", "-A", help="`name=value`.")] = None,
+    attribute: Annotated[
+        list[str] | None, typer.Option("--attribute", "-A", help="`name=value`, repeatable.")
+    ] = None,
     as_json: AsJson = False,
 ) -> None:
     """Print which route matches a request, and why. Exit code 1 if no route matches."""
--- a/linenbridge/cli/sums.py
+++ b/linenbridge/cli/sums.py
@@ -30,9 +30,9 @@
 
 @dataclass(frozen=True, slots=True)
 class KindRow:
-    """The lines of one kind: their number, that of their gateways, and that of lines by interval.
+    """The number of lines of one kind, of the gateways that wrote them, and of lines in each interval.
 
-    Intervals are numbered from the one of the first line of all kinds.
+    Interval 0 has the earliest line of all kinds.
     """
 
     kind: str
