--- a/linenbridge/decisions.py
+++ b/linenbridge/decisions.py
@@ -1,7 +1,7 @@
 """The types of decisions that the decision module returns.
 
-A host pulls one decision at a time and executes it according to its class (`match`). Times are whole
-microseconds. Instances and requests are identified by the ids that the host supplied.
+A host pulls one decision at a time and executes it according to the decision's class (`match`). Times are
+whole microseconds. Instances and requests are identified by the ids that the host supplied.
 """
 
 from __future__ import annotations
@@ -29,14 +29,17 @@
 
 
 class Reject(Struct, frozen=True):
-    """Reject a request as its final response: it is safe to repeat after `retry_after` microseconds."""
+    """Send a rejection as the final response to a request that is safe to repeat.
+
+    `retry_after` is the number of microseconds after which the client can repeat the request.
+    """
 
     rpc_id: str
     retry_after: int
 
 
 class Fail(Struct, frozen=True):
-    """Fail a request as its final response: it may have been executed."""
+    """Send an error as the final response to a request that may have been executed (not safe to repeat)."""
 
     rpc_id: str
 
@@ -57,7 +60,7 @@
 
 
 class WatchEndpoints(Struct, frozen=True):
-    """Request the endpoint list or its next changes."""
+    """Request the endpoint list, or the next changes to the list, from discovery."""
 
 
 class LogMessage(Struct, frozen=True):
--- a/linenbridge/distribution/hosting/gateway.py
+++ b/linenbridge/distribution/hosting/gateway.py
@@ -1,4 +1,4 @@
-"""Hosts a gateway's part in the distribution: a follower of relays, its view, and the view's store.
+"""Runs the gateway's side of the distribution: a follower of relays, its view, and the view's store.
 
 Owns the connections to relays, and connects the follower, the queue of content to check, and the writer of
 the view's pages. A gateway has no thread of its own, so that many gateways with different names can share a
@@ -168,7 +168,10 @@
         self.log.event("distribution.not_reloaded", path=path, do="restart the process to apply the settings")
 
     def close(self, on_closed: Callable[[], None] = lambda: None) -> None:
-        """Stop checks and turns, close connections, write the changed pages, then call `on_closed`."""
+        """Stop the follower and its connections, write the changed pages, then call `on_closed`.
+
+        Content in the queue that is not yet checked is dropped, and the follower decides nothing more.
+        """
         self.apply_queue.close()
         self.driver.close()
         self.connections.close()
@@ -179,7 +182,7 @@
 
 
 class OpenedView(NamedTuple):
-    """A view, and the store that it was restored from if the settings name one."""
+    """A view, and the store from which it was restored; `store` is None if the settings name no store."""
 
     view: View
     store: ViewStore | None
--- a/linenbridge/faults/demo.py
+++ b/linenbridge/faults/demo.py
@@ -1,6 +1,7 @@
 """A demonstration: sends a few requests through a gateway between fake servers, and prints the responses.
 
-The demonstration owns the processes that it starts, and ends them. It measures nothing; the fault run does.
+The demonstration owns the processes that it starts, and ends them. For checks and measurements,
+use the fault run in `linenbridge.faults.processor`.
 """
 
 from __future__ import annotations
--- a/linenbridge/fleet/configuration.py
+++ b/linenbridge/fleet/configuration.py
@@ -32,7 +32,7 @@
 class FleetSettingsError(FileFaultError):
     """One fault in the element `fleet`."""
 
-    advice = "mend the settings; until then the member goes on by the earlier ones, or does not start"
+    advice = "correct the settings; until then the member keeps its earlier settings, or does not start"
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """The values of the element `fleet`. Times are in microseconds; `members` has the other members."""
+    """The values of the element `fleet`. Times are in microseconds; `members` excludes this member."""
 
     member: str
     listen: Address
@@ -174,7 +174,10 @@
 def _quorum(
     element: etree._Element, own_name: str, members: dict[str, Address], faults: SettingsFaults
 ) -> Quorum:
-    """Return the quorum; its lists differ by the acceptor that is marked by `joins` or `leaves`."""
+    """Return the quorum with its current and previous acceptors.
+
+    An acceptor that joins is only in the current list, one that leaves only in the previous list.
+    """
     current: list[str] = []
     previous: list[str] = []
     changes = 0
@@ -204,7 +207,8 @@
         faults.add(
             element,
             "more than one acceptor joins or leaves",
-            "change one acceptor, then wait until all acceptors have logged `acceptor.recovered`",
+            "let only one acceptor join or leave at a time, "
+            "and wait until all acceptors have logged `acceptor.recovered` before the next",
         )
     if not MIN_ACCEPTORS <= acceptors <= MAX_ACCEPTORS:
         faults.add(
--- a/linenbridge/net/decision_loop.py
+++ b/linenbridge/net/decision_loop.py
@@ -1,8 +1,9 @@
 """The decision loop: reports batches of inputs to the decision module, and executes the module's decisions.
 
-This module owns the turn, the timer for the decision module's next wake-up, and the open requests: each from
-the last byte of its command to its final response and the end of its last attempt. It makes no decisions
-itself. Each request gets exactly one final response: the first that ends it.
+In each turn, the loop reports all pending inputs and executes the decisions that follow. It also owns the
+timer for the decision module's next wake-up, and the open requests. A request is open from the last byte of
+its command until it has its final response and its last attempt has ended. The loop makes no decisions
+itself. Each request gets exactly one final response; later ones are dropped.
 """
 
 from __future__ import annotations
@@ -66,17 +67,17 @@
 
 
 class Platform(Protocol):
-    """Receives this gateway's votes."""
+    """Client of the platform: sends it the votes of this gateway."""
 
     def vote(self, build: int, stage: int, vote: Vote) -> None:
-        """Cast or withdraw a vote."""
+        """Send the platform a vote on a build at a stage of its rollout; `Vote.NONE` withdraws the vote."""
 
 
 class Discovery(Protocol):
-    """Provides the endpoint list."""
+    """Client of discovery: gets the endpoint list from it, and reports the list to the decision module."""
 
     def watch(self) -> None:
-        """Request updates of the endpoint list."""
+        """Request the endpoint list, or the next changes to the list, from discovery."""
 
 
 class DecisionLoop:
@@ -123,7 +124,7 @@
         while (decision := self._decision(now)) is not None:
             try:
                 self.execute(now, decision)
-            except Exception as error:  # The same holds for decisions.
+            except Exception as error:  # One failing decision must not keep the others from being executed.
                 self.log.failed(f"executing {type(decision).__name__}", error)
         for call_at_end in self.on_turn_end:
             try:
@@ -133,7 +134,7 @@
         self._schedule_wake()
 
     def _schedule_wake(self) -> None:
-        """Set the timer for the module's next wake-up; an earlier one stays, as an early turn is harmless."""
+        """Set the timer for the module's next wake-up; an earlier timer stays: an early turn is harmless."""
         due = self.decision_module.wake_at()
         if due is None or (self.wake_timer is not None and self.wake_due <= due):
             return
@@ -156,7 +157,7 @@
             return None
 
     def execute(self, now: int, decision: Decision) -> None:
-        """Execute one decision; raises KeyError if an attempt is decided for a request that is not open."""
+        """Execute one decision; raises KeyError for an attempt of a request that is not open."""
         match decision:
             case SendAttempt():
                 self._send(now, self.open[decision.rpc_id], decision.instance, decision.timeout)
@@ -216,7 +217,7 @@
     def _end(self, request: ActiveRequest) -> None:
         """End a request, and withdraw its attempts that have not been sent; only this method ends requests.
 
-        The request is removed when its last attempt has ended too.
+        The request is removed from `open` when its last attempt has ended too.
         """
         request.ended = True
         self.unanswered -= 1
@@ -227,7 +228,7 @@
     def reschedule_unsent(self) -> None:
         """Withdraw all attempts that have not been sent, so that the module decides on them again.
 
-        Called when the state on which they were decided has changed.
+        Called when the state on which the module based its decisions has changed.
         """
         for request in [request for request in self.open.values() if request.in_flight]:
             request.transport.withdraw_unsent(request)
--- a/linenbridge/net/platform.py
+++ b/linenbridge/net/platform.py
@@ -1,8 +1,8 @@
-"""The platform: receives the rollout feed, and sends this gateway's votes.
+"""Client of the platform: receives the rollout feed from it, and sends this gateway's votes to it.
 
 This module owns the watch of the feed and one connection for each vote, so that no vote is sent on a
-connection that the platform has closed. It neither creates nor retries votes: the result of each vote is
-reported to the decision module, which decides.
+connection that the platform has closed. It neither creates nor retries votes: it reports the result of
+each vote to the decision module, which decides whether to vote again.
 """
 
 from __future__ import annotations
@@ -120,7 +120,7 @@
 
 
 class Platform:
-    """Reports the rollout feed to the decision module, and the module's votes to the platform.
+    """Reports the rollout feed to the decision module, and sends the module's votes to the platform.
 
     `connect_timeout` and `response_timeout` are in microseconds, `max_length` in bytes of one message of the
     feed. `open_watch` creates a watch from its settings.
@@ -161,7 +161,10 @@
     # ---- the feed --------------------------------------------------------------------------------
 
     def on_message(self, line: memoryview) -> None:
-        """Report one message; raises MalformedError, which ends the stream, if it can't be parsed."""
+        """Report one message of the feed to the decision module.
+
+        Raises MalformedError, which ends the stream, if the message can't be parsed.
+        """
         try:
             message = msgspec.json.decode(line, type=FeedMessage)
             match message.type:
@@ -176,10 +179,10 @@
             raise MalformedError(str(error)) from None
 
     def on_rollout_status(self, status: RolloutStatus, *, is_vote_response: bool) -> None:
-        """Report the state of the rollout.
+        """Report the state of the rollout to the decision module.
 
-        If the state has changed, attempts that are not sent yet are decided again: their connections may come
-        up only after a lower cap has taken effect.
+        If the state has changed, the module decides again on all attempts that have not been sent: their
+        connections may be established only after a lower cap has taken effect.
         """
         phase = PHASES[status.status]
         if status != self.status:
@@ -215,7 +218,7 @@
     # ---- votes -----------------------------------------------------------------------------------
 
     def vote(self, build: int, stage: int, vote: Vote) -> None:
-        """Send one vote; its result is reported to the decision module exactly once."""
+        """Send one vote to the platform, and report its result to the decision module exactly once."""
         body = orjson.dumps({"version": build, "step": stage, "vote": VOTES[vote]})
         host, port = self.address
         request = http.request("POST", "/api/ballots", f"{host}:{port}", body)
--- a/linenbridge/process/components.py
+++ b/linenbridge/process/components.py
@@ -1,6 +1,7 @@
-"""The components of one gateway: built from its configuration, and reloaded.
+"""Builds the components of one gateway from its configuration, and reloads their addresses.
 
-Owns the references between components. Makes no decisions, and keeps no state once the components run.
+This module connects the components to each other. It makes no decisions, and keeps no state once the
+components run.
 """
 
 from __future__ import annotations
@@ -26,7 +27,7 @@
 from linenbridge.process.configuration import ProcessConfiguration, load
 from linenbridge.startup import micros, startup
 
-# Descriptors kept for the listener, both watches with their second connections, two votes, and the
+# Descriptors reserved for the listener, both watches with their second connections, two votes, and the
 # configuration file on a reload.
 RESERVED_DESCRIPTORS = 8
 MEBIBYTE = 1 << 20
@@ -40,7 +41,11 @@
 
 
 class GatewayComponents(NamedTuple):
-    """One gateway's components. `clients` and `instances` serve RESP2 once `clients` listens."""
+    """The components of one gateway.
+
+    `clients` (downstream) and `instances` (upstream) handle the requests that arrive by RESP2; none arrives
+    until `clients` listens.
+    """
 
     clients: Clients
     instances: Instances
@@ -72,9 +77,9 @@
 ) -> GatewayComponents:
     """Build one gateway.
 
-    The decision module gets the endpoint list and the rollout's state of the configuration before any client
-    can connect. `add_frontend` adds another front end to the same loop and returns its endpoint listener.
-    `start` replaces the module's settings in the configuration.
+    The decision module gets the endpoint list and the state of the rollout from the configuration before any
+    client can connect. `add_frontend` adds another front end to the same loop and returns its endpoint
+    listener. `start` replaces the module's settings in the configuration.
     """
     settings = configuration.settings
     start = start or startup(settings)
@@ -85,7 +90,8 @@
 
     loop = DecisionLoop(DecisionModule(start, seed, now()), reactor, now, log)
     idle_timeout = micros(settings.allowances.idle_timeout)
-    # Half of the descriptors each: a request in flight holds one to its client and one to its instance.
+    # Clients and instances get half of the descriptors each: a request in flight holds one to its client and
+    # one to its instance.
     instances = Instances(loop, reactor, budgets.descriptors // 2, connect_timeout, idle_timeout, log)
     listeners = (instances,) if add_frontend is None else (instances, add_frontend(loop))
 
@@ -156,8 +162,8 @@
 def reload(components: GatewayComponents, log: Log, environ: dict[str, str]) -> None:
     """Read the configuration again, and move discovery and the platform to the addresses in it.
 
-    All other settings in it apply from the next start. An unusable configuration is logged and changes
-    nothing.
+    All other settings apply from the next start. The error of an unusable configuration is
+    logged, and nothing changes.
     """
     try:
         configuration = load(environ)
